--- a/marblestair/core/arrivals.py
+++ b/marblestair/core/capacity/arrivals.py
@@ -9,8 +9,8 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from marblestair.core.model import GANG, JobRecord, JobSpec
-from marblestair.core.renting import Coming, kinds
+from marblestair.core.capacity.provisioning import Coming, kinds
+from marblestair.core.domain.model import GANG, JobRecord, JobSpec
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
--- a/marblestair/core/retiring.py
+++ b/marblestair/core/capacity/decommissioning.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from marblestair.core.machine import Machine
-from marblestair.core.model import GANG
-from marblestair.core.part import Part
-from marblestair.core.renting import LEAST_AGE_S
+from marblestair.core.capacity.provisioning import LEAST_AGE_S
+from marblestair.core.domain.model import GANG
+from marblestair.core.shard.machine import Machine
+from marblestair.core.shard.shard import Part
 
 #: work lost by emptying a machine, against the room that would stand free meanwhile
 NEARLY_EMPTY = 0.5
--- a/marblestair/core/demand.py
+++ b/marblestair/core/capacity/demand.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from marblestair.core.model import GANG
-from marblestair.core.part import Part
-from marblestair.core.slices import Slice
+from marblestair.core.domain.model import GANG
+from marblestair.core.shard.job_slice import Slice
+from marblestair.core.shard.shard import Part
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
--- a/marblestair/core/fleet.py
+++ b/marblestair/core/capacity/fleet.py
@@ -7,9 +7,22 @@
 
 import msgspec
 
-from marblestair.core import keys, plan_inputs
-from marblestair.core.arrivals import Arrivals
-from marblestair.core.calls import (
+from marblestair.core.capacity import plan_inputs
+from marblestair.core.capacity.arrivals import Arrivals
+from marblestair.core.capacity.decommissioning import absent, broken, nearly_empty
+from marblestair.core.capacity.planning import plan
+from marblestair.core.capacity.provisioning import (
+    Kind,
+    Load,
+    Plan,
+    Tuning,
+    Want,
+)
+from marblestair.core.capacity.spending import Spending
+from marblestair.core.domain.model import GANG, MachineType, Order, Report
+from marblestair.core.leadership.shard_map import MachineRecord, even
+from marblestair.core.runtime.coroutines import Flow, Step
+from marblestair.core.runtime.requests import (
     FINAL,
     SPLIT,
     CloudDelete,
@@ -26,22 +39,10 @@
     Sleep,
     StateResult,
 )
-from marblestair.core.flow import Flow, Step
-from marblestair.core.machine import Machine
-from marblestair.core.model import GANG, MachineType, Order, Report
-from marblestair.core.part import Part
-from marblestair.core.planning import plan
-from marblestair.core.renting import (
-    Kind,
-    Load,
-    Plan,
-    Tuning,
-    Want,
-)
-from marblestair.core.retiring import absent, broken, nearly_empty
-from marblestair.core.shares import hopeless
-from marblestair.core.spending import Spending
-from marblestair.core.split import MachineRecord, even
+from marblestair.core.scheduling.quota import hopeless
+from marblestair.core.shard.machine import Machine
+from marblestair.core.shard.shard import Part
+from marblestair.core.state import keys
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
--- a/marblestair/core/plan_inputs.py
+++ b/marblestair/core/capacity/plan_inputs.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from marblestair.core.model import GANG, JobRecord
-from marblestair.core.renting import Have, Load
+from marblestair.core.capacity.provisioning import Have, Load
+from marblestair.core.domain.model import GANG, JobRecord
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
--- a/marblestair/core/planning.py
+++ b/marblestair/core/capacity/planning.py
@@ -14,8 +14,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from marblestair.core.model import GANG, PRIORITIES, JobSpec, MachineType
-from marblestair.core.renting import (
+from marblestair.core.capacity.provisioning import (
     LEAST_AGE_S,
     Coming,
     Have,
@@ -29,6 +28,7 @@
     price_per_task,
     spares,
 )
+from marblestair.core.domain.model import GANG, PRIORITIES, JobSpec, MachineType
 
 #: run times ahead of its due time from which on work is worth ordinary machines, though it may run
 #: on spot ones
--- a/marblestair/core/summary.py
+++ b/marblestair/core/capacity/shard_summary.py
@@ -6,12 +6,12 @@
 
 import msgspec
 
-from marblestair.core.demand import measure_demand, wanted_tasks
-from marblestair.core.machine import Machine
-from marblestair.core.messages import PartSummary
-from marblestair.core.model import GANG
-from marblestair.core.part import Part
-from marblestair.core.retiring import absent
+from marblestair.core.capacity.decommissioning import absent
+from marblestair.core.capacity.demand import measure_demand, wanted_tasks
+from marblestair.core.domain.model import GANG
+from marblestair.core.runtime.outbox import PartSummary
+from marblestair.core.shard.machine import Machine
+from marblestair.core.shard.shard import Part
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
--- a/marblestair/core/spending.py
+++ b/marblestair/core/capacity/spending.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from marblestair.core.machine import Machine
-from marblestair.core.part import Part
+from marblestair.core.shard.machine import Machine
+from marblestair.core.shard.shard import Part
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
--- a/marblestair/core/controller.py
+++ b/marblestair/core/controller.py
@@ -12,36 +12,36 @@
 
 import msgspec
 
-from marblestair.core import keys
-from marblestair.core.answers import Answers
-from marblestair.core.authority import ISOLATED, Authority
-from marblestair.core.boots import BootTimes
-from marblestair.core.calls import Commit
-from marblestair.core.cancels import Cancels
-from marblestair.core.completion_records import CompletionRecords
-from marblestair.core.decision_log import Decision, DecisionLog
-from marblestair.core.dispatch import Dispatch
-from marblestair.core.faults import Faults
-from marblestair.core.fleet import Fleet
-from marblestair.core.flow import Flow, Runner
-from marblestair.core.jobs import Jobs
-from marblestair.core.machine import Machine
-from marblestair.core.machine_moves import MachineMoves
-from marblestair.core.messages import Command, Note, PartSummary, Reply
-from marblestair.core.migrate import Migrations
-from marblestair.core.migration_locks import MigrationLocks
-from marblestair.core.model import MachineType, Order, Report
-from marblestair.core.part import Part
-from marblestair.core.pipelines import Pipelines
-from marblestair.core.preempt import Preemption
-from marblestair.core.requests import Requests
-from marblestair.core.share_moves import ShareMoves
-from marblestair.core.shares import within_guarantee
+from marblestair.core.capacity.boot_times import BootTimes
+from marblestair.core.capacity.failures import Faults
+from marblestair.core.capacity.fleet import Fleet
+from marblestair.core.capacity.shard_summary import summarise
+from marblestair.core.domain.model import MachineType, Order, Report
+from marblestair.core.jobs.answers import Answers
+from marblestair.core.jobs.cancellations import Cancels
+from marblestair.core.jobs.completion_records import CompletionRecords
+from marblestair.core.jobs.dependencies import Pipelines
+from marblestair.core.jobs.job_managers import Jobs
+from marblestair.core.jobs.migration_locks import MigrationLocks
+from marblestair.core.jobs.user_requests import Requests
+from marblestair.core.leadership.leadership import ISOLATED, Authority
+from marblestair.core.leadership.shard_recovery import rebuild
+from marblestair.core.runtime.coroutines import Flow, Runner
+from marblestair.core.runtime.decision_log import Decision, DecisionLog
+from marblestair.core.runtime.outbox import Command, Note, PartSummary, Reply
+from marblestair.core.runtime.requests import Commit
+from marblestair.core.scheduling.dispatch import Dispatch
+from marblestair.core.scheduling.inherited_urgency import Urgency
+from marblestair.core.scheduling.machine_transfers import MachineMoves
+from marblestair.core.scheduling.preemption import Preemption
+from marblestair.core.scheduling.quota import within_guarantee
+from marblestair.core.scheduling.quota_transfers import ShareMoves
+from marblestair.core.scheduling.slice_migration import Migrations
+from marblestair.core.shard.machine import Machine
+from marblestair.core.shard.shard import Part
+from marblestair.core.state import keys
+from marblestair.core.state.store_view import View
 from marblestair.core.status import status
-from marblestair.core.summary import summarise
-from marblestair.core.takeover import rebuild
-from marblestair.core.urgency import Urgency
-from marblestair.core.view import View
 from marblestair.settings import Settings, Team
 
 #: boot times after which a machine that was rented is expected to report
--- a/marblestair/core/acceptance.py
+++ b/marblestair/core/jobs/acceptance.py
@@ -10,20 +10,21 @@
 
 import msgspec
 
-from marblestair.core import keys, split
-from marblestair.core.admission import Stage
-from marblestair.core.answers import UNKNOWN, JobState, JobStatus
-from marblestair.core.calls import ACCEPT, Commit, Put, StateResult
-from marblestair.core.flow import Step
-from marblestair.core.migrate import reserve
-from marblestair.core.model import DESCRIPTION, GANG, JobRecord, JobSpec, too_large
-from marblestair.core.parents import Parents, ParentsState, look_up
-from marblestair.core.placement import gang_fits
-from marblestair.core.shares import refusal
+from marblestair.core.domain.model import DESCRIPTION, GANG, JobRecord, JobSpec, too_large
+from marblestair.core.jobs.admission import Stage
+from marblestair.core.jobs.answers import UNKNOWN, JobState, JobStatus
+from marblestair.core.jobs.parents import Parents, ParentsState, look_up
+from marblestair.core.leadership import shard_map
+from marblestair.core.runtime.coroutines import Step
+from marblestair.core.runtime.requests import ACCEPT, Commit, Put, StateResult
+from marblestair.core.scheduling.placement import gang_fits
+from marblestair.core.scheduling.quota import refusal
+from marblestair.core.scheduling.slice_migration import reserve
+from marblestair.core.state import keys
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
-    from marblestair.core.messages import PartSummary
+    from marblestair.core.runtime.outbox import PartSummary
 
 #: time for which what an owner told of its part is recent enough to accept jobs into it
 SUMMARY_FRESH_S = 4.0
@@ -224,7 +225,7 @@
             return {str(part): [[0, spec.tasks]]}
         slices: dict[str, list[list[int]]] = {}
         start = 0
-        for part, size in zip(sorted(able), split.even(spec.tasks, len(able)), strict=True):
+        for part, size in zip(sorted(able), shard_map.even(spec.tasks, len(able)), strict=True):
             slices[str(part)] = [[start, start + size]]
             start += size
         return slices
--- a/marblestair/core/answers.py
+++ b/marblestair/core/jobs/answers.py
@@ -14,12 +14,12 @@
 
 import msgspec
 
-from marblestair.core import keys
-from marblestair.core.calls import ACCEPT, Get, PeerCall, StateResult
-from marblestair.core.decision_log import Decision
-from marblestair.core.flow import Step
-from marblestair.core.lookups import Lookups
-from marblestair.core.model import JobRecord
+from marblestair.core.domain.model import JobRecord
+from marblestair.core.jobs.lookups import Lookups
+from marblestair.core.runtime.coroutines import Step
+from marblestair.core.runtime.decision_log import Decision
+from marblestair.core.runtime.requests import ACCEPT, Get, PeerCall, StateResult
+from marblestair.core.state import keys
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
--- a/marblestair/core/cancels.py
+++ b/marblestair/core/jobs/cancellations.py
@@ -19,12 +19,12 @@
 
 from typing import TYPE_CHECKING, Any
 
-from marblestair.core import keys
-from marblestair.core.calls import ACCEPT, Commit, PeerCall, Put, Sleep, StateResult
-from marblestair.core.decision_log import Decision
-from marblestair.core.flow import Flow, Step
-from marblestair.core.model import JobRecord, cancelled
-from marblestair.core.split import PartRecord
+from marblestair.core.domain.model import JobRecord, cancelled
+from marblestair.core.leadership.shard_map import PartRecord
+from marblestair.core.runtime.coroutines import Flow, Step
+from marblestair.core.runtime.decision_log import Decision
+from marblestair.core.runtime.requests import ACCEPT, Commit, PeerCall, Put, Sleep, StateResult
+from marblestair.core.state import keys
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
--- a/marblestair/core/completion_records.py
+++ b/marblestair/core/jobs/completion_records.py
@@ -12,10 +12,10 @@
 
 import msgspec
 
-from marblestair.core import keys
-from marblestair.core.calls import FINAL, Commit, Put, Sleep, StateResult
-from marblestair.core.flow import Flow
-from marblestair.core.part import Part
+from marblestair.core.runtime.coroutines import Flow
+from marblestair.core.runtime.requests import FINAL, Commit, Put, Sleep, StateResult
+from marblestair.core.shard.shard import Part
+from marblestair.core.state import keys
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
--- a/marblestair/core/pipelines.py
+++ b/marblestair/core/jobs/dependencies.py
@@ -19,12 +19,12 @@
 from collections.abc import Iterable, Iterator
 from typing import TYPE_CHECKING
 
-from marblestair.core import keys
-from marblestair.core.answers import FINAL_STATES, JobState
-from marblestair.core.calls import FINAL, Sleep
-from marblestair.core.cancels import OVER_LEASES
-from marblestair.core.flow import Flow, Step
-from marblestair.core.model import JobRecord
+from marblestair.core.domain.model import JobRecord
+from marblestair.core.jobs.answers import FINAL_STATES, JobState
+from marblestair.core.jobs.cancellations import OVER_LEASES
+from marblestair.core.runtime.coroutines import Flow, Step
+from marblestair.core.runtime.requests import FINAL, Sleep
+from marblestair.core.state import keys
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
--- a/marblestair/core/jobs.py
+++ b/marblestair/core/jobs/job_managers.py
@@ -11,16 +11,24 @@
 
 import msgspec
 
-from marblestair.core import keys
-from marblestair.core.answers import JobState
-from marblestair.core.calls import ACCEPT, FINAL, PROGRESS, Commit, Put, Sleep, StateResult
-from marblestair.core.decision_log import Decision
-from marblestair.core.flow import Flow, Step
-from marblestair.core.managed import ManagedJob, PartReport
-from marblestair.core.model import CANCEL, JobRecord, cancelled, released
-from marblestair.core.part import Part
-from marblestair.core.slices import Slice
-from marblestair.core.split import SplitRecord
+from marblestair.core.domain.model import CANCEL, JobRecord, cancelled, released
+from marblestair.core.jobs.answers import JobState
+from marblestair.core.jobs.managed_job import ManagedJob, PartReport
+from marblestair.core.leadership.shard_map import SplitRecord
+from marblestair.core.runtime.coroutines import Flow, Step
+from marblestair.core.runtime.decision_log import Decision
+from marblestair.core.runtime.requests import (
+    ACCEPT,
+    FINAL,
+    PROGRESS,
+    Commit,
+    Put,
+    Sleep,
+    StateResult,
+)
+from marblestair.core.shard.job_slice import Slice
+from marblestair.core.shard.shard import Part
+from marblestair.core.state import keys
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
--- a/marblestair/core/lookups.py
+++ b/marblestair/core/jobs/lookups.py
@@ -10,11 +10,11 @@
 
 from typing import TYPE_CHECKING
 
-from marblestair.core.calls import LOOKUP
-from marblestair.core.flow import Flow, Runner, Signal, Step
+from marblestair.core.runtime.coroutines import Flow, Runner, Signal, Step
+from marblestair.core.runtime.requests import LOOKUP
 
 if TYPE_CHECKING:
-    from marblestair.core.answers import Answers
+    from marblestair.core.jobs.answers import Answers
 
 #: reads under way at once: what a node may ask of the state service within this many seconds
 READ_AHEAD_S = 0.5
--- a/marblestair/core/managed.py
+++ b/marblestair/core/jobs/managed_job.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from marblestair.core.calls import Commit, StateResult
-from marblestair.core.flow import Step
-from marblestair.core.manager import ServerManager
-from marblestair.core.model import JobRecord
+from marblestair.core.domain.model import JobRecord
+from marblestair.core.jobs.server_manager import ServerManager
+from marblestair.core.runtime.coroutines import Step
+from marblestair.core.runtime.requests import Commit, StateResult
 
 
 class PartReport(msgspec.Struct, array_like=True):
--- a/marblestair/core/migration_locks.py
+++ b/marblestair/core/jobs/migration_locks.py
@@ -7,12 +7,12 @@
 
 import msgspec
 
-from marblestair.core import keys
-from marblestair.core.calls import FINAL, Commit, Put, Sleep, StateResult
-from marblestair.core.flow import Step
-from marblestair.core.managed import ManagedJob
-from marblestair.core.model import RECORD, JobRecord, too_large
-from marblestair.core.ranges import Ranges
+from marblestair.core.domain.index_ranges import Ranges
+from marblestair.core.domain.model import RECORD, JobRecord, too_large
+from marblestair.core.jobs.managed_job import ManagedJob
+from marblestair.core.runtime.coroutines import Step
+from marblestair.core.runtime.requests import FINAL, Commit, Put, Sleep, StateResult
+from marblestair.core.state import keys
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
--- a/marblestair/core/parents.py
+++ b/marblestair/core/jobs/parents.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from marblestair.core.answers import UNKNOWN, JobState, JobStatus
-from marblestair.core.flow import Step
+from marblestair.core.jobs.answers import UNKNOWN, JobState, JobStatus
+from marblestair.core.runtime.coroutines import Step
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
--- a/marblestair/core/progress.py
+++ b/marblestair/core/jobs/progress.py
@@ -11,12 +11,21 @@
 
 import msgspec
 
-from marblestair.core import keys
-from marblestair.core.calls import LEASE, PROGRESS, Commit, Get, ListKeys, Put, Sleep, StateResult
-from marblestair.core.flow import Flow, Step
-from marblestair.core.part import Part
-from marblestair.core.ranges import PAGE, decode_bits, encode_bits
-from marblestair.core.slices import Slice
+from marblestair.core.domain.index_ranges import PAGE, decode_bits, encode_bits
+from marblestair.core.runtime.coroutines import Flow, Step
+from marblestair.core.runtime.requests import (
+    LEASE,
+    PROGRESS,
+    Commit,
+    Get,
+    ListKeys,
+    Put,
+    Sleep,
+    StateResult,
+)
+from marblestair.core.shard.job_slice import Slice
+from marblestair.core.shard.shard import Part
+from marblestair.core.state import keys
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
--- a/marblestair/core/requests.py
+++ b/marblestair/core/jobs/user_requests.py
@@ -4,12 +4,12 @@
 
 from typing import TYPE_CHECKING, Any
 
-from marblestair.core.acceptance import RETRY_S, Acceptance, Outcome
-from marblestair.core.answers import FINAL_STATES, UNKNOWN, JobState, JobStatus
-from marblestair.core.calls import PeerCall
-from marblestair.core.flow import Flow, Step
-from marblestair.core.messages import Reply
-from marblestair.core.model import JobSpec
+from marblestair.core.domain.model import JobSpec
+from marblestair.core.jobs.acceptance import RETRY_S, Acceptance, Outcome
+from marblestair.core.jobs.answers import FINAL_STATES, UNKNOWN, JobState, JobStatus
+from marblestair.core.runtime.coroutines import Flow, Step
+from marblestair.core.runtime.outbox import Reply
+from marblestair.core.runtime.requests import PeerCall
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
--- a/marblestair/core/authority.py
+++ b/marblestair/core/leadership/leadership.py
@@ -12,8 +12,11 @@
 
 import msgspec
 
-from marblestair.core import keys, split
-from marblestair.core.calls import (
+from marblestair.core.leadership import shard_map
+from marblestair.core.leadership.promises import Promises
+from marblestair.core.runtime.coroutines import Flow, Step
+from marblestair.core.runtime.decision_log import Decision
+from marblestair.core.runtime.requests import (
     LEASE,
     Commit,
     Get,
@@ -25,10 +28,8 @@
     StateResult,
     Watch,
 )
-from marblestair.core.decision_log import Decision
-from marblestair.core.flow import Flow, Step
-from marblestair.core.part import DRIFT, Part
-from marblestair.core.promises import Promises
+from marblestair.core.shard.shard import DRIFT, Part
+from marblestair.core.state import keys
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
@@ -333,7 +334,7 @@
         else:
             self._give(now, mine)
 
-    def _is_orphaned(self, number: int, part: split.PartRecord, held: int, now: float) -> bool:
+    def _is_orphaned(self, number: int, part: shard_map.PartRecord, held: int, now: float) -> bool:
         """Whether to take a part now, by a node that holds some number of parts already."""
         controller = self.controller
         if part.owner == controller.node:
@@ -354,7 +355,9 @@
             wait += self.ttl / 2
         return now - since >= wait
 
-    def _absence_guards(self, record: split.SplitRecord, take: list[int]) -> list[tuple[str, int]]:
+    def _absence_guards(
+        self, record: shard_map.SplitRecord, take: list[int]
+    ) -> list[tuple[str, int]]:
         """Guards that hold only while the owners of parts to be taken are gone."""
         guards = []
         for number in take:
@@ -366,7 +369,7 @@
 
     def _create(self) -> Flow:
         controller = self.controller
-        first = split.first(controller.settings.cluster.size, controller.settings.cluster.teams)
+        first = shard_map.first(controller.settings.cluster.size, controller.settings.cluster.teams)
         put = Commit([(keys.SPLIT, 0)], [Put(keys.SPLIT, first)], lane=LEASE)
         r: StateResult = yield put
         if r.status == 200:
@@ -379,7 +382,7 @@
         controller = self.controller
         s = controller.view.split
         if s is not None:
-            new = split.take(s, parts, controller.node, controller.incarnation)
+            new = shard_map.take(s, parts, controller.node, controller.incarnation)
             own = keys.NODES + controller.node
             ok = yield from self.commit_split(
                 new,
@@ -394,7 +397,7 @@
 
     def commit_split(
         self,
-        new: split.SplitRecord,
+        new: shard_map.SplitRecord,
         fenced: list[int],
         guards: list[tuple[str, int]],
         version: int,
@@ -497,7 +500,7 @@
                 # Take the part anew, so that the commit in doubt cannot be applied late.
                 target = controller.node
                 inc = controller.incarnation
-            new = split.take(controller.view.split, [number], target, inc)
+            new = shard_map.take(controller.view.split, [number], target, inc)
             key = keys.NODES + target
             guards = [(key, controller.view.version(key)), controller.fence(number)]
             ok = yield from self.commit_split(new, [number], guards, version)
--- a/marblestair/core/promises.py
+++ b/marblestair/core/leadership/promises.py
@@ -10,14 +10,14 @@
 
 from typing import TYPE_CHECKING, Any
 
-from marblestair.core.calls import PeerCall, Sleep
-from marblestair.core.decision_log import Decision
-from marblestair.core.flow import Flow, Step
-from marblestair.core.part import DRIFT
+from marblestair.core.runtime.coroutines import Flow, Step
+from marblestair.core.runtime.decision_log import Decision
+from marblestair.core.runtime.requests import PeerCall, Sleep
+from marblestair.core.shard.shard import DRIFT
 
 if TYPE_CHECKING:
-    from marblestair.core.authority import Authority
     from marblestair.core.controller import Controller
+    from marblestair.core.leadership.leadership import Authority
 
 #: pauses between two looks whether promises are needed, in one lease
 LOOKS_PER_LEASE = 8
--- a/marblestair/core/split.py
+++ b/marblestair/core/leadership/shard_map.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from marblestair.core.model import down
+from marblestair.core.domain.model import down
 from marblestair.settings import Team
 
 
--- a/marblestair/core/takeover.py
+++ b/marblestair/core/leadership/shard_recovery.py
@@ -9,11 +9,11 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from marblestair.core import keys
-from marblestair.core.calls import Sleep
-from marblestair.core.flow import Flow
-from marblestair.core.part import Part
-from marblestair.core.progress import keep_progress, load_progress
+from marblestair.core.jobs.progress import keep_progress, load_progress
+from marblestair.core.runtime.coroutines import Flow
+from marblestair.core.runtime.requests import Sleep
+from marblestair.core.shard.shard import Part
+from marblestair.core.state import keys
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
--- /dev/null
+++ b/marblestair/core/runtime/__init__.py
@@ -0,0 +1,1 @@
+"""What the core runs on: coroutines that wait for outside answers, their requests, and outputs."""
--- a/marblestair/core/flow.py
+++ b/marblestair/core/runtime/coroutines.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Generator
 from typing import Any, TypeAlias
 
-from marblestair.core.calls import Call, Sleep
+from marblestair.core.runtime.requests import Call, Sleep
 
 
 class Signal:
--- a/marblestair/core/messages.py
+++ b/marblestair/core/runtime/outbox.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from marblestair.core.model import Order
+from marblestair.core.domain.model import Order
 
 
 class Reply(msgspec.Struct, frozen=True):
--- a/marblestair/core/calls.py
+++ b/marblestair/core/runtime/requests.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from marblestair.core.model import MachineType
+from marblestair.core.domain.model import MachineType
 
 NOT_SENT = -1
 
--- /dev/null
+++ b/marblestair/core/scheduling/__init__.py
@@ -0,0 +1,1 @@
+"""Which task starts where: order, placement, preemption, quota, and moves between shards."""
--- a/marblestair/core/dispatch.py
+++ b/marblestair/core/scheduling/dispatch.py
@@ -10,14 +10,14 @@
 from collections.abc import Collection, Container
 from typing import TYPE_CHECKING
 
-from marblestair.core.guests import GuestTasks
-from marblestair.core.machine import Machine
-from marblestair.core.model import GANG
-from marblestair.core.part import Part
-from marblestair.core.placement import place_array, place_gang
-from marblestair.core.preempt import Survey
-from marblestair.core.shares import order_key
-from marblestair.core.slices import Slice
+from marblestair.core.domain.model import GANG
+from marblestair.core.scheduling.best_effort import GuestTasks
+from marblestair.core.scheduling.placement import place_array, place_gang
+from marblestair.core.scheduling.preemption import Survey
+from marblestair.core.scheduling.quota import order_key
+from marblestair.core.shard.job_slice import Slice
+from marblestair.core.shard.machine import Machine
+from marblestair.core.shard.shard import Part
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
--- a/marblestair/core/urgency.py
+++ b/marblestair/core/scheduling/inherited_urgency.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from marblestair.core.model import PRIORITIES, JobRecord, JobSpec
+from marblestair.core.domain.model import PRIORITIES, JobRecord, JobSpec
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
--- a/marblestair/core/machine_moves.py
+++ b/marblestair/core/scheduling/machine_transfers.py
@@ -6,19 +6,19 @@
 
 import msgspec
 
-from marblestair.core import keys
-from marblestair.core.calls import SPLIT, Commit, Put, Sleep, StateResult
-from marblestair.core.flow import Flow
-from marblestair.core.machine import Machine
-from marblestair.core.model import GANG, JobSpec
-from marblestair.core.part import Part
-from marblestair.core.placement import allowed, gang_fits, room, rooms_for
-from marblestair.core.slices import Slice
-from marblestair.core.split import raise_term
+from marblestair.core.domain.model import GANG, JobSpec
+from marblestair.core.leadership.shard_map import raise_term
+from marblestair.core.runtime.coroutines import Flow
+from marblestair.core.runtime.requests import SPLIT, Commit, Put, Sleep, StateResult
+from marblestair.core.scheduling.placement import allowed, gang_fits, room, rooms_for
+from marblestair.core.shard.job_slice import Slice
+from marblestair.core.shard.machine import Machine
+from marblestair.core.shard.shard import Part
+from marblestair.core.state import keys
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
-    from marblestair.core.messages import PartSummary
+    from marblestair.core.runtime.outbox import PartSummary
 
 
 class MachineMoves:
--- a/marblestair/core/placement.py
+++ b/marblestair/core/scheduling/placement.py
@@ -10,10 +10,10 @@
 from collections import Counter
 from collections.abc import Callable, Container, Iterable
 
-from marblestair.core.machine import Machine
-from marblestair.core.model import JobSpec
-from marblestair.core.part import Part
-from marblestair.core.slices import Slice
+from marblestair.core.domain.model import JobSpec
+from marblestair.core.shard.job_slice import Slice
+from marblestair.core.shard.machine import Machine
+from marblestair.core.shard.shard import Part
 
 #: machines sampled at first; the design starts at 3 and leaves the size open
 SAMPLE = 6
--- a/marblestair/core/preempt.py
+++ b/marblestair/core/scheduling/preemption.py
@@ -8,11 +8,11 @@
 
 from typing import TYPE_CHECKING
 
-from marblestair.core.machine import Machine, Placed
-from marblestair.core.model import PRIORITIES, JobSpec
-from marblestair.core.part import Part
-from marblestair.core.placement import Room, allowed, room
-from marblestair.core.slices import Slice
+from marblestair.core.domain.model import PRIORITIES, JobSpec
+from marblestair.core.scheduling.placement import Room, allowed, room
+from marblestair.core.shard.job_slice import Slice
+from marblestair.core.shard.machine import Machine, Placed
+from marblestair.core.shard.shard import Part
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
--- a/marblestair/core/shares.py
+++ b/marblestair/core/scheduling/quota.py
@@ -4,7 +4,15 @@
 
 from collections.abc import Callable
 
-from marblestair.core.model import GANG, PRIORITIES, JobRecord, JobSpec, MachineType, down, up
+from marblestair.core.domain.model import (
+    GANG,
+    PRIORITIES,
+    JobRecord,
+    JobSpec,
+    MachineType,
+    down,
+    up,
+)
 from marblestair.settings import Team
 
 
--- a/marblestair/core/share_moves.py
+++ b/marblestair/core/scheduling/quota_transfers.py
@@ -8,16 +8,17 @@
 
 from typing import TYPE_CHECKING
 
-from marblestair.core import keys, split
-from marblestair.core.calls import Sleep
-from marblestair.core.flow import Flow
-from marblestair.core.model import GANG
-from marblestair.core.part import Part
-from marblestair.core.summary import summarise
+from marblestair.core.capacity.shard_summary import summarise
+from marblestair.core.domain.model import GANG
+from marblestair.core.leadership import shard_map
+from marblestair.core.runtime.coroutines import Flow
+from marblestair.core.runtime.requests import Sleep
+from marblestair.core.shard.shard import Part
+from marblestair.core.state import keys
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
-    from marblestair.core.messages import PartSummary
+    from marblestair.core.runtime.outbox import PartSummary
 
 #: seconds for which what a part told of its wants counts
 FRESH_S = 3.0
@@ -119,7 +120,7 @@
                 too_much = give[0] > share[0] or give[1] > share[1]
                 if doubt < 0 and (too_much or tries > MOST_TRIES):
                     return
-                new = split.shift(record, part.number, target, team, give[0], give[1])
+                new = shard_map.shift(record, part.number, target, team, give[0], give[1])
                 guards = [controller.fence(part.number)]
                 moved = yield from controller.authority.commit_split(new, [], guards, version)
                 if moved:
--- a/marblestair/core/migrate.py
+++ b/marblestair/core/scheduling/slice_migration.py
@@ -11,19 +11,19 @@
 
 from typing import TYPE_CHECKING, Any
 
-from marblestair.core import keys
-from marblestair.core.calls import PeerCall, Sleep
-from marblestair.core.flow import Flow, Step
-from marblestair.core.manager import LOG_OFF, STAY
-from marblestair.core.model import GANG, JobSpec
-from marblestair.core.part import Part
-from marblestair.core.placement import gang_fits, place_room, rooms_for
-from marblestair.core.ranges import Ranges
-from marblestair.core.slices import Slice
+from marblestair.core.domain.index_ranges import Ranges
+from marblestair.core.domain.model import GANG, JobSpec
+from marblestair.core.jobs.server_manager import LOG_OFF, STAY
+from marblestair.core.runtime.coroutines import Flow, Step
+from marblestair.core.runtime.requests import PeerCall, Sleep
+from marblestair.core.scheduling.placement import gang_fits, place_room, rooms_for
+from marblestair.core.shard.job_slice import Slice
+from marblestair.core.shard.shard import Part
+from marblestair.core.state import keys
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
-    from marblestair.core.messages import PartSummary
+    from marblestair.core.runtime.outbox import PartSummary
 
 #: migrations under way at once, per node
 MOST = 4
--- a/marblestair/core/slices.py
+++ b/marblestair/core/shard/job_slice.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from marblestair.core.machine import Machine
-from marblestair.core.model import JobSpec
-from marblestair.core.ranges import PAGE, Ranges
+from marblestair.core.domain.index_ranges import PAGE, Ranges
+from marblestair.core.domain.model import JobSpec
+from marblestair.core.shard.machine import Machine
 
 
 class Slice:
--- a/marblestair/core/machine.py
+++ b/marblestair/core/shard/machine.py
@@ -4,7 +4,7 @@
 
 from collections import OrderedDict
 
-from marblestair.core.model import JobSpec, MachineType
+from marblestair.core.domain.model import JobSpec, MachineType
 
 #: a task: its job and its number
 TaskKey = tuple[str, int]
--- a/marblestair/core/part.py
+++ b/marblestair/core/shard/shard.py
@@ -10,10 +10,10 @@
 
 from __future__ import annotations
 
-from marblestair.core.boots import BootTimes
-from marblestair.core.faults import Faults
-from marblestair.core.machine import Machine, Placed, TaskKey
-from marblestair.core.model import (
+from marblestair.core.capacity.boot_times import BootTimes
+from marblestair.core.capacity.failures import Faults
+from marblestair.core.domain.index_ranges import Ranges
+from marblestair.core.domain.model import (
     GANG,
     SERVICE,
     JobRecord,
@@ -22,8 +22,8 @@
     Report,
     TaskReport,
 )
-from marblestair.core.ranges import Ranges
-from marblestair.core.slices import Slice
+from marblestair.core.shard.job_slice import Slice
+from marblestair.core.shard.machine import Machine, Placed, TaskKey
 from marblestair.settings import Cluster
 
 #: attempts are (term << ATTEMPT_BITS) + a count, so that no term reuses another's
--- a/marblestair/core/view.py
+++ b/marblestair/core/state/store_view.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from marblestair.core import keys
-from marblestair.core.calls import Commit, Event, StateResult
-from marblestair.core.model import JobRecord
-from marblestair.core.split import MachineRecord, SplitRecord
+from marblestair.core.domain.model import JobRecord
+from marblestair.core.leadership.shard_map import MachineRecord, SplitRecord
+from marblestair.core.runtime.requests import Commit, Event, StateResult
+from marblestair.core.state import keys
 
 #: machines that are gone for good and remembered: the largest fleets, replaced several times
 MOST_GONE = 20_000
--- a/marblestair/core/status.py
+++ b/marblestair/core/status.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from marblestair.core.model import UNIT
+from marblestair.core.domain.model import UNIT
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
--- a/marblestair/node.py
+++ b/marblestair/node.py
@@ -10,7 +10,9 @@
 from typing import Any
 
 from marblestair import wire
-from marblestair.core.calls import (
+from marblestair.core.controller import Controller
+from marblestair.core.runtime.outbox import Command, Reply
+from marblestair.core.runtime.requests import (
     NOT_SENT,
     Call,
     CloudDelete,
@@ -28,8 +30,6 @@
     StateResult,
     Watch,
 )
-from marblestair.core.controller import Controller
-from marblestair.core.messages import Command, Reply
 from marblestair.net.budget import Budget
 from marblestair.net.http_client import HttpClient
 from marblestair.net.http_server import Connection, HttpServer
--- a/marblestair/policy.py
+++ b/marblestair/policy.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from marblestair.core.renting import Tuning
+from marblestair.core.capacity.provisioning import Tuning
 from marblestair.settings import Settings
 
 #: what a value of each tunable may be
--- a/marblestair/settings.py
+++ b/marblestair/settings.py
@@ -257,12 +257,12 @@
 
 def _check_split(s: Settings) -> None:
     """The split record is one value: parts and teams must fit into it."""
-    from marblestair.core import split
+    from marblestair.core.leadership import shard_map
 
     c = s.cluster
     if c.size > MAX_PARTS:
         raise SettingsError(f"cluster.size: must be at most {MAX_PARTS}")
-    record = split.first(c.size, c.teams)
+    record = shard_map.first(c.size, c.teams)
     for p in record.parts:
         p.owner, p.incarnation = max(s.nodes, key=len), 1 << 56
         p.term = p.taken = 1 << 32
--- a/marblestair/wire.py
+++ b/marblestair/wire.py
@@ -12,7 +12,18 @@
 
 import msgspec
 
-from marblestair.core.calls import (
+from marblestair.core.domain.model import (
+    ARRAY,
+    GANG,
+    SERVICE,
+    JobSpec,
+    MachineType,
+    Order,
+    Report,
+    TaskReport,
+    finite,
+)
+from marblestair.core.runtime.requests import (
     CloudDelete,
     CloudList,
     CloudOp,
@@ -31,17 +42,6 @@
     StateResult,
     Watch,
 )
-from marblestair.core.model import (
-    ARRAY,
-    GANG,
-    SERVICE,
-    JobSpec,
-    MachineType,
-    Order,
-    Report,
-    TaskReport,
-    finite,
-)
 
 MAX_BODY = 64 * 1024
 MAX_TASKS = 100_000
--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from marblestair import settings as st
-from marblestair.core.model import JobSpec, MachineType
+from marblestair.core.domain.model import JobSpec, MachineType
 
 EPOCH = 1_000_000.0
 
--- a/tests/fakes/production.py
+++ b/tests/fakes/production.py
@@ -19,18 +19,57 @@
 import tarfile
 import tempfile
 import tomllib
-from collections.abc import Iterator
+from collections.abc import Callable, Iterable, Iterator
 from types import ModuleType
 from typing import Any
 
 import msgspec
 
-from marblestair.core.calls import Put
+from marblestair.core.runtime.requests import Put
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
 PACKAGE = "marblestair"
-#: modules whose structs cross between a core and what is around it
-SHARED = ("core.calls", "core.model", "core.messages")
+#: structs that cross between a core and what is around it: their names in production, and now
+STRUCTS = {
+    **{
+        f"core.calls.{name}": f"core.runtime.requests.{name}"
+        for name in (
+            "Get",
+            "ListKeys",
+            "Put",
+            "Commit",
+            "LeaseGrant",
+            "LeaseRenew",
+            "Watch",
+            "Item",
+            "Event",
+            "StateResult",
+            "CloudTypes",
+            "CloudRent",
+            "CloudDelete",
+            "CloudList",
+            "Listed",
+            "CloudResult",
+            "PeerCall",
+            "Sleep",
+            "Inspect",
+        )
+    },
+    **{
+        f"core.model.{name}": f"core.domain.model.{name}"
+        for name in ("JobSpec", "MachineType", "TaskReport", "Report", "Order", "JobRecord")
+    },
+    **{
+        f"core.messages.{name}": f"core.runtime.outbox.{name}"
+        for name in ("Reply", "Command", "Note", "PartSummary")
+    },
+    "core.split.SplitRecord": "core.leadership.shard_map.SplitRecord",
+    "core.split.PartRecord": "core.leadership.shard_map.PartRecord",
+    "core.split.MachineRecord": "core.leadership.shard_map.MachineRecord",
+    "core.fleet.RentalIntent": "core.capacity.fleet.RentalIntent",
+}
+#: the same the other way round
+PRODUCTION_STRUCTS = {present: old for old, present in STRUCTS.items()}
 
 
 class HistoryError(Exception):
@@ -71,8 +110,20 @@
         self._directory = tempfile.TemporaryDirectory()
         _extract(self._directory.name)
         with self.active():
-            for name in ("core.controller", "settings", "wire", *SHARED):
+            for name in ("core.controller", "settings", "wire", *_modules(STRUCTS)):
                 importlib.import_module(f"{PACKAGE}.{name}")
+            self._resolve_structs()
+
+    def _resolve_structs(self) -> None:
+        """Have the decoders of production's structs built while its own modules can be found.
+
+        msgspec looks annotations up by the name of a struct's module, when it first decodes one;
+        later it would find the present module of that name, or none.
+        """
+        for module in _own_modules().values():
+            for value in list(vars(module).values()):
+                if isinstance(value, type) and issubclass(value, msgspec.Struct):
+                    msgspec.msgpack.Decoder(value)
 
     @contextlib.contextmanager
     def active(self) -> Iterator[None]:
@@ -98,7 +149,11 @@
 
     def translate(self, value: Any) -> Any:
         """A value of the present version as production's, its structs by their names."""
-        return _translated(value, {name: self.module(name) for name in SHARED})
+        return _translated(value, self._production_struct)
+
+    def _production_struct(self, present: type) -> Any:
+        module, _, name = PRODUCTION_STRUCTS[_full_name(present)].rpartition(".")
+        return getattr(self.module(module), name)
 
     def settings(self, raw: dict[str, Any]) -> Any:
         """Settings as production reads them."""
@@ -114,24 +169,48 @@
 
 def to_present(value: Any) -> Any:
     """A value of production as the present version's, its structs by their names."""
-    return _translated(value, {name: sys.modules[f"{PACKAGE}.{name}"] for name in SHARED})
+    return _translated(value, _present_struct)
+
+
+def _present_struct(old: type) -> Any:
+    return present_struct(_full_name(old))
+
+
+def present_struct(old: str) -> Any:
+    """The present struct in place of one of production, which is named with its module."""
+    module, _, name = STRUCTS[old].rpartition(".")
+    return getattr(sys.modules[f"{PACKAGE}.{module}"], name)
+
+
+def _full_name(struct: type) -> str:
+    """The name of a struct within the package."""
+    return f"{struct.__module__[len(PACKAGE) + 1 :]}.{struct.__name__}"
+
+
+def _modules(names: Iterable[str]) -> list[str]:
+    """The modules that hold some structs, each once."""
+    return list(dict.fromkeys(name.rpartition(".")[0] for name in names))
+
 
+def _translated(value: Any, other_struct: Callable[[type], Any]) -> Any:
+    """A value with its structs replaced by those of the other version, field by field.
 
-def _translated(value: Any, modules: dict[str, Any]) -> Any:
+    Fields may have other names, but stand in the same order; the longer form has more at its end.
+    """
     if isinstance(value, list):
-        return [_translated(item, modules) for item in value]
+        return [_translated(item, other_struct) for item in value]
     if isinstance(value, tuple):
-        return tuple(_translated(item, modules) for item in value)
+        return tuple(_translated(item, other_struct) for item in value)
     if not isinstance(value, msgspec.Struct):
         return value
-    kind = getattr(modules[type(value).__module__[len(PACKAGE) + 1 :]], type(value).__name__)
+    kind = other_struct(type(value))
     # What is put into the state service is encoded by whoever puts it.
-    plain = ("value",) if kind.__name__ == Put.__name__ else ()
-    fields = {
-        name: getattr(value, name) if name in plain else _translated(getattr(value, name), modules)
-        for name in kind.__struct_fields__
-        if hasattr(value, name)
-    }
+    is_put = Put in (type(value), kind)
+    fields = {}
+    for name, other_name in zip(value.__struct_fields__, kind.__struct_fields__, strict=False):
+        plain = is_put and name == "value"
+        field = getattr(value, name)
+        fields[other_name] = field if plain else _translated(field, other_struct)
     return kind(**fields)
 
 
--- a/tests/fakes/rules.py
+++ b/tests/fakes/rules.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from marblestair import settings as st
-from marblestair.core.model import GANG, JobSpec
+from marblestair.core.domain.model import GANG, JobSpec
 from tests.fakes.state import FakeState
 from tests.fakes.worker import FakeTask, Worker
 
--- a/tests/fakes/state.py
+++ b/tests/fakes/state.py
@@ -6,8 +6,7 @@
 
 import msgspec
 
-from marblestair.core import keys
-from marblestair.core.calls import (
+from marblestair.core.runtime.requests import (
     Commit,
     Event,
     Get,
@@ -18,6 +17,7 @@
     StateOp,
     StateResult,
 )
+from marblestair.core.state import keys
 
 
 class FakeState:
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from marblestair.core.model import GANG, MachineType, Order, Report, TaskReport
+from marblestair.core.domain.model import GANG, MachineType, Order, Report, TaskReport
 
 if TYPE_CHECKING:
     from tests.fakes.world import World
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -13,7 +13,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from marblestair.core.calls import (
+from marblestair.core.controller import Controller
+from marblestair.core.domain.model import GANG, JobSpec, Report
+from marblestair.core.runtime.outbox import Command
+from marblestair.core.runtime.requests import (
     NOT_SENT,
     CloudDelete,
     CloudList,
@@ -27,9 +30,6 @@
     StateResult,
     Watch,
 )
-from marblestair.core.controller import Controller
-from marblestair.core.messages import Command
-from marblestair.core.model import GANG, JobSpec, Report
 from tests.fakes.deployment import EPOCH, TYPES, raw_settings, settings
 from tests.fakes.production import ProductionController
 from tests.fakes.rules import Rules
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from marblestair.core import keys
-from marblestair.core.calls import Get, Inspect, PeerCall
 from marblestair.core.controller import Controller
+from marblestair.core.runtime.requests import Get, Inspect, PeerCall
+from marblestair.core.state import keys
 from tests.fakes.worker import Worker
 from tests.fakes.world import World
 
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -8,11 +8,11 @@
 import msgspec
 import pytest
 
-from marblestair.core import keys
-from marblestair.core.machine import Machine
-from marblestair.core.model import TaskReport
-from marblestair.core.part import Part
-from marblestair.core.slices import Slice
+from marblestair.core.domain.model import TaskReport
+from marblestair.core.shard.job_slice import Slice
+from marblestair.core.shard.machine import Machine
+from marblestair.core.shard.shard import Part
+from marblestair.core.state import keys
 from tests.fakes.deployment import spec
 from tests.fakes.worker import Worker
 from tests.fakes.world import World
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from marblestair.core import keys
-from marblestair.core.answers import JobState, JobStatus
-from marblestair.core.calls import Commit, Event, Get, StateResult
-from marblestair.core.flow import Step
+from marblestair.core.jobs.answers import JobState, JobStatus
+from marblestair.core.runtime.coroutines import Step
+from marblestair.core.runtime.requests import Commit, Event, Get, StateResult
+from marblestair.core.state import keys
 from tests.fakes.deployment import spec
 from tests.fakes.world import World
 from tests.helpers import manager, owner, running, warm
--- a/tests/test_answers_search.py
+++ b/tests/test_answers_search.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from marblestair.core.calls import Commit, Get
 from marblestair.core.controller import Controller
+from marblestair.core.runtime.requests import Commit, Get
 from tests.fakes.deployment import TYPES, spec
 from tests.fakes.world import World
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -90,7 +90,7 @@
 
 
 def test_malformed_answers_of_outside_systems_count_as_failed_calls() -> None:
-    from marblestair.core.calls import CloudRent, Commit, Get, Watch
+    from marblestair.core.runtime.requests import CloudRent, Commit, Get, Watch
 
     for body in (b"", b"\xc1", wire.pack([1]), wire.pack({"benches": 3})):
         assert wire.cloud_result(CloudRent("r", "t", "z", False, 1), 200, body).status == 0
--- a/tests/test_boots.py
+++ b/tests/test_boots.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from marblestair.core.boots import MOST_RATIO, BootTimes
-from marblestair.core.machine import Machine
-from marblestair.core.split import MachineRecord
-from marblestair.core.summary import summarise
+from marblestair.core.capacity.boot_times import MOST_RATIO, BootTimes
+from marblestair.core.capacity.shard_summary import summarise
+from marblestair.core.leadership.shard_map import MachineRecord
+from marblestair.core.shard.machine import Machine
 from tests.fakes.deployment import TYPES, spec
 from tests.fakes.worker import Worker
 from tests.fakes.world import World
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from marblestair.core.calls import ACCEPT, LEASE, LOOKUP, PROGRESS
+from marblestair.core.runtime.requests import ACCEPT, LEASE, LOOKUP, PROGRESS
 from marblestair.net.budget import Budget
 
 
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from marblestair.core import keys
-from marblestair.core.calls import Commit, LeaseGrant, Put
-from marblestair.core.messages import Reply
-from marblestair.core.model import Order
+from marblestair.core.domain.model import Order
+from marblestair.core.runtime.outbox import Reply
+from marblestair.core.runtime.requests import Commit, LeaseGrant, Put
+from marblestair.core.state import keys
 from tests.fakes.deployment import TYPES, spec
 from tests.fakes.worker import Worker
 from tests.fakes.world import World
--- a/tests/test_cost_of_a_job.py
+++ b/tests/test_cost_of_a_job.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from marblestair.core.calls import Commit, Get, PeerCall
+from marblestair.core.runtime.requests import Commit, Get, PeerCall
 from tests.fakes.deployment import spec
 from tests.fakes.world import World
 from tests.helpers import manager, steps
--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from marblestair.core.decision_log import LINES_PER_S, Decision, DecisionLog
+from marblestair.core.runtime.decision_log import LINES_PER_S, Decision, DecisionLog
 from marblestair.core.status import status
 from tests.fakes.deployment import spec
 from tests.helpers import manager, running, warm
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from marblestair.core.faults import REMEMBERED, Faults
-from marblestair.core.machine import Machine
-from marblestair.core.model import Order
-from marblestair.core.part import Part
-from marblestair.core.retiring import broken
-from marblestair.core.slices import Slice
+from marblestair.core.capacity.decommissioning import broken
+from marblestair.core.capacity.failures import REMEMBERED, Faults
+from marblestair.core.domain.model import Order
+from marblestair.core.shard.job_slice import Slice
+from marblestair.core.shard.machine import Machine
+from marblestair.core.shard.shard import Part
 from marblestair.settings import Workers
 from tests.fakes.deployment import TYPES, spec
 from tests.fakes.worker import FakeTask, Worker
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,14 +7,14 @@
 import msgspec
 import pytest
 
-from marblestair.core import keys
-from marblestair.core.calls import ListKeys
-from marblestair.core.faults import Faults
-from marblestair.core.machine import Machine
-from marblestair.core.messages import PartSummary
-from marblestair.core.model import MachineType
-from marblestair.core.slices import Slice
-from marblestair.core.view import View
+from marblestair.core.capacity.failures import Faults
+from marblestair.core.domain.model import MachineType
+from marblestair.core.runtime.outbox import PartSummary
+from marblestair.core.runtime.requests import ListKeys
+from marblestair.core.shard.job_slice import Slice
+from marblestair.core.shard.machine import Machine
+from marblestair.core.state import keys
+from marblestair.core.state.store_view import View
 from marblestair.net.peers import MAX_FRAME
 from marblestair.settings import Workers
 from tests.fakes.deployment import spec
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -4,13 +4,13 @@
 
 from typing import Any
 
-from marblestair.core import keys
-from marblestair.core.machine import Machine
-from marblestair.core.model import MachineType
-from marblestair.core.part import Part
-from marblestair.core.retiring import nearly_empty
-from marblestair.core.slices import Slice
-from marblestair.core.summary import summarise
+from marblestair.core.capacity.decommissioning import nearly_empty
+from marblestair.core.capacity.shard_summary import summarise
+from marblestair.core.domain.model import MachineType
+from marblestair.core.shard.job_slice import Slice
+from marblestair.core.shard.machine import Machine
+from marblestair.core.shard.shard import Part
+from marblestair.core.state import keys
 from tests.fakes.deployment import spec
 from tests.fakes.world import World
 from tests.helpers import cost
--- a/tests/test_guest_scale.py
+++ b/tests/test_guest_scale.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from marblestair.core import keys
+from marblestair.core.state import keys
 from tests.fakes.deployment import spec
 from tests.fakes.world import World
 from tests.helpers import steps
--- a/tests/test_guest_teams.py
+++ b/tests/test_guest_teams.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from marblestair.core.machine import Machine
-from marblestair.core.part import Part
-from marblestair.core.retiring import nearly_empty
-from marblestair.core.shares import order_key, refusal
-from marblestair.core.slices import Slice
-from marblestair.core.split import first
+from marblestair.core.capacity.decommissioning import nearly_empty
+from marblestair.core.leadership.shard_map import first
+from marblestair.core.scheduling.quota import order_key, refusal
+from marblestair.core.shard.job_slice import Slice
+from marblestair.core.shard.machine import Machine
+from marblestair.core.shard.shard import Part
 from marblestair.settings import UNLIMITED, Team
 from tests.fakes.deployment import TYPES, spec
 from tests.fakes.world import World
--- a/tests/test_lookups.py
+++ b/tests/test_lookups.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from marblestair.core import keys
-from marblestair.core.calls import LEASE, LOOKUP, Commit, Get, ListKeys, PeerCall
+from marblestair.core.runtime.requests import LEASE, LOOKUP, Commit, Get, ListKeys, PeerCall
+from marblestair.core.state import keys
 from tests.fakes.deployment import spec
 from tests.helpers import Recorder, manager_of, steps, warm
 
--- a/tests/test_overlapping_troubles.py
+++ b/tests/test_overlapping_troubles.py
@@ -8,14 +8,14 @@
 import msgspec
 import pytest
 
-from marblestair.core import keys
-from marblestair.core.calls import Commit
-from marblestair.core.machine import Machine
-from marblestair.core.managed import PartReport
-from marblestair.core.part import Part
-from marblestair.core.planning import plan
-from marblestair.core.renting import Have, Load, Tuning
-from marblestair.core.slices import Slice
+from marblestair.core.capacity.planning import plan
+from marblestair.core.capacity.provisioning import Have, Load, Tuning
+from marblestair.core.jobs.managed_job import PartReport
+from marblestair.core.runtime.requests import Commit
+from marblestair.core.shard.job_slice import Slice
+from marblestair.core.shard.machine import Machine
+from marblestair.core.shard.shard import Part
+from marblestair.core.state import keys
 from tests.fakes.deployment import TYPES, spec
 from tests.fakes.worker import Worker
 from tests.fakes.world import World
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from marblestair.core import keys
-from marblestair.core.calls import Commit, PeerCall
+from marblestair.core.runtime.requests import Commit, PeerCall
+from marblestair.core.state import keys
 from tests.fakes.deployment import spec
 from tests.fakes.world import World
 from tests.helpers import Recorder, manager_of, owner, warm
--- a/tests/test_pipeline_search.py
+++ b/tests/test_pipeline_search.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from marblestair.core.calls import PROGRESS, Commit
+from marblestair.core.runtime.requests import PROGRESS, Commit
 from tests.fakes.deployment import spec
 from tests.test_answers_search import BUSY_S, Search
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -7,10 +7,11 @@
 
 import pytest
 
-from marblestair.core import keys, plan_inputs
-from marblestair.core.answers import JobState, JobStatus, Proof, ProvenStatus
-from marblestair.core.calls import FINAL, PROGRESS, Commit, Get
-from marblestair.core.model import JobSpec
+from marblestair.core.capacity import plan_inputs
+from marblestair.core.domain.model import JobSpec
+from marblestair.core.jobs.answers import JobState, JobStatus, Proof, ProvenStatus
+from marblestair.core.runtime.requests import FINAL, PROGRESS, Commit, Get
+from marblestair.core.state import keys
 from marblestair.core.status import status
 from tests.fakes.deployment import spec
 from tests.fakes.world import World
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -9,7 +9,7 @@
 import pytest
 
 from marblestair import cli
-from marblestair.core.shares import order_key
+from marblestair.core.scheduling.quota import order_key
 from marblestair.policy import PolicyError, load
 from tests.fakes.deployment import settings, spec
 
--- a/tests/test_rental_intents.py
+++ b/tests/test_rental_intents.py
@@ -6,8 +6,9 @@
 
 import pytest
 
-from marblestair.core import keys, progress
-from marblestair.core.calls import CloudRent
+from marblestair.core.jobs import progress
+from marblestair.core.runtime.requests import CloudRent
+from marblestair.core.state import keys
 from tests.fakes.deployment import spec
 from tests.fakes.world import World
 from tests.helpers import owner
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -7,7 +7,8 @@
 import msgspec
 import pytest
 
-from marblestair.core import keys, split
+from marblestair.core.leadership import shard_map
+from marblestair.core.state import keys
 from tests.fakes.deployment import spec
 from tests.fakes.world import World
 from tests.helpers import owner, warm
@@ -477,15 +478,15 @@
     assert core is not None and core.view.split is not None
     before = core.parts[0]
     assert before.ready
-    other = split.take(core.view.split, [0], "n1", 7)
-    back = split.take(other, [0], *core.me)
+    other = shard_map.take(core.view.split, [0], "n1", 7)
+    back = shard_map.take(other, [0], *core.me)
     version = core.view.version(keys.SPLIT)
     core.view.take_in(keys.SPLIT, msgspec.to_builtins(back), version + 2)
     core.sync()
     assert core.parts[0] is not before and not core.acts(0)
     # A raise of the term alone keeps what is known.
     kept = core.parts[1] if 1 in core.parts else core.parts[0]
-    raised = split.raise_term(back, kept.number)
+    raised = shard_map.raise_term(back, kept.number)
     core.view.take_in(keys.SPLIT, msgspec.to_builtins(raised), version + 3)
     core.sync()
     assert core.parts[kept.number] is kept and kept.term == raised.counter
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -9,8 +9,8 @@
 import pytest
 
 from marblestair import settings as st
-from marblestair.core import keys
-from marblestair.core.calls import Commit, Put
+from marblestair.core.runtime.requests import Commit, Put
+from marblestair.core.state import keys
 from marblestair.core.status import status
 from marblestair.node import Node
 from marblestair.policy import Policy
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -10,12 +10,12 @@
 import msgspec
 import pytest
 
-from marblestair.core import keys
+from marblestair.core.capacity.fleet import RentalIntent
 from marblestair.core.controller import Controller
-from marblestair.core.fleet import RentalIntent
-from marblestair.core.messages import PartSummary
-from marblestair.core.model import JobRecord, JobSpec, MachineType
-from marblestair.core.split import MachineRecord, SplitRecord
+from marblestair.core.domain.model import JobRecord, JobSpec, MachineType
+from marblestair.core.leadership.shard_map import MachineRecord, SplitRecord
+from marblestair.core.runtime.outbox import PartSummary
+from marblestair.core.state import keys
 from tests.fakes import production
 from tests.fakes.deployment import TYPES, spec
 from tests.fakes.world import World
@@ -61,9 +61,9 @@
 
 
 def example_spec(kind: Any, **changes: Any) -> Any:
-    fields = {f: getattr(spec(7), f) for f in spec(7).__struct_fields__}
-    fields.update(at=12.5, types=["t4"], zone="a", deadline_s=30.0, **changes)
-    return kind(**{f: v for f, v in fields.items() if f in kind.__struct_fields__})
+    job = spec(7, at=12.5, types=["t4"], zone="a", deadline_s=30.0, **changes)
+    values = [getattr(job, field) for field in job.__struct_fields__]
+    return kind(*values[: len(kind.__struct_fields__)])
 
 
 def example_record(spec_kind: Any, record_kind: Any) -> Any:
@@ -74,22 +74,22 @@
 def example_summary(kind: Any) -> Any:
     room = ("t4", "a", False, 1, 0, 2)
     return kind(
-        part=1,
-        term=4,
-        rooms=[room],
-        held=[room],
-        backlog=5,
-        shares={"red": [1, 2]},
-        wants={"red": [3, 4]},
-        waiting=[("job-000001", 2, 3)],
-        busy=[("host-000001", 6)],
-        idle=[("host-000002", 1.5)],
-        needs=["job-000002"],
-        gangs=["host-000003"],
-        leaving=["host-000004"],
-        absent=["host-000005"],
-        stuck={"blue": [1, 0]},
-        failing=[("job-000003", 2)],
+        1,
+        4,
+        [room],
+        [room],
+        5,
+        {"red": [1, 2]},
+        {"red": [3, 4]},
+        [("job-000001", 2, 3)],
+        [("host-000001", 6)],
+        [("host-000002", 1.5)],
+        ["job-000002"],
+        ["host-000003"],
+        ["host-000004"],
+        ["host-000005"],
+        {"blue": [1, 0]},
+        [("job-000003", 2)],
     )
 
 
@@ -133,7 +133,7 @@
 
 
 def present(name: str, kind: str) -> Any:
-    return getattr(production.sys.modules[f"marblestair.{name}"], kind)
+    return production.present_struct(f"{name}.{kind}")
 
 
 def readable(value: Any, kind: Any) -> dict[str, Any]:
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from marblestair.core import keys
-from marblestair.core.calls import Commit, Event, Item, Put, StateResult
-from marblestair.core.view import View
+from marblestair.core.runtime.requests import Commit, Event, Item, Put, StateResult
+from marblestair.core.state import keys
+from marblestair.core.state.store_view import View
 
 NODES = [keys.NODES + name for name in ("a", "b", "c")]
 
