--- a/marblestair/core/capacity/arrivals.py
+++ b/marblestair/core/capacity/arrivals.py
@@ -9,7 +9,7 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from marblestair.core.capacity.provisioning import Coming, kinds
+from marblestair.core.capacity.provisioning import ExpectedGangs, kinds
 from marblestair.core.domain.model import GANG, JobRecord, JobSpec
 
 if TYPE_CHECKING:
@@ -37,7 +37,7 @@
     def __init__(self, controller: Controller) -> None:
         self._controller = controller
         #: gang classes that come, and how often
-        self.classes: dict[str, Coming] = {}
+        self.classes: dict[str, ExpectedGangs] = {}
         #: usual size of an array job within its guarantee
         self.usual_cpus = 0.0
         self._arrived: dict[str, deque[float]] = {}
@@ -90,7 +90,7 @@
         at.append(record.ready_at)
         span_s = controller.wall - at[0] if len(at) == RATE_JOBS else RATE_S
         lately = sum(controller.wall - t < RATE_S for t in at)
-        self.classes[spec.cls] = Coming(spec, hurry, lately / max(1.0, min(span_s, RATE_S)))
+        self.classes[spec.cls] = ExpectedGangs(spec, hurry, lately / max(1.0, min(span_s, RATE_S)))
         self._latest[spec.cls] = controller.now
 
     def _note_array(self, spec: JobSpec) -> None:
--- a/marblestair/core/capacity/decommissioning.py
+++ b/marblestair/core/capacity/decommissioning.py
@@ -5,7 +5,7 @@
 from marblestair.core.capacity.provisioning import LEAST_AGE_S
 from marblestair.core.domain.model import GANG
 from marblestair.core.shard.machine import Machine
-from marblestair.core.shard.shard import Part
+from marblestair.core.shard.shard import Shard
 
 #: work lost by emptying a machine, against the room that would stand free meanwhile
 NEARLY_EMPTY = 0.5
@@ -18,7 +18,7 @@
 UNKNOWN_BOOT_LEASES = 9.0
 
 
-def nearly_empty(part: Part, names: set[str], now: float) -> list[Machine]:
+def nearly_empty(part: Shard, names: set[str], now: float) -> list[Machine]:
     """Choose nearly empty machines that are worth emptying.
 
     Of the machines that are to fall idle, those where stopping what still runs, to run it again
@@ -60,7 +60,7 @@
     return chosen
 
 
-def absent(part: Part, lease_s: float, now: float) -> set[str]:
+def absent(part: Shard, lease_s: float, now: float) -> set[str]:
     """Return machines that fell silent together with many others.
 
     That is a failure of the network rather than of the machines, and most of them will be back.
@@ -71,7 +71,7 @@
     return {m.name for m in gone if now - max(m.seen, part.since) < ABSENT_LEASES * lease_s}
 
 
-def broken(part: Part, lease_s: float, now: float) -> list[str]:
+def broken(part: Shard, lease_s: float, now: float) -> list[str]:
     """Machines to give back because they do not serve: never up, silent, given up, faulty."""
     out = []
     waited_for = absent(part, lease_s, now)
--- a/marblestair/core/capacity/demand.py
+++ b/marblestair/core/capacity/demand.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from marblestair.core.domain.model import GANG
-from marblestair.core.shard.job_slice import Slice
-from marblestair.core.shard.shard import Part
+from marblestair.core.shard.job_slice import JobSlice
+from marblestair.core.shard.shard import Shard
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
@@ -33,7 +33,7 @@
     stuck: dict[str, Amounts]
 
 
-def wanted_tasks(controller: Controller, s: Slice) -> int:
+def wanted_tasks(controller: Controller, s: JobSlice) -> int:
     """Count the tasks of a slice that room is wanted for.
 
     A job that probably fails on every machine wants room for one task at a time; such a gang
@@ -45,7 +45,7 @@
     return n
 
 
-def measure_demand(controller: Controller, part: Part) -> Demand:
+def measure_demand(controller: Controller, part: Shard) -> Demand:
     """Go through a part's waiting slices."""
     demand = Demand(0, {}, {})
     for s in part.slices.values():
@@ -62,13 +62,13 @@
     return demand
 
 
-def _add(totals: dict[str, Amounts], s: Slice, tasks: int) -> None:
+def _add(totals: dict[str, Amounts], s: JobSlice, tasks: int) -> None:
     total = totals.setdefault(s.spec.team, [0, 0])
     total[0] += tasks * s.need[0]
     total[1] += tasks * s.need[1]
 
 
-def _lacking(controller: Controller, part: Part, totals: dict[str, Amounts]) -> dict[str, Amounts]:
+def _lacking(controller: Controller, part: Shard, totals: dict[str, Amounts]) -> dict[str, Amounts]:
     """What of the teams' totals is more than their shares leave free here."""
     out = {}
     for team, total in totals.items():
--- a/marblestair/core/capacity/failures.py
+++ b/marblestair/core/capacity/failures.py
@@ -67,7 +67,7 @@
 Evidence = TypeVar("Evidence", JobEvidence, MachineEvidence)
 
 
-class Faults:
+class FailureAttribution:
     """The evidence of one controller, and its judgement."""
 
     def __init__(self, workers: Workers) -> None:
--- a/marblestair/core/capacity/fleet.py
+++ b/marblestair/core/capacity/fleet.py
@@ -12,36 +12,36 @@
 from marblestair.core.capacity.decommissioning import absent, broken, nearly_empty
 from marblestair.core.capacity.planning import plan
 from marblestair.core.capacity.provisioning import (
-    Kind,
-    Load,
+    JobLoad,
+    MachineKind,
     Plan,
+    RentalRequest,
     Tuning,
-    Want,
 )
 from marblestair.core.capacity.spending import Spending
-from marblestair.core.domain.model import GANG, MachineType, Order, Report
+from marblestair.core.domain.model import GANG, Heartbeat, MachineType, TaskCommand
 from marblestair.core.leadership.shard_map import MachineRecord, even
-from marblestair.core.runtime.coroutines import Flow, Step
+from marblestair.core.runtime.coroutines import Coroutine, Step
 from marblestair.core.runtime.requests import (
     FINAL,
     SPLIT,
-    CloudDelete,
-    CloudList,
-    CloudRent,
-    CloudResult,
-    CloudTypes,
-    Commit,
-    Inspect,
-    Item,
-    Listed,
+    CloudResponse,
+    CompareAndSwap,
+    InspectAgent,
+    ListedMachine,
     ListKeys,
+    ListMachines,
+    ListMachineTypes,
     Put,
+    ReleaseMachines,
+    RentMachines,
     Sleep,
-    StateResult,
+    StoredKey,
+    StoreResponse,
 )
 from marblestair.core.scheduling.quota import hopeless
 from marblestair.core.shard.machine import Machine
-from marblestair.core.shard.shard import Part
+from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
 
 if TYPE_CHECKING:
@@ -74,7 +74,7 @@
     at: float | None = None
 
 
-class Fleet:
+class FleetManager:
     """What this node does about machines."""
 
     def __init__(self, controller: Controller) -> None:
@@ -100,12 +100,12 @@
 
     # --- types -----------------------------------------------------------------------------
 
-    def learn_types(self) -> Flow:
+    def learn_types(self) -> Coroutine:
         """Know the machine types, from the state service first: the cloud may be down."""
         controller = self.controller
         stored: dict[str, Any] = {}
         while True:
-            r: StateResult = yield ListKeys(keys.TYPES, "", 1000)
+            r: StoreResponse = yield ListKeys(keys.TYPES, "", 1000)
             if r.status == 200:
                 stored = {i.key[len(keys.TYPES) :]: i.value for i in r.items}
                 if stored:
@@ -113,7 +113,7 @@
                 break
             yield Sleep(0.3 + 0.3 * controller.rng.random())
         while True:
-            got: CloudResult = yield CloudTypes()
+            got: CloudResponse = yield ListMachineTypes()
             if got.status == 200 and got.types:
                 controller.set_types(got.types)
                 fresh = [t for t in got.types if t.name not in stored]
@@ -122,9 +122,9 @@
                     puts = [Put(keys.TYPES + t.name, t) for t in batch]
                     # Each is written once, by whoever is first.
                     guards = [(p.key, 0) for p in puts]
-                    done: StateResult = yield Commit(guards, puts, [], SPLIT)
+                    done: StoreResponse = yield CompareAndSwap(guards, puts, [], SPLIT)
                     if done.status == 409:
-                        have: StateResult = yield ListKeys(keys.TYPES, "", 1000)
+                        have: StoreResponse = yield ListKeys(keys.TYPES, "", 1000)
                         if have.status == 200:
                             stored = {i.key[len(keys.TYPES) :]: i.value for i in have.items}
                     if done.status == 200:
@@ -139,7 +139,7 @@
 
     # --- strangers -------------------------------------------------------------------------
 
-    def stranger(self, rep: Report) -> tuple[int, int, list[Order], str | None]:
+    def stranger(self, rep: Heartbeat) -> tuple[int, int, list[TaskCommand], str | None]:
         """A report of a machine that belongs to no part."""
         controller = self.controller
         if rep.machine in controller.view.gone or rep.machine in self._returning:
@@ -165,42 +165,44 @@
             controller.spawn(self._take_in(rep, best))
         return 503, 0, [], None
 
-    def _take_in(self, rep: Report, part: Part) -> Flow:
+    def _take_in(self, rep: Heartbeat, part: Shard) -> Coroutine:
         """Take in a machine that reports and belongs to nobody, if it is there.
 
         The report may be a late copy from a machine that was returned or taken.
         """
-        got: Report | None = yield Inspect(rep.addr)
+        got: Heartbeat | None = yield InspectAgent(rep.addr)
         if got is None or got.machine != rep.machine:
             yield Sleep(1.0)
             self._adopting.discard(rep.machine)
         else:
             yield from self._adopt(rep.machine, rep.type, rep.zone, rep.spot, part)
 
-    def adopt(self, name: str, type_name: str, zone: str, spot: bool, part: Part) -> None:
+    def adopt(self, name: str, type_name: str, zone: str, spot: bool, part: Shard) -> None:
         """Take a machine that nobody has into a part."""
         if name not in self._adopting:
             self._adopting.add(name)
             self.controller.spawn(self._adopt(name, type_name, zone, spot, part))
 
-    def _adopt(self, name: str, type_name: str, zone: str, spot: bool, part: Part) -> Flow:
+    def _adopt(self, name: str, type_name: str, zone: str, spot: bool, part: Shard) -> Coroutine:
         controller = self.controller
         key = keys.MACHINES + name
         record = MachineRecord(part.number, type_name, zone, spot, round(controller.wall, 1))
-        commit = Commit([(key, 0), controller.fence(part.number)], [Put(key, record)], [], SPLIT)
-        r: StateResult = yield commit
+        commit = CompareAndSwap(
+            [(key, 0), controller.fence(part.number)], [Put(key, record)], [], SPLIT
+        )
+        r: StoreResponse = yield commit
         if r.status == 200:
             controller.view.committed(commit, r.rev)
             controller.sync()
         self._adopting.discard(name)
 
-    def _return_strangers(self, names: list[str]) -> Flow:
-        r: CloudResult = yield CloudDelete(names)
+    def _return_strangers(self, names: list[str]) -> Coroutine:
+        r: CloudResponse = yield ReleaseMachines(names)
         if r.status != 200:
             yield Sleep(1.0)
         self._returning.difference_update(names)
 
-    def keep_list(self) -> Flow:
+    def keep_list(self) -> Coroutine:
         """Look through the cloud's list for machines that nobody has."""
         controller = self.controller
         lag = controller.settings.cluster.cloud.list_lag_s
@@ -233,7 +235,7 @@
                 else:
                     self.adopt(m.name, m.type, m.zone, m.spot, part)
 
-    def _note_failed(self, listed: list[Listed]) -> None:
+    def _note_failed(self, listed: list[ListedMachine]) -> None:
         """What has stopped by itself will not be back."""
         failed = {m.name for m in listed if m.state == "failed"}
         if failed:
@@ -243,10 +245,10 @@
                     m.failed = m.failed or (m.silent and m.name in failed)
 
     def _list(self) -> Step:
-        out: list[Listed] = []
+        out: list[ListedMachine] = []
         after = ""
         while True:
-            r: CloudResult = yield CloudList(after)
+            r: CloudResponse = yield ListMachines(after)
             if r.status != 200:
                 return None
             out += r.listed
@@ -256,7 +258,7 @@
 
     # --- a part's fleet --------------------------------------------------------------------
 
-    def keep_part(self, part: Part) -> Flow:
+    def keep_part(self, part: Shard) -> Coroutine:
         """Rent for the backlog, return what is idle or broken."""
         controller = self.controller
         controller.spawn(self._finish_hires(part))
@@ -303,7 +305,7 @@
                     full = full and got == count
             pause = 0.1 if much and not full else 1.0
 
-    def _portion(self, part: Part, want: Want) -> int:
+    def _portion(self, part: Shard, want: RentalRequest) -> int:
         """Count the machines of a rental that this part rents.
 
         That is its even share, the parts with fewest machines first, or all where a gang
@@ -329,7 +331,7 @@
 
     def _plan(self) -> Plan:
         controller = self.controller
-        told = plan_inputs.ToldState(controller)
+        told = plan_inputs.ReportedState(controller)
         live = sorted(controller.view.jobs.values(), key=lambda r: (r.ready_at, r.spec.id))
         loads = plan_inputs.loads(controller, told, live, self.tuning.patience)
         machines = plan_inputs.machines(controller, told)
@@ -349,7 +351,7 @@
         self._log_plan(out, loads)
         return out
 
-    def _log_plan(self, out: Plan, loads: list[Load]) -> None:
+    def _log_plan(self, out: Plan, loads: list[JobLoad]) -> None:
         controller = self.controller
         if controller.now - self._plan_logged_at <= PLAN_LOG_S:
             return
@@ -363,7 +365,7 @@
             f" {len(out.reserved)} machines for gangs, rent {out.rent}",
         )
 
-    def _put_off(self, loads: list[Load]) -> set[str]:
+    def _put_off(self, loads: list[JobLoad]) -> set[str]:
         by_team: dict[str, list[tuple[float, float, str]]] = {}
         taken: dict[str, float] = {}
         for x in loads:
@@ -392,7 +394,7 @@
         self._average = (now, value)
         return value
 
-    def _refused(self, k: Kind) -> bool:
+    def _refused(self, k: MachineKind) -> bool:
         return self.controller.now < self.refused.get((k.type.name, k.zone, k.spot), -1e9)
 
     def refusals(self) -> list[tuple[str, str, bool, float]]:
@@ -411,7 +413,7 @@
             until = self.controller.now + min(float(left), 300.0)
             self.refused[kind] = max(until, self.refused.get(kind, -1e9))
 
-    def _rent(self, part: Part, want: Want) -> Step:
+    def _rent(self, part: Shard, want: RentalRequest) -> Step:
         """Rent machines; how many the cloud gave, all of them where that is not known."""
         controller = self.controller
         self._hires += 1
@@ -420,7 +422,7 @@
         intent = RentalIntent(
             want.type, want.zone, want.spot, want.count, round(controller.wall, 1)
         )
-        r: StateResult = yield Commit(
+        r: StoreResponse = yield CompareAndSwap(
             [(key, 0), controller.fence(part.number)], [Put(key, intent)], [], SPLIT
         )
         if r.status != 200:
@@ -429,13 +431,15 @@
             return want.count
         return (yield from self._hire(part, name, want, r.rev))
 
-    def _hire(self, part: Part, name: str, want: Want, intent: int) -> Step:
+    def _hire(self, part: Shard, name: str, want: RentalRequest, intent: int) -> Step:
         """Rent under a recorded name, for as long as it takes to know the answer; how many."""
         controller = self.controller
         key = keys.hire(part.number, name)
         pause = 0.5
         while True:
-            got: CloudResult = yield CloudRent(name, want.type, want.zone, want.spot, want.count)
+            got: CloudResponse = yield RentMachines(
+                name, want.type, want.zone, want.spot, want.count
+            )
             if got.status == 200:
                 break
             if got.status in (400, 503) and (got.no_capacity or got.status == 400):
@@ -476,8 +480,8 @@
             # record of a machine that never reports: it is dropped like one that fell.
             guards = [(p.key, 0) for p in puts]
             guards += [controller.fence(part.number), (key, intent)]
-            commit = Commit(guards, puts, [] if rest else [key], SPLIT)
-            r: StateResult = yield commit
+            commit = CompareAndSwap(guards, puts, [] if rest else [key], SPLIT)
+            r: StoreResponse = yield commit
             if r.status == 200:
                 controller.view.committed(commit, r.rev)
                 controller.sync()
@@ -498,7 +502,7 @@
             yield Sleep(0.2 + 0.2 * controller.rng.random())
         return count
 
-    def _finish_hires(self, part: Part) -> Flow:
+    def _finish_hires(self, part: Shard) -> Coroutine:
         """Carry out the rentals that an earlier owner recorded just before its end.
 
         The same name gives the same machines, so none is left unused and paid for. Older
@@ -509,7 +513,7 @@
         prefix = f"{keys.HIRES}{part.number}/"
         after = ""
         while controller.parts.get(part.number) is part:
-            r: StateResult = yield ListKeys(prefix, after, 200)
+            r: StoreResponse = yield ListKeys(prefix, after, 200)
             if r.status != 200:
                 yield Sleep(0.5)
                 continue
@@ -523,23 +527,23 @@
                 return
             after = r.items[-1].key
 
-    def _finish_hire(self, part: Part, name: str, item: Item) -> Step:
+    def _finish_hire(self, part: Shard, name: str, item: StoredKey) -> Step:
         intent = msgspec.convert(item.value, RentalIntent)
         lease_s = self.controller.settings.cluster.workers.lease_s
         if intent.at is not None and self.controller.wall - intent.at > RECENT_LEASES * lease_s:
             part.obsolete_keys[item.key] = item.version
             return
-        want = Want(intent.type, intent.zone, intent.spot, intent.count)
+        want = RentalRequest(intent.type, intent.zone, intent.spot, intent.count)
         yield from self._hire(part, name, want, item.version)
 
-    def _release(self, part: Part, machines: list[Machine]) -> Step:
+    def _release(self, part: Shard, machines: list[Machine]) -> Step:
         """Give machines back. Their tasks are gone once the cloud has said so, not before."""
         controller = self.controller
         for m in machines:
             m.releasing = True
         names = [m.name for m in machines]
         controller.log("info", f"releasing {names}")
-        r: CloudResult = yield CloudDelete(names)
+        r: CloudResponse = yield ReleaseMachines(names)
         if r.status != 200:
             for m in machines:
                 # A late copy of the request may still take the machine; it is asked for again.
@@ -549,7 +553,7 @@
             return
         controller.spawn(self._drop(part, names))
 
-    def _drop(self, part: Part, names: list[str]) -> Flow:
+    def _drop(self, part: Shard, names: list[str]) -> Coroutine:
         controller = self.controller
         now = controller.now
         for n in names:
@@ -562,8 +566,8 @@
             names = [n for n in names if n in controller.view.machines]
             drop = [keys.MACHINES + n for n in names[:ops]]
             guards = [(k, controller.view.version(k)) for k in drop]
-            commit = Commit([controller.fence(part.number), *guards], [], drop, FINAL)
-            r: StateResult = yield commit
+            commit = CompareAndSwap([controller.fence(part.number), *guards], [], drop, FINAL)
+            r: StoreResponse = yield commit
             if r.status == 200:
                 controller.view.committed(commit, r.rev)
                 controller.sync()
@@ -576,7 +580,7 @@
 
     # --- cancels ---------------------------------------------------------------------------
 
-    def guard_cancels(self, part: Part) -> None:
+    def guard_cancels(self, part: Shard) -> None:
         """Stop answering machines that hold a cancelled task for too long.
 
         Without 200 answers the worker's lease ends, and the machine is released, so that
--- a/marblestair/core/capacity/plan_inputs.py
+++ b/marblestair/core/capacity/plan_inputs.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from marblestair.core.capacity.provisioning import Have, Load
+from marblestair.core.capacity.provisioning import AvailableMachine, JobLoad
 from marblestair.core.domain.model import GANG, JobRecord
 
 if TYPE_CHECKING:
@@ -16,7 +16,7 @@
 HEARD_LEASES = 1.5
 
 
-class ToldState:
+class ReportedState:
     """What the owners of all parts told last.
 
     Through a takeover what was last told of a part still tells most; only of one that has not
@@ -56,10 +56,10 @@
         self.absent.update(summary.absent)
 
 
-class TeamRoom:
+class TeamCapacity:
     """What the teams' limits leave free, as work is counted against them."""
 
-    def __init__(self, controller: Controller, told: ToldState, live: list[JobRecord]) -> None:
+    def __init__(self, controller: Controller, told: ReportedState, live: list[JobRecord]) -> None:
         self._room = {name: team.cpu_limit for name, team in controller.teams.items()}
         # What arrays hold of a limit comes free for a gang before long.
         self._gang_room = dict(self._room)
@@ -85,10 +85,10 @@
 
 
 def loads(
-    controller: Controller, told: ToldState, live: list[JobRecord], patience: float
-) -> list[Load]:
+    controller: Controller, told: ReportedState, live: list[JobRecord], patience: float
+) -> list[JobLoad]:
     """The work at hand; what has no deadline is due after ``patience`` run times."""
-    room = TeamRoom(controller, told, live)
+    room = TeamCapacity(controller, told, live)
     found = []
     for record in live:
         spec = controller.urgency.scheduling_spec(record)
@@ -105,17 +105,17 @@
             due_at = spec.at + spec.deadline_s
         due = due_at - controller.wall
         part = told.part.get(spec.id, -1)
-        found.append(Load(spec, waiting, running, due, run_s, allowed, part))
+        found.append(JobLoad(spec, waiting, running, due, run_s, allowed, part))
     return found + _coming_loads(controller, told, live, room, patience)
 
 
 def _coming_loads(
     controller: Controller,
-    told: ToldState,
+    told: ReportedState,
     live: list[JobRecord],
-    room: TeamRoom,
+    room: TeamCapacity,
     patience: float,
-) -> list[Load]:
+) -> list[JobLoad]:
     """The arrays whose awaited jobs all run: they start about when a machine rented now is up.
 
     A gang would have machines set aside for it, which stand idle until it starts.
@@ -129,11 +129,11 @@
             continue
         allowed = room.take(record, spec.tasks)
         run_s = max(1.0, spec.estimate_s * controller.factor.get(spec.cls, 1.0))
-        found.append(Load(spec, spec.tasks, 0, patience * run_s, run_s, allowed, -1))
+        found.append(JobLoad(spec, spec.tasks, 0, patience * run_s, run_s, allowed, -1))
     return found
 
 
-def _ends_soon(controller: Controller, told: ToldState, child: JobRecord) -> bool:
+def _ends_soon(controller: Controller, told: ReportedState, child: JobRecord) -> bool:
     """Whether all that a job awaits runs, with all its tasks, and not for long any more."""
     boot_s = min((kind.boot_s for kind in controller.types.values()), default=0.0)
     for parent in controller.pipelines.unfinished(child.spec.id):
@@ -147,7 +147,7 @@
     return True
 
 
-def machines(controller: Controller, told: ToldState) -> list[Have]:
+def machines(controller: Controller, told: ReportedState) -> list[AvailableMachine]:
     """The machines at hand, up or booting, of parts that were heard."""
     found = []
     for name, known in controller.view.machines.items():
@@ -155,7 +155,7 @@
         if kind is None or name in told.leaving or known.part not in told.heard:
             continue
         found.append(
-            Have(
+            AvailableMachine(
                 name=name,
                 type=kind,
                 zone=known.zone,
--- a/marblestair/core/capacity/planning.py
+++ b/marblestair/core/capacity/planning.py
@@ -16,13 +16,13 @@
 
 from marblestair.core.capacity.provisioning import (
     LEAST_AGE_S,
-    Coming,
-    Have,
-    Kind,
-    Load,
+    AvailableMachine,
+    ExpectedGangs,
+    JobLoad,
+    MachineKind,
     Plan,
+    RentalRequest,
     Tuning,
-    Want,
     kinds,
     per_machine,
     price_per_task,
@@ -45,16 +45,16 @@
 #: part of a rental that any part may make
 ANY_PART = -1
 #: number of a part, or ANY_PART, with the type, zone and spot of a machine
-WantedKind = tuple[tuple[str, str, bool], int]
+RankedKind = tuple[tuple[str, str, bool], int]
 
 
 def plan(
-    loads: list[Load],
-    machines: list[Have],
+    loads: list[JobLoad],
+    machines: list[AvailableMachine],
     types: dict[str, MachineType],
-    refused: Callable[[Kind], bool],
+    refused: Callable[[MachineKind], bool],
     usual: float,
-    expected: dict[str, Coming],
+    expected: dict[str, ExpectedGangs],
     tuning: Tuning,
     smooth: Callable[[float], float] = lambda x: x,
 ) -> Plan:
@@ -82,10 +82,10 @@
 
     def __init__(
         self,
-        loads: list[Load],
-        machines: list[Have],
+        loads: list[JobLoad],
+        machines: list[AvailableMachine],
         types: dict[str, MachineType],
-        refused: Callable[[Kind], bool],
+        refused: Callable[[MachineKind], bool],
         tuning: Tuning,
     ) -> None:
         self._machines = machines
@@ -98,15 +98,15 @@
         self._plan = Plan([], [])
         #: machines that run gangs or are set aside for them
         self._taken = {m.name for m in machines if m.gang}
-        self._wanted: dict[WantedKind, int] = {}
+        self._wanted: dict[RankedKind, int] = {}
         #: types that only some classes' large tasks need: left to them where possible
         self._scarce: set[str] = set()
         #: share of the target that is worth ordinary machines where work may run on spot ones
         self._dear_share = 1.0
-        self._kinds: dict[tuple[object, ...], list[Kind]] = {}
-        self._by_part: dict[int, list[Have]] = {}
+        self._kinds: dict[tuple[object, ...], list[MachineKind]] = {}
+        self._by_part: dict[int, list[AvailableMachine]] = {}
 
-    def find_scarce_types(self, expected: dict[str, Coming]) -> None:
+    def find_scarce_types(self, expected: dict[str, ExpectedGangs]) -> None:
         """Note the types that not every class can do without."""
         for coming in expected.values():
             fitting = {kind.type.name for kind in kinds(coming.spec, self._types)}
@@ -122,7 +122,7 @@
                 aside = partial(self._reserve, job=load.spec.id)
                 self._set_aside(load.spec, load.pending, load.part, aside)
 
-    def set_aside_for_expected_gangs(self, expected: dict[str, Coming]) -> None:
+    def set_aside_for_expected_gangs(self, expected: dict[str, ExpectedGangs]) -> None:
         """Keep machines ready for classes whose starts are wanted sooner than a machine boots."""
         if not self._tuning.spare_gangs:
             return
@@ -176,11 +176,11 @@
                 tasks -= count
         self._rent_for_gang(spec, tasks, part, options, in_zone, most_in_zone)
 
-    def _fitting(self, spec: JobSpec, part: int) -> tuple[list[Have], dict[str, int]]:
+    def _fitting(self, spec: JobSpec, part: int) -> tuple[list[AvailableMachine], dict[str, int]]:
         """Return machines that may be set aside for a gang's tasks, and their room by zone."""
         #: tasks that a machine of a kind holds, counted once per kind
         holds: dict[tuple[str, str, bool], int] = {}
-        fitting: list[Have] = []
+        fitting: list[AvailableMachine] = []
         room: dict[str, int] = {}
         for m in self._soonest_empty(part):
             if m.name in self._taken or m.absent:
@@ -194,7 +194,7 @@
                 room[m.zone] = room.get(m.zone, 0) + holds[kind]
         return fitting, room
 
-    def _soonest_empty(self, part: int) -> list[Have]:
+    def _soonest_empty(self, part: int) -> list[AvailableMachine]:
         """Return the machines in the order in which they fall empty, put in order once per part."""
         if part not in self._by_part:
             self._by_part[part] = sorted(
@@ -208,7 +208,7 @@
         spec: JobSpec,
         tasks: int,
         part: int,
-        options: list[Kind],
+        options: list[MachineKind],
         in_zone: dict[str, int],
         most_in_zone: int,
     ) -> None:
@@ -268,7 +268,7 @@
 
     def rent_in_bound_zones(self) -> None:
         """Rent for work that is bound to a zone: it is not served by what stands in another."""
-        bound: dict[str, list[Load]] = {}
+        bound: dict[str, list[JobLoad]] = {}
         for load in self._arrays:
             if load.spec.zone is not None and load.pending:
                 bound.setdefault(load.spec.zone, []).append(load)
@@ -316,7 +316,7 @@
         ]
         return min(prices, default=NO_PRICE)
 
-    def _is_dearer(self, m: Have, price_per_cpu: float) -> bool:
+    def _is_dearer(self, m: AvailableMachine, price_per_cpu: float) -> bool:
         """Whether an ordinary machine costs more than a price for a cpu."""
         if m.spot or not self._arrays:
             return False
@@ -349,21 +349,23 @@
 
     def finish(self) -> Plan:
         """Return the plan with its rentals."""
-        self._plan.rent = [Want(*kind, count, part) for (kind, part), count in self._wanted.items()]
+        self._plan.rent = [
+            RentalRequest(*kind, count, part) for (kind, part), count in self._wanted.items()
+        ]
         return self._plan
 
     # --- common ----------------------------------------------------------------------------
 
-    def _for_arrays(self) -> list[Have]:
+    def _for_arrays(self) -> list[AvailableMachine]:
         """Return the machines that no gang runs on or waits for."""
         return [m for m in self._machines if m.name not in self._taken]
 
-    def _want(self, kind: Kind, count: int, part: int) -> None:
+    def _want(self, kind: MachineKind, count: int, part: int) -> None:
         if count > 0:
             wanted = (kind.key, part)
             self._wanted[wanted] = self._wanted.get(wanted, 0) + count
 
-    def _kinds_of(self, spec: JobSpec) -> list[Kind]:
+    def _kinds_of(self, spec: JobSpec) -> list[MachineKind]:
         """Return the kinds a job may run on, found once per shape: many jobs have the same."""
         types = None if spec.types is None else tuple(spec.types)
         shape = (types, spec.zone, spec.spot, spec.need)
@@ -371,22 +373,24 @@
             self._kinds[shape] = kinds(spec, self._types)
         return self._kinds[shape]
 
-    def _open_kinds(self, spec: JobSpec) -> list[Kind]:
+    def _open_kinds(self, spec: JobSpec) -> list[MachineKind]:
         """Return the kinds a job may run on that are not refused now, cheapest first."""
         options = [kind for kind in self._kinds_of(spec) if not self._refused(kind)]
         return self._cheapest_first(options, spec, self._scarce)
 
-    def _cheapest_first(self, options: list[Kind], spec: JobSpec, scarce: set[str]) -> list[Kind]:
+    def _cheapest_first(
+        self, options: list[MachineKind], spec: JobSpec, scarce: set[str]
+    ) -> list[MachineKind]:
         return sorted(
             options, key=lambda k: (price_per_task(k, spec, self._tuning, scarce), k.zone)
         )
 
 
-def _widest(loads: list[Load]) -> Load:
+def _widest(loads: list[JobLoad]) -> JobLoad:
     return max(loads, key=lambda load: (load.pending * load.spec.cpus, load.spec.id))
 
 
-def _array_target(loads: list[Load], boot_s: float, tuning: Tuning, lead: float = 1e9) -> float:
+def _array_target(loads: list[JobLoad], boot_s: float, tuning: Tuning, lead: float = 1e9) -> float:
     """Return the cpus with which the waiting arrays are done well before they are due.
 
     They need not be done earlier than ``lead`` run times ahead of that.
--- a/marblestair/core/capacity/provisioning.py
+++ b/marblestair/core/capacity/provisioning.py
@@ -35,7 +35,7 @@
     patience: float = 2.0
 
 
-class Load(msgspec.Struct, frozen=True):
+class JobLoad(msgspec.Struct, frozen=True):
     """Work of one job at hand, over all parts."""
 
     spec: JobSpec
@@ -51,7 +51,7 @@
     part: int = -1
 
 
-class Have(msgspec.Struct, frozen=True):
+class AvailableMachine(msgspec.Struct, frozen=True):
     """A machine at hand, up or booting."""
 
     name: str
@@ -76,7 +76,7 @@
         return busy_s if self.used else max(1.0, self.type.boot_s - self.age)
 
 
-class Kind(msgspec.Struct, frozen=True):
+class MachineKind(msgspec.Struct, frozen=True):
     """A kind of machine that can be rented."""
 
     type: MachineType
@@ -94,7 +94,7 @@
         return self.type.spot_price if self.spot else self.type.price
 
 
-class Want(msgspec.Struct, frozen=True):
+class RentalRequest(msgspec.Struct, frozen=True):
     """A rental to make."""
 
     type: str
@@ -112,7 +112,7 @@
     )
 
 
-def kinds(spec: JobSpec, types: dict[str, MachineType]) -> list[Kind]:
+def kinds(spec: JobSpec, types: dict[str, MachineType]) -> list[MachineKind]:
     """Every kind of machine a job may run on."""
     out = []
     for t in types.values():
@@ -121,11 +121,11 @@
         for z in t.zones:
             for spot in (True, False):
                 if spec.may_run_on(t.name, z, spot):
-                    out.append(Kind(t, z, spot))
+                    out.append(MachineKind(t, z, spot))
     return out
 
 
-def price_per_task(k: Kind, spec: JobSpec, tuning: Tuning, scarce: set[str]) -> float:
+def price_per_task(k: MachineKind, spec: JobSpec, tuning: Tuning, scarce: set[str]) -> float:
     """Price of the share of the machine that one task takes, with what weighs against it."""
     price = k.price / max(1, per_machine(k.type, spec.need))
     if k.spot:
@@ -135,7 +135,7 @@
     return price
 
 
-class Coming(msgspec.Struct, frozen=True):
+class ExpectedGangs(msgspec.Struct, frozen=True):
     """A class of gangs that comes: one of its jobs, and how often."""
 
     spec: JobSpec
@@ -144,7 +144,7 @@
     per_s: float = 0.0
 
 
-def spares(k: Coming, types: dict[str, MachineType], least: int) -> int:
+def spares(k: ExpectedGangs, types: dict[str, MachineType], least: int) -> int:
     """Count the gangs of a class to keep machines ready for.
 
     As many as come while a machine is rented for one, and a standard deviation more.
@@ -161,7 +161,7 @@
 class Plan(msgspec.Struct):
     """What should be done about the fleet."""
 
-    rent: list[Want]
+    rent: list[RentalRequest]
     release: list[str]
     #: cpus that arrays should have, and cpus they have
     target: float = 0.0
--- a/marblestair/core/capacity/shard_summary.py
+++ b/marblestair/core/capacity/shard_summary.py
@@ -9,9 +9,9 @@
 from marblestair.core.capacity.decommissioning import absent
 from marblestair.core.capacity.demand import measure_demand, wanted_tasks
 from marblestair.core.domain.model import GANG
-from marblestair.core.runtime.outbox import PartSummary
+from marblestair.core.runtime.outbox import ShardSummary
 from marblestair.core.shard.machine import Machine
-from marblestair.core.shard.shard import Part
+from marblestair.core.shard.shard import Shard
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
@@ -30,13 +30,13 @@
     leaving: list[str] = []
 
 
-def summarise(controller: Controller, part: Part) -> PartSummary:
+def summarise(controller: Controller, part: Shard) -> ShardSummary:
     """What the others should know about a part."""
     demand = measure_demand(controller, part)
     away = absent(part, controller.settings.cluster.workers.lease_s, controller.now)
     use = _machine_use(controller, part, away)
     ordered = controller.dispatch.ordered(part)
-    return PartSummary(
+    return ShardSummary(
         part=part.number,
         term=part.term,
         rooms=_free_rooms(controller, part),
@@ -56,7 +56,7 @@
     )
 
 
-def _free_rooms(controller: Controller, part: Part) -> list[tuple[str, str, bool, int, int, int]]:
+def _free_rooms(controller: Controller, part: Shard) -> list[tuple[str, str, bool, int, int, int]]:
     return [
         (m.type_name, m.zone, m.spot, m.free[0], m.free[1], m.free[2])
         for m in part.machines.values()
@@ -64,7 +64,7 @@
     ]
 
 
-def _shares_left(controller: Controller, part: Part) -> dict[str, list[int]]:
+def _shares_left(controller: Controller, part: Shard) -> dict[str, list[int]]:
     left = {}
     for team in controller.teams:
         used, share = part.usage(team), controller.share(part, team)
@@ -72,7 +72,7 @@
     return left
 
 
-def _waiting(controller: Controller, part: Part) -> list[tuple[str, int, int]]:
+def _waiting(controller: Controller, part: Shard) -> list[tuple[str, int, int]]:
     waiting = []
     for job, s in part.slices.items():
         if s.cancelled or not (len(s.pending) or s.placed or s.leaving):
@@ -82,7 +82,7 @@
     return waiting
 
 
-def _machine_use(controller: Controller, part: Part, away: set[str]) -> MachineUse:
+def _machine_use(controller: Controller, part: Shard, away: set[str]) -> MachineUse:
     """Sort a part's machines; those that fell silent together with many are left out."""
     use = MachineUse()
     with_gangs = {
--- a/marblestair/core/capacity/spending.py
+++ b/marblestair/core/capacity/spending.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from marblestair.core.shard.machine import Machine
-from marblestair.core.shard.shard import Part
+from marblestair.core.shard.shard import Shard
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
@@ -26,7 +26,7 @@
         self._accounted_at: dict[int, float] = {}
         self._logged_at: dict[int, float] = {}
 
-    def account(self, part: Part) -> None:
+    def account(self, part: Shard) -> None:
         """Count what a part's machines cost since the last call; about once a minute, log it."""
         now = self._controller.now
         pause_s = min(LONGEST_PAUSE_S, now - self._accounted_at.get(part.number, now))
@@ -39,7 +39,7 @@
             self._log(part, spent)
             spent.clear()
 
-    def _log(self, part: Part, spent: dict[str, float]) -> None:
+    def _log(self, part: Shard, spent: dict[str, float]) -> None:
         total = sum(spent.values())
         uses = ", ".join(f"{use} {money / total:.2f}" for use, money in sorted(spent.items()))
         waiting = sum(len(s.pending) for s in part.slices.values())
--- a/marblestair/core/controller.py
+++ b/marblestair/core/controller.py
@@ -13,34 +13,34 @@
 import msgspec
 
 from marblestair.core.capacity.boot_times import BootTimes
-from marblestair.core.capacity.failures import Faults
-from marblestair.core.capacity.fleet import Fleet
+from marblestair.core.capacity.failures import FailureAttribution
+from marblestair.core.capacity.fleet import FleetManager
 from marblestair.core.capacity.shard_summary import summarise
-from marblestair.core.domain.model import MachineType, Order, Report
+from marblestair.core.domain.model import Heartbeat, MachineType, TaskCommand
 from marblestair.core.jobs.answers import Answers
-from marblestair.core.jobs.cancellations import Cancels
+from marblestair.core.jobs.cancellations import Cancellations
 from marblestair.core.jobs.completion_records import CompletionRecords
-from marblestair.core.jobs.dependencies import Pipelines
-from marblestair.core.jobs.job_managers import Jobs
+from marblestair.core.jobs.dependencies import DependencyGraph
+from marblestair.core.jobs.job_managers import JobManagers
 from marblestair.core.jobs.migration_locks import MigrationLocks
-from marblestair.core.jobs.user_requests import Requests
-from marblestair.core.leadership.leadership import ISOLATED, Authority
+from marblestair.core.jobs.user_requests import UserRequests
+from marblestair.core.leadership.leadership import ISOLATED, Leadership
 from marblestair.core.leadership.shard_recovery import rebuild
-from marblestair.core.runtime.coroutines import Flow, Runner
+from marblestair.core.runtime.coroutines import Coroutine, CoroutineRunner
 from marblestair.core.runtime.decision_log import Decision, DecisionLog
-from marblestair.core.runtime.outbox import Command, Note, PartSummary, Reply
-from marblestair.core.runtime.requests import Commit
-from marblestair.core.scheduling.dispatch import Dispatch
-from marblestair.core.scheduling.inherited_urgency import Urgency
-from marblestair.core.scheduling.machine_transfers import MachineMoves
+from marblestair.core.runtime.outbox import DirectCommand, PeerMessage, ShardSummary, UserReply
+from marblestair.core.runtime.requests import CompareAndSwap
+from marblestair.core.scheduling.dispatch import Dispatcher
+from marblestair.core.scheduling.inherited_urgency import InheritedUrgency
+from marblestair.core.scheduling.machine_transfers import MachineTransfers
 from marblestair.core.scheduling.preemption import Preemption
 from marblestair.core.scheduling.quota import within_guarantee
-from marblestair.core.scheduling.quota_transfers import ShareMoves
-from marblestair.core.scheduling.slice_migration import Migrations
+from marblestair.core.scheduling.quota_transfers import QuotaTransfers
+from marblestair.core.scheduling.slice_migration import SliceMigrations
 from marblestair.core.shard.machine import Machine
-from marblestair.core.shard.shard import Part
+from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
-from marblestair.core.state.store_view import View
+from marblestair.core.state.store_view import StoreView
 from marblestair.core.status import status
 from marblestair.settings import Settings, Team
 
@@ -63,45 +63,45 @@
         self.wall = wall
         self.started = now
         self.teams: dict[str, Team] = {t.name: t for t in settings.cluster.teams}
-        self.runner = Runner()
+        self.runner = CoroutineRunner()
         self.runner.on_error = self._flow_error
-        self.replies: list[Reply] = []
-        self.commands: list[Command] = []
-        self.notes: list[Note] = []
+        self.replies: list[UserReply] = []
+        self.commands: list[DirectCommand] = []
+        self.notes: list[PeerMessage] = []
         self.peer_replies: list[tuple[int, Any]] = []
         self.lines: list[tuple[str, str]] = []
         self.decisions = DecisionLog(self.log)
-        self.view = View()
-        self.parts: dict[int, Part] = {}
+        self.view = StoreView()
+        self.parts: dict[int, Shard] = {}
         self.types: dict[str, MachineType] = {}
         self.guaranteed: set[str] = set()
         #: per class: measured run time against the estimate
         self.factor: dict[str, float] = {}
         #: class -> seconds by which it is served earlier, from the operators' policy
         self.lead_s: dict[str, float] = {}
-        self.summaries: dict[int, tuple[float, PartSummary]] = {}
+        self.summaries: dict[int, tuple[float, ShardSummary]] = {}
         self.heard: dict[str, float] = {}
         #: whether each other node last said that it hears its machines
         self.in_touch: dict[str, bool] = {}
         #: room lowered ahead of a commit that gives it to another part
         self.lowered: dict[tuple[int, str], list[int]] = {}
-        self.faults = Faults(settings.cluster.workers)
+        self.faults = FailureAttribution(settings.cluster.workers)
         self.boots = BootTimes()
-        self.authority = Authority(self)
-        self.pipelines = Pipelines(self)
-        self.urgency = Urgency(self)
+        self.authority = Leadership(self)
+        self.pipelines = DependencyGraph(self)
+        self.urgency = InheritedUrgency(self)
         self.answers = Answers(self)
-        self.cancels = Cancels(self)
-        self.jobs = Jobs(self)
-        self.requests = Requests(self)
-        self.share_moves = ShareMoves(self)
-        self.fleet = Fleet(self)
-        self.migrations = Migrations(self)
+        self.cancels = Cancellations(self)
+        self.jobs = JobManagers(self)
+        self.requests = UserRequests(self)
+        self.share_moves = QuotaTransfers(self)
+        self.fleet = FleetManager(self)
+        self.migrations = SliceMigrations(self)
         self.migration_locks = MigrationLocks(self)
-        self.machine_moves = MachineMoves(self)
+        self.machine_moves = MachineTransfers(self)
         self.preemption = Preemption(self)
         self.completion_records = CompletionRecords(self)
-        self.dispatch = Dispatch(self)
+        self.dispatch = Dispatcher(self)
         #: commits that the state service refused as malformed or too large
         self.refused_commits = 0
         self._next_slow = now
@@ -118,9 +118,9 @@
 
     def tell(self, node: str, tag: str, args: list[Any]) -> None:
         """Send a one-way message to another controller."""
-        self.notes.append(Note(node, tag, args))
+        self.notes.append(PeerMessage(node, tag, args))
 
-    def spawn(self, flow: Flow) -> None:
+    def spawn(self, flow: Coroutine) -> None:
         """Start a flow."""
         self.runner.spawn(flow)
 
@@ -142,7 +142,7 @@
         """A call of a flow was answered."""
         self.runner.complete(call, result)
 
-    def note_refused_commit(self, commit: Commit) -> None:
+    def note_refused_commit(self, commit: CompareAndSwap) -> None:
         """The state service refused a commit as malformed or too large: a defect of this program.
 
         A key whose lease has ended is refused likewise, and is none.
@@ -181,7 +181,7 @@
         """Whether this node may act for a part now."""
         return self.authority.acts(self.parts.get(number), self.now)
 
-    def acting(self) -> list[Part]:
+    def acting(self) -> list[Shard]:
         """Parts this node may act for now."""
         return [p for i, p in sorted(self.parts.items()) if self.acts(i)]
 
@@ -225,7 +225,7 @@
         deaf = all(now - self.heard.get(n, self.started) > limit for n in peers)
         return bool(peers) and (deaf or len(heard) > 1)
 
-    def _should_report(self, part: Part, m: Machine) -> bool:
+    def _should_report(self, part: Shard, m: Machine) -> bool:
         """Whether a machine is up as far as is known.
 
         It has reported under this part's term, or it was there at the takeover and has had
@@ -305,10 +305,10 @@
                 self.log("info", f"part {i} is now with {record.owner}, term {record.term}")
         self.jobs.parts_changed()
 
-    def _new_part(self, number: int, term: int) -> Part:
-        return Part(number, term, self.settings.cluster, self.now, self.faults, self.boots)
+    def _new_part(self, number: int, term: int) -> Shard:
+        return Shard(number, term, self.settings.cluster, self.now, self.faults, self.boots)
 
-    def sync_machine(self, name: str, populating: Part | None = None) -> None:
+    def sync_machine(self, name: str, populating: Shard | None = None) -> None:
         """Bring a machine of the parts here in line with the view, also of one being rebuilt."""
         record = self.view.machines.get(name)
         for p in self.parts.values():
@@ -323,7 +323,7 @@
                 m.set_type(self.types.get(record.type))
                 p.add_machine(m)
 
-    def sync_slice(self, p: Part, job: str) -> None:
+    def sync_slice(self, p: Shard, job: str) -> None:
         """Bring a part's slice of a job in line with the view."""
         s = p.slices.get(job)
         was_waiting = s is None or s.is_waiting
@@ -351,7 +351,7 @@
 
     # --- shares ----------------------------------------------------------------------------
 
-    def share(self, part: Part, team: str) -> tuple[int, int]:
+    def share(self, part: Shard, team: str) -> tuple[int, int]:
         """What the team's tasks may use in this part."""
         s = self.view.split
         if s is None:
@@ -362,7 +362,7 @@
 
     # --- workers ---------------------------------------------------------------------------
 
-    def report(self, rep: Report) -> tuple[int, int, list[Order], str | None]:
+    def report(self, rep: Heartbeat) -> tuple[int, int, list[TaskCommand], str | None]:
         """A worker's report: status, token, orders, and the node to report to."""
         now = self.now
         self.authority.heard_worker()
@@ -399,7 +399,7 @@
             orders += launches
         return 200, part.term, orders, None
 
-    def _learn(self, part: Part) -> None:
+    def _learn(self, part: Shard) -> None:
         for spec, ran in part.finished:
             if spec.estimate_s > 0:
                 old = self.factor.get(spec.cls, 1.0)
@@ -421,7 +421,7 @@
             self.dispatch.place(p)
             for m, orders in p.direct_stops(now):
                 self.decisions.count(Decision.STOP, "direct", len(orders))
-                self.commands.append(Command(m.addr, p.term, m.session, orders))
+                self.commands.append(DirectCommand(m.addr, p.term, m.session, orders))
             self.fleet.guard_cancels(p)
         self.jobs.tick()
         self.migration_locks.tick()
@@ -436,7 +436,7 @@
             self.cancels.prune()
             self.share_moves.rebalance(acting)
 
-    def _tell(self, acting: list[Part]) -> None:
+    def _tell(self, acting: list[Shard]) -> None:
         told = []
         for p in acting:
             summary = summarise(self, p)
@@ -457,7 +457,7 @@
                     # A late message of an earlier process, or one of a process not seen yet.
                     return
                 for raw in args[1]:
-                    g = msgspec.convert(raw, PartSummary)
+                    g = msgspec.convert(raw, ShardSummary)
                     self.summaries[g.part] = (self.now, g)
                     self.faults.told(g.part, g.failing, self.now)
                 self.in_touch[node] = bool(args[2])
@@ -479,7 +479,7 @@
             self.heard[node] = self.now
         self.spawn(self._peer(request, tag, args))
 
-    def _peer(self, request: int, tag: str, args: list[Any]) -> Flow:
+    def _peer(self, request: int, tag: str, args: list[Any]) -> Coroutine:
         answer: Any = None
         try:
             if tag == "query":
--- a/marblestair/core/domain/model.py
+++ b/marblestair/core/domain/model.py
@@ -98,7 +98,7 @@
         return all(n <= s for n, s in zip(need, self.size, strict=True))
 
 
-class TaskReport(msgspec.Struct, frozen=True):
+class TaskStatus(msgspec.Struct, frozen=True):
     """One task as a worker reports it."""
 
     job: str
@@ -109,7 +109,7 @@
     saved: bool = False
 
 
-class Report(msgspec.Struct, frozen=True):
+class Heartbeat(msgspec.Struct, frozen=True):
     """A worker's report."""
 
     machine: str
@@ -121,10 +121,10 @@
     seq: int
     token: int
     notice_s: float | None
-    tasks: list[TaskReport]
+    tasks: list[TaskStatus]
 
 
-class Order(msgspec.Struct, frozen=True):
+class TaskCommand(msgspec.Struct, frozen=True):
     """A command to a worker: ``start``, ``stop`` or ``forget``."""
 
     op: str
--- a/marblestair/core/jobs/acceptance.py
+++ b/marblestair/core/jobs/acceptance.py
@@ -11,12 +11,12 @@
 import msgspec
 
 from marblestair.core.domain.model import DESCRIPTION, GANG, JobRecord, JobSpec, too_large
-from marblestair.core.jobs.admission import Stage
+from marblestair.core.jobs.admission import AdmissionStage
 from marblestair.core.jobs.answers import UNKNOWN, JobState, JobStatus
 from marblestair.core.jobs.parents import Parents, ParentsState, look_up
 from marblestair.core.leadership import shard_map
 from marblestair.core.runtime.coroutines import Step
-from marblestair.core.runtime.requests import ACCEPT, Commit, Put, StateResult
+from marblestair.core.runtime.requests import ACCEPT, CompareAndSwap, Put, StoreResponse
 from marblestair.core.scheduling.placement import gang_fits
 from marblestair.core.scheduling.quota import refusal
 from marblestair.core.scheduling.slice_migration import reserve
@@ -24,7 +24,7 @@
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
-    from marblestair.core.runtime.outbox import PartSummary
+    from marblestair.core.runtime.outbox import ShardSummary
 
 #: time for which what an owner told of its part is recent enough to accept jobs into it
 SUMMARY_FRESH_S = 4.0
@@ -56,7 +56,9 @@
         state = controller.settings.cluster.state
         # Half of a node's changes are for other things, but submissions come first.
         changes_per_s = state.write_rps / len(controller.settings.nodes)
-        self._stage = Stage(max(2, round(ADMITTED_S * changes_per_s)), max(1.0, changes_per_s / 2))
+        self._stage = AdmissionStage(
+            max(2, round(ADMITTED_S * changes_per_s)), max(1.0, changes_per_s / 2)
+        )
 
     def submit(self, spec: JobSpec) -> Step:
         """Accept or refuse a job, or tell the state of one that is known; an Outcome."""
@@ -161,8 +163,8 @@
             if not controller.authority.holds(controller.now):
                 return Outcome(503, UNKNOWN, "no authority", RETRY_S)
             guards = [(key, 0), (keys.FINALS + spec.id, 0), controller.fence(manager)]
-            commit = Commit(guards, [Put(key, record)], [], ACCEPT)
-            result: StateResult = yield commit
+            commit = CompareAndSwap(guards, [Put(key, record)], [], ACCEPT)
+            result: StoreResponse = yield commit
             if result.status == 200:
                 controller.view.committed(commit, result.rev)
                 controller.sync()
@@ -188,8 +190,8 @@
             return Outcome(503, UNKNOWN, "no authority", RETRY_S)
         final_key = keys.FINALS + spec.id
         guards = [(keys.JOBS + spec.id, 0), (final_key, 0)]
-        commit = Commit(guards, [Put(final_key, JobState.CANCELLED)], [], ACCEPT)
-        result: StateResult = yield commit
+        commit = CompareAndSwap(guards, [Put(final_key, JobState.CANCELLED)], [], ACCEPT)
+        result: StoreResponse = yield commit
         if result.status == 200:
             controller.answers.final(spec.id, JobState.CANCELLED)
             controller.log("info", f"accepted {spec.id} as cancelled, like {parent} before it")
@@ -230,7 +232,7 @@
             start += size
         return slices
 
-    def _summary(self, part: int) -> PartSummary | None:
+    def _summary(self, part: int) -> ShardSummary | None:
         told = self._controller.summaries.get(part)
         return told[1] if told is not None else None
 
--- a/marblestair/core/jobs/admission.py
+++ b/marblestair/core/jobs/admission.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 
-class Stage:
+class AdmissionStage:
     """Counts what is in a stage and refuses what does not fit."""
 
     def __init__(self, size: int, per_second: float) -> None:
--- a/marblestair/core/jobs/answers.py
+++ b/marblestair/core/jobs/answers.py
@@ -18,7 +18,7 @@
 from marblestair.core.jobs.lookups import Lookups
 from marblestair.core.runtime.coroutines import Step
 from marblestair.core.runtime.decision_log import Decision
-from marblestair.core.runtime.requests import ACCEPT, Get, PeerCall, StateResult
+from marblestair.core.runtime.requests import ACCEPT, Get, PeerRequest, StoreResponse
 from marblestair.core.state import keys
 
 if TYPE_CHECKING:
@@ -159,7 +159,7 @@
         if record is not None:
             owner = controller.owner(record.manager)
             if owner is not None and owner != controller.node and not controller.cut_off():
-                answer = yield PeerCall(owner, "query", [job], QUERY_PEER_S)
+                answer = yield PeerRequest(owner, "query", [job], QUERY_PEER_S)
                 told = self._take_answer(job, answer)
                 if told is not None:
                     return told
@@ -212,7 +212,7 @@
         controller = self.controller
         if controller.cut_off():
             return None
-        r: StateResult = yield Get(keys.JOBS + job, lane)
+        r: StoreResponse = yield Get(keys.JOBS + job, lane)
         if r.status == 200:
             controller.view.take_in(keys.JOBS + job, r.value, r.version)
             controller.sync()
@@ -228,7 +228,7 @@
 
     def _read_final(self, job: str, lane: int) -> Step:
         """Read a job's final state; UNKNOWN if it has none, None when it could not be read."""
-        got: StateResult = yield Get(keys.FINALS + job, lane)
+        got: StoreResponse = yield Get(keys.FINALS + job, lane)
         if got.status == 200 and got.value in FINAL_STATES:
             self.final(job, JobState(got.value))
             return JobStatus(JobState(got.value))
--- a/marblestair/core/jobs/cancellations.py
+++ b/marblestair/core/jobs/cancellations.py
@@ -20,10 +20,17 @@
 from typing import TYPE_CHECKING, Any
 
 from marblestair.core.domain.model import JobRecord, cancelled
-from marblestair.core.leadership.shard_map import PartRecord
-from marblestair.core.runtime.coroutines import Flow, Step
+from marblestair.core.leadership.shard_map import ShardRecord
+from marblestair.core.runtime.coroutines import Coroutine, Step
 from marblestair.core.runtime.decision_log import Decision
-from marblestair.core.runtime.requests import ACCEPT, Commit, PeerCall, Put, Sleep, StateResult
+from marblestair.core.runtime.requests import (
+    ACCEPT,
+    CompareAndSwap,
+    PeerRequest,
+    Put,
+    Sleep,
+    StoreResponse,
+)
 from marblestair.core.state import keys
 
 if TYPE_CHECKING:
@@ -45,7 +52,7 @@
 MOST_ENTRIES = 10_000
 
 
-class Entry:
+class CancelEntry:
     """The cancel of one job, as far as this node knows."""
 
     __slots__ = ("applied", "carried", "confirmed", "rev", "since")
@@ -63,12 +70,12 @@
         self.carried = False
 
 
-class Cancels:
+class Cancellations:
     """What one node knows of committed cancels, and how it has them applied."""
 
     def __init__(self, controller: Controller) -> None:
         self.controller = controller
-        self._entries: dict[str, Entry] = {}
+        self._entries: dict[str, CancelEntry] = {}
 
     # --- what is known ---------------------------------------------------------------------
 
@@ -81,12 +88,12 @@
         entry = self._entries.get(job)
         return entry is not None and entry.confirmed
 
-    def learn(self, job: str, rev: int) -> Entry:
+    def learn(self, job: str, rev: int) -> CancelEntry:
         """A cancel is committed: apply it to all that is held here, now and later."""
         controller = self.controller
         entry = self._entries.get(job)
         if entry is None:
-            entry = self._entries[job] = Entry(rev, controller.now)
+            entry = self._entries[job] = CancelEntry(rev, controller.now)
             self._note("known", job, rev=rev, view_rev=controller.view.rev)
             for part in controller.parts.values():
                 part.cancel(job, controller.now)
@@ -148,12 +155,12 @@
                 numbers.add(live.manager)
         return numbers
 
-    def _has_entry(self, number: int, part: PartRecord, entry: Entry) -> bool:
+    def _has_entry(self, number: int, part: ShardRecord, entry: CancelEntry) -> bool:
         """Whether a part's present owner is known to have applied an entry."""
         is_here = (part.owner, part.incarnation) == self.controller.me
         return is_here or entry.applied.get(number) == part.term
 
-    def _is_over(self, entry: Entry) -> bool:
+    def _is_over(self, entry: CancelEntry) -> bool:
         """Whether whoever has not applied an entry by now can act no more."""
         lease_s = self.controller.settings.cluster.workers.lease_s
         return self.controller.now - entry.since > OVER_LEASES * lease_s
@@ -223,7 +230,7 @@
                 or controller.now - controller.heard.get(node, -1e9) > heard_s
             ):
                 continue
-            got = yield PeerCall(node, "apply", [job, entry.rev], APPLY_PEER_S)
+            got = yield PeerRequest(node, "apply", [job, entry.rev], APPLY_PEER_S)
             for pair in got if isinstance(got, list) else ():
                 entry.applied[int(pair[0])] = int(pair[1])
         return self.confirmed(job)
@@ -254,7 +261,7 @@
             entry.carried = True
             self.controller.spawn(self._carry(job, entry))
 
-    def _carry(self, job: str, entry: Entry) -> Flow:
+    def _carry(self, job: str, entry: CancelEntry) -> Coroutine:
         controller = self.controller
         until = controller.now + CARRY_LEASES * controller.settings.cluster.workers.lease_s
         try:
@@ -280,8 +287,8 @@
             return
         key = keys.JOBS + job
         new = cancelled(record, controller.settings.cluster.state.value_kb)
-        commit = Commit([(key, controller.view.version(key))], [Put(key, new)], [], ACCEPT)
-        r: StateResult = yield commit
+        commit = CompareAndSwap([(key, controller.view.version(key))], [Put(key, new)], [], ACCEPT)
+        r: StoreResponse = yield commit
         if r.status == 200:
             controller.view.committed(commit, r.rev)
             controller.sync()
--- a/marblestair/core/jobs/completion_records.py
+++ b/marblestair/core/jobs/completion_records.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from marblestair.core.runtime.coroutines import Flow
-from marblestair.core.runtime.requests import FINAL, Commit, Put, Sleep, StateResult
-from marblestair.core.shard.shard import Part
+from marblestair.core.runtime.coroutines import Coroutine
+from marblestair.core.runtime.requests import FINAL, CompareAndSwap, Put, Sleep, StoreResponse
+from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
 
 if TYPE_CHECKING:
@@ -31,7 +31,7 @@
         self.controller = controller
         self._writing: set[int] = set()
 
-    def tick(self, acting: list[Part]) -> None:
+    def tick(self, acting: list[Shard]) -> None:
         """Record complete slices whose managers hear nothing."""
         controller = self.controller
         limit = UNHEARD_REPORTS * controller.settings.cluster.workers.report_s
@@ -54,7 +54,7 @@
                 self._writing.add(p.number)
                 controller.spawn(self._record(p, jobs[: controller.batch]))
 
-    def _record(self, p: Part, jobs: list[str]) -> Flow:
+    def _record(self, p: Shard, jobs: list[str]) -> Coroutine:
         controller = self.controller
         try:
             guards, puts = [controller.fence(p.number)], []
@@ -67,8 +67,8 @@
                 complete = sorted({*record.complete, p.number})
                 puts.append(Put(key, msgspec.structs.replace(record, complete=complete)))
             if puts:
-                commit = Commit(guards, puts, [], FINAL)
-                r: StateResult = yield commit
+                commit = CompareAndSwap(guards, puts, [], FINAL)
+                r: StoreResponse = yield commit
                 if r.status == 200:
                     controller.view.committed(commit, r.rev)
                     controller.sync()
--- a/marblestair/core/jobs/dependencies.py
+++ b/marblestair/core/jobs/dependencies.py
@@ -22,7 +22,7 @@
 from marblestair.core.domain.model import JobRecord
 from marblestair.core.jobs.answers import FINAL_STATES, JobState
 from marblestair.core.jobs.cancellations import OVER_LEASES
-from marblestair.core.runtime.coroutines import Flow, Step
+from marblestair.core.runtime.coroutines import Coroutine, Step
 from marblestair.core.runtime.requests import FINAL, Sleep
 from marblestair.core.state import keys
 
@@ -41,7 +41,7 @@
 SHOWN_JOBS, SHOWN_PARENTS = 50, 20
 
 
-class Pipelines:
+class DependencyGraph:
     """The waiting jobs that one node knows of, and what they wait for."""
 
     def __init__(self, controller: Controller) -> None:
@@ -260,7 +260,7 @@
             raise ValueError(f"not a final state: {state}")
         self._controller.answers.final(job, JobState(state))
 
-    def keep_reading(self) -> Flow:
+    def keep_reading(self) -> Coroutine:
         """Read the ends of parents that nobody told of."""
         controller = self._controller
         while True:
--- a/marblestair/core/jobs/job_managers.py
+++ b/marblestair/core/jobs/job_managers.py
@@ -13,21 +13,21 @@
 
 from marblestair.core.domain.model import CANCEL, JobRecord, cancelled, released
 from marblestair.core.jobs.answers import JobState
-from marblestair.core.jobs.managed_job import ManagedJob, PartReport
-from marblestair.core.leadership.shard_map import SplitRecord
-from marblestair.core.runtime.coroutines import Flow, Step
+from marblestair.core.jobs.managed_job import ManagedJob, SliceProgress
+from marblestair.core.leadership.shard_map import ShardMap
+from marblestair.core.runtime.coroutines import Coroutine, Step
 from marblestair.core.runtime.decision_log import Decision
 from marblestair.core.runtime.requests import (
     ACCEPT,
     FINAL,
     PROGRESS,
-    Commit,
+    CompareAndSwap,
     Put,
     Sleep,
-    StateResult,
+    StoreResponse,
 )
-from marblestair.core.shard.job_slice import Slice
-from marblestair.core.shard.shard import Part
+from marblestair.core.shard.job_slice import JobSlice
+from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
 
 if TYPE_CHECKING:
@@ -71,14 +71,14 @@
 }
 
 
-class Jobs:
+class JobManagers:
     """The jobs whose managers run at one node."""
 
     def __init__(self, controller: Controller) -> None:
         self._controller = controller
         self.managed: dict[str, ManagedJob] = {}
         #: part and job -> when the manager was last told of the slice, and what
-        self._sent: dict[tuple[int, str], tuple[float, PartReport]] = {}
+        self._sent: dict[tuple[int, str], tuple[float, SliceProgress]] = {}
         #: descendants of cancelled jobs whose ends are being recorded
         self._aborting = 0
 
@@ -111,9 +111,9 @@
     def told(self, args: list[Any]) -> None:
         """A part's owner tells of its slices."""
         for raw in args:
-            self._take_report(msgspec.convert(raw, PartReport))
+            self._take_report(msgspec.convert(raw, SliceProgress))
 
-    def _take_report(self, report: PartReport) -> None:
+    def _take_report(self, report: SliceProgress) -> None:
         record = self._controller.view.split
         managed = self.managed.get(report.job)
         if managed is None or record is None or not 0 <= report.part < len(record.parts):
@@ -123,10 +123,10 @@
         if record.parts[report.part].term == report.term:
             managed.reports[report.part] = report
 
-    def _report(self, part: Part, owned: Slice) -> PartReport:
+    def _report(self, part: Shard, owned: JobSlice) -> SliceProgress:
         """What is to be told of a slice here."""
         placed = -1 if owned.suspect or part.suspects else len(owned.placed)
-        return PartReport(
+        return SliceProgress(
             owned.spec.id,
             part.number,
             part.term,
@@ -137,7 +137,7 @@
             owned.cancelled,
         )
 
-    def _tell_managers(self, acting: list[Part]) -> None:
+    def _tell_managers(self, acting: list[Shard]) -> None:
         """Report the slices of the parts here, each to its job's manager, when they changed."""
         controller = self._controller
         reports: dict[str, list[Any]] = {}
@@ -160,7 +160,7 @@
         if len(self._sent) > 4 * len(controller.view.jobs) + MOST_SENT:
             self._sent.clear()
 
-    def _is_due(self, part: Part, job: str, report: PartReport) -> bool:
+    def _is_due(self, part: Shard, job: str, report: SliceProgress) -> bool:
         """Whether a manager elsewhere has to be told of a slice now."""
         sent = self._sent.get((part.number, job))
         if sent is None:
@@ -191,7 +191,7 @@
         if record is not None and self._next(managed, record) is not None:
             controller.spawn(self._carry_on(managed))
 
-    def _is_complete(self, managed: ManagedJob, record: JobRecord, split: SplitRecord) -> bool:
+    def _is_complete(self, managed: ManagedJob, record: JobRecord, split: ShardMap) -> bool:
         """Whether every slice of the record is reported done by its part's present owner."""
         total = 0
         for name, ranges in record.slices.items():
@@ -208,7 +208,7 @@
             total += size
         return total == record.spec.tasks
 
-    def _is_empty(self, managed: ManagedJob, record: JobRecord, split: SplitRecord) -> bool:
+    def _is_empty(self, managed: ManagedJob, record: JobRecord, split: ShardMap) -> bool:
         """Whether no part has a task of the job on a machine any more."""
         for name in record.slices:
             report = managed.reports.get(int(name))
@@ -250,7 +250,7 @@
             return ManagerStep.CANCEL
         return ManagerStep.RELEASE if pipelines.is_ready(managed.job) else None
 
-    def _carry_on(self, managed: ManagedJob) -> Flow:
+    def _carry_on(self, managed: ManagedJob) -> Coroutine:
         """Do for a job what there is to do, one step after the other (Algorithm 3)."""
         controller = self._controller
         managed.editing = True
@@ -286,7 +286,7 @@
         """Send the change of the record that a step asks for, and take in what became of it."""
         controller = self._controller
         commit = self._commit_for(managed, record, step)
-        result: StateResult = yield from managed.change(commit)
+        result: StoreResponse = yield from managed.change(commit)
         if result.status == 200:
             controller.decisions.note(
                 controller.now,
@@ -317,21 +317,25 @@
         else:
             yield Sleep(0.1 + 0.2 * controller.rng.random())
 
-    def _commit_for(self, managed: ManagedJob, record: JobRecord, step: ManagerStep) -> Commit:
+    def _commit_for(
+        self, managed: ManagedJob, record: JobRecord, step: ManagerStep
+    ) -> CompareAndSwap:
         controller = self._controller
         key = keys.JOBS + managed.job
         guards = [(key, controller.view.version(key)), controller.fence(managed.part)]
         if step is ManagerStep.TOUCH:
-            return Commit(guards, [Put(key, record)], [], ACCEPT)
+            return CompareAndSwap(guards, [Put(key, record)], [], ACCEPT)
         if step is ManagerStep.CANCEL:
             value_kb = controller.settings.cluster.state.value_kb
-            return Commit(guards, [Put(key, cancelled(record, value_kb))], [], ACCEPT)
+            return CompareAndSwap(guards, [Put(key, cancelled(record, value_kb))], [], ACCEPT)
         if step is ManagerStep.RELEASE:
-            return Commit(guards, [Put(key, released(record, controller.wall))], [], FINAL)
+            return CompareAndSwap(guards, [Put(key, released(record, controller.wall))], [], FINAL)
         final_key = keys.FINALS + managed.job
         is_patient = step is ManagerStep.ABORT and not controller.pipelines.must_end(managed.job)
         lane = PROGRESS if is_patient else FINAL
-        return Commit([*guards, (final_key, 0)], [Put(final_key, FINAL_STATE[step])], [key], lane)
+        return CompareAndSwap(
+            [*guards, (final_key, 0)], [Put(final_key, FINAL_STATE[step])], [key], lane
+        )
 
     # --- records ahead of the watch -------------------------------------------------------------
 
--- a/marblestair/core/jobs/lookups.py
+++ b/marblestair/core/jobs/lookups.py
@@ -10,7 +10,7 @@
 
 from typing import TYPE_CHECKING
 
-from marblestair.core.runtime.coroutines import Flow, Runner, Signal, Step
+from marblestair.core.runtime.coroutines import Coroutine, CoroutineRunner, Signal, Step
 from marblestair.core.runtime.requests import LOOKUP
 
 if TYPE_CHECKING:
@@ -25,7 +25,7 @@
 class Lookups:
     """The searches of one node for states of jobs that it does not manage."""
 
-    def __init__(self, runner: Runner, answers: Answers, requests_per_s: float) -> None:
+    def __init__(self, runner: CoroutineRunner, answers: Answers, requests_per_s: float) -> None:
         self._runner = runner
         self._answers = answers
         self.most_reads = max(LEAST_READS, int(READ_AHEAD_S * requests_per_s))
@@ -71,7 +71,7 @@
             if following.waiters:
                 self._runner.spawn(self._search_for(job, following))
 
-    def _search_for(self, job: str, waiting: Signal) -> Flow:
+    def _search_for(self, job: str, waiting: Signal) -> Coroutine:
         found = None
         try:
             found = yield from self._search(job)
--- a/marblestair/core/jobs/managed_job.py
+++ b/marblestair/core/jobs/managed_job.py
@@ -7,10 +7,10 @@
 from marblestair.core.domain.model import JobRecord
 from marblestair.core.jobs.server_manager import ServerManager
 from marblestair.core.runtime.coroutines import Step
-from marblestair.core.runtime.requests import Commit, StateResult
+from marblestair.core.runtime.requests import CompareAndSwap, StoreResponse
 
 
-class PartReport(msgspec.Struct, array_like=True):
+class SliceProgress(msgspec.Struct, array_like=True):
     """What the owner of a part last told the manager about its slice of a job."""
 
     job: str
@@ -32,7 +32,7 @@
         self.job = job
         self.part = record.manager
         self.locks = ServerManager({int(part) for part in record.slices})
-        self.reports: dict[int, PartReport] = {}
+        self.reports: dict[int, SliceProgress] = {}
         self.want_cancel = False
         self.editing = False
         #: a change of the slices is being committed
@@ -60,7 +60,7 @@
         """Tasks running, as the parts last told."""
         return sum(report.running for report in self.reports.values())
 
-    def change(self, commit: Commit) -> Step:
+    def change(self, commit: CompareAndSwap) -> Step:
         """Send a change of the record; every change by its manager goes this way.
 
         Without an answer it may have been carried out, or may yet be. Such a doubt lasts until a
@@ -68,7 +68,7 @@
         """
         self._changes_under_way += 1
         try:
-            result: StateResult = yield commit
+            result: StoreResponse = yield commit
         finally:
             self._changes_under_way -= 1
         if result.status == 200:
--- a/marblestair/core/jobs/migration_locks.py
+++ b/marblestair/core/jobs/migration_locks.py
@@ -11,7 +11,7 @@
 from marblestair.core.domain.model import RECORD, JobRecord, too_large
 from marblestair.core.jobs.managed_job import ManagedJob
 from marblestair.core.runtime.coroutines import Step
-from marblestair.core.runtime.requests import FINAL, Commit, Put, Sleep, StateResult
+from marblestair.core.runtime.requests import FINAL, CompareAndSwap, Put, Sleep, StoreResponse
 from marblestair.core.state import keys
 
 if TYPE_CHECKING:
@@ -117,12 +117,12 @@
         guards = [(key, controller.view.version(key)), controller.fence(managed.part)]
         if update.source != managed.part:
             guards.append(controller.fence(update.source))
-        commit = Commit(guards, [Put(key, record)], [], FINAL)
+        commit = CompareAndSwap(guards, [Put(key, record)], [], FINAL)
         outcome: bool | None = False
         tries = 0
         while controller.jobs.managed.get(managed.job) is managed and controller.acts(managed.part):
             tries += 1
-            result: StateResult = yield from managed.change(commit)
+            result: StoreResponse = yield from managed.change(commit)
             if result.status == 200:
                 controller.view.committed(commit, result.rev)
                 managed.locks.update(update.holder, update.source, update.option, update.target)
--- a/marblestair/core/jobs/progress.py
+++ b/marblestair/core/jobs/progress.py
@@ -12,19 +12,19 @@
 import msgspec
 
 from marblestair.core.domain.index_ranges import PAGE, decode_bits, encode_bits
-from marblestair.core.runtime.coroutines import Flow, Step
+from marblestair.core.runtime.coroutines import Coroutine, Step
 from marblestair.core.runtime.requests import (
     LEASE,
     PROGRESS,
-    Commit,
+    CompareAndSwap,
     Get,
     ListKeys,
     Put,
     Sleep,
-    StateResult,
+    StoreResponse,
 )
-from marblestair.core.shard.job_slice import Slice
-from marblestair.core.shard.shard import Part
+from marblestair.core.shard.job_slice import JobSlice
+from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
 
 if TYPE_CHECKING:
@@ -39,14 +39,14 @@
 LEAST_PAUSE_S = 0.7
 
 
-def load_progress(controller: Controller, part: Part) -> Step:
+def load_progress(controller: Controller, part: Shard) -> Step:
     """All pages of a part: job -> page -> (bits, version); None when the part was lost."""
     out: dict[str, dict[int, tuple[int, int]]] = {}
     prefix = f"{keys.PROGRESS}{part.number}/"
     after = ""
     while controller.parts.get(part.number) is part:
         # Until it is read no worker of the part gets an answer: it must not wait behind users.
-        r: StateResult = yield ListKeys(prefix, after, 500, LEASE)
+        r: StoreResponse = yield ListKeys(prefix, after, 500, LEASE)
         if r.status != 200:
             yield Sleep(0.1 + 0.2 * controller.rng.random())
             continue
@@ -59,7 +59,7 @@
     return None
 
 
-def _dirty(part: Part, now: float) -> list[tuple[Slice, int]]:
+def _dirty(part: Shard, now: float) -> list[tuple[JobSlice, int]]:
     out = []
     for s in part.slices.values():
         if s.dirty_since is None or s.cancelled:
@@ -80,14 +80,14 @@
     return out
 
 
-def _sweep(controller: Controller, part: Part, ops: int) -> Step:
+def _sweep(controller: Controller, part: Shard, ops: int) -> Step:
     """Delete keys that are of no use; returns the number of changes sent.
 
     Each is guarded on its version: a deletion that is carried out late must not take what has
     been written under the key since.
     """
     for key in [k for k, v in part.obsolete_keys.items() if v is None][:ops]:
-        got: StateResult = yield Get(key, PROGRESS)
+        got: StoreResponse = yield Get(key, PROGRESS)
         if got.status == 404:
             part.obsolete_keys.pop(key, None)
         elif got.status == 200:
@@ -102,7 +102,7 @@
     drop = dict(list(drop.items())[:ops])
     if not drop:
         return 0
-    r: StateResult = yield Commit(
+    r: StoreResponse = yield CompareAndSwap(
         [controller.fence(part.number), *drop.items()], [], list(drop), PROGRESS
     )
     for key in drop:
@@ -116,12 +116,12 @@
 class WrittenPage(msgspec.Struct, frozen=True):
     """A page of a slice's progress that is being written, with the bits of what is done."""
 
-    owned: Slice
+    owned: JobSlice
     page: int
     bits: int
 
 
-def keep_progress(controller: Controller, part: Part) -> Flow:
+def keep_progress(controller: Controller, part: Shard) -> Coroutine:
     """Write finished tasks in batches, about once a second or as the rate allows.
 
     The number of slices grows with the load, the state service's rate does not. What is
@@ -147,7 +147,7 @@
             yield from _write(controller, part, batch)
 
 
-def _write(controller: Controller, part: Part, batch: list[tuple[Slice, int]]) -> Step:
+def _write(controller: Controller, part: Shard, batch: list[tuple[JobSlice, int]]) -> Step:
     """Write pages in one commit, and take in what became of it."""
     mask = (1 << PAGE) - 1
     written = [WrittenPage(s, page, (s.done >> (page * PAGE)) & mask) for s, page in batch]
@@ -157,7 +157,7 @@
         key = keys.progress(part.number, w.owned.spec.id, w.page)
         guards.append((key, w.owned.pages.get(w.page, 0)))
         puts.append(Put(key, encode_bits(w.bits)))
-    result: StateResult = yield Commit(guards, puts, [], PROGRESS)
+    result: StoreResponse = yield CompareAndSwap(guards, puts, [], PROGRESS)
     if result.status == 200:
         for w in written:
             w.owned.pages[w.page] = result.rev
@@ -173,10 +173,12 @@
             part.obsolete_keys[keys.progress(part.number, w.owned.spec.id, w.page)] = None
 
 
-def _read_back(part: Part, written: list[WrittenPage]) -> Step:
+def _read_back(part: Shard, written: list[WrittenPage]) -> Step:
     """Read the versions of pages; one that is read late fails the next guard, and is read again."""
     for w in written:
-        got: StateResult = yield Get(keys.progress(part.number, w.owned.spec.id, w.page), PROGRESS)
+        got: StoreResponse = yield Get(
+            keys.progress(part.number, w.owned.spec.id, w.page), PROGRESS
+        )
         if got.status == 200:
             w.owned.pages[w.page] = got.version
             w.owned.durable |= decode_bits(got.value) << (w.page * PAGE)
--- a/marblestair/core/jobs/user_requests.py
+++ b/marblestair/core/jobs/user_requests.py
@@ -7,9 +7,9 @@
 from marblestair.core.domain.model import JobSpec
 from marblestair.core.jobs.acceptance import RETRY_S, Acceptance, Outcome
 from marblestair.core.jobs.answers import FINAL_STATES, UNKNOWN, JobState, JobStatus
-from marblestair.core.runtime.coroutines import Flow, Step
-from marblestair.core.runtime.outbox import Reply
-from marblestair.core.runtime.requests import PeerCall
+from marblestair.core.runtime.coroutines import Coroutine, Step
+from marblestair.core.runtime.outbox import UserReply
+from marblestair.core.runtime.requests import PeerRequest
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
@@ -21,19 +21,19 @@
 SETTLE_S = 1.0
 
 
-class Requests:
+class UserRequests:
     """The requests of users at one node."""
 
     def __init__(self, controller: Controller) -> None:
         self._controller = controller
         self._acceptance = Acceptance(controller)
 
-    def submit(self, request: int, spec: JobSpec) -> Flow:
+    def submit(self, request: int, spec: JobSpec) -> Coroutine:
         """POST of a job."""
         outcome: Outcome = yield from self._acceptance.submit(spec)
         self._reply(request, spec.id, outcome)
 
-    def query(self, request: int, job: str) -> Flow:
+    def query(self, request: int, job: str) -> Coroutine:
         """GET of a job."""
         status: JobStatus | None = yield from self._controller.answers.lookup(job)
         if status is None:
@@ -44,7 +44,7 @@
             outcome = Outcome(200, status)
         self._reply(request, job, outcome)
 
-    def cancel(self, request: int, job: str) -> Flow:
+    def cancel(self, request: int, job: str) -> Coroutine:
         """POST of a cancel."""
         outcome: Outcome = yield from self._cancel(job)
         self._reply(request, job, outcome)
@@ -81,7 +81,7 @@
         if owner == controller.node:
             answer = yield from controller.jobs.cancel_here(job)
         elif owner is not None:
-            answer = yield PeerCall(owner, "cancel", [job], CANCEL_PEER_S)
+            answer = yield PeerRequest(owner, "cancel", [job], CANCEL_PEER_S)
         if answer in FINAL_STATES:
             return JobState(answer)
         if owner == controller.node:
@@ -96,7 +96,7 @@
     def _reply(self, request: int, job: str, outcome: Outcome) -> None:
         status = outcome.status
         self._controller.replies.append(
-            Reply(
+            UserReply(
                 request,
                 outcome.http_status,
                 job,
--- a/marblestair/core/leadership/leadership.py
+++ b/marblestair/core/leadership/leadership.py
@@ -14,21 +14,21 @@
 
 from marblestair.core.leadership import shard_map
 from marblestair.core.leadership.promises import Promises
-from marblestair.core.runtime.coroutines import Flow, Step
+from marblestair.core.runtime.coroutines import Coroutine, Step
 from marblestair.core.runtime.decision_log import Decision
 from marblestair.core.runtime.requests import (
     LEASE,
-    Commit,
+    CompareAndSwap,
     Get,
-    LeaseGrant,
-    LeaseRenew,
+    GrantLease,
     ListKeys,
     Put,
+    RenewLease,
     Sleep,
-    StateResult,
+    StoreResponse,
     Watch,
 )
-from marblestair.core.shard.shard import DRIFT, Part
+from marblestair.core.shard.shard import DRIFT, Shard
 from marblestair.core.state import keys
 
 if TYPE_CHECKING:
@@ -57,7 +57,7 @@
     asked_at: float
 
 
-class Basis(enum.StrEnum):
+class LeadershipBasis(enum.StrEnum):
     """By what a node may act for its parts."""
 
     LEASE = "lease"
@@ -65,7 +65,7 @@
     NONE = "none"
 
 
-class Authority:
+class Leadership:
     """Leases and ownership of one node."""
 
     def __init__(self, controller: Controller) -> None:
@@ -97,7 +97,7 @@
         #: version of the split at which a takeover was sent whose fate is unknown
         self._take_doubt = -1
         #: by what this node acted when it last looked
-        self._basis = Basis.NONE
+        self._basis = LeadershipBasis.NONE
 
     # --- what holds ------------------------------------------------------------------------
 
@@ -115,9 +115,9 @@
 
     def _note_basis(self, now: float) -> None:
         """Log by what this node may act, when that has changed."""
-        basis = Basis.NONE
+        basis = LeadershipBasis.NONE
         if self.holds(now):
-            basis = Basis.LEASE if now < self.until else Basis.PROMISES
+            basis = LeadershipBasis.LEASE if now < self.until else LeadershipBasis.PROMISES
         if basis is self._basis:
             return
         self._basis = basis
@@ -133,7 +133,7 @@
             parts={number: part.term for number, part in self.controller.parts.items()},
         )
 
-    def acts(self, part: Part | None, now: float) -> bool:
+    def acts(self, part: Shard | None, now: float) -> bool:
         """Whether this node may act for a part."""
         return part is not None and part.ready and not part.closing and self.holds(now)
 
@@ -147,7 +147,7 @@
 
     # --- flows -----------------------------------------------------------------------------
 
-    def boot(self) -> Flow:
+    def boot(self) -> Coroutine:
         """Load the view, then follow it and keep a lease."""
         yield from self._load()
         self.booted = True
@@ -170,10 +170,10 @@
 
     def _list_pages(self) -> Step:
         """All pages of what is followed; None when one of them could not be read."""
-        pages: list[StateResult] = []
+        pages: list[StoreResponse] = []
         after = ""
         while True:
-            page: StateResult = yield ListKeys(keys.VIEW, after, 1000, LEASE)
+            page: StoreResponse = yield ListKeys(keys.VIEW, after, 1000, LEASE)
             if page.status != 200:
                 return None
             pages.append(page)
@@ -181,7 +181,7 @@
                 return pages
             after = page.items[-1].key
 
-    def _follow(self) -> Flow:
+    def _follow(self) -> Coroutine:
         controller = self.controller
         wait_ms = int(self.ttl * 500)
         # On a busy deployment something always has changed: a watch answers at once, and may not
@@ -190,7 +190,7 @@
         pause = min(self.ttl / 8, max(0.15, 1.0 / (WATCH_SHARE * rps)))
         while True:
             sent = controller.now
-            r: StateResult = yield Watch(keys.VIEW, controller.view.rev, wait_ms)
+            r: StoreResponse = yield Watch(keys.VIEW, controller.view.rev, wait_ms)
             if r.status == 200:
                 controller.view.apply(r.events, r.rev)
                 controller.view.fresh_at = max(controller.view.fresh_at, sent)
@@ -201,7 +201,7 @@
             else:
                 yield Sleep(0.2 + 0.3 * controller.rng.random())
 
-    def _keep_lease(self) -> Flow:
+    def _keep_lease(self) -> Coroutine:
         controller = self.controller
         while True:
             if self.lease is not None:
@@ -219,7 +219,7 @@
     def _renew(self, lease: int) -> Step:
         """Renew the node's lease: the status, or None when there is none any more."""
         sent = self.controller.now
-        result: StateResult = yield LeaseRenew(lease)
+        result: StoreResponse = yield RenewLease(lease)
         if result.status == 200:
             self._extend(sent)
         elif result.status == 404:
@@ -230,7 +230,7 @@
     def _grant(self) -> Step:
         """Ask for a lease: the status, or None when there is one to tie the node's key to."""
         sent = self.controller.now
-        result: StateResult = yield LeaseGrant(int(self.ttl * 1000))
+        result: StoreResponse = yield GrantLease(int(self.ttl * 1000))
         if result.status == 200:
             self._granted = GrantedLease(result.lease, sent)
             return None
@@ -246,8 +246,8 @@
         controller = self.controller
         key = keys.NODES + controller.node
         guards = [(key, controller.view.version(key))]
-        put = Commit(guards, [Put(key, controller.incarnation, granted.lease)], lane=LEASE)
-        result: StateResult = yield put
+        put = CompareAndSwap(guards, [Put(key, controller.incarnation, granted.lease)], lane=LEASE)
+        result: StoreResponse = yield put
         if result.status == 200:
             self.lease, self._granted = granted.lease, None
             # Authority counts only once the view includes this commit: while the key was
@@ -265,7 +265,7 @@
             yield from self._refresh_key(key)
         # Tried again while it holds: what may still come is tied to it too.
         asked_at = controller.now
-        kept: StateResult = yield LeaseRenew(granted.lease)
+        kept: StoreResponse = yield RenewLease(granted.lease)
         if kept.status == 200:
             self._granted = GrantedLease(granted.lease, asked_at)
         elif kept.status == 404:
@@ -275,7 +275,7 @@
     def _refresh_key(self, key: str) -> Step:
         """Read one followed key afresh; whether that succeeded."""
         controller = self.controller
-        got: StateResult = yield Get(key, LEASE)
+        got: StoreResponse = yield Get(key, LEASE)
         if got.status == 200:
             controller.view.take_in(key, got.value, got.version)
         elif got.status == 404:
@@ -334,7 +334,7 @@
         else:
             self._give(now, mine)
 
-    def _is_orphaned(self, number: int, part: shard_map.PartRecord, held: int, now: float) -> bool:
+    def _is_orphaned(self, number: int, part: shard_map.ShardRecord, held: int, now: float) -> bool:
         """Whether to take a part now, by a node that holds some number of parts already."""
         controller = self.controller
         if part.owner == controller.node:
@@ -355,9 +355,7 @@
             wait += self.ttl / 2
         return now - since >= wait
 
-    def _absence_guards(
-        self, record: shard_map.SplitRecord, take: list[int]
-    ) -> list[tuple[str, int]]:
+    def _absence_guards(self, record: shard_map.ShardMap, take: list[int]) -> list[tuple[str, int]]:
         """Guards that hold only while the owners of parts to be taken are gone."""
         guards = []
         for number in take:
@@ -367,18 +365,18 @@
                 guards.append((key, self.controller.view.version(key)))
         return guards
 
-    def _create(self) -> Flow:
+    def _create(self) -> Coroutine:
         controller = self.controller
         first = shard_map.first(controller.settings.cluster.size, controller.settings.cluster.teams)
-        put = Commit([(keys.SPLIT, 0)], [Put(keys.SPLIT, first)], lane=LEASE)
-        r: StateResult = yield put
+        put = CompareAndSwap([(keys.SPLIT, 0)], [Put(keys.SPLIT, first)], lane=LEASE)
+        r: StoreResponse = yield put
         if r.status == 200:
             controller.view.committed(put, r.rev)
         else:
             yield Sleep(0.3)
         self._taking = False
 
-    def _take(self, parts: list[int], guards: list[tuple[str, int]]) -> Flow:
+    def _take(self, parts: list[int], guards: list[tuple[str, int]]) -> Coroutine:
         controller = self.controller
         s = controller.view.split
         if s is not None:
@@ -397,7 +395,7 @@
 
     def commit_split(
         self,
-        new: shard_map.SplitRecord,
+        new: shard_map.ShardMap,
         fenced: list[int],
         guards: list[tuple[str, int]],
         version: int,
@@ -410,8 +408,8 @@
         controller = self.controller
         puts = [Put(keys.SPLIT, new)]
         puts += [Put(f"{keys.FENCES}{i}", new.parts[i].term) for i in fenced]
-        commit = Commit([(keys.SPLIT, version), *guards], puts, lane=LEASE)
-        r: StateResult = yield commit
+        commit = CompareAndSwap([(keys.SPLIT, version), *guards], puts, lane=LEASE)
+        r: StoreResponse = yield commit
         if r.status == 200:
             controller.view.committed(commit, r.rev)
             controller.sync()
@@ -479,7 +477,7 @@
         self._last_given = now
         self.controller.spawn(self._hand_over(part, target))
 
-    def _hand_over(self, number: int, target: str) -> Flow:
+    def _hand_over(self, number: int, target: str) -> Coroutine:
         controller = self.controller
         part = controller.parts.get(number)
         if part is None or part.closing:
--- a/marblestair/core/leadership/promises.py
+++ b/marblestair/core/leadership/promises.py
@@ -10,14 +10,14 @@
 
 from typing import TYPE_CHECKING, Any
 
-from marblestair.core.runtime.coroutines import Flow, Step
+from marblestair.core.runtime.coroutines import Coroutine, Step
 from marblestair.core.runtime.decision_log import Decision
-from marblestair.core.runtime.requests import PeerCall, Sleep
+from marblestair.core.runtime.requests import PeerRequest, Sleep
 from marblestair.core.shard.shard import DRIFT
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
-    from marblestair.core.leadership.leadership import Authority
+    from marblestair.core.leadership.leadership import Leadership
 
 #: pauses between two looks whether promises are needed, in one lease
 LOOKS_PER_LEASE = 8
@@ -32,7 +32,7 @@
 class Promises:
     """The promises that one node has given and holds."""
 
-    def __init__(self, controller: Controller, authority: Authority) -> None:
+    def __init__(self, controller: Controller, authority: Leadership) -> None:
         self._controller = controller
         self._authority = authority
         #: node -> until when its parts are not taken
@@ -46,7 +46,7 @@
         """Whether all the others have promised not to take this node's parts."""
         return now < self.held_until
 
-    def keep(self) -> Flow:
+    def keep(self) -> Coroutine:
         """While the lease cannot be renewed, ask all the others for promises."""
         while True:
             yield Sleep(self._authority.ttl / LOOKS_PER_LEASE)
@@ -66,7 +66,7 @@
         asked_at = controller.now
         for peer in controller.settings.others:
             ask = [controller.node, controller.incarnation, controller.view.rev]
-            entries = yield PeerCall(peer.node, "promise", ask, ASK_S)
+            entries = yield PeerRequest(peer.node, "promise", ask, ASK_S)
             if not isinstance(entries, list):
                 return
             for job, rev in entries:
--- a/marblestair/core/leadership/shard_map.py
+++ b/marblestair/core/leadership/shard_map.py
@@ -12,7 +12,7 @@
 from marblestair.settings import Team
 
 
-class PartRecord(msgspec.Struct, array_like=True):
+class ShardRecord(msgspec.Struct, array_like=True):
     """One part: its owner (node and incarnation), its term and its share of each team's limit."""
 
     owner: str
@@ -23,11 +23,11 @@
     taken: int = 0
 
 
-class SplitRecord(msgspec.Struct, array_like=True):
+class ShardMap(msgspec.Struct, array_like=True):
     """The whole split; ``counter`` is the highest term ever given out."""
 
     counter: int
-    parts: list[PartRecord]
+    parts: list[ShardRecord]
 
 
 class MachineRecord(msgspec.Struct, array_like=True):
@@ -46,23 +46,23 @@
     return [total // n + (1 if i < total % n else 0) for i in range(n)]
 
 
-def first(parts: int, teams: list[Team]) -> SplitRecord:
+def first(parts: int, teams: list[Team]) -> ShardMap:
     """The record of a new deployment: no owners, limits split evenly."""
-    records = [PartRecord("", 0, 0, {}) for _ in range(parts)]
+    records = [ShardRecord("", 0, 0, {}) for _ in range(parts)]
     for t in teams:
         cpus = even(down(t.cpu_limit), parts)
         gpus = even(down(t.gpu_limit), parts)
         for p, c, g in zip(records, cpus, gpus, strict=True):
             p.shares[t.name] = [c, g]
-    return SplitRecord(0, records)
+    return ShardMap(0, records)
 
 
-def copy(split: SplitRecord) -> SplitRecord:
+def copy(split: ShardMap) -> ShardMap:
     """A copy that can be changed."""
-    return SplitRecord(
+    return ShardMap(
         split.counter,
         [
-            PartRecord(
+            ShardRecord(
                 p.owner, p.incarnation, p.term, {t: list(s) for t, s in p.shares.items()}, p.taken
             )
             for p in split.parts
@@ -70,7 +70,7 @@
     )
 
 
-def take(split: SplitRecord, parts: list[int], owner: str, incarnation: int) -> SplitRecord:
+def take(split: ShardMap, parts: list[int], owner: str, incarnation: int) -> ShardMap:
     """Give parts to a node, each under a fresh term."""
     out = copy(split)
     for i in parts:
@@ -80,7 +80,7 @@
     return out
 
 
-def raise_term(split: SplitRecord, part: int) -> SplitRecord:
+def raise_term(split: ShardMap, part: int) -> ShardMap:
     """Give a part a fresh term under the same owner."""
     out = copy(split)
     out.counter += 1
@@ -88,9 +88,7 @@
     return out
 
 
-def shift(
-    split: SplitRecord, source: int, target: int, team: str, cpus: int, gpus: int
-) -> SplitRecord:
+def shift(split: ShardMap, source: int, target: int, team: str, cpus: int, gpus: int) -> ShardMap:
     """Move room under a team's limit from one part to another; the sum stays the same."""
     out = copy(split)
     a, b = out.parts[source].shares[team], out.parts[target].shares[team]
--- a/marblestair/core/leadership/shard_recovery.py
+++ b/marblestair/core/leadership/shard_recovery.py
@@ -10,9 +10,9 @@
 from typing import TYPE_CHECKING
 
 from marblestair.core.jobs.progress import keep_progress, load_progress
-from marblestair.core.runtime.coroutines import Flow
+from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
-from marblestair.core.shard.shard import Part
+from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
 
 if TYPE_CHECKING:
@@ -22,7 +22,7 @@
 LOOK_S = 0.02
 
 
-def rebuild(controller: Controller, part: Part, taken_at: int) -> Flow:
+def rebuild(controller: Controller, part: Shard, taken_at: int) -> Coroutine:
     """Rebuild a part that was taken by a commit of the split at a revision."""
     # Everything committed before the takeover must be in the view first: jobs, cancels, machines.
     while controller.view.rev < taken_at:
@@ -53,7 +53,7 @@
     controller.runner.keep(partial(controller.fleet.keep_part, part))
 
 
-def _take_machines(controller: Controller, part: Part) -> None:
+def _take_machines(controller: Controller, part: Shard) -> None:
     """Every machine of the part is suspect: what runs there is not known."""
     for name, member in controller.view.machines.items():
         if member.part == part.number:
@@ -61,7 +61,7 @@
             part.suspects.add(name)
 
 
-def _take_progress(part: Part, pages: dict[str, dict[int, tuple[int, int]]]) -> None:
+def _take_progress(part: Shard, pages: dict[str, dict[int, tuple[int, int]]]) -> None:
     """What was recorded as done is done; pages of jobs that are over are of no use."""
     for job, numbered in pages.items():
         s = part.slices.get(job)
--- a/marblestair/core/runtime/coroutines.py
+++ b/marblestair/core/runtime/coroutines.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Generator
 from typing import Any, TypeAlias
 
-from marblestair.core.runtime.requests import Call, Sleep
+from marblestair.core.runtime.requests import OutsideRequest, Sleep
 
 
 class Signal:
@@ -20,32 +20,32 @@
         self.waiters: list[int] = []
 
 
-Flow: TypeAlias = Generator[Call | Signal, Any, None]
+Coroutine: TypeAlias = Generator[OutsideRequest | Signal, Any, None]
 #: a step of a flow with a result, used with ``yield from``
-Step: TypeAlias = Generator[Call | Signal, Any, Any]
+Step: TypeAlias = Generator[OutsideRequest | Signal, Any, Any]
 
 
-class Runner:
+class CoroutineRunner:
     """Drives flows; the calls they make are collected until taken."""
 
     def __init__(self) -> None:
         self._next = 1
-        self._waiting: dict[int, Flow] = {}
+        self._waiting: dict[int, Coroutine] = {}
         self._sleeping: list[tuple[float, int]] = []
-        self.calls: list[tuple[int, Call]] = []
+        self.calls: list[tuple[int, OutsideRequest]] = []
         self.now = 0.0
         #: told of a flow that ended by an error, which must not end the process
         self.on_error: Callable[[BaseException], None] | None = None
 
-    def spawn(self, flow: Flow) -> None:
+    def spawn(self, flow: Coroutine) -> None:
         """Start a flow."""
         self._advance(flow, None)
 
-    def keep(self, make: Callable[[], Flow]) -> None:
+    def keep(self, make: Callable[[], Coroutine]) -> None:
         """Start a flow that is to run for good: one that an error ends is started again."""
         self._advance(self._kept(make), None)
 
-    def _kept(self, make: Callable[[], Flow]) -> Flow:
+    def _kept(self, make: Callable[[], Coroutine]) -> Coroutine:
         while True:
             try:
                 yield from make()
@@ -79,7 +79,7 @@
             for call in due:
                 self.complete(call, None)
 
-    def _advance(self, flow: Flow, value: Any) -> None:
+    def _advance(self, flow: Coroutine, value: Any) -> None:
         try:
             call = flow.send(value)
         except StopIteration:
--- a/marblestair/core/runtime/outbox.py
+++ b/marblestair/core/runtime/outbox.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from marblestair.core.domain.model import Order
+from marblestair.core.domain.model import TaskCommand
 
 
-class Reply(msgspec.Struct, frozen=True):
+class UserReply(msgspec.Struct, frozen=True):
     """Final answer to a user's request."""
 
     request: int
@@ -22,16 +22,16 @@
     retry_after: int = 0
 
 
-class Command(msgspec.Struct, frozen=True):
+class DirectCommand(msgspec.Struct, frozen=True):
     """Orders to send straight to a worker."""
 
     addr: str
     token: int
     session: int
-    orders: list[Order]
+    orders: list[TaskCommand]
 
 
-class Note(msgspec.Struct, frozen=True):
+class PeerMessage(msgspec.Struct, frozen=True):
     """A one-way message to another controller."""
 
     node: str
@@ -39,7 +39,7 @@
     args: list[Any]
 
 
-class PartSummary(msgspec.Struct, array_like=True):
+class ShardSummary(msgspec.Struct, array_like=True):
     """What a node tells the others about one of its parts."""
 
     part: int
--- a/marblestair/core/runtime/requests.py
+++ b/marblestair/core/runtime/requests.py
@@ -42,7 +42,7 @@
     lease: int | None = None
 
 
-class Commit(msgspec.Struct, frozen=True):
+class CompareAndSwap(msgspec.Struct, frozen=True):
     """An atomic change, carried out if every guard key has its version."""
 
     guards: list[tuple[str, int]]
@@ -56,14 +56,14 @@
         return len(self.puts) + len(self.deletes)
 
 
-class LeaseGrant(msgspec.Struct, frozen=True):
+class GrantLease(msgspec.Struct, frozen=True):
     """Ask for a lease."""
 
     ttl_ms: int
     lane: int = LEASE
 
 
-class LeaseRenew(msgspec.Struct, frozen=True):
+class RenewLease(msgspec.Struct, frozen=True):
     """Renew a lease."""
 
     lease: int
@@ -79,10 +79,10 @@
     lane: int = LEASE
 
 
-StateOp: TypeAlias = Get | ListKeys | Commit | LeaseGrant | LeaseRenew | Watch
+StoreRequest: TypeAlias = Get | ListKeys | CompareAndSwap | GrantLease | RenewLease | Watch
 
 
-class Item(msgspec.Struct, frozen=True):
+class StoredKey(msgspec.Struct, frozen=True):
     """A listed key."""
 
     key: str
@@ -90,7 +90,7 @@
     version: int
 
 
-class Event(msgspec.Struct, frozen=True):
+class KeyChange(msgspec.Struct, frozen=True):
     """A change seen by a watch; a value of None is a deletion."""
 
     key: str
@@ -98,25 +98,25 @@
     version: int
 
 
-class StateResult(msgspec.Struct, frozen=True):
+class StoreResponse(msgspec.Struct, frozen=True):
     """Answer of the state service."""
 
     status: int
     value: Any = None
     version: int = 0
     rev: int = 0
-    items: list[Item] = []
-    events: list[Event] = []
+    items: list[StoredKey] = []
+    events: list[KeyChange] = []
     more: bool = False
     failed: list[str] = []
     lease: int = 0
 
 
-class CloudTypes(msgspec.Struct, frozen=True):
+class ListMachineTypes(msgspec.Struct, frozen=True):
     """Ask for the machine types."""
 
 
-class CloudRent(msgspec.Struct, frozen=True):
+class RentMachines(msgspec.Struct, frozen=True):
     """Rent machines under a name that is never reused."""
 
     name: str
@@ -126,23 +126,23 @@
     count: int
 
 
-class CloudDelete(msgspec.Struct, frozen=True):
+class ReleaseMachines(msgspec.Struct, frozen=True):
     """Give machines back."""
 
     machines: list[str]
 
 
-class CloudList(msgspec.Struct, frozen=True):
+class ListMachines(msgspec.Struct, frozen=True):
     """List machines by name."""
 
     after: str = ""
     limit: int = 500
 
 
-CloudOp: TypeAlias = CloudTypes | CloudRent | CloudDelete | CloudList
+CloudRequest: TypeAlias = ListMachineTypes | RentMachines | ReleaseMachines | ListMachines
 
 
-class Listed(msgspec.Struct, frozen=True):
+class ListedMachine(msgspec.Struct, frozen=True):
     """A machine in the cloud's list."""
 
     name: str
@@ -154,18 +154,18 @@
     age_s: float
 
 
-class CloudResult(msgspec.Struct, frozen=True):
+class CloudResponse(msgspec.Struct, frozen=True):
     """Answer of the cloud."""
 
     status: int
     no_capacity: bool = False
     types: list[MachineType] = []
     machines: list[str] = []
-    listed: list[Listed] = []
+    listed: list[ListedMachine] = []
     more: bool = False
 
 
-class PeerCall(msgspec.Struct, frozen=True):
+class PeerRequest(msgspec.Struct, frozen=True):
     """Ask another controller; answered with its value, or None when none came in time."""
 
     node: str
@@ -180,10 +180,10 @@
     seconds: float
 
 
-class Inspect(msgspec.Struct, frozen=True):
+class InspectAgent(msgspec.Struct, frozen=True):
     """Ask a worker for its report at once; None when it does not answer."""
 
     addr: str
 
 
-Call: TypeAlias = StateOp | CloudOp | PeerCall | Inspect | Sleep
+OutsideRequest: TypeAlias = StoreRequest | CloudRequest | PeerRequest | InspectAgent | Sleep
--- a/marblestair/core/scheduling/best_effort.py
+++ b/marblestair/core/scheduling/best_effort.py
@@ -10,9 +10,9 @@
 from typing import TYPE_CHECKING
 
 from marblestair.core.scheduling.placement import allowed
-from marblestair.core.shard.job_slice import Slice
-from marblestair.core.shard.machine import Machine, Placed
-from marblestair.core.shard.shard import Part
+from marblestair.core.shard.job_slice import JobSlice
+from marblestair.core.shard.machine import Machine, PlacedTask
+from marblestair.core.shard.shard import Shard
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
@@ -21,12 +21,12 @@
 GUEST_FLOOR = 0.1
 
 
-class GuestTasks:
+class BestEffortTasks:
     """The guests' tasks in a part, as one look through all that waits finds them."""
 
-    def __init__(self, controller: Controller, part: Part) -> None:
+    def __init__(self, controller: Controller, part: Shard) -> None:
         self._part = part
-        self._running: list[tuple[float, Placed, Machine]] = []
+        self._running: list[tuple[float, PlacedTask, Machine]] = []
         #: room that comes up by stops under way and that nobody counts on yet
         self._coming = 0
         self._spare = 0
@@ -44,7 +44,7 @@
         self._spare = sum(p.need[0] for _, p, _ in self._running) - int(GUEST_FLOOR * capacity)
         self._running.sort(key=lambda found: found[0])
 
-    def _add(self, p: Placed, m: Machine, now: float) -> None:
+    def _add(self, p: PlacedTask, m: Machine, now: float) -> None:
         if p.grace is not None:
             self._coming += p.need[0]
             return
@@ -53,7 +53,7 @@
         lost_s = 0.0 if saves or p.run_since is None else now - p.run_since
         self._running.append((lost_s, p, m))
 
-    def stop_for(self, s: Slice, lack: int) -> None:
+    def stop_for(self, s: JobSlice, lack: int) -> None:
         """Stop tasks of guests so that as many cpus come free for a slice's waiting tasks."""
         counted = min(lack, self._coming)
         self._coming -= counted
--- a/marblestair/core/scheduling/dispatch.py
+++ b/marblestair/core/scheduling/dispatch.py
@@ -1,8 +1,8 @@
 """What waits in a part and which of it starts next: the order of slices, and their placement.
 
-The whole of what waits is gone through a few times a second (:meth:`Dispatch.place`), and leaves a
+The whole of what waits is gone through a few times a second (:meth:`Dispatcher.place`), and leaves a
 queue. A report that brings room up fills the one machine it came from, from that queue
-(:meth:`Dispatch.fill`): what an event costs does not grow with the machines of the part.
+(:meth:`Dispatcher.fill`): what an event costs does not grow with the machines of the part.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 from typing import TYPE_CHECKING
 
 from marblestair.core.domain.model import GANG
-from marblestair.core.scheduling.best_effort import GuestTasks
+from marblestair.core.scheduling.best_effort import BestEffortTasks
 from marblestair.core.scheduling.placement import place_array, place_gang
-from marblestair.core.scheduling.preemption import Survey
+from marblestair.core.scheduling.preemption import PreemptionSurvey
 from marblestair.core.scheduling.quota import order_key
-from marblestair.core.shard.job_slice import Slice
+from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
-from marblestair.core.shard.shard import Part
+from marblestair.core.shard.shard import Shard
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
@@ -39,23 +39,23 @@
 HURRY = 3.0
 
 
-class Queue:
+class PendingQueue:
     """What waits in a part, as it was last gone through."""
 
     def __init__(self) -> None:
         #: slices that are helped ahead of everything else: how many tasks each may have at most,
         #: how many of them whatever else is helped, and what is left for all of a team
-        self.help: list[tuple[Slice, int, int]] = []
+        self.help: list[tuple[JobSlice, int, int]] = []
         self.left: dict[str, int] = {}
         #: all that waits, first things first
-        self.order: list[Slice] = []
+        self.order: list[JobSlice] = []
         #: least that a waiting task takes; more than any machine has when nothing waits
         self.least = 1 << 62
         #: team -> least that a waiting task of an array takes, and the least of any gang's
         self.teams: dict[str, int] = {}
         self.gangs = 1 << 62
 
-    def set_order(self, order: list[Slice]) -> None:
+    def set_order(self, order: list[JobSlice]) -> None:
         """Keep what waits, in the order in which it is gone through."""
         self.order = order
         self.least = min(s.need[0] for s in order)
@@ -67,10 +67,12 @@
                 self.teams[s.spec.team] = min(least, s.need[0])
 
 
-class Look:
+class PlacementPass:
     """What is known during one look through all that waits in a part."""
 
-    def __init__(self, usable: list[Machine], free: list[Machine], survey: Survey) -> None:
+    def __init__(
+        self, usable: list[Machine], free: list[Machine], survey: PreemptionSurvey
+    ) -> None:
         self.usable = usable
         #: those of them that may have room
         self.free = free
@@ -86,17 +88,17 @@
         self.free = [m for m in self.free if m.name not in names]
 
 
-class Dispatch:
+class Dispatcher:
     """Placement on one node."""
 
     def __init__(self, controller: Controller) -> None:
         self.controller = controller
-        self._queues: dict[int, Queue] = {}
+        self._queues: dict[int, PendingQueue] = {}
         #: parts in which something new waits: the next report goes through all of it
         self.fresh: set[int] = set()
-        self._ordered: dict[int, tuple[float, list[Slice]]] = {}
+        self._ordered: dict[int, tuple[float, list[JobSlice]]] = {}
 
-    def ordered(self, part: Part) -> list[Slice]:
+    def ordered(self, part: Shard) -> list[JobSlice]:
         """Return the part's slices with pending tasks, in the order in which they are served.
 
         They are put in order once for all that ask at the same moment.
@@ -108,7 +110,7 @@
         self._ordered[part.number] = (self.controller.now, order)
         return list(order)
 
-    def _order(self, part: Part) -> list[Slice]:
+    def _order(self, part: Shard) -> list[JobSlice]:
         wall, f = self.controller.wall, self.controller.factor
         guaranteed, hopeless, lead = (
             self.controller.guaranteed,
@@ -132,10 +134,10 @@
         )
         return waiting
 
-    def place(self, part: Part) -> None:
+    def place(self, part: Shard) -> None:
         """Go through all that waits."""
         self.fresh.discard(part.number)
-        queue = self._queues[part.number] = Queue()
+        queue = self._queues[part.number] = PendingQueue()
         order = self.ordered(part)
         if not order:
             return
@@ -144,8 +146,8 @@
         usable = [m for m in part.machines.values() if m.name not in claims and m.usable(now)]
         free = [m for m in usable if m.free[0] >= least]
         queue.set_order(self._help_old(part, order, usable, free, queue))
-        look = Look(usable, free, self.controller.preemption.survey(part))
-        guest_tasks = GuestTasks(self.controller, part)
+        look = PlacementPass(usable, free, self.controller.preemption.survey(part))
+        guest_tasks = BestEffortTasks(self.controller, part)
         for s in queue.order:
             if self._held_back(s):
                 continue
@@ -156,12 +158,12 @@
 
     def _help_old(
         self,
-        part: Part,
-        order: list[Slice],
+        part: Shard,
+        order: list[JobSlice],
         usable: list[Machine],
         free: list[Machine],
-        queue: Queue,
-    ) -> list[Slice]:
+        queue: PendingQueue,
+    ) -> list[JobSlice]:
         """Help what has waited for long; the order in which the rest is gone through."""
         wall = self.controller.wall
         old = [s for s in order if wall - s.ready_at > BOUND_S]
@@ -173,7 +175,12 @@
         return [*gangs, *(s for s in order if s not in gangs)] if gangs else order
 
     def _place_array(
-        self, part: Part, s: Slice, look: Look, least: int, guest_tasks: GuestTasks
+        self,
+        part: Shard,
+        s: JobSlice,
+        look: PlacementPass,
+        least: int,
+        guest_tasks: BestEffortTasks,
     ) -> None:
         """Launch what fits of an array, and make room for it if it is guaranteed."""
         need = s.need[0]
@@ -187,7 +194,7 @@
         if s.pending.count and s.spec.id in self.controller.guaranteed:
             guest_tasks.stop_for(s, self._lack(part, s, look.held))
 
-    def _place_gang(self, part: Part, s: Slice, look: Look) -> None:
+    def _place_gang(self, part: Shard, s: JobSlice, look: PlacementPass) -> None:
         """Launch a gang, or hold share for it and clear machines if it is urgent."""
         controller = self.controller
         if self._gang(part, s, look.free, look.held) or s.placed:
@@ -204,7 +211,7 @@
         held[0] += len(s.pending) * s.need[0]
         held[1] += len(s.pending) * s.need[1]
 
-    def fill(self, part: Part, m: Machine) -> None:
+    def fill(self, part: Shard, m: Machine) -> None:
         """Room has come up on a machine: fill it with the answer to this very report."""
         queue = self._queues.get(part.number)
         if queue is None or m.free[0] < queue.least or not m.usable(self.controller.now):
@@ -221,7 +228,7 @@
         self._fill_with_helped(part, m, queue)
         self._fill_in_order(part, m, queue)
 
-    def _fill_with_helped(self, part: Part, m: Machine, queue: Queue) -> None:
+    def _fill_with_helped(self, part: Shard, m: Machine, queue: PendingQueue) -> None:
         """Start what is helped ahead of everything else, within what it may have."""
         one = [m]
         for k, (s, most, least) in enumerate(queue.help):
@@ -232,7 +239,7 @@
                 queue.help[k] = (s, most - got, max(0, least - got))
                 queue.left[s.spec.team] = left - got * cpus
 
-    def _fill_in_order(self, part: Part, m: Machine, queue: Queue) -> None:
+    def _fill_in_order(self, part: Shard, m: Machine, queue: PendingQueue) -> None:
         """Start on one machine what waits, first things first, until it is full."""
         one = [m]
         #: team -> least that found no room under its share, and how many teams have none at all
@@ -257,7 +264,7 @@
                 if closed == len(queue.teams) and free < queue.gangs:
                     return
 
-    def _fill_gang(self, part: Part, s: Slice, free: int, held: dict[str, list[int]]) -> None:
+    def _fill_gang(self, part: Shard, s: JobSlice, free: int, held: dict[str, list[int]]) -> None:
         """Start a gang if a machine's room is what it lacked; else hold share for it."""
         if s.placed:
             return
@@ -269,33 +276,33 @@
         share[0] += len(s.pending) * s.need[0]
         share[1] += len(s.pending) * s.need[1]
 
-    def _held_back(self, s: Slice) -> bool:
+    def _held_back(self, s: JobSlice) -> bool:
         """Whether a slice may not start anything now, whatever room there is."""
         return s.suspect or self.controller.faults.must_wait(s.spec.id, self.controller.now)
 
-    def _waits(self, part: Part, s: Slice) -> bool:
+    def _waits(self, part: Shard, s: JobSlice) -> bool:
         """Whether a slice of the queue, which may be a moment old, still waits here."""
         return bool(s.pending.count) and not s.cancelled and part.slices.get(s.spec.id) is s
 
-    def _share(self, part: Part, s: Slice, held: dict[str, list[int]]) -> tuple[int, int]:
+    def _share(self, part: Shard, s: JobSlice, held: dict[str, list[int]]) -> tuple[int, int]:
         share = self.controller.share(part, s.spec.team)
         h = held.get(s.spec.team)
         return share if h is None else (share[0] - h[0], share[1] - h[1])
 
-    def _room(self, part: Part, s: Slice, held: dict[str, list[int]]) -> bool:
+    def _room(self, part: Shard, s: JobSlice, held: dict[str, list[int]]) -> bool:
         """Whether the team's share leaves room for one more of the slice's tasks."""
         share, used = self._share(part, s, held), part.usage(s.spec.team)
         return used[0] + s.need[0] <= share[0] and used[1] + s.need[1] <= share[1]
 
-    def _lack(self, part: Part, s: Slice, held: dict[str, list[int]]) -> int:
+    def _lack(self, part: Shard, s: JobSlice, held: dict[str, list[int]]) -> int:
         """Cpus that a slice's waiting tasks may use beyond what they have."""
         room = self._share(part, s, held)[0] - part.usage(s.spec.team)[0]
         return max(0, min(room, s.pending.count * s.need[0]))
 
     def _array(
         self,
-        part: Part,
-        s: Slice,
+        part: Shard,
+        s: JobSlice,
         usable: list[Machine],
         free: list[Machine],
         held: dict[str, list[int]],
@@ -326,7 +333,7 @@
         )
 
     def _gang(
-        self, part: Part, s: Slice, free: list[Machine] | None, held: dict[str, list[int]]
+        self, part: Shard, s: JobSlice, free: list[Machine] | None, held: dict[str, list[int]]
     ) -> int:
         """Start a gang whole, if there is room, on ``free`` machines or on any."""
         controller = self.controller
@@ -357,11 +364,11 @@
 
     def _help(
         self,
-        part: Part,
-        old: list[Slice],
+        part: Shard,
+        old: list[JobSlice],
         usable: list[Machine],
         free: list[Machine],
-        queue: Queue,
+        queue: PendingQueue,
     ) -> None:
         """Start work that has waited for long ahead of everything else.
 
--- a/marblestair/core/scheduling/inherited_urgency.py
+++ b/marblestair/core/scheduling/inherited_urgency.py
@@ -21,7 +21,7 @@
 START_REPORTS = 2.0
 
 
-class Need(msgspec.Struct, frozen=True):
+class InheritedNeed(msgspec.Struct, frozen=True):
     """What the jobs that need a job ask of it."""
 
     priority: str
@@ -29,12 +29,12 @@
     done_by: float | None
 
 
-class Urgency:
+class InheritedUrgency:
     """The needs that jobs inherit, kept as the jobs that wait come and go."""
 
     def __init__(self, controller: Controller) -> None:
         self._controller = controller
-        self._inherited: dict[str, Need] = {}
+        self._inherited: dict[str, InheritedNeed] = {}
         self._changed: set[str] = set()
 
     def scheduling_spec(self, record: JobRecord) -> JobSpec:
@@ -79,7 +79,7 @@
             if record.is_waiting:
                 stack += record.spec.awaits
 
-    def _need_of_children(self, job: str) -> Need | None:
+    def _need_of_children(self, job: str) -> InheritedNeed | None:
         needs = []
         for child in self._controller.pipelines.children(job):
             record = self._controller.view.jobs.get(child)
@@ -89,17 +89,17 @@
             return None
         priority = max((need.priority for need in needs), key=PRIORITIES.__getitem__)
         times = [need.done_by for need in needs if need.done_by is not None]
-        return Need(priority, min(times, default=None))
+        return InheritedNeed(priority, min(times, default=None))
 
-    def _need_of(self, child: JobRecord) -> Need:
+    def _need_of(self, child: JobRecord) -> InheritedNeed:
         """What one child asks of its parents: to be done when it has to start."""
         spec = self.scheduling_spec(child)
         if spec.deadline_s is None:
-            return Need(spec.priority, None)
+            return InheritedNeed(spec.priority, None)
         controller = self._controller
         run_s = spec.estimate_s * controller.factor.get(spec.cls, 1.0)
         start_s = START_REPORTS * controller.settings.cluster.workers.report_s
-        return Need(spec.priority, round(spec.at + spec.deadline_s - run_s - start_s, 1))
+        return InheritedNeed(spec.priority, round(spec.at + spec.deadline_s - run_s - start_s, 1))
 
 
 def _higher(one: str, other: str) -> str:
--- a/marblestair/core/scheduling/machine_transfers.py
+++ b/marblestair/core/scheduling/machine_transfers.py
@@ -8,27 +8,27 @@
 
 from marblestair.core.domain.model import GANG, JobSpec
 from marblestair.core.leadership.shard_map import raise_term
-from marblestair.core.runtime.coroutines import Flow
-from marblestair.core.runtime.requests import SPLIT, Commit, Put, Sleep, StateResult
+from marblestair.core.runtime.coroutines import Coroutine
+from marblestair.core.runtime.requests import SPLIT, CompareAndSwap, Put, Sleep, StoreResponse
 from marblestair.core.scheduling.placement import allowed, gang_fits, room, rooms_for
-from marblestair.core.shard.job_slice import Slice
+from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
-from marblestair.core.shard.shard import Part
+from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
-    from marblestair.core.runtime.outbox import PartSummary
+    from marblestair.core.runtime.outbox import ShardSummary
 
 
-class MachineMoves:
+class MachineTransfers:
     """The machines that one node's parts give to others."""
 
     def __init__(self, controller: Controller) -> None:
         self._controller = controller
         self._is_moving = False
 
-    def lacks_room(self, part: Part, s: Slice) -> bool:
+    def lacks_room(self, part: Shard, s: JobSlice) -> bool:
         """Whether tasks that must start together have waited here for room in vain."""
         whole = s.spec.kind == GANG or s.spec.one_zone or s.spec.spread
         waited = (
@@ -39,7 +39,7 @@
             return False
         return whole and waited and not (s.placed or s.leaving or s.suspect or s.cancelled)
 
-    def give_machines(self, part: Part) -> None:
+    def give_machines(self, part: Shard) -> None:
         """Move an idle machine into the part of a gang that fits into no part as it is."""
         controller = self._controller
         split = controller.view.split
@@ -65,7 +65,7 @@
                     controller.spawn(self._move(part, move, i))
                     return
 
-    def _idle_for(self, empty: list[Machine], spec: JobSpec, g: PartSummary) -> list[Machine]:
+    def _idle_for(self, empty: list[Machine], spec: JobSpec, g: ShardSummary) -> list[Machine]:
         """Choose idle machines here that help a job in another part, if that is what it lacks.
 
         Those that the plan sets aside for it, else one that is set aside for nobody.
@@ -88,7 +88,7 @@
             return []
         return [min(idle, key=lambda m: (m.type.price if m.type else 0.0, m.name))]
 
-    def _move(self, part: Part, machines: list[Machine], target: int) -> Flow:
+    def _move(self, part: Shard, machines: list[Machine], target: int) -> Coroutine:
         """Move idle and settled machines to another part.
 
         The source drops them first, and the target's term rises in the same commit, so that
@@ -124,8 +124,8 @@
                     record = controller.view.machines[m.name]
                     puts.append(Put(key, msgspec.structs.replace(record, part=target)))
                     guards.append((key, controller.view.version(key)))
-                commit = Commit(guards, puts, [], SPLIT)
-                r: StateResult = yield commit
+                commit = CompareAndSwap(guards, puts, [], SPLIT)
+                r: StoreResponse = yield commit
                 if r.status == 200:
                     controller.view.committed(commit, r.rev)
                     controller.sync()
--- a/marblestair/core/scheduling/placement.py
+++ b/marblestair/core/scheduling/placement.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable, Container, Iterable
 
 from marblestair.core.domain.model import JobSpec
-from marblestair.core.shard.job_slice import Slice
+from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
-from marblestair.core.shard.shard import Part
+from marblestair.core.shard.shard import Shard
 
 #: machines sampled at first; the design starts at 3 and leaves the size open
 SAMPLE = 6
@@ -86,7 +86,7 @@
     return (spec.tasks + 1) // 2 if spec.spread else spec.tasks
 
 
-def within_share(part: Part, s: Slice, share: tuple[int, int]) -> int:
+def within_share(part: Shard, s: JobSlice, share: tuple[int, int]) -> int:
     """How many more of the slice's tasks the team's share in this part allows."""
     used = part.usage(s.spec.team)
     n = 1 << 30
@@ -99,7 +99,7 @@
 class ZoneRule:
     """How a job's tasks must lie in one zone, or apart, given those that are placed."""
 
-    def __init__(self, s: Slice) -> None:
+    def __init__(self, s: JobSlice) -> None:
         self._spec = s.spec
         self.binds = s.spec.one_zone or s.spec.spread
         self._limit = zone_limit(s.spec)
@@ -124,8 +124,8 @@
 
 
 def place_array(
-    part: Part,
-    s: Slice,
+    part: Shard,
+    s: JobSlice,
     share: tuple[int, int],
     usable: list[Machine],
     free: list[Machine],
@@ -209,7 +209,7 @@
     return None
 
 
-def place_room(part: Part, spec: JobSpec, now: float) -> int:
+def place_room(part: Shard, spec: JobSpec, now: float) -> int:
     """How many of a job's tasks this part's machines have room for now."""
     return sum(
         room(m, spec.need) for m in part.machines.values() if m.usable(now) and allowed(spec, m)
@@ -217,10 +217,10 @@
 
 
 #: a machine's free room as told between parts: type, zone, spot, cpus, gpus, memory
-Room = tuple[str, str, bool, int, int, int]
+FreeCapacity = tuple[str, str, bool, int, int, int]
 
 
-def rooms_for(spec: JobSpec, need: tuple[int, int, int], rooms: list[Room]) -> Counter[str]:
+def rooms_for(spec: JobSpec, need: tuple[int, int, int], rooms: list[FreeCapacity]) -> Counter[str]:
     """How many of a job's tasks fit into told rooms, by zone."""
     out: Counter[str] = Counter()
     for type_name, zone, spot, *free in rooms:
@@ -230,7 +230,7 @@
     return out
 
 
-def gang_fits(spec: JobSpec, need: tuple[int, int, int], rooms: list[Room], n: int) -> bool:
+def gang_fits(spec: JobSpec, need: tuple[int, int, int], rooms: list[FreeCapacity], n: int) -> bool:
     """Whether n tasks that start together fit into told rooms."""
     by_zone = rooms_for(spec, need, rooms)
     if spec.one_zone:
@@ -240,8 +240,8 @@
 
 
 def place_gang(
-    part: Part,
-    s: Slice,
+    part: Shard,
+    s: JobSlice,
     share: tuple[int, int],
     now: float,
     options: Iterable[Machine],
--- a/marblestair/core/scheduling/preemption.py
+++ b/marblestair/core/scheduling/preemption.py
@@ -9,10 +9,10 @@
 from typing import TYPE_CHECKING
 
 from marblestair.core.domain.model import PRIORITIES, JobSpec
-from marblestair.core.scheduling.placement import Room, allowed, room
-from marblestair.core.shard.job_slice import Slice
-from marblestair.core.shard.machine import Machine, Placed
-from marblestair.core.shard.shard import Part
+from marblestair.core.scheduling.placement import FreeCapacity, allowed, room
+from marblestair.core.shard.job_slice import JobSlice
+from marblestair.core.shard.machine import Machine, PlacedTask
+from marblestair.core.shard.shard import Shard
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
@@ -25,14 +25,14 @@
     return max(0, min((f // x for f, x in zip(free, need, strict=True) if x > 0), default=0))
 
 
-class Survey:
+class PreemptionSurvey:
     """What work of a part could be stopped for a priority, counted once for all that ask."""
 
-    def __init__(self, part: Part, preemption: Preemption) -> None:
+    def __init__(self, part: Shard, preemption: Preemption) -> None:
         self.part = part
         self.preemption = preemption
         self._machines: dict[int, list[tuple[Machine, float, list[int]]]] = {}
-        self._teams: dict[tuple[str, int], list[tuple[float, Placed]]] = {}
+        self._teams: dict[tuple[str, int], list[tuple[float, PlacedTask]]] = {}
         self._sums: dict[tuple[str, int], int] = {}
 
     def machines(self, level: int) -> list[tuple[Machine, float, list[int]]]:
@@ -53,7 +53,7 @@
                 out.append((m, lost, free))
         return out
 
-    def _tasks(self, team: str, level: int) -> list[tuple[float, Placed]]:
+    def _tasks(self, team: str, level: int) -> list[tuple[float, PlacedTask]]:
         found = self._teams.get((team, level))
         if found is None:
             now = self.preemption.controller.now
@@ -77,14 +77,14 @@
         return self._sums[(team, level)]
 
     def of_team(
-        self, team: str, level: int, lack: int, besides: list[Placed]
-    ) -> list[Placed] | None:
+        self, team: str, level: int, lack: int, besides: list[PlacedTask]
+    ) -> list[PlacedTask] | None:
         """Choose tasks of a team whose end frees that much of its share here.
 
         The latest started come first, and ahead of them those that are being stopped
         already. None when there are not enough.
         """
-        out: list[Placed] = []
+        out: list[PlacedTask] = []
         if lack <= 0:
             return out
         left = set(map(id, besides))
@@ -129,7 +129,7 @@
             if not waits or controller.now > until:
                 del self.claims[name]
 
-    def _victims(self, part: Part, m: Machine, level: int) -> list[Placed]:
+    def _victims(self, part: Shard, m: Machine, level: int) -> list[PlacedTask]:
         """What may be stopped on a machine for work of a priority."""
         out = []
         for p in m.placed.values():
@@ -138,7 +138,7 @@
                 out.append(p)
         return out
 
-    def _without(self, m: Machine, victims: list[Placed], need: tuple[int, int, int]) -> int:
+    def _without(self, m: Machine, victims: list[PlacedTask], need: tuple[int, int, int]) -> int:
         """How many tasks fit once the victims are gone."""
         free = list(m.free)
         for p in victims:
@@ -146,17 +146,17 @@
                 free[i] += p.need[i]
         return _holds(free, need)
 
-    def survey(self, part: Part) -> Survey:
+    def survey(self, part: Shard) -> PreemptionSurvey:
         """What could be stopped in a part; to be kept for one look through all that waits."""
-        return Survey(part, self)
+        return PreemptionSurvey(part, self)
 
-    def claimed_for(self, part: Part, job: str) -> list[Machine]:
+    def claimed_for(self, part: Shard, job: str) -> list[Machine]:
         """Machines of a part that are being cleared for a job."""
         names = [name for name, (claimer, _) in self.claims.items() if claimer == job]
         return [part.machines[n] for n in names if n in part.machines]
 
     def clear(
-        self, part: Part, s: Slice, share: tuple[int, int], act: bool, survey: Survey
+        self, part: Shard, s: JobSlice, share: tuple[int, int], act: bool, survey: PreemptionSurvey
     ) -> bool:
         """Whether a gang can have its machines here by stopping work of lower priority.
 
@@ -189,16 +189,16 @@
         return True
 
     def _cheapest(
-        self, part: Part, s: Slice, level: int, survey: Survey
-    ) -> list[tuple[str, list[Placed]]] | None:
+        self, part: Shard, s: JobSlice, level: int, survey: PreemptionSurvey
+    ) -> list[tuple[str, list[PlacedTask]]] | None:
         """Choose machines for a gang, with what is to be stopped there; None if too few."""
         lacking = len(s.pending)
-        chosen: list[tuple[str, list[Placed]]] = []
+        chosen: list[tuple[str, list[PlacedTask]]] = []
         for _, name, m in sorted(self._options(s, level, survey), key=lambda x: x[:2]):
             if lacking <= 0:
                 break
             # Counted afresh: something may have been placed or stopped since the survey.
-            victims: list[Placed] = []
+            victims: list[PlacedTask] = []
             fits = room(m, s.need)
             if not fits:
                 if any(p.grace is not None for p in m.placed.values()):
@@ -210,7 +210,9 @@
                 lacking -= fits
         return chosen if lacking <= 0 else None
 
-    def _options(self, s: Slice, level: int, survey: Survey) -> list[tuple[float, str, Machine]]:
+    def _options(
+        self, s: JobSlice, level: int, survey: PreemptionSurvey
+    ) -> list[tuple[float, str, Machine]]:
         """Machines that a gang could have, with the work lost for each of its tasks there."""
         options: list[tuple[float, str, Machine]] = []
         for m, lost, after in survey.machines(level):
@@ -222,7 +224,7 @@
                 options.append((lost / fits, m.name, m))
         return options
 
-    def _claim(self, part: Part, job: str, chosen: list[tuple[str, list[Placed]]]) -> None:
+    def _claim(self, part: Shard, job: str, chosen: list[tuple[str, list[PlacedTask]]]) -> None:
         """Clear machines for a job."""
         controller = self.controller
         report_s = controller.settings.cluster.workers.report_s
@@ -231,7 +233,7 @@
             self.claims[name] = (job, until)
             part.stop(victims, "preempted")
 
-    def told(self, part: Part) -> list[Room]:
+    def told(self, part: Shard) -> list[FreeCapacity]:
         """Room that a hurried class could have here by stopping lower-priority work."""
         controller = self.controller
         coming: list[JobSpec] = [
@@ -240,7 +242,7 @@
         if not coming:
             return []
         level = max(PRIORITIES[x.priority] for x in coming)
-        out: list[Room] = []
+        out: list[FreeCapacity] = []
         for m in part.machines.values():
             if not m.placed or not m.usable(controller.now) or self.claimed(m):
                 continue
--- a/marblestair/core/scheduling/quota_transfers.py
+++ b/marblestair/core/scheduling/quota_transfers.py
@@ -11,14 +11,14 @@
 from marblestair.core.capacity.shard_summary import summarise
 from marblestair.core.domain.model import GANG
 from marblestair.core.leadership import shard_map
-from marblestair.core.runtime.coroutines import Flow
+from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
-from marblestair.core.shard.shard import Part
+from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
-    from marblestair.core.runtime.outbox import PartSummary
+    from marblestair.core.runtime.outbox import ShardSummary
 
 #: seconds for which what a part told of its wants counts
 FRESH_S = 3.0
@@ -26,13 +26,13 @@
 MOST_TRIES = 5
 
 
-class ShareMoves:
+class QuotaTransfers:
     """The room that one node's parts give away."""
 
     def __init__(self, controller: Controller) -> None:
         self._controller = controller
 
-    def rebalance(self, acting: list[Part]) -> None:
+    def rebalance(self, acting: list[Shard]) -> None:
         """Give room under a team's limit to a part that lacks it, one move at a time."""
         controller = self._controller
         record = controller.view.split
@@ -47,7 +47,7 @@
                 if summary.term == record.parts[number].term and self._give_one(part, summary):
                     return
 
-    def _give_one(self, part: Part, other: PartSummary) -> bool:
+    def _give_one(self, part: Shard, other: ShardSummary) -> bool:
         """Begin to give the first room that another part lacks and this one can spare."""
         controller = self._controller
         told = controller.summaries.get(part.number)
@@ -64,7 +64,7 @@
         return False
 
     def _free(
-        self, part: Part, team: str, own: PartSummary, other: PartSummary
+        self, part: Shard, team: str, own: ShardSummary, other: ShardSummary
     ) -> list[int] | None:
         """Room that a part can spare for another; None when it gives none of this team's."""
         used, share = part.usage(team), self._controller.share(part, team)
@@ -78,7 +78,7 @@
         kept = self._pending(part, team)
         return [free[i] - kept[i] for i in range(2)]
 
-    def largest_gang(self, part: Part, team: str) -> int:
+    def largest_gang(self, part: Shard, team: str) -> int:
         """Return what the largest of a team's waiting gangs here needs of the share.
 
         Given to another part, it would only have to be given back.
@@ -92,7 +92,7 @@
             default=0,
         )
 
-    def _pending(self, part: Part, team: str) -> list[int]:
+    def _pending(self, part: Shard, team: str) -> list[int]:
         """What a team's waiting tasks in a part will need of the share."""
         needs = [0, 0]
         for s in part.slices.values():
@@ -101,7 +101,7 @@
                 needs[1] += len(s.pending) * s.need[1]
         return needs
 
-    def give_room(self, part: Part, target: int, team: str, give: list[int]) -> Flow:
+    def give_room(self, part: Shard, target: int, team: str, give: list[int]) -> Coroutine:
         """Change both shares in one commit; the room was lowered here already."""
         controller = self._controller
         try:
--- a/marblestair/core/scheduling/slice_migration.py
+++ b/marblestair/core/scheduling/slice_migration.py
@@ -14,16 +14,16 @@
 from marblestair.core.domain.index_ranges import Ranges
 from marblestair.core.domain.model import GANG, JobSpec
 from marblestair.core.jobs.server_manager import LOG_OFF, STAY
-from marblestair.core.runtime.coroutines import Flow, Step
-from marblestair.core.runtime.requests import PeerCall, Sleep
+from marblestair.core.runtime.coroutines import Coroutine, Step
+from marblestair.core.runtime.requests import PeerRequest, Sleep
 from marblestair.core.scheduling.placement import gang_fits, place_room, rooms_for
-from marblestair.core.shard.job_slice import Slice
-from marblestair.core.shard.shard import Part
+from marblestair.core.shard.job_slice import JobSlice
+from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
-    from marblestair.core.runtime.outbox import PartSummary
+    from marblestair.core.runtime.outbox import ShardSummary
 
 #: migrations under way at once, per node
 MOST = 4
@@ -33,7 +33,7 @@
 LEAST_WAIT_S = 0.3
 
 
-def reserve(g: PartSummary, spec: JobSpec, n: int) -> None:
+def reserve(g: ShardSummary, spec: JobSpec, n: int) -> None:
     """What is on its way to a part is not free there any more."""
     need = spec.need
     share = g.shares.get(spec.team, [0, 0])
@@ -50,7 +50,7 @@
                 rooms[k] = (told[0], told[1], told[2], free[0], free[1], free[2])
 
 
-class ToldRooms:
+class ReportedCapacity:
     """What other parts told of their free room, counted once per shape of task.
 
     Many jobs have the same shape.
@@ -63,7 +63,7 @@
         """Something is on its way there: count anew."""
         self._known.clear()
 
-    def fitting(self, summary: PartSummary, s: Slice) -> int:
+    def fitting(self, summary: ShardSummary, s: JobSlice) -> int:
         """How many tasks fit into a part's told rooms."""
         shape = (summary.part, _kinds(s.spec), s.need)
         count = self._known.get(shape)
@@ -72,7 +72,7 @@
             self._known[shape] = count
         return count
 
-    def fits_whole(self, summary: PartSummary, s: Slice, count: int, with_held: bool) -> bool:
+    def fits_whole(self, summary: ShardSummary, s: JobSlice, count: int, with_held: bool) -> bool:
         """Whether so many tasks fit together, also by what may be stopped if ``with_held``."""
         spec = s.spec
         how = (spec.one_zone, spec.spread, spec.tasks, with_held)
@@ -95,7 +95,7 @@
     return spec.kind == GANG or spec.one_zone or spec.spread
 
 
-def _most_share_left(others: list[PartSummary]) -> dict[str, int]:
+def _most_share_left(others: list[ShardSummary]) -> dict[str, int]:
     """Team -> the most cpus that one of the other parts has left of its share."""
     left: dict[str, int] = {}
     for summary in others:
@@ -104,7 +104,7 @@
     return left
 
 
-class Migrations:
+class SliceMigrations:
     """The migrations from one node's parts."""
 
     def __init__(self, controller: Controller) -> None:
@@ -115,7 +115,7 @@
 
     # --- source ----------------------------------------------------------------------------
 
-    def start(self, part: Part, s: Slice, ranges: list[list[int]], target: int) -> bool:
+    def start(self, part: Shard, s: JobSlice, ranges: list[list[int]], target: int) -> bool:
         """Begin to migrate pending tasks of a slice, unless too much is under way."""
         if self.under_way >= MOST or s.leaving or s.cancelled or s.suspect:
             return False
@@ -131,13 +131,13 @@
         self.controller.spawn(self._migrate(part, s, target, holder))
         return True
 
-    def look(self, part: Part) -> None:
+    def look(self, part: Shard) -> None:
         """Find room elsewhere for what cannot start here."""
         controller = self.controller
         others = [] if part.suspects else self._heard_parts(part)
         if not others:
             return
-        rooms = ToldRooms()
+        rooms = ReportedCapacity()
         survey = controller.preemption.survey(part)
         #: team -> whether its share here is not all in use
         spare: dict[str, bool] = {}
@@ -161,7 +161,7 @@
                 reserve(best, s.spec, count)
                 rooms.forget()
 
-    def _heard_parts(self, part: Part) -> list[PartSummary]:
+    def _heard_parts(self, part: Shard) -> list[ShardSummary]:
         """What the owners of the other parts told just now."""
         controller = self.controller
         split = controller.view.split
@@ -176,7 +176,7 @@
             and summary.term == split.parts[number].term
         ]
 
-    def _may_leave(self, s: Slice) -> bool:
+    def _may_leave(self, s: JobSlice) -> bool:
         """Whether tasks of a slice may look for room in another part."""
         controller = self.controller
         if s.suspect or s.leaving or s.stopping_gang:
@@ -188,8 +188,8 @@
         return not (_is_whole(s.spec) and (s.placed or s.done_count))
 
     def _best_target(
-        self, s: Slice, others: list[PartSummary], rooms: ToldRooms, hurried: bool
-    ) -> tuple[PartSummary | None, int]:
+        self, s: JobSlice, others: list[ShardSummary], rooms: ReportedCapacity, hurried: bool
+    ) -> tuple[ShardSummary | None, int]:
         """Choose the part that takes most of a slice's waiting tasks, and how many."""
         best, most = None, 0
         for summary in others:
@@ -198,7 +198,9 @@
                 best, most = summary, count
         return best, most
 
-    def _most_taken(self, s: Slice, summary: PartSummary, rooms: ToldRooms, hurried: bool) -> int:
+    def _most_taken(
+        self, s: JobSlice, summary: ShardSummary, rooms: ReportedCapacity, hurried: bool
+    ) -> int:
         """How many of a slice's waiting tasks a part has room and share for."""
         spec = s.spec
         count = len(s.pending)
@@ -213,10 +215,10 @@
 
     def _offer_share(
         self,
-        part: Part,
-        s: Slice,
-        others: list[PartSummary],
-        rooms: ToldRooms,
+        part: Shard,
+        s: JobSlice,
+        others: list[ShardSummary],
+        rooms: ReportedCapacity,
         spare: dict[str, bool],
     ) -> None:
         """Send share to a part with room for a slice's tasks, if some of it is not in use."""
@@ -229,7 +231,7 @@
             self._send_share(part, s, others, rooms)
 
     def _send_share(
-        self, part: Part, s: Slice, others: list[PartSummary], rooms: ToldRooms
+        self, part: Shard, s: JobSlice, others: list[ShardSummary], rooms: ReportedCapacity
     ) -> None:
         """Send share to a part whose machines have room for the team's tasks.
 
@@ -269,9 +271,9 @@
             return (yield from controller.migration_locks.answer(tag, args))
         if owner is None:
             return None
-        return (yield PeerCall(owner, tag, args, 1.5))
+        return (yield PeerRequest(owner, tag, args, 1.5))
 
-    def _migrate(self, part: Part, s: Slice, target: int, holder: str) -> Flow:
+    def _migrate(self, part: Shard, s: JobSlice, target: int, holder: str) -> Coroutine:
         job = s.spec.id
         try:
             locked = False
@@ -316,13 +318,13 @@
         owner = controller.owner(target)
         if owner is None or owner == controller.node:
             return
-        known = yield PeerCall(owner, "arrive", [job, version], 0.5)
+        known = yield PeerRequest(owner, "arrive", [job, version], 0.5)
         record = controller.view.jobs.get(job)
         if isinstance(known, int) and record is not None and len(record.changes) > known:
             later = [job, known, record.changes[known:], controller.view.version(keys.JOBS + job)]
-            yield PeerCall(owner, "entries", later, 0.5)
+            yield PeerRequest(owner, "entries", later, 0.5)
 
-    def _settle(self, part: Part, s: Slice, holder: str) -> Step:
+    def _settle(self, part: Shard, s: JobSlice, holder: str) -> Step:
         """Wait until the record shows what became of the task numbers that were dropped.
 
         They may be pending here again only once the manager has given the holder's locks up, so
@@ -347,7 +349,7 @@
                 return
             yield Sleep(0.2)
 
-    def _restore(self, part: Part, s: Slice, holder: str) -> None:
+    def _restore(self, part: Shard, s: JobSlice, holder: str) -> None:
         """The task numbers that were dropped and are still this part's are pending again."""
         if s.leaving_by != holder:
             return
--- a/marblestair/core/shard/job_slice.py
+++ b/marblestair/core/shard/job_slice.py
@@ -7,7 +7,7 @@
 from marblestair.core.shard.machine import Machine
 
 
-class Slice:
+class JobSlice:
     """The tasks of one job that this part holds."""
 
     def __init__(self, spec: JobSpec) -> None:
--- a/marblestair/core/shard/machine.py
+++ b/marblestair/core/shard/machine.py
@@ -10,7 +10,7 @@
 TaskKey = tuple[str, int]
 
 
-class Placed:
+class PlacedTask:
     """A task that is, or may be, on a machine."""
 
     __slots__ = (
@@ -75,7 +75,7 @@
         self.answered = -1e9
         self.seen = -1e9
         self.notice_at: float | None = None
-        self.placed: dict[TaskKey, Placed] = {}
+        self.placed: dict[TaskKey, PlacedTask] = {}
         self.free = [0, 0, 0]
         #: exited tasks listed in the newest report: key -> (attempt, done)
         self.exited: dict[TaskKey, tuple[int, bool]] = {}
@@ -121,13 +121,13 @@
             for i in range(3):
                 self.free[i] -= sign * need[i]
 
-    def put(self, p: Placed) -> None:
+    def put(self, p: PlacedTask) -> None:
         """Account for a task."""
         self.placed[(p.job, p.index)] = p
         self._use(p.need, 1)
         self.idle_since = None
 
-    def take(self, p: Placed, now: float) -> None:
+    def take(self, p: PlacedTask, now: float) -> None:
         """Stop accounting for a task."""
         if self.placed.pop((p.job, p.index), None) is not None:
             self._use(p.need, -1)
--- a/marblestair/core/shard/shard.py
+++ b/marblestair/core/shard/shard.py
@@ -11,19 +11,19 @@
 from __future__ import annotations
 
 from marblestair.core.capacity.boot_times import BootTimes
-from marblestair.core.capacity.failures import Faults
+from marblestair.core.capacity.failures import FailureAttribution
 from marblestair.core.domain.index_ranges import Ranges
 from marblestair.core.domain.model import (
     GANG,
     SERVICE,
+    Heartbeat,
     JobRecord,
     JobSpec,
-    Order,
-    Report,
-    TaskReport,
+    TaskCommand,
+    TaskStatus,
 )
-from marblestair.core.shard.job_slice import Slice
-from marblestair.core.shard.machine import Machine, Placed, TaskKey
+from marblestair.core.shard.job_slice import JobSlice
+from marblestair.core.shard.machine import Machine, PlacedTask, TaskKey
 from marblestair.settings import Cluster
 
 #: attempts are (term << ATTEMPT_BITS) + a count, so that no term reuses another's
@@ -44,7 +44,7 @@
 DRIFT = 0.002
 
 
-class Part:
+class Shard:
     """The state of one part while this controller owns it under one term."""
 
     def __init__(
@@ -53,17 +53,17 @@
         term: int,
         cluster: Cluster,
         now: float,
-        faults: Faults | None = None,
+        faults: FailureAttribution | None = None,
         boots: BootTimes | None = None,
     ) -> None:
-        self.faults = faults if faults is not None else Faults(cluster.workers)
+        self.faults = faults if faults is not None else FailureAttribution(cluster.workers)
         self.boots = boots if boots is not None else BootTimes()
         self.number = number
         self.term = term
         self.cluster = cluster
         self.since = now
         self.machines: dict[str, Machine] = {}
-        self.slices: dict[str, Slice] = {}
+        self.slices: dict[str, JobSlice] = {}
         self.used: dict[str, list[int]] = {}
         #: machines of the part at the takeover whose tasks are not known yet
         self.suspects: set[str] = set()
@@ -112,21 +112,21 @@
         """Tasks that are to stop and are not known to have ended."""
         return sum(p.grace is not None for m in self.machines.values() for p in m.placed.values())
 
-    def _count(self, p: Placed, sign: int) -> None:
+    def _count(self, p: PlacedTask, sign: int) -> None:
         u = self.used.setdefault(p.team, [0, 0])
         u[0] += sign * p.need[0]
         u[1] += sign * p.need[1]
 
-    def launch(self, m: Machine, s: Slice, index: int, attempt: int, now: float) -> None:
+    def launch(self, m: Machine, s: JobSlice, index: int, attempt: int, now: float) -> None:
         """Decide to launch a task; the order goes in the answer to the machine's next report."""
-        p = Placed(s.spec.id, index, attempt, s.need, s.spec.team, now)
+        p = PlacedTask(s.spec.id, index, attempt, s.need, s.spec.team, now)
         m.put(p)
         m.note_image(s.spec)
         s.placed[index] = m
         self._count(p, 1)
 
-    def _adopt(self, m: Machine, s: Slice, t: TaskReport, now: float) -> None:
-        p = Placed(t.job, t.index, t.attempt, s.need, s.spec.team, now)
+    def _adopt(self, m: Machine, s: JobSlice, t: TaskStatus, now: float) -> None:
+        p = PlacedTask(t.job, t.index, t.attempt, s.need, s.spec.team, now)
         p.state = t.state
         if t.state in ("running", "saving"):
             p.run_since = now
@@ -140,7 +140,7 @@
         s.attempt = max(s.attempt, t.attempt)
         self._count(p, 1)
 
-    def _gone(self, m: Machine, p: Placed, now: float) -> None:
+    def _gone(self, m: Machine, p: PlacedTask, now: float) -> None:
         """A task is settled as not on its machine; run it again unless it is done."""
         m.take(p, now)
         self._count(p, -1)
@@ -158,7 +158,7 @@
         if s.spec.kind == GANG:
             self._gang_lost(s)
 
-    def _gang_lost(self, s: Slice) -> None:
+    def _gang_lost(self, s: JobSlice) -> None:
         """A gang lost a member: the rest is stopped, and it starts again once all are gone."""
         if s.done_count == s.size:
             return
@@ -171,7 +171,7 @@
             if p is not None and p.grace is None:
                 p.grace, p.why_stop = 0.0, "gang"
 
-    def _done(self, s: Slice, index: int, now: float) -> None:
+    def _done(self, s: JobSlice, index: int, now: float) -> None:
         if (s.done >> index) & 1 or not s.holds(index) or s.spec.kind == SERVICE:
             return
         # The members of a gang complete together: when one is done, all are.
@@ -196,7 +196,7 @@
         if not ranges and s is None:
             return
         if s is None:
-            s = self.slices[job] = Slice(record.spec)
+            s = self.slices[job] = JobSlice(record.spec)
             s.waiting_since = now
         s.ready_at = record.ready_at
         if record.is_waiting:
@@ -213,7 +213,7 @@
         if record.cancelled:
             self.cancel(job, now)
 
-    def _end_slice(self, s: Slice) -> None:
+    def _end_slice(self, s: JobSlice) -> None:
         """The job is over: what is still on machines is stopped."""
         for index, m in list(s.placed.items()):
             p = m.placed.get((s.spec.id, index))
@@ -322,7 +322,7 @@
             self.suspects.discard(m.name)
             self.settle_suspects()
 
-    def report(self, rep: Report, now: float) -> list[Order] | None:
+    def report(self, rep: Heartbeat, now: float) -> list[TaskCommand] | None:
         """Take in a report and return the orders of its answer.
 
         None when the report must not be answered with a 200.
@@ -342,14 +342,14 @@
         m.answered = now
         return self._orders(m, now)
 
-    def _counts(self, m: Machine, rep: Report) -> bool:
+    def _counts(self, m: Machine, rep: Heartbeat) -> bool:
         """Whether a report is to be taken in: the newest of a machine that is still wanted."""
         if m.given_up or m.releasing or rep.token > self.term:
             return False
         # A late copy: the worker has given such a report up, and its list is old.
         return rep.session >= m.min_session and (rep.session, rep.seq) > (m.session, m.seq)
 
-    def _note_report(self, m: Machine, rep: Report, now: float) -> None:
+    def _note_report(self, m: Machine, rep: Heartbeat, now: float) -> None:
         """What a report shows of the machine itself: it lives, hears, or is to be taken back."""
         m.addr = rep.addr
         often = now - m.seen < HEARD_REPORTS * self.cluster.workers.report_s
@@ -384,7 +384,7 @@
             self.forget_tasks(m, now)
         m.session = session
 
-    def _answer_unsettled(self, m: Machine, rep: Report, now: float) -> list[Order] | None:
+    def _answer_unsettled(self, m: Machine, rep: Heartbeat, now: float) -> list[TaskCommand] | None:
         """Answer a machine of which no report has carried this term yet; None for no answer.
 
         Answering renews the lease and raises the token; the list counts only from the first
@@ -401,7 +401,7 @@
         m.answered = now
         return self._over(rep)
 
-    def _over(self, rep: Report) -> list[Order]:
+    def _over(self, rep: Heartbeat) -> list[TaskCommand]:
         """Return stops for tasks of jobs that are over on a machine that is not settled.
 
         An answer that renews its lease must not let them go on.
@@ -410,14 +410,14 @@
         for t in rep.tasks:
             s = self.slices.get(t.job)
             if t.state != "exited" and (s is None or s.cancelled):
-                orders.append(Order("stop", t.job, t.index, t.attempt, 0.0))
+                orders.append(TaskCommand("stop", t.job, t.index, t.attempt, 0.0))
         return orders[:MAX_ORDERS]
 
     def _deaf(self, m: Machine, now: float) -> None:
         if not m.deaf:
             m.deaf, m.deaf_since = True, now
 
-    def _reconcile(self, m: Machine, rep: Report, now: float) -> None:
+    def _reconcile(self, m: Machine, rep: Heartbeat, now: float) -> None:
         """Compare what a settled machine lists with what was launched there."""
         listed = self._take_list(m, rep, now)
         if m.unknown_tasks:
@@ -441,13 +441,13 @@
         elif is_launch_lost:
             self._note_unheeded(m, now)
 
-    def _take_list(self, m: Machine, rep: Report, now: float) -> dict[TaskKey, TaskReport]:
+    def _take_list(self, m: Machine, rep: Heartbeat, now: float) -> dict[TaskKey, TaskStatus]:
         """Sort what a machine lists.
 
         Returns the tasks to compare with what was launched here. Of the others, those that the
         part may hold are taken in, and those that it knows nothing of are to be stopped.
         """
-        listed: dict[TaskKey, TaskReport] = {}
+        listed: dict[TaskKey, TaskStatus] = {}
         m.exited = {}
         m.unknown_tasks = {}
         for t in rep.tasks:
@@ -474,7 +474,7 @@
                 m.unknown_tasks[key] = t.attempt
         return listed
 
-    def _take_state(self, m: Machine, p: Placed, found: TaskReport, now: float) -> None:
+    def _take_state(self, m: Machine, p: PlacedTask, found: TaskStatus, now: float) -> None:
         """A task that was launched here is listed."""
         if found.state == "exited":
             self._exited(m, p, found, now)
@@ -485,7 +485,7 @@
                     s.runs += 1
             p.state = found.state
 
-    def _take_back(self, m: Machine, p: Placed, now: float) -> None:
+    def _take_back(self, m: Machine, p: PlacedTask, now: float) -> None:
         """No report newer than the answer with a launch lists the task: the answer was dropped.
 
         It may be sent again.
@@ -504,7 +504,7 @@
         for p in [p for p in m.placed.values() if p.state == "planned"]:
             self._gone(m, p, now)
 
-    def _exited(self, m: Machine, p: Placed, t: TaskReport, now: float) -> None:
+    def _exited(self, m: Machine, p: PlacedTask, t: TaskStatus, now: float) -> None:
         s = self.slices.get(p.job)
         if t.why == "done":
             if s is not None:
@@ -519,25 +519,25 @@
             m.not_before = now + 2 * self.cluster.workers.report_s
         self._gone(m, p, now)
 
-    def _orders(self, m: Machine, now: float) -> list[Order]:
-        orders: list[Order] = []
+    def _orders(self, m: Machine, now: float) -> list[TaskCommand]:
+        orders: list[TaskCommand] = []
         for key, (attempt, done) in m.exited.items():
             s = self.slices.get(key[0])
             kept = done and s is not None and s.holds(key[1]) and s.spec.kind != SERVICE
             if kept and s is not None and not (s.durable >> key[1]) & 1:
                 continue
-            orders.append(Order("forget", key[0], key[1], attempt))
+            orders.append(TaskCommand("forget", key[0], key[1], attempt))
         for key, attempt in m.unknown_tasks.items():
-            orders.append(Order("stop", key[0], key[1], attempt, 0.0))
+            orders.append(TaskCommand("stop", key[0], key[1], attempt, 0.0))
         for p in list(m.placed.values()):
             if p.grace is not None and p.state != "planned":
-                orders.append(Order("stop", p.job, p.index, p.attempt, p.grace))
+                orders.append(TaskCommand("stop", p.job, p.index, p.attempt, p.grace))
                 p.stop_sent = now
         return orders
 
-    def launches(self, m: Machine, now: float) -> list[Order]:
+    def launches(self, m: Machine, now: float) -> list[TaskCommand]:
         """Launches to carry in the answer to the report just taken in, after its other orders."""
-        orders: list[Order] = []
+        orders: list[TaskCommand] = []
         if not m.settled or m.given_up or m.releasing:
             return orders
         for p in list(m.placed.values()):
@@ -548,12 +548,12 @@
             if not may_start or m.deaf or p.grace is not None or m.draining:
                 self._gone(m, p, now)
             elif len(orders) < MAX_ORDERS:
-                orders.append(Order("start", p.job, p.index, p.attempt))
+                orders.append(TaskCommand("start", p.job, p.index, p.attempt))
                 p.state = "sent"
                 p.sent_seq = m.seq
         return orders
 
-    def stop(self, tasks: list[Placed], why: str) -> None:
+    def stop(self, tasks: list[PlacedTask], why: str) -> None:
         """Stop tasks to make room for others; what can save does so."""
         for p in tasks:
             s = self.slices.get(p.job)
@@ -563,7 +563,7 @@
                 p.why_stop = why
                 p.stop_sent = -1e9
 
-    def direct_stops(self, now: float) -> list[tuple[Machine, list[Order]]]:
+    def direct_stops(self, now: float) -> list[tuple[Machine, list[TaskCommand]]]:
         """Return stops that should not wait for the machine's next report.
 
         They are harmless when late: attempts are never reused.
@@ -576,7 +576,7 @@
             orders = []
             for p in m.placed.values():
                 if p.grace is not None and p.state != "planned" and now - p.stop_sent > again:
-                    orders.append(Order("stop", p.job, p.index, p.attempt, p.grace))
+                    orders.append(TaskCommand("stop", p.job, p.index, p.attempt, p.grace))
                     p.stop_sent = now
             if orders:
                 out.append((m, orders[:MAX_ORDERS]))
--- a/marblestair/core/state/store_view.py
+++ b/marblestair/core/state/store_view.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from marblestair.core.domain.model import JobRecord
-from marblestair.core.leadership.shard_map import MachineRecord, SplitRecord
-from marblestair.core.runtime.requests import Commit, Event, StateResult
+from marblestair.core.leadership.shard_map import MachineRecord, ShardMap
+from marblestair.core.runtime.requests import CompareAndSwap, KeyChange, StoreResponse
 from marblestair.core.state import keys
 
 #: machines that are gone for good and remembered: the largest fleets, replaced several times
@@ -29,7 +29,7 @@
         return key > self.after and (self.last is None or key <= self.last)
 
 
-class View:
+class StoreView:
     """The followed keys, each with its version, as of revision ``rev``.
 
     What arrives here may be late: a read that was carried out before a deletion which the watch
@@ -42,7 +42,7 @@
         self.rev = -1
         #: steady time as of which everything committed before is known
         self.fresh_at = -1e9
-        self.split: SplitRecord | None = None
+        self.split: ShardMap | None = None
         self.nodes: dict[str, int] = {}
         self.machines: dict[str, MachineRecord] = {}
         self.jobs: dict[str, JobRecord] = {}
@@ -62,7 +62,7 @@
         """Version of a key as known here; 0 when it does not exist."""
         return self.versions.get(key, 0)
 
-    def load(self, pages: list[StateResult]) -> None:
+    def load(self, pages: list[StoreResponse]) -> None:
         """Replace everything by a fresh listing, each page of which has a revision of its own.
 
         The view is then as of the first page; later changes come by the watch from there on.
@@ -84,7 +84,7 @@
         self._ranges = ranges
         self._advance(pages[0].rev)
 
-    def apply(self, events: list[Event], rev: int) -> None:
+    def apply(self, events: list[KeyChange], rev: int) -> None:
         """Take in what a watch returned."""
         for e in events:
             if e.version > max(self.version(e.key), self._absent_since(e.key)):
@@ -103,7 +103,7 @@
         self._note_absence(key, rev)
         self._set(key, None, rev)
 
-    def committed(self, commit: Commit, rev: int) -> None:
+    def committed(self, commit: CompareAndSwap, rev: int) -> None:
         """Take in an own commit, ahead of the watch or behind it."""
         for p in commit.puts:
             if p.key.startswith(keys.VIEW) and self._is_news(p.key, rev):
@@ -148,7 +148,7 @@
         else:
             self.versions[key] = version
         if key == keys.SPLIT:
-            self.split = None if value is None else msgspec.convert(value, SplitRecord)
+            self.split = None if value is None else msgspec.convert(value, ShardMap)
             self.changed_split = True
         elif key.startswith(keys.JOBS):
             self._set_job(key[len(keys.JOBS) :], value)
--- a/marblestair/node.py
+++ b/marblestair/node.py
@@ -11,23 +11,23 @@
 
 from marblestair import wire
 from marblestair.core.controller import Controller
-from marblestair.core.runtime.outbox import Command, Reply
+from marblestair.core.runtime.outbox import DirectCommand, UserReply
 from marblestair.core.runtime.requests import (
     NOT_SENT,
-    Call,
-    CloudDelete,
-    CloudList,
-    CloudRent,
-    CloudResult,
-    CloudTypes,
-    Commit,
+    CloudResponse,
+    CompareAndSwap,
     Get,
-    Inspect,
-    LeaseGrant,
-    LeaseRenew,
+    GrantLease,
+    InspectAgent,
     ListKeys,
-    PeerCall,
-    StateResult,
+    ListMachines,
+    ListMachineTypes,
+    OutsideRequest,
+    PeerRequest,
+    ReleaseMachines,
+    RenewLease,
+    RentMachines,
+    StoreResponse,
     Watch,
 )
 from marblestair.net.budget import Budget
@@ -155,7 +155,7 @@
         for level, text in lines:
             log.log(_LEVELS.get(level, logging.INFO), "%s", text)
 
-    async def _carry_out(self, n: int, call: Call) -> None:
+    async def _carry_out(self, n: int, call: OutsideRequest) -> None:
         result: Any
         try:
             result = await self._call(call)
@@ -166,21 +166,21 @@
         self.core.complete(n, result)
         self._flush()
 
-    def _nothing(self, call: Call) -> Any:
-        if isinstance(call, (PeerCall, Inspect)):
+    def _nothing(self, call: OutsideRequest) -> Any:
+        if isinstance(call, (PeerRequest, InspectAgent)):
             return None
-        if isinstance(call, (CloudTypes, CloudRent, CloudDelete, CloudList)):
-            return CloudResult(0)
-        return StateResult(0)
+        if isinstance(call, (ListMachineTypes, RentMachines, ReleaseMachines, ListMachines)):
+            return CloudResponse(0)
+        return StoreResponse(0)
 
-    async def _call(self, call: Call) -> Any:
-        if isinstance(call, PeerCall):
+    async def _call(self, call: OutsideRequest) -> Any:
+        if isinstance(call, PeerRequest):
             link = self.links.get(call.node)
             return None if link is None else await link.ask(call.tag, call.args, call.timeout_s)
-        if isinstance(call, (Get, ListKeys, Commit, LeaseGrant, LeaseRenew, Watch)):
-            writes = call.writes if isinstance(call, Commit) else 0
+        if isinstance(call, (Get, ListKeys, CompareAndSwap, GrantLease, RenewLease, Watch)):
+            writes = call.writes if isinstance(call, CompareAndSwap) else 0
             if not await self.state_budget.take(call.lane, writes):
-                return StateResult(NOT_SENT)
+                return StoreResponse(NOT_SENT)
             wait = call.wait_ms / 1000 if isinstance(call, Watch) else 0.0
             method, path, body = wire.state_request(call)
             status, data = await self.state.request(
@@ -188,12 +188,12 @@
             )
             if status <= 0 or status >= 500:
                 log.debug("state %s %s: %s", method, path, status)
-            if isinstance(call, Commit) and status == 400:
+            if isinstance(call, CompareAndSwap) and status == 400:
                 self.core.note_refused_commit(call)
             return wire.state_result(call, status, data)
-        if isinstance(call, (CloudTypes, CloudRent, CloudDelete, CloudList)):
-            if not await self.cloud_budget.take(1 if isinstance(call, CloudList) else 0, 0):
-                return CloudResult(NOT_SENT)
+        if isinstance(call, (ListMachineTypes, RentMachines, ReleaseMachines, ListMachines)):
+            if not await self.cloud_budget.take(1 if isinstance(call, ListMachines) else 0, 0):
+                return CloudResponse(NOT_SENT)
             method, path, body = wire.cloud_request(call)
             status, data = await self.cloud.request(
                 self.settings.external.cloud, method, path, body, CLOUD_S
@@ -201,7 +201,7 @@
             if status != 200:
                 log.debug("cloud %s %s: %s", method, path, status)
             return wire.cloud_result(call, status, data)
-        if isinstance(call, Inspect):
+        if isinstance(call, InspectAgent):
             status, data = await self.workers.request(
                 call.addr, "GET", wire.INSPECT_PATH, b"", WORKER_S
             )
@@ -211,7 +211,7 @@
                 return None
         raise TypeError(f"unknown call {call!r}")
 
-    async def _command(self, c: Command) -> None:
+    async def _command(self, c: DirectCommand) -> None:
         body = wire.do_body(c.token, c.session, c.orders)
         await self.workers.request(c.addr, "POST", wire.DO_PATH, body, WORKER_S)
 
@@ -285,7 +285,7 @@
             self.core.spawn(self.core.requests.cancel(n, job))
         self._flush()
 
-    def _answer(self, conn: Connection, r: Reply) -> None:
+    def _answer(self, conn: Connection, r: UserReply) -> None:
         if r.status in (200, 201):
             body = wire.job_answer(r.job, r.state, r.done, r.running)
         else:
--- a/marblestair/wire.py
+++ b/marblestair/wire.py
@@ -16,30 +16,30 @@
     ARRAY,
     GANG,
     SERVICE,
+    Heartbeat,
     JobSpec,
     MachineType,
-    Order,
-    Report,
-    TaskReport,
+    TaskCommand,
+    TaskStatus,
     finite,
 )
 from marblestair.core.runtime.requests import (
-    CloudDelete,
-    CloudList,
-    CloudOp,
-    CloudRent,
-    CloudResult,
-    CloudTypes,
-    Commit,
-    Event,
+    CloudRequest,
+    CloudResponse,
+    CompareAndSwap,
     Get,
-    Item,
-    LeaseGrant,
-    LeaseRenew,
-    Listed,
+    GrantLease,
+    KeyChange,
+    ListedMachine,
     ListKeys,
-    StateOp,
-    StateResult,
+    ListMachines,
+    ListMachineTypes,
+    ReleaseMachines,
+    RenewLease,
+    RentMachines,
+    StoredKey,
+    StoreRequest,
+    StoreResponse,
     Watch,
 )
 
@@ -229,7 +229,7 @@
 _report = msgspec.msgpack.Decoder(_Report)
 
 
-def parse_report(body: bytes) -> Report:
+def parse_report(body: bytes) -> Heartbeat:
     """Decode a worker's report; raise BadRequestError when it is malformed."""
     try:
         r = _report.decode(body)
@@ -239,11 +239,11 @@
             why = p.cause or ""
             state = _TASK_STATES.get(p.status, p.status)
             tasks.append(
-                TaskReport(job, int(index), p.attempt, state, _WHYS.get(why, why), bool(p.stored))
+                TaskStatus(job, int(index), p.attempt, state, _WHYS.get(why, why), bool(p.stored))
             )
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, ValueError) as e:
         raise BadRequestError(str(e)) from None
-    return Report(
+    return Heartbeat(
         r.bench,
         r.endpoint,
         r.build,
@@ -257,14 +257,14 @@
     )
 
 
-def _order(o: Order) -> dict[str, Any]:
+def _order(o: TaskCommand) -> dict[str, Any]:
     out: dict[str, Any] = {"verb": _OPS[o.op], "piece": f"{o.job}/{o.index}", "try": o.attempt}
     if o.op == "stop":
         out["wind_down_s"] = o.grace_s
     return out
 
 
-def report_answer(token: int, orders: list[Order]) -> dict[str, Any]:
+def report_answer(token: int, orders: list[TaskCommand]) -> dict[str, Any]:
     """The body of a 200 to a worker's report."""
     return {"baton": token, "orders": [_order(o) for o in orders]}
 
@@ -278,7 +278,7 @@
 INSPECT_PATH = "/inspect"
 
 
-def do_body(token: int, session: int, orders: list[Order]) -> bytes:
+def do_body(token: int, session: int, orders: list[TaskCommand]) -> bytes:
     """The body of a direct command."""
     return pack({"baton": token, "shift": session, "orders": [_order(o) for o in orders]})
 
@@ -322,11 +322,11 @@
     more: bool = False
 
 
-def cloud_request(op: CloudOp) -> tuple[str, str, bytes]:
+def cloud_request(op: CloudRequest) -> tuple[str, str, bytes]:
     """Encode a cloud call as method, path and body."""
-    if isinstance(op, CloudTypes):
+    if isinstance(op, ListMachineTypes):
         return "GET", "/machine_types", b""
-    if isinstance(op, CloudRent):
+    if isinstance(op, RentMachines):
         body = {
             "hire": op.name,
             "build": op.type,
@@ -335,7 +335,7 @@
             "how_many": op.count,
         }
         return "POST", "/rentals", pack(body)
-    if isinstance(op, CloudDelete):
+    if isinstance(op, ReleaseMachines):
         return "POST", "/rentals/release", pack({"benches": op.machines})
     path = f"/rentals?limit={op.limit}"
     if op.after:
@@ -343,18 +343,18 @@
     return "GET", path, b""
 
 
-def cloud_result(op: CloudOp, status: int, body: bytes) -> CloudResult:
+def cloud_result(op: CloudRequest, status: int, body: bytes) -> CloudResponse:
     """Decode a cloud answer; a malformed one counts as no answer."""
     try:
         if status == 503:
             err = msgspec.msgpack.decode(body) if body else {}
             text = err.get("error", "") if isinstance(err, dict) else ""
-            return CloudResult(503, no_capacity=text == "no capacity")
+            return CloudResponse(503, no_capacity=text == "no capacity")
         if status != 200:
-            return CloudResult(status)
-        if isinstance(op, CloudTypes):
+            return CloudResponse(status)
+        if isinstance(op, ListMachineTypes):
             types = msgspec.msgpack.decode(body, type=_Types)
-            return CloudResult(
+            return CloudResponse(
                 200,
                 types=[
                     MachineType(
@@ -372,24 +372,24 @@
                     for t in types.builds
                 ],
             )
-        if isinstance(op, CloudRent):
-            return CloudResult(200, machines=msgspec.msgpack.decode(body, type=_Rented).benches)
-        if isinstance(op, CloudList):
+        if isinstance(op, RentMachines):
+            return CloudResponse(200, machines=msgspec.msgpack.decode(body, type=_Rented).benches)
+        if isinstance(op, ListMachines):
             page = msgspec.msgpack.decode(body, type=_Benches)
             listed = [
-                Listed(b.ref, b.endpoint, b.build, b.room, b.loaners, b.status, b.age_s)
+                ListedMachine(b.ref, b.endpoint, b.build, b.room, b.loaners, b.status, b.age_s)
                 for b in page.benches
             ]
-            return CloudResult(200, listed=listed, more=page.more)
-        return CloudResult(200)
+            return CloudResponse(200, listed=listed, more=page.more)
+        return CloudResponse(200)
     except (msgspec.DecodeError, UnicodeDecodeError, ValueError):
-        return CloudResult(0)
+        return CloudResponse(0)
 
 
 # --- state service -------------------------------------------------------------------------
 
 
-def state_request(op: StateOp) -> tuple[str, str, bytes]:
+def state_request(op: StoreRequest) -> tuple[str, str, bytes]:
     """Encode a state-service call as method, path and body."""
     if isinstance(op, Get):
         return "GET", "/keys/" + op.key, b""
@@ -398,7 +398,7 @@
         if op.after:
             path += "&from=" + quote(op.after, safe="/")
         return "GET", path, b""
-    if isinstance(op, Commit):
+    if isinstance(op, CompareAndSwap):
         ops: list[dict[str, Any]] = []
         for p in op.puts:
             item: dict[str, Any] = {"set": p.key, "value": p.value}
@@ -410,41 +410,43 @@
         if ops:
             body["apply"] = ops
         return "POST", "/commit", pack(body)
-    if isinstance(op, LeaseGrant):
+    if isinstance(op, GrantLease):
         return "POST", "/leases", pack({"ttl_ms": op.ttl_ms})
-    if isinstance(op, LeaseRenew):
+    if isinstance(op, RenewLease):
         return "POST", f"/leases/{op.lease}/renew", b""
     wait = f"&hold_ms={op.wait_ms}"
     return "GET", f"/watch?starts={quote(op.prefix, safe='/')}&from={op.rev}{wait}", b""
 
 
-def state_result(op: StateOp, status: int, body: bytes) -> StateResult:
+def state_result(op: StoreRequest, status: int, body: bytes) -> StoreResponse:
     """Decode a state-service answer; a malformed one counts as no answer."""
     try:
         data = msgspec.msgpack.decode(body) if body else {}
         if not isinstance(data, dict):
             raise ValueError("not a map")
         if status == 200 and isinstance(op, Get):
-            return StateResult(200, value=data["value"], version=int(data["stamp"]))
+            return StoreResponse(200, value=data["value"], version=int(data["stamp"]))
         if status == 200 and isinstance(op, ListKeys):
-            items = [Item(i["path"], i["value"], int(i["stamp"])) for i in data["items"]]
+            items = [StoredKey(i["path"], i["value"], int(i["stamp"])) for i in data["items"]]
             more = bool(data.get("more"))
-            return StateResult(200, items=items, more=more, rev=int(data["ledger_rev"]))
+            return StoreResponse(200, items=items, more=more, rev=int(data["ledger_rev"]))
         if status == 200 and isinstance(op, Watch):
             events = [
-                Event(e["set"], e["value"], int(e["stamp"]))
+                KeyChange(e["set"], e["value"], int(e["stamp"]))
                 if e.get("set") is not None
-                else Event(e["delete"], None, int(e["stamp"]))
+                else KeyChange(e["delete"], None, int(e["stamp"]))
                 for e in data["log"]
             ]
-            return StateResult(200, events=events, rev=int(data["ledger_rev"]))
-        if isinstance(op, LeaseGrant) and status == 200:
-            return StateResult(200, lease=int(data["tenancy"]))
-        if (isinstance(op, Get) and status == 404) or (isinstance(op, Commit) and status == 200):
+            return StoreResponse(200, events=events, rev=int(data["ledger_rev"]))
+        if isinstance(op, GrantLease) and status == 200:
+            return StoreResponse(200, lease=int(data["tenancy"]))
+        if (isinstance(op, Get) and status == 404) or (
+            isinstance(op, CompareAndSwap) and status == 200
+        ):
             # Without the revision nobody could tell whether something newer is known already.
-            return StateResult(status, rev=int(data["ledger_rev"]))
+            return StoreResponse(status, rev=int(data["ledger_rev"]))
         failed = data.get("failed") or []
-        return StateResult(status, rev=int(data.get("ledger_rev") or 0), failed=list(failed))
+        return StoreResponse(status, rev=int(data.get("ledger_rev") or 0), failed=list(failed))
     except (msgspec.DecodeError, UnicodeDecodeError, ValueError, KeyError, TypeError):
         # It may have been carried out, unless the status alone says that it was not.
-        return StateResult(status if status == 429 or status >= 500 else 0)
+        return StoreResponse(status if status == 429 or status >= 500 else 0)
--- a/tests/fakes/production.py
+++ b/tests/fakes/production.py
@@ -25,46 +25,43 @@
 
 import msgspec
 
-from marblestair.core.runtime.requests import Put
+from marblestair.core.runtime.requests import PeerRequest, Put
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
 PACKAGE = "marblestair"
 #: structs that cross between a core and what is around it: their names in production, and now
 STRUCTS = {
-    **{
-        f"core.calls.{name}": f"core.runtime.requests.{name}"
-        for name in (
-            "Get",
-            "ListKeys",
-            "Put",
-            "Commit",
-            "LeaseGrant",
-            "LeaseRenew",
-            "Watch",
-            "Item",
-            "Event",
-            "StateResult",
-            "CloudTypes",
-            "CloudRent",
-            "CloudDelete",
-            "CloudList",
-            "Listed",
-            "CloudResult",
-            "PeerCall",
-            "Sleep",
-            "Inspect",
-        )
-    },
-    **{
-        f"core.model.{name}": f"core.domain.model.{name}"
-        for name in ("JobSpec", "MachineType", "TaskReport", "Report", "Order", "JobRecord")
-    },
-    **{
-        f"core.messages.{name}": f"core.runtime.outbox.{name}"
-        for name in ("Reply", "Command", "Note", "PartSummary")
-    },
-    "core.split.SplitRecord": "core.leadership.shard_map.SplitRecord",
-    "core.split.PartRecord": "core.leadership.shard_map.PartRecord",
+    "core.calls.Get": "core.runtime.requests.Get",
+    "core.calls.ListKeys": "core.runtime.requests.ListKeys",
+    "core.calls.Put": "core.runtime.requests.Put",
+    "core.calls.Commit": "core.runtime.requests.CompareAndSwap",
+    "core.calls.LeaseGrant": "core.runtime.requests.GrantLease",
+    "core.calls.LeaseRenew": "core.runtime.requests.RenewLease",
+    "core.calls.Watch": "core.runtime.requests.Watch",
+    "core.calls.Item": "core.runtime.requests.StoredKey",
+    "core.calls.Event": "core.runtime.requests.KeyChange",
+    "core.calls.StateResult": "core.runtime.requests.StoreResponse",
+    "core.calls.CloudTypes": "core.runtime.requests.ListMachineTypes",
+    "core.calls.CloudRent": "core.runtime.requests.RentMachines",
+    "core.calls.CloudDelete": "core.runtime.requests.ReleaseMachines",
+    "core.calls.CloudList": "core.runtime.requests.ListMachines",
+    "core.calls.Listed": "core.runtime.requests.ListedMachine",
+    "core.calls.CloudResult": "core.runtime.requests.CloudResponse",
+    "core.calls.PeerCall": "core.runtime.requests.PeerRequest",
+    "core.calls.Sleep": "core.runtime.requests.Sleep",
+    "core.calls.Inspect": "core.runtime.requests.InspectAgent",
+    "core.model.JobSpec": "core.domain.model.JobSpec",
+    "core.model.MachineType": "core.domain.model.MachineType",
+    "core.model.TaskReport": "core.domain.model.TaskStatus",
+    "core.model.Report": "core.domain.model.Heartbeat",
+    "core.model.Order": "core.domain.model.TaskCommand",
+    "core.model.JobRecord": "core.domain.model.JobRecord",
+    "core.messages.Reply": "core.runtime.outbox.UserReply",
+    "core.messages.Command": "core.runtime.outbox.DirectCommand",
+    "core.messages.Note": "core.runtime.outbox.PeerMessage",
+    "core.messages.PartSummary": "core.runtime.outbox.ShardSummary",
+    "core.split.SplitRecord": "core.leadership.shard_map.ShardMap",
+    "core.split.PartRecord": "core.leadership.shard_map.ShardRecord",
     "core.split.MachineRecord": "core.leadership.shard_map.MachineRecord",
     "core.fleet.RentalIntent": "core.capacity.fleet.RentalIntent",
 }
@@ -235,7 +232,7 @@
 
     def _call(self, call: Any) -> Any:
         present = to_present(call)
-        if type(present).__name__ == "PeerCall":
+        if isinstance(present, PeerRequest):
             return msgspec.structs.replace(present, args=over_the_wire(present.args))
         return present
 
--- a/tests/fakes/state.py
+++ b/tests/fakes/state.py
@@ -7,15 +7,15 @@
 import msgspec
 
 from marblestair.core.runtime.requests import (
-    Commit,
-    Event,
+    CompareAndSwap,
     Get,
-    Item,
-    LeaseGrant,
-    LeaseRenew,
+    GrantLease,
+    KeyChange,
     ListKeys,
-    StateOp,
-    StateResult,
+    RenewLease,
+    StoredKey,
+    StoreRequest,
+    StoreResponse,
 )
 from marblestair.core.state import keys
 
@@ -26,7 +26,7 @@
     def __init__(self) -> None:
         self.rev = 0
         self.data: dict[str, tuple[Any, int, int | None]] = {}
-        self.log: list[Event] = []
+        self.log: list[KeyChange] = []
         self.leases: dict[int, list[float]] = {}
         #: changes that the log keeps; an older watch is refused, and the keys are read again
         self.log_limit = 10_000
@@ -68,54 +68,54 @@
                 self.rev += 1
                 for k in dead:
                     del self.data[k]
-                    self.log.append(Event(k, None, self.rev))
+                    self.log.append(KeyChange(k, None, self.rev))
 
     def execute(
-        self, op: StateOp, node: str, now: float, order: tuple[int, int] | None = None
-    ) -> StateResult:
+        self, op: StoreRequest, node: str, now: float, order: tuple[int, int] | None = None
+    ) -> StoreResponse:
         """Carry out one operation; ``order`` names the process and tells its requests in order."""
         self.expire(now)
         if self.down or node in self.refused_nodes:
-            return StateResult(503)
+            return StoreResponse(503)
         if isinstance(op, Get):
             if op.key not in self.data:
-                return StateResult(404, rev=self.rev)
+                return StoreResponse(404, rev=self.rev)
             value, version, _ = self.data[op.key]
-            return StateResult(200, value=value, version=version)
+            return StoreResponse(200, value=value, version=version)
         if isinstance(op, ListKeys):
             found = sorted(k for k in self.data if k.startswith(op.prefix) and k > op.after)
             limit = min(op.limit, self.page_limit)
-            items = [Item(k, self.data[k][0], self.data[k][1]) for k in found[:limit]]
+            items = [StoredKey(k, self.data[k][0], self.data[k][1]) for k in found[:limit]]
             more = len(found) > limit
-            return StateResult(200, items=items, more=more, rev=self.rev)
-        if isinstance(op, LeaseGrant):
+            return StoreResponse(200, items=items, more=more, rev=self.rev)
+        if isinstance(op, GrantLease):
             n = self._next_lease
             self._next_lease += 1
             self.leases[n] = [op.ttl_ms / 1000, now + op.ttl_ms / 1000]
-            return StateResult(200, lease=n)
-        if isinstance(op, LeaseRenew):
+            return StoreResponse(200, lease=n)
+        if isinstance(op, RenewLease):
             if op.lease not in self.leases:
-                return StateResult(404)
+                return StoreResponse(404)
             self.leases[op.lease][1] = now + self.leases[op.lease][0]
-            return StateResult(200)
-        if isinstance(op, Commit):
+            return StoreResponse(200)
+        if isinstance(op, CompareAndSwap):
             r = self._commit(op)
             if r.status == 200:
                 self._check_order(op, order)
             return r
         raise TypeError(op)
 
-    def _commit(self, op: Commit) -> StateResult:
+    def _commit(self, op: CompareAndSwap) -> StoreResponse:
         if any(p.lease is not None and p.lease not in self.leases for p in op.puts):
-            return StateResult(400)
+            return StoreResponse(400)
         sizes = {p.key: len(msgspec.msgpack.encode(p.value)) for p in op.puts}
         self.largest = max([self.largest, *sizes.values()])
         if max(sizes.values(), default=0) > self.value_limit or op.writes > self.ops_limit:
             self.refused.append(f"too large: {op.writes} changes, {sizes}")
-            return StateResult(400)
+            return StoreResponse(400)
         failed = [k for k, v in op.guards if (self.data[k][1] if k in self.data else 0) != v]
         if failed:
-            return StateResult(409, rev=self.rev, failed=failed)
+            return StoreResponse(409, rev=self.rev, failed=failed)
         if op.puts or op.deletes:
             self.rev += 1
             self.writes += op.writes
@@ -123,13 +123,13 @@
             # As on the wire: what is stored is a copy made of plain values.
             value = msgspec.msgpack.decode(msgspec.msgpack.encode(p.value))
             self.data[p.key] = (value, self.rev, p.lease)
-            self.log.append(Event(p.key, value, self.rev))
+            self.log.append(KeyChange(p.key, value, self.rev))
         for k in op.deletes:
             if self.data.pop(k, None) is not None:
-                self.log.append(Event(k, None, self.rev))
-        return StateResult(200, rev=self.rev)
+                self.log.append(KeyChange(k, None, self.rev))
+        return StoreResponse(200, rev=self.rev)
 
-    def _check_order(self, op: Commit, order: tuple[int, int] | None) -> None:
+    def _check_order(self, op: CompareAndSwap, order: tuple[int, int] | None) -> None:
         """No change may undo a newer one of the same process, however late it comes."""
         guarded = dict(op.guards)
         for k in (*(p.key for p in op.puts), *op.deletes):
@@ -148,18 +148,18 @@
                 self.unsafe.append(f"reordered: {k}, request {n} after {newest}")
             self._latest[(k, process)] = max(n, newest)
 
-    def changes(self, prefix: str, rev: int) -> StateResult:
+    def changes(self, prefix: str, rev: int) -> StoreResponse:
         """What a watch from a revision returns; 410 when the log does not reach back to it."""
         beyond = len(self.log) - self.log_limit
         if beyond > 0:
             self._lost_rev = self.log[beyond - 1].version
             del self.log[:beyond]
         if rev < self._lost_rev:
-            return StateResult(410)
-        events: list[Event] = []
+            return StoreResponse(410)
+        events: list[KeyChange] = []
         for e in reversed(self.log):
             if e.version <= rev:
                 break
             if e.key.startswith(prefix):
                 events.append(e)
-        return StateResult(200, events=events[::-1], rev=self.rev)
+        return StoreResponse(200, events=events[::-1], rev=self.rev)
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from marblestair.core.domain.model import GANG, MachineType, Order, Report, TaskReport
+from marblestair.core.domain.model import GANG, Heartbeat, MachineType, TaskCommand, TaskStatus
 
 if TYPE_CHECKING:
     from tests.fakes.world import World
@@ -56,11 +56,11 @@
         self.step()
         self.report()
 
-    def body(self) -> Report:
+    def body(self) -> Heartbeat:
         self.seq += 1
-        tasks = [TaskReport(t.job, t.index, t.attempt, t.state, t.why) for t in self.tasks.values()]
+        tasks = [TaskStatus(t.job, t.index, t.attempt, t.state, t.why) for t in self.tasks.values()]
         left = None if self.notice is None else max(0.0, self.notice - self.world.now)
-        return Report(
+        return Heartbeat(
             self.name,
             f"{self.name}:9000",
             self.type.name,
@@ -85,7 +85,7 @@
         ticket = self.waiting_for
         node = w.node_names[self.target % len(w.node_names)]
 
-        def answered(status: int, token: int, orders: list[Order], to: str | None) -> None:
+        def answered(status: int, token: int, orders: list[TaskCommand], to: str | None) -> None:
             if self.deleted or ticket != self.waiting_for:
                 return
             self.waiting_for += 1
@@ -114,7 +114,7 @@
         w.at(4.0, timeout)
         w.send_report(node, rep, answered)
 
-    def direct(self, token: int, session: int, orders: list[Order]) -> None:
+    def direct(self, token: int, session: int, orders: list[TaskCommand]) -> None:
         """A direct command, perhaps late."""
         if self.deleted or not self.up:
             return
@@ -128,7 +128,7 @@
         assert all(o.op != "start" for o in orders), "a launch by direct command"
         self.obey(orders)
 
-    def obey(self, orders: list[Order]) -> None:
+    def obey(self, orders: list[TaskCommand]) -> None:
         for o in orders:
             key = (o.job, o.index)
             t = self.tasks.get(key)
@@ -142,7 +142,7 @@
             elif t is not None and t.attempt == o.attempt and t.state == "exited":
                 del self.tasks[key]
 
-    def start(self, o: Order, old: FakeTask | None) -> None:
+    def start(self, o: TaskCommand, old: FakeTask | None) -> None:
         w = self.world
         key = (o.job, o.index)
         t = FakeTask(o.job, o.index, o.attempt)
