--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -14,20 +14,20 @@
 from typing import Any
 
 from marblestair.core.controller import Controller
-from marblestair.core.domain.model import GANG, JobSpec, Report
-from marblestair.core.runtime.outbox import Command
+from marblestair.core.domain.model import GANG, Heartbeat, JobSpec
+from marblestair.core.runtime.outbox import DirectCommand
 from marblestair.core.runtime.requests import (
     NOT_SENT,
-    CloudDelete,
-    CloudList,
-    CloudRent,
-    CloudResult,
-    CloudTypes,
-    Commit,
-    Inspect,
-    Listed,
-    PeerCall,
-    StateResult,
+    CloudResponse,
+    CompareAndSwap,
+    InspectAgent,
+    ListedMachine,
+    ListMachines,
+    ListMachineTypes,
+    PeerRequest,
+    ReleaseMachines,
+    RentMachines,
+    StoreResponse,
     Watch,
 )
 from tests.fakes.deployment import EPOCH, TYPES, raw_settings, settings
@@ -99,7 +99,7 @@
         #: run times of tasks for which they are set
         self.durations: dict[tuple[str, int], float] = {}
         #: how much later a commit of a node is carried out, unanswered; None: at once
-        self.late: Callable[[str, Commit], float | None] = lambda node, commit: None
+        self.late: Callable[[str, CompareAndSwap], float | None] = lambda node, commit: None
         #: how much later the answer to what a node asked of the state service arrives, though
         #: it was carried out at once; None: soon. What exceeds the node's patience never does.
         self.answer_late: Callable[[str, Any], float | None] = lambda node, call: None
@@ -245,7 +245,7 @@
         """The lines of the controllers' logs that hold all of some words."""
         return [line for line in self.log if all(word in line[2] for word in words)]
 
-    def _send_commands(self, name: str, commands: list[Command]) -> None:
+    def _send_commands(self, name: str, commands: list[DirectCommand]) -> None:
         for c in commands:
             worker = self.workers.get(c.addr.split(":")[0])
             if worker is not None and not worker.deaf:
@@ -311,18 +311,18 @@
     def _call(self, core: Controller, n: int, call: Any) -> None:
         """Carry out a call of a node's flow."""
         answer = Answer(self, core, n)
-        if isinstance(call, PeerCall):
+        if isinstance(call, PeerRequest):
             self._call_peer(core.node, call, answer)
-        elif isinstance(call, Inspect):
+        elif isinstance(call, InspectAgent):
             self._call_worker(core.node, call, answer)
-        elif isinstance(call, (CloudTypes, CloudRent, CloudDelete, CloudList)):
+        elif isinstance(call, (ListMachineTypes, RentMachines, ReleaseMachines, ListMachines)):
             self._call_cloud(core.node, call, answer)
         elif isinstance(call, Watch):
             self._watch(core.node, call, answer)
         else:
             self._call_state(core.node, call, answer, (core.incarnation, n))
 
-    def _call_peer(self, name: str, call: PeerCall, answer: Answer) -> None:
+    def _call_peer(self, name: str, call: PeerRequest, answer: Answer) -> None:
         self.at(call.timeout_s, lambda: answer(None))
         if call.tag in self.lost:
             return
@@ -342,7 +342,7 @@
 
         self.send(name, call.node, deliver)
 
-    def _call_worker(self, name: str, call: Inspect, answer: Answer) -> None:
+    def _call_worker(self, name: str, call: InspectAgent, answer: Answer) -> None:
         self.at(1.5, lambda: answer(None))
         seen = self.workers.get(call.addr.split(":")[0])
         if seen is None:
@@ -356,7 +356,7 @@
         self.send(name, seen.name, look)
 
     def _call_cloud(self, name: str, call: Any, answer: Answer) -> None:
-        self.at(4.0, lambda: answer(CloudResult(0)))
+        self.at(4.0, lambda: answer(CloudResponse(0)))
 
         def execute() -> None:
             r = self.cloud(call)
@@ -365,7 +365,7 @@
         self.send(name, "cloud", execute)
 
     def _watch(self, name: str, call: Watch, answer: Answer) -> None:
-        self.at(call.wait_ms / 1000 + 1.2, lambda: answer(StateResult(0)))
+        self.at(call.wait_ms / 1000 + 1.2, lambda: answer(StoreResponse(0)))
         end = self.now + call.wait_ms / 1000
 
         def poll() -> None:
@@ -382,11 +382,11 @@
         self.send(name, "state", poll)
 
     def _call_state(self, name: str, call: Any, answer: Answer, order: tuple[int, int]) -> None:
-        self.at(1.2, lambda: answer(StateResult(0)))
+        self.at(1.2, lambda: answer(StoreResponse(0)))
 
         def execute() -> None:
-            late = self.late(name, call) if isinstance(call, Commit) else None
-            if isinstance(call, Commit) and self.rng.random() < self.late_commits:
+            late = self.late(name, call) if isinstance(call, CompareAndSwap) else None
+            if isinstance(call, CompareAndSwap) and self.rng.random() < self.late_commits:
                 late = self.rng.uniform(0.5, 20.0)
             if late is not None:
                 self.at(late, lambda: self.state.execute(call, name, self.now, order))
@@ -398,25 +398,25 @@
             self.at(delay, lambda: self.send("state", name, lambda: answer(r)))
 
         if frozenset((name, "state")) in self.cut:
-            self.at(0.3, lambda: answer(StateResult(NOT_SENT)))
+            self.at(0.3, lambda: answer(StoreResponse(NOT_SENT)))
         elif self.state_slow:
             late = self.rng.uniform(0.5, 1.5) * self.state_slow
             self.at(late, lambda: self.send(name, "state", execute))
         else:
             self.send(name, "state", execute)
 
-    def cloud(self, call: Any) -> CloudResult:
+    def cloud(self, call: Any) -> CloudResponse:
         """The cloud's side."""
         if self.cloud_down:
-            return CloudResult(503)
-        if isinstance(call, CloudTypes):
-            return CloudResult(200, types=self.types)
-        if isinstance(call, CloudRent):
+            return CloudResponse(503)
+        if isinstance(call, ListMachineTypes):
+            return CloudResponse(200, types=self.types)
+        if isinstance(call, RentMachines):
             if call.name not in self.hires:
                 alive = sum(1 for m in self.workers.values() if not m.deleted)
                 n = min(call.count, self.capacity - alive)
                 if n <= 0:
-                    return CloudResult(503, no_capacity=True)
+                    return CloudResponse(503, no_capacity=True)
                 names = []
                 t = next(x for x in self.types if x.name == call.type)
                 for _ in range(n):
@@ -425,16 +425,16 @@
                     names.append(m.name)
                     self.at(self.rng.uniform(0.6, 1.5) * t.boot_s, m.boot)
                 self.hires[call.name] = names
-            return CloudResult(200, machines=self.hires[call.name])
-        if isinstance(call, CloudDelete):
+            return CloudResponse(200, machines=self.hires[call.name])
+        if isinstance(call, ReleaseMachines):
             for name in call.machines:
                 if name in self.workers:
                     self.workers[name].deleted = True
                     self.workers[name].tasks = {}
-            return CloudResult(200)
+            return CloudResponse(200)
         lag = 5.0
         listed = [
-            Listed(
+            ListedMachine(
                 m.name,
                 f"{m.name}:9000",
                 m.type.name,
@@ -446,9 +446,9 @@
             for m in self.workers.values()
             if not m.deleted and m.rented < self.now - lag
         ]
-        return CloudResult(200, listed=listed)
+        return CloudResponse(200, listed=listed)
 
-    def send_report(self, node: str, rep: Report, answered: Callable[..., None]) -> None:
+    def send_report(self, node: str, rep: Heartbeat, answered: Callable[..., None]) -> None:
         def deliver() -> None:
             if self.asleep(node, deliver):
                 return
@@ -479,7 +479,7 @@
             other = self.rng.choice(self.node_names)
             self.at(self.rng.uniform(2.0, 3.5 * self.lease_s), lambda: self._copy(other, rep))
 
-    def _copy(self, node: str, rep: Report) -> None:
+    def _copy(self, node: str, rep: Heartbeat) -> None:
         if self.asleep(node, lambda: self._copy(node, rep)):
             return
         core = self.cores.get(node)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from marblestair.core.controller import Controller
-from marblestair.core.runtime.requests import Get, Inspect, PeerCall
+from marblestair.core.runtime.requests import Get, InspectAgent, PeerRequest
 from marblestair.core.state import keys
 from tests.fakes.worker import Worker
 from tests.fakes.world import World
@@ -119,7 +119,7 @@
 
     def outside(self) -> int:
         """How many calls went to the state service or the cloud."""
-        return sum(not isinstance(call, (PeerCall, Inspect)) for call in self.calls)
+        return sum(not isinstance(call, (PeerRequest, InspectAgent)) for call in self.calls)
 
     def count(self, kind: type) -> int:
         """How many calls of a kind were made."""
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -8,10 +8,10 @@
 import msgspec
 import pytest
 
-from marblestair.core.domain.model import TaskReport
-from marblestair.core.shard.job_slice import Slice
+from marblestair.core.domain.model import TaskStatus
+from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
-from marblestair.core.shard.shard import Part
+from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
 from tests.fakes.deployment import spec
 from tests.fakes.worker import Worker
@@ -194,7 +194,7 @@
     seen = part.machines[m.name].seen
     w._copy(core.node, before)
     w.set_time(core)
-    done = [TaskReport("job-000001", 0, 1, "exited", "done")]
+    done = [TaskStatus("job-000001", 0, 1, "exited", "done")]
     late = msgspec.structs.replace(before, notice_s=1.0, tasks=done)
     w._copy(core.node, late)
     k = part.machines[m.name]
@@ -208,12 +208,12 @@
     job = w.submit(spec(1, tasks=12, estimate_s=60.0))
     w.run(14.0)
     m = busy(w)[0]
-    part = Part(0, 99, w.settings[0].cluster, w.now)
+    part = Shard(0, 99, w.settings[0].cluster, w.now)
     known = Machine(m.name, m.type.name, m.zone, m.spot, w.now)
     known.set_type(m.type)
     part.add_machine(known)
     part.suspects.add(m.name)
-    s = part.slices[job] = Slice(w.specs[job])
+    s = part.slices[job] = JobSlice(w.specs[job])
     s.ranges, s.size, s.suspect = [[0, 12]], 12, True
     before = msgspec.structs.replace(m.body(), tasks=[])
     assert part.report(before, w.now) == []
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -8,7 +8,7 @@
 
 from marblestair.core.jobs.answers import JobState, JobStatus
 from marblestair.core.runtime.coroutines import Step
-from marblestair.core.runtime.requests import Commit, Event, Get, StateResult
+from marblestair.core.runtime.requests import CompareAndSwap, Get, KeyChange, StoreResponse
 from marblestair.core.state import keys
 from tests.fakes.deployment import spec
 from tests.fakes.world import World
@@ -27,7 +27,7 @@
 
 def ends(call: Any, job: str) -> bool:
     """Whether a call of the state service commits a job's final state."""
-    return isinstance(call, Commit) and keys.JOBS + job in call.deletes
+    return isinstance(call, CompareAndSwap) and keys.JOBS + job in call.deletes
 
 
 def reads(call: Any, job: str) -> bool:
@@ -101,7 +101,7 @@
     key = keys.JOBS + job
 
     def accepts(call: Any) -> bool:
-        return isinstance(call, Commit) and (key, 0) in call.guards
+        return isinstance(call, CompareAndSwap) and (key, 0) in call.guards
 
     w.answer_late = lambda node, call: 1.15 if accepts(call) else None
     w.ask("n0", "submit", w.specs[job])
@@ -119,7 +119,7 @@
     assert not w.broken, w.broken[:3]
 
 
-def step_with(step: Step, result: StateResult) -> Any:
+def step_with(step: Step, result: StoreResponse) -> Any:
     """Answer the one call that a step makes; what the step returns."""
     next(step)
     with pytest.raises(StopIteration) as end:
@@ -136,9 +136,9 @@
     record, version, _ = w.state.data[keys.JOBS + job]
     cancelled = [*record[:3], [["cancel", 1]]]
     rev = w.state.rev + 2
-    core.view.apply([Event(keys.JOBS + job, None, rev)], rev)
+    core.view.apply([KeyChange(keys.JOBS + job, None, rev)], rev)
     core.sync()
-    late = StateResult(200, value=cancelled, version=version + 1)
+    late = StoreResponse(200, value=cancelled, version=version + 1)
     assert step_with(core.answers.fresh(job), late) is None
 
 
@@ -149,18 +149,18 @@
     record, version, _ = w.state.data[keys.JOBS + job]
     reading = core.answers.read(job)
     next(reading)
-    reading.send(StateResult(404, rev=version + 5))
+    reading.send(StoreResponse(404, rev=version + 5))
     assert job not in core.view.jobs
     # What was read or committed before that comes too late.
     core.view.take_in(keys.JOBS + job, record, version + 4)
-    core.view.apply([Event(keys.JOBS + job, record, version + 3)], version + 3)
+    core.view.apply([KeyChange(keys.JOBS + job, record, version + 3)], version + 3)
     assert job not in core.view.jobs
     # A read that was carried out before the acceptance removes nothing either.
     core.view.take_in(keys.JOBS + job, record, version + 6)
-    step_with(core.answers.read(job), StateResult(0))
+    step_with(core.answers.read(job), StoreResponse(0))
     late = core.answers.read(job)
     next(late)
-    late.send(StateResult(404, rev=version + 5))
+    late.send(StoreResponse(404, rev=version + 5))
     assert job in core.view.jobs
 
 
--- a/tests/test_answers_search.py
+++ b/tests/test_answers_search.py
@@ -14,7 +14,7 @@
 import pytest
 
 from marblestair.core.controller import Controller
-from marblestair.core.runtime.requests import Commit, Get
+from marblestair.core.runtime.requests import CompareAndSwap, Get
 from tests.fakes.deployment import TYPES, spec
 from tests.fakes.world import World
 
@@ -112,7 +112,7 @@
 
     def _delay(self, call: Any, share: float) -> float | None:
         """Late, or never in time."""
-        if isinstance(call, (Get, Commit)) and self.rng.random() < share:
+        if isinstance(call, (Get, CompareAndSwap)) and self.rng.random() < share:
             return self.rng.choice([self.rng.uniform(0.1, 1.1), 60.0])
         return None
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -90,15 +90,15 @@
 
 
 def test_malformed_answers_of_outside_systems_count_as_failed_calls() -> None:
-    from marblestair.core.runtime.requests import CloudRent, Commit, Get, Watch
+    from marblestair.core.runtime.requests import CompareAndSwap, Get, RentMachines, Watch
 
     for body in (b"", b"\xc1", wire.pack([1]), wire.pack({"benches": 3})):
-        assert wire.cloud_result(CloudRent("r", "t", "z", False, 1), 200, body).status == 0
+        assert wire.cloud_result(RentMachines("r", "t", "z", False, 1), 200, body).status == 0
         assert wire.state_result(Get("k"), 200, body).status == 0
         assert wire.state_result(Watch("k", 1, 1), 200, body).status == 0
         # Without a revision neither an absence nor a change can be put in order.
         assert wire.state_result(Get("k"), 404, body).status == 0
-        assert wire.state_result(Commit([], [], ["k"]), 200, body).status == 0
+        assert wire.state_result(CompareAndSwap([], [], ["k"]), 200, body).status == 0
 
 
 class FakeTransport:
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from marblestair.core.domain.model import Order
-from marblestair.core.runtime.outbox import Reply
-from marblestair.core.runtime.requests import Commit, LeaseGrant, Put
+from marblestair.core.domain.model import TaskCommand
+from marblestair.core.runtime.outbox import UserReply
+from marblestair.core.runtime.requests import CompareAndSwap, GrantLease, Put
 from marblestair.core.state import keys
 from tests.fakes.deployment import TYPES, spec
 from tests.fakes.worker import Worker
@@ -34,11 +34,11 @@
 def judge(w: World, what: str, state: str, status: int = 200, job: str = "job-000001") -> None:
     """A user gets an answer."""
     arg = w.specs.get(job, spec(1, id=job)) if what == "submit" else job
-    w._judge(what, arg, Reply(1, status, job, state))
+    w._judge(what, arg, UserReply(1, status, job, state))
 
 
 def start(w: World, index: int, host: int, attempt: int = 1) -> None:
-    list(w.workers.values())[host].obey([Order("start", "job-000001", index, attempt)])
+    list(w.workers.values())[host].obey([TaskCommand("start", "job-000001", index, attempt)])
 
 
 def cancelled(w: World) -> None:
@@ -64,7 +64,7 @@
     w.start_node("n0")
     core = w.cores["n0"]
     assert core is not None
-    answer = (200, 1, [Order("start", "job-000001", 0, 1)], None)
+    answer = (200, 1, [TaskCommand("start", "job-000001", 0, 1)], None)
     core.report = lambda rep: answer  # type: ignore[method-assign]
     w.workers["host-000000"].report()
     w.run(1.0)
@@ -77,17 +77,17 @@
 
 
 def unguarded(w: World) -> None:
-    w.state.execute(Commit([], [Put("main/x", 1)]), "n0", w.now)
+    w.state.execute(CompareAndSwap([], [Put("main/x", 1)]), "n0", w.now)
     w.run(0.5)
 
 
 def reordered(w: World) -> None:
-    lease = w.state.execute(LeaseGrant(5000), "n0", w.now).lease
+    lease = w.state.execute(GrantLease(5000), "n0", w.now).lease
     key = keys.NODES + "n0"
     version = w.state.data[key][1] if key in w.state.data else 0
     for n, v in ((9, version), (4, None)):
         v = w.state.data[key][1] if v is None else v
-        w.state.execute(Commit([(key, v)], [Put(key, 1, lease)]), "n0", w.now, (1, n))
+        w.state.execute(CompareAndSwap([(key, v)], [Put(key, 1, lease)]), "n0", w.now, (1, n))
     w.run(0.5)
 
 
--- a/tests/test_cost_of_a_job.py
+++ b/tests/test_cost_of_a_job.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from marblestair.core.runtime.requests import Commit, Get, PeerCall
+from marblestair.core.runtime.requests import CompareAndSwap, Get, PeerRequest
 from tests.fakes.deployment import spec
 from tests.fakes.world import World
 from tests.helpers import manager, steps
@@ -70,14 +70,14 @@
     def _count_call(self, core: Any, number: int, call: Any) -> None:
         if isinstance(call, Get) and self.job in call.key:
             self.cost.reads += 1
-        elif isinstance(call, Commit):
+        elif isinstance(call, CompareAndSwap):
             changed = [*(put.key for put in call.puts), *call.deletes]
             mine = sum(self.job in key for key in changed)
             self.cost.commits += bool(mine)
             self.cost.changes += mine
             values = [put.value for put in call.puts if self.job in put.key]
             self.cost.bytes += len(msgspec.msgpack.encode(values)) if mine else 0
-        elif isinstance(call, PeerCall) and self.job in call.args:
+        elif isinstance(call, PeerRequest) and self.job in call.args:
             self.cost.messages += 1
             self.cost.bytes += len(msgspec.msgpack.encode(call.args))
         self._call(core, number, call)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -5,11 +5,11 @@
 import pytest
 
 from marblestair.core.capacity.decommissioning import broken
-from marblestair.core.capacity.failures import REMEMBERED, Faults
-from marblestair.core.domain.model import Order
-from marblestair.core.shard.job_slice import Slice
+from marblestair.core.capacity.failures import REMEMBERED, FailureAttribution
+from marblestair.core.domain.model import TaskCommand
+from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
-from marblestair.core.shard.shard import Part
+from marblestair.core.shard.shard import Shard
 from marblestair.settings import Workers
 from tests.fakes.deployment import TYPES, spec
 from tests.fakes.worker import FakeTask, Worker
@@ -20,7 +20,7 @@
 
 
 def test_a_job_that_fails_on_several_machines_is_suspected_and_they_are_not() -> None:
-    faults = Faults(WORKERS)
+    faults = FailureAttribution(WORKERS)
     for machine in ("m1", "m2", "m3"):
         assert not faults.is_suspected("broken")
         for _ in range(20):
@@ -32,7 +32,7 @@
 
 
 def test_a_machine_that_fails_several_jobs_is_faulty_and_they_are_not_suspected() -> None:
-    faults = Faults(WORKERS)
+    faults = FailureAttribution(WORKERS)
     for job in ("a", "b", "c"):
         faults.failed(job, "bad", False, 0.0)
     assert faults.is_faulty("bad")
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize("proven", [False, True])
 def test_a_machine_is_judged_by_jobs_that_succeed_elsewhere(proven: bool) -> None:
-    faults = Faults(WORKERS)
+    faults = FailureAttribution(WORKERS)
     if not proven:
         faults.succeeded("healthy", "good")
     for _ in range(3):
@@ -57,7 +57,7 @@
 
 
 def test_a_job_avoids_the_machine_that_failed_it_and_others_do_not() -> None:
-    faults = Faults(WORKERS)
+    faults = FailureAttribution(WORKERS)
     faults.failed("a", "m1", False, 0.0)
     assert faults.avoided("a", 1.0) == {"m1"}
     assert faults.avoided("b", 1.0) == set()
@@ -66,7 +66,7 @@
 
 
 def test_a_suspected_job_tries_at_growing_intervals_and_one_success_clears_it() -> None:
-    faults = Faults(WORKERS)
+    faults = FailureAttribution(WORKERS)
     now = 0.0
     for machine in ("m1", "m2", "m3"):
         faults.failed("job", machine, False, now)
@@ -85,7 +85,7 @@
 
 
 def test_what_another_controller_suspects_is_believed_for_a_while() -> None:
-    faults = Faults(WORKERS)
+    faults = FailureAttribution(WORKERS)
     faults.succeeded("mine", "m1")
     faults.failed("mine", "m1", True, 0.0)
     faults.told(1, [("broken", 2), ("mine", 3)], 0.0)
@@ -101,7 +101,7 @@
 
 
 def test_parts_add_up_what_each_has_seen() -> None:
-    here, there = Faults(WORKERS), Faults(WORKERS)
+    here, there = FailureAttribution(WORKERS), FailureAttribution(WORKERS)
     here.failed("job", "m1", False, 0.0)
     there.failed("job", "m2", False, 0.0)
     there.failed("job", "m3", False, 0.0)
@@ -112,7 +112,7 @@
 
 
 def test_evidence_is_bounded() -> None:
-    faults = Faults(WORKERS)
+    faults = FailureAttribution(WORKERS)
     for number in range(2 * REMEMBERED):
         faults.failed(f"job-{number}", f"m{number % 7}", False, 0.0)
         faults.failed("one", f"machine-{number}", True, 0.0)
@@ -129,7 +129,7 @@
         self.at: list[float] = []
         plain = Worker.start
 
-        def start(worker: Worker, order: Order, old: FakeTask | None) -> None:
+        def start(worker: Worker, order: TaskCommand, old: FakeTask | None) -> None:
             if order.job == job:
                 self.at.append(worker.world.now)
             plain(worker, order, old)
@@ -215,13 +215,13 @@
 
 
 def test_only_an_empty_faulty_machine_is_given_back() -> None:
-    part = Part(0, 5, World(433, 1).settings[0].cluster, 0.0)
+    part = Shard(0, 5, World(433, 1).settings[0].cluster, 0.0)
     machines = [Machine(name, "t4", "a", False, 0.0) for name in ("good", "bad", "bad-in-use")]
     for machine in machines:
         part.add_machine(machine)
         machine.set_type(TYPES[0])
         machine.session, machine.settled, machine.seen = 1, True, 100.0
-    part.launch(machines[2], Slice(spec(9)), 0, 1, 100.0)
+    part.launch(machines[2], JobSlice(spec(9)), 0, 1, 100.0)
     part.faults.succeeded("job", "good")
     for _ in range(3):
         for name in ("bad", "bad-in-use"):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,14 +7,14 @@
 import msgspec
 import pytest
 
-from marblestair.core.capacity.failures import Faults
+from marblestair.core.capacity.failures import FailureAttribution
 from marblestair.core.domain.model import MachineType
-from marblestair.core.runtime.outbox import PartSummary
+from marblestair.core.runtime.outbox import ShardSummary
 from marblestair.core.runtime.requests import ListKeys
-from marblestair.core.shard.job_slice import Slice
+from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
 from marblestair.core.state import keys
-from marblestair.core.state.store_view import View
+from marblestair.core.state.store_view import StoreView
 from marblestair.net.peers import MAX_FRAME
 from marblestair.settings import Workers
 from tests.fakes.deployment import spec
@@ -115,19 +115,19 @@
 
 def test_nothing_remembered_or_told_stops_short_of_four_thousand_machines() -> None:
     names = [f"host-{n:06d}" for n in range(4000)]
-    view = View()
+    view = StoreView()
     for name in names:
         view.take_in(keys.MACHINES + name, [0, "m16", "a", False, 0.0], 1)
     for name in names:
         view.take_absence(keys.MACHINES + name, 2)
     assert set(view.gone) == set(names)
-    faults = Faults(Workers(**WORKERS))
+    faults = FailureAttribution(Workers(**WORKERS))
     for number, name in enumerate(names):
         faults.failed(f"job-{number % 50}", name, True, 0.0)
     assert all(faults.rest_s(name) > 0 for name in names)
     # One node owns all of them, each in each list of the summary, and promises all cancels.
     room = ("a-long-name-of-a-type", "a-long-name-of-a-zone", False, 1 << 40, 1 << 40, 1 << 40)
-    summary = PartSummary(
+    summary = ShardSummary(
         part=0,
         term=1 << 32,
         rooms=[room] * 4000,
@@ -348,7 +348,7 @@
     part.add_machine(m)
     m.settled, m.seen = True, core.now
     for n in range(1, 9):
-        s = Slice(spec(n, tasks=160, at=core.wall - 200.0))
+        s = JobSlice(spec(n, tasks=160, at=core.wall - 200.0))
         s.ranges, s.size = [[0, 160]], 160
         s.pending.add(0, 160)
         part.slices[s.spec.id] = s
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -7,9 +7,9 @@
 from marblestair.core.capacity.decommissioning import nearly_empty
 from marblestair.core.capacity.shard_summary import summarise
 from marblestair.core.domain.model import MachineType
-from marblestair.core.shard.job_slice import Slice
+from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
-from marblestair.core.shard.shard import Part
+from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
 from tests.fakes.deployment import spec
 from tests.fakes.world import World
@@ -170,7 +170,7 @@
     machines that were otherwise free for over a hundred seconds.
     """
     cluster = World(1).settings[0].cluster
-    part = Part(0, 5, cluster, 0.0)
+    part = Shard(0, 5, cluster, 0.0)
     kind = LARGE[0]
 
     def machine(name: str, tasks: int, ran: float, job: str) -> Machine:
@@ -178,7 +178,7 @@
         m.set_type(kind)
         part.add_machine(m)
         m.settled, m.seen = True, 100.0
-        s = part.slices[job] = Slice(spec(int(job[4:]), tasks=tasks, estimate_s=60.0))
+        s = part.slices[job] = JobSlice(spec(int(job[4:]), tasks=tasks, estimate_s=60.0))
         s.ranges = [[0, tasks]]
         for i in range(tasks):
             part.launch(m, s, i, 1, 100.0 - ran)
--- a/tests/test_guest_teams.py
+++ b/tests/test_guest_teams.py
@@ -7,9 +7,9 @@
 from marblestair.core.capacity.decommissioning import nearly_empty
 from marblestair.core.leadership.shard_map import first
 from marblestair.core.scheduling.quota import order_key, refusal
-from marblestair.core.shard.job_slice import Slice
+from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
-from marblestair.core.shard.shard import Part
+from marblestair.core.shard.shard import Shard
 from marblestair.settings import UNLIMITED, Team
 from tests.fakes.deployment import TYPES, spec
 from tests.fakes.world import World
@@ -127,14 +127,14 @@
     checkpoint_s: float, emptied: bool
 ) -> None:
     """Found on simulated days with long tasks of guests: they kept whole machines for minutes."""
-    part = Part(0, 5, World(405, 1).settings[0].cluster, 0.0)
+    part = Shard(0, 5, World(405, 1).settings[0].cluster, 0.0)
     for name in ("almost-empty", "half-empty"):
         machine = Machine(name, "t8", "a", False, 0.0)
         part.add_machine(machine)
         machine.set_type(TYPES[1])
         machine.session, machine.settled, machine.seen = 1, True, 200.0
     job = spec(1, cpus=4.0, estimate_s=300.0, checkpoint_s=checkpoint_s, save_s=3.0)
-    part.slices[job.id] = Slice(job)
+    part.slices[job.id] = JobSlice(job)
     for index, name in enumerate(["almost-empty", "half-empty"]):
         part.launch(part.machines[name], part.slices[job.id], index, index + 1, 60.0)
         task = part.machines[name].placed[(job.id, index)]
--- a/tests/test_lookups.py
+++ b/tests/test_lookups.py
@@ -6,7 +6,14 @@
 
 import pytest
 
-from marblestair.core.runtime.requests import LEASE, LOOKUP, Commit, Get, ListKeys, PeerCall
+from marblestair.core.runtime.requests import (
+    LEASE,
+    LOOKUP,
+    CompareAndSwap,
+    Get,
+    ListKeys,
+    PeerRequest,
+)
 from marblestair.core.state import keys
 from tests.fakes.deployment import spec
 from tests.helpers import Recorder, manager_of, steps, warm
@@ -32,7 +39,7 @@
     answers = [world.ask(other, "query", job) for _ in range(200)]
     world.run(0.3)
     assert all(answer and answer[0].status == 200 for answer in answers)
-    queries = [c for c in recorder.calls if isinstance(c, PeerCall) and c.tag == "query"]
+    queries = [c for c in recorder.calls if isinstance(c, PeerRequest) and c.tag == "query"]
     assert len(queries) == 2
     assert recorder.reads(job) == 0
 
@@ -143,7 +150,7 @@
     world.watch_lag[manager] = 1.0
 
     def ends(call: Any) -> bool:
-        return isinstance(call, Commit) and keys.JOBS + job in call.deletes
+        return isinstance(call, CompareAndSwap) and keys.JOBS + job in call.deletes
 
     world.answer_late = lambda node, call: 1.1 if ends(call) else None
     while keys.FINALS + job not in world.state.data:
--- a/tests/test_overlapping_troubles.py
+++ b/tests/test_overlapping_troubles.py
@@ -9,12 +9,12 @@
 import pytest
 
 from marblestair.core.capacity.planning import plan
-from marblestair.core.capacity.provisioning import Have, Load, Tuning
-from marblestair.core.jobs.managed_job import PartReport
-from marblestair.core.runtime.requests import Commit
-from marblestair.core.shard.job_slice import Slice
+from marblestair.core.capacity.provisioning import AvailableMachine, JobLoad, Tuning
+from marblestair.core.jobs.managed_job import SliceProgress
+from marblestair.core.runtime.requests import CompareAndSwap
+from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
-from marblestair.core.shard.shard import Part
+from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
 from tests.fakes.deployment import TYPES, spec
 from tests.fakes.worker import Worker
@@ -246,7 +246,7 @@
     for over in (False, True):
         for number in rec.slices:
             term = core.view.split.parts[int(number)].term
-            mj.reports[int(number)] = PartReport(job, int(number), term, 0, 0, 0, 9, over)
+            mj.reports[int(number)] = SliceProgress(job, int(number), term, 0, 0, 0, 9, over)
         assert core.jobs._is_empty(mj, rec, core.view.split) == over
 
 
@@ -282,7 +282,7 @@
     w.run(12.0)
     left = [2]
 
-    def first_tries(node: str, commit: Commit) -> float | None:
+    def first_tries(node: str, commit: CompareAndSwap) -> float | None:
         own = node == "n0" and any(p.key == keys.NODES + node for p in commit.puts)
         if own and left[0]:
             left[0] -= 1
@@ -723,11 +723,11 @@
     job = w.submit(spec(1, tasks=12, estimate_s=60.0))
     w.run(14.0)
     m = busy(w)[0]
-    part = Part(0, 99, w.settings[0].cluster, w.now)
+    part = Shard(0, 99, w.settings[0].cluster, w.now)
     known = Machine(m.name, m.type.name, m.zone, m.spot, w.now)
     known.set_type(m.type)
     part.add_machine(known)
-    s = part.slices[job] = Slice(w.specs[job])
+    s = part.slices[job] = JobSlice(w.specs[job])
     s.ranges, s.size = [[0, 12]], 12
     assert part.report(m.body(), w.now) == []
     s.cancelled = True
@@ -744,9 +744,9 @@
 
 def test_work_bound_to_a_zone_gets_machines_there_though_others_stand_elsewhere() -> None:
     kind = {t.name: t for t in TYPES}
-    have = [Have(f"a{i}", kind["t8"], "a", False, False, 5.0, 100.0) for i in range(5)]
-    have.append(Have("b0", kind["t4"], "b", False, False, -1.0, 100.0, used=4_000_000))
-    load = Load(spec(1, tasks=40, zone="b", estimate_s=10.0), 36, 4, 20.0, 10.0, 36)
+    have = [AvailableMachine(f"a{i}", kind["t8"], "a", False, False, 5.0, 100.0) for i in range(5)]
+    have.append(AvailableMachine("b0", kind["t4"], "b", False, False, -1.0, 100.0, used=4_000_000))
+    load = JobLoad(spec(1, tasks=40, zone="b", estimate_s=10.0), 36, 4, 20.0, 10.0, 36)
     out = plan([load], have, kind, lambda k: False, 0.0, {}, Tuning())
     assert sum(kind[x.type].cpus * x.count for x in out.rent if x.zone == "b") >= 8
     assert all(x.zone == "b" for x in out.rent)
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from marblestair.core.runtime.requests import Commit, PeerCall
+from marblestair.core.runtime.requests import CompareAndSwap, PeerRequest
 from marblestair.core.state import keys
 from tests.fakes.deployment import spec
 from tests.fakes.world import World
@@ -21,7 +21,7 @@
 
 
 def is_commit(what: str, value: Any) -> bool:
-    return what == "call" and isinstance(value, Commit)
+    return what == "call" and isinstance(value, CompareAndSwap)
 
 
 def is_takeover(what: str, value: Any) -> bool:
@@ -54,7 +54,7 @@
     "answer": is_answer,
     "launch": is_launch,
     "promise": is_promise,
-    "question": lambda what, value: what == "call" and isinstance(value, PeerCall),
+    "question": lambda what, value: what == "call" and isinstance(value, PeerRequest),
 }
 
 
@@ -125,10 +125,10 @@
 def test_whatever_an_owner_committed_before_a_pause_is_refused_after_a_takeover() -> None:
     w = warm(3101)
     name = owner(w, 0)
-    sent: list[Commit] = []
+    sent: list[CompareAndSwap] = []
 
     def seen(what: str, node: str, value: Any) -> None:
-        if node == name and isinstance(value, Commit):
+        if node == name and isinstance(value, CompareAndSwap):
             own = [p.key for p in value.puts] + value.deletes
             # A node's own key and the machine types belong to no part.
             if not any(k.startswith((keys.NODES, keys.TYPES)) or k == keys.SPLIT for k in own):
--- a/tests/test_pipeline_search.py
+++ b/tests/test_pipeline_search.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from marblestair.core.runtime.requests import PROGRESS, Commit
+from marblestair.core.runtime.requests import PROGRESS, CompareAndSwap
 from tests.fakes.deployment import spec
 from tests.test_answers_search import BUSY_S, Search
 
@@ -104,7 +104,7 @@
             w.at(at, self.rng.choice([self._alone_then_out, self._unheard, self._long_outage]))
             at += self.rng.uniform(10.0, 60.0)
 
-    def _starve(self, commit: Commit) -> float | None:
+    def _starve(self, commit: CompareAndSwap) -> float | None:
         """What goes in the lowest lane of changes may be held up for long behind the others."""
         is_low = commit.lane == PROGRESS and self.rng.random() < 0.8
         return self.rng.uniform(10.0, 60.0) if is_low else None
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -10,7 +10,7 @@
 from marblestair.core.capacity import plan_inputs
 from marblestair.core.domain.model import JobSpec
 from marblestair.core.jobs.answers import JobState, JobStatus, Proof, ProvenStatus
-from marblestair.core.runtime.requests import FINAL, PROGRESS, Commit, Get
+from marblestair.core.runtime.requests import FINAL, PROGRESS, CompareAndSwap, Get
 from marblestair.core.state import keys
 from marblestair.core.status import status
 from tests.fakes.deployment import spec
@@ -215,7 +215,7 @@
     final = keys.FINALS + child.id
 
     def is_acceptance(call: Any) -> bool:
-        return isinstance(call, Commit) and any(put.key == final for put in call.puts)
+        return isinstance(call, CompareAndSwap) and any(put.key == final for put in call.puts)
 
     first = iter([True])
     if is_carried_out:
@@ -346,7 +346,7 @@
 def hold_ends_back(w: World) -> None:
     """No end of a job can be written from now on."""
 
-    def delay(_node: str, commit: Commit) -> float | None:
+    def delay(_node: str, commit: CompareAndSwap) -> float | None:
         is_end = any(p.key.startswith(keys.FINALS) for p in commit.puts)
         return 10_000.0 if is_end else None
 
@@ -497,7 +497,7 @@
     left = iter(range(number - 1, -1, -1))
 
     def fall(what: str, node: str, call: Any) -> None:
-        if what != "call" or not isinstance(call, Commit):
+        if what != "call" or not isinstance(call, CompareAndSwap):
             return
         changed = [*(put.key for put in call.puts), *call.deletes]
         if any(key.endswith(job.id) for key in changed for job in chain) and next(left, 1) == 0:
@@ -548,7 +548,7 @@
     w.submit(child)
     late = iter([2.0])
 
-    def delay(_node: str, commit: Commit) -> float | None:
+    def delay(_node: str, commit: CompareAndSwap) -> float | None:
         is_release = any(p.key == keys.JOBS + child.id for p in commit.puts)
         return next(late, None) if is_release else None
 
@@ -634,7 +634,7 @@
     def planned() -> dict[str, int]:
         core = running(w, "n0")
         live = list(core.view.jobs.values())
-        told = plan_inputs.ToldState(core)
+        told = plan_inputs.ReportedState(core)
         return {load.spec.id: load.pending for load in plan_inputs.loads(core, told, live, 2.0)}
 
     w.run(1.0)
@@ -804,7 +804,7 @@
     lanes: list[tuple[float, int]] = []
 
     def note(what: str, _node: str, call: Any) -> None:
-        if what == "call" and isinstance(call, Commit):
+        if what == "call" and isinstance(call, CompareAndSwap):
             if any(put.key == keys.FINALS + "job-000002" for put in call.puts):
                 lanes.append((w.now, call.lane))
 
--- a/tests/test_rental_intents.py
+++ b/tests/test_rental_intents.py
@@ -7,7 +7,7 @@
 import pytest
 
 from marblestair.core.jobs import progress
-from marblestair.core.runtime.requests import CloudRent
+from marblestair.core.runtime.requests import RentMachines
 from marblestair.core.state import keys
 from tests.fakes.deployment import spec
 from tests.fakes.world import World
@@ -23,7 +23,7 @@
         world.cloud = self._cloud  # type: ignore[method-assign]
 
     def _cloud(self, call: Any) -> Any:
-        if isinstance(call, CloudRent):
+        if isinstance(call, RentMachines):
             self.names.append(call.name)
         return self._plain(call)
 
@@ -85,7 +85,7 @@
 
     def unanswered(call: Any) -> Any:
         result = plain(call)
-        if isinstance(call, CloudRent) and call.name not in lost:
+        if isinstance(call, RentMachines) and call.name not in lost:
             # Carried out, but the process falls before it hears of it.
             lost.append(call.name)
             for name in world.node_names:
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -9,7 +9,7 @@
 import pytest
 
 from marblestair import settings as st
-from marblestair.core.runtime.requests import Commit, Put
+from marblestair.core.runtime.requests import CompareAndSwap, Put
 from marblestair.core.state import keys
 from marblestair.core.status import status
 from marblestair.node import Node
@@ -101,9 +101,9 @@
     w.run(4.0)
     core = w.cores["n0"]
     assert core is not None
-    core.note_refused_commit(Commit([], [Put("main/w/node/n0", 1, lease=5)]))
+    core.note_refused_commit(CompareAndSwap([], [Put("main/w/node/n0", 1, lease=5)]))
     assert status(core)["refused_commits"] == 0
-    core.note_refused_commit(Commit([], [Put("main/w/job/job-1", "x" * 100)]))
+    core.note_refused_commit(CompareAndSwap([], [Put("main/w/job/job-1", "x" * 100)]))
     assert status(core)["refused_commits"] == 1
     assert [level for level, text in core.lines if "main/w/job/job-1" in text] == ["error"]
     core.lines.clear()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -13,8 +13,8 @@
 from marblestair.core.capacity.fleet import RentalIntent
 from marblestair.core.controller import Controller
 from marblestair.core.domain.model import JobRecord, JobSpec, MachineType
-from marblestair.core.leadership.shard_map import MachineRecord, SplitRecord
-from marblestair.core.runtime.outbox import PartSummary
+from marblestair.core.leadership.shard_map import MachineRecord, ShardMap
+from marblestair.core.runtime.outbox import ShardSummary
 from marblestair.core.state import keys
 from tests.fakes import production
 from tests.fakes.deployment import TYPES, spec
@@ -106,7 +106,7 @@
     ),
     (
         "split",
-        SplitRecord,
+        ShardMap,
         lambda find: example_split(
             find("core.split", "SplitRecord"), find("core.split", "PartRecord")
         ),
@@ -128,7 +128,7 @@
             *(getattr(TYPES[0], f) for f in TYPES[0].__struct_fields__)
         ),
     ),
-    ("summary", PartSummary, lambda find: example_summary(find("core.messages", "PartSummary"))),
+    ("summary", ShardSummary, lambda find: example_summary(find("core.messages", "PartSummary"))),
 ]
 
 
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -8,9 +8,15 @@
 
 import pytest
 
-from marblestair.core.runtime.requests import Commit, Event, Item, Put, StateResult
+from marblestair.core.runtime.requests import (
+    CompareAndSwap,
+    KeyChange,
+    Put,
+    StoredKey,
+    StoreResponse,
+)
 from marblestair.core.state import keys
-from marblestair.core.state.store_view import View
+from marblestair.core.state.store_view import StoreView
 
 NODES = [keys.NODES + name for name in ("a", "b", "c")]
 
@@ -20,19 +26,19 @@
 
     def __init__(self) -> None:
         self.rev = 0
-        self.log: list[Event] = []
+        self.log: list[KeyChange] = []
         #: key -> (revision, version) of each change; a version of 0 is a deletion
         self.states: dict[str, list[tuple[int, int]]] = {key: [(0, 0)] for key in NODES}
 
     def change(self, key: str, delete: bool) -> None:
         self.rev += 1
-        self.log.append(Event(key, None if delete else self.rev, self.rev))
+        self.log.append(KeyChange(key, None if delete else self.rev, self.rev))
         self.states[key].append((self.rev, 0 if delete else self.rev))
 
     def version(self, key: str) -> int:
         return self.states[key][-1][1]
 
-    def events(self, after: int) -> list[Event]:
+    def events(self, after: int) -> list[KeyChange]:
         return [e for e in self.log if e.version > after]
 
 
@@ -42,7 +48,7 @@
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.history = History()
-        self.view = View()
+        self.view = StoreView()
         self.on_their_way: list[Callable[[], None]] = []
         #: key -> place in its states before which the view may not fall back
         self.least = dict.fromkeys(NODES, 0)
@@ -54,7 +60,7 @@
         delete = exists and self.rng.random() < 0.5
         self.history.change(key, delete)
         rev = self.history.rev
-        own = Commit([], [] if delete else [Put(key, rev)], [key] if delete else [])
+        own = CompareAndSwap([], [] if delete else [Put(key, rev)], [key] if delete else [])
         if self.rng.random() < 0.5:
             self.on_their_way.append(lambda: self.view.committed(own, rev))
 
@@ -90,11 +96,13 @@
             pages.append(self.page(pages[-1].items[-1].key))
         self.view.load(pages)
 
-    def page(self, after: str) -> StateResult:
+    def page(self, after: str) -> StoreResponse:
         """One page of a listing, of one key."""
         found = [key for key in NODES if key > after and self.history.version(key)]
-        items = [Item(key, self.history.version(key), self.history.version(key)) for key in found]
-        return StateResult(200, items=items[:1], more=len(found) > 1, rev=self.history.rev)
+        items = [
+            StoredKey(key, self.history.version(key), self.history.version(key)) for key in found
+        ]
+        return StoreResponse(200, items=items[:1], more=len(found) > 1, rev=self.history.rev)
 
     def check(self) -> None:
         """No key may fall back behind what was known of it, nor behind the view's revision."""
@@ -130,22 +138,22 @@
     # Rented, recorded and given back, before the node that rented it is answered.
     key = keys.MACHINES + "host-000001"
     member = [0, "t8", "a", False, 0.0]
-    view = View()
-    view.apply([Event(key, member, 3), Event(key, None, 5)], 5)
-    view.committed(Commit([], [Put(key, member)]), 3)
+    view = StoreView()
+    view.apply([KeyChange(key, member, 3), KeyChange(key, None, 5)], 5)
+    view.committed(CompareAndSwap([], [Put(key, member)]), 3)
     view.take_in(key, member, 4)
     assert not view.machines
     assert list(view.gone) == ["host-000001"]
 
 
 def test_what_is_known_beyond_the_watch_is_forgotten_once_it_is_there() -> None:
-    view = View()
+    view = StoreView()
     followed = [f"{keys.NODES}{number}" for number in range(1000)]
-    view.apply([Event(key, 1, 1) for key in followed], 1)
+    view.apply([KeyChange(key, 1, 1) for key in followed], 1)
     for key in followed:
         view.take_absence(key, 2)
         # Nothing is kept of keys that the view never held, however many users ask for.
         view.take_absence(key + "/unknown", 2)
     assert len(view._absent_at) == 1000
-    view.apply([Event(key, None, 2) for key in followed], 2)
+    view.apply([KeyChange(key, None, 2) for key in followed], 2)
     assert not view._absent_at
