--- a/marblestair/core/capacity/arrivals.py
+++ b/marblestair/core/capacity/arrivals.py
@@ -9,7 +9,7 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from marblestair.core.capacity.provisioning import ExpectedGangs, kinds
+from marblestair.core.capacity.provisioning import ExpectedGangs, kinds_for_job
 from marblestair.core.domain.model import GANG, JobRecord, JobSpec
 
 if TYPE_CHECKING:
@@ -37,32 +37,32 @@
     def __init__(self, controller: Controller) -> None:
         self._controller = controller
         #: gang classes that come, and how often
-        self.classes: dict[str, ExpectedGangs] = {}
+        self.expected_gangs: dict[str, ExpectedGangs] = {}
         #: usual size of an array job within its guarantee
-        self.usual_cpus = 0.0
+        self.usual_array_cpus = 0.0
         self._arrived: dict[str, deque[float]] = {}
-        self._noted: dict[str, None] = {}
+        self._recorded: dict[str, None] = {}
         #: class -> when its latest job came
         self._latest: dict[str, float] = {}
 
-    def is_hurried(self, spec: JobSpec) -> bool:
+    def is_latency_sensitive(self, spec: JobSpec) -> bool:
         """Whether a job's class is one whose starts are wanted sooner than a machine boots."""
-        known = self.classes.get(spec.cls)
-        return known is not None and known.hurry
+        known = self.expected_gangs.get(spec.job_class)
+        return known is not None and known.is_latency_sensitive
 
-    def note(self, live: list[JobRecord]) -> None:
+    def record_jobs(self, live: list[JobRecord]) -> None:
         """Take in the jobs that may start and were not seen before."""
         start_aims = self._start_aims()
         for record in live:
-            if record.is_waiting or record.spec.id in self._noted:
+            if record.is_blocked or record.spec.id in self._recorded:
                 continue
-            self._noted[record.spec.id] = None
-            while len(self._noted) > max(LEAST_NOTED, 2 * len(live)):
-                self._noted.pop(next(iter(self._noted)))
+            self._recorded[record.spec.id] = None
+            while len(self._recorded) > max(LEAST_NOTED, 2 * len(live)):
+                self._recorded.pop(next(iter(self._recorded)))
             if record.spec.kind == GANG:
-                self._note_gang(record, start_aims)
-            elif not self._controller.teams[record.spec.team].is_guest:
-                self._note_array(record.spec)
+                self._record_gang(record, start_aims)
+            elif not self._controller.teams[record.spec.team].is_best_effort:
+                self._record_array(record.spec)
         self._forget()
 
     def _start_aims(self) -> dict[str, float]:
@@ -79,23 +79,25 @@
         objectives = self._controller.settings.cluster.objectives
         return min((o.within_s for o in objectives if o.kind == "guarantee"), default=NO_AIM_S)
 
-    def _note_gang(self, record: JobRecord, start_aims: dict[str, float]) -> None:
+    def _record_gang(self, record: JobRecord, start_aims: dict[str, float]) -> None:
         controller, spec = self._controller, record.spec
-        boots = [kind.type.boot_s for kind in kinds(spec, controller.types)]
+        boots = [kind.machine_type.boot_s for kind in kinds_for_job(spec, controller.machine_types)]
         hurry = False
         if boots:
-            wanted_s = start_aims.get(spec.cls, NO_AIM_S)
+            wanted_s = start_aims.get(spec.job_class, NO_AIM_S)
             hurry = wanted_s < HURRIED_BOOTS * min(boots) or self._guarantee_s() < min(boots)
-        at = self._arrived.setdefault(spec.cls, deque(maxlen=RATE_JOBS))
-        at.append(record.ready_at)
-        span_s = controller.wall - at[0] if len(at) == RATE_JOBS else RATE_S
-        lately = sum(controller.wall - t < RATE_S for t in at)
-        self.classes[spec.cls] = ExpectedGangs(spec, hurry, lately / max(1.0, min(span_s, RATE_S)))
-        self._latest[spec.cls] = controller.now
-
-    def _note_array(self, spec: JobSpec) -> None:
-        size = min(spec.tasks * spec.cpus, self._controller.teams[spec.team].cpus)
-        self.usual_cpus += USUAL_WEIGHT * (size - self.usual_cpus)
+        at = self._arrived.setdefault(spec.job_class, deque(maxlen=RATE_JOBS))
+        at.append(record.startable_since)
+        span_s = controller.wall_time - at[0] if len(at) == RATE_JOBS else RATE_S
+        lately = sum(controller.wall_time - t < RATE_S for t in at)
+        self.expected_gangs[spec.job_class] = ExpectedGangs(
+            spec, hurry, lately / max(1.0, min(span_s, RATE_S))
+        )
+        self._latest[spec.job_class] = controller.now
+
+    def _record_array(self, spec: JobSpec) -> None:
+        size = min(spec.task_count * spec.cpus, self._controller.teams[spec.team].cpus)
+        self.usual_array_cpus += USUAL_WEIGHT * (size - self.usual_array_cpus)
         self._latest[ARRAYS] = self._controller.now
 
     def _forget(self) -> None:
@@ -103,6 +105,6 @@
             if self._controller.now - latest <= FORGET_S:
                 continue
             del self._latest[cls]
-            self.classes.pop(cls, None)
+            self.expected_gangs.pop(cls, None)
             if cls == ARRAYS:
-                self.usual_cpus = 0.0
+                self.usual_array_cpus = 0.0
--- a/marblestair/core/capacity/boot_times.py
+++ b/marblestair/core/capacity/boot_times.py
@@ -32,7 +32,7 @@
         #: type -> when a machine came up, and its boot time against the usual one
         self._seen: dict[str, deque[tuple[float, float]]] = {}
 
-    def note(self, kind: MachineType, took_s: float, now: float) -> None:
+    def record(self, kind: MachineType, took_s: float, now: float) -> None:
         """A machine has reported for the first time."""
         seen = self._seen.setdefault(kind.name, deque(maxlen=REMEMBERED_BOOTS))
         seen.append((now, took_s / max(kind.boot_s, 1e-6)))
@@ -50,7 +50,7 @@
         """Whether a machine that has not reported is not to be counted on."""
         return age_s > OVERDUE_BOOTS * self.expected_ratio(kind, now) * kind.boot_s
 
-    def give_up_s(self, kind: MachineType, now: float) -> float:
+    def give_up_after_s(self, kind: MachineType, now: float) -> float:
         """Age at which a machine that has not reported is given up."""
         boots = max(LEAST_GIVE_UP_BOOTS, GIVE_UP_BOOTS * self.expected_ratio(kind, now))
         return boots * kind.boot_s
--- a/marblestair/core/capacity/demand.py
+++ b/marblestair/core/capacity/demand.py
@@ -25,23 +25,23 @@
     """What waits in one part."""
 
     #: cpus of all waiting tasks
-    backlog: int
+    backlog_cpus: int
     #: team -> what its waiting tasks lack in this part's share
-    wants: dict[str, Amounts]
+    lacking_quota: dict[str, Amounts]
     #: team -> what the whole share must hold for the first waiting unit (a task, or a gang) that
     #: it is too small for
-    stuck: dict[str, Amounts]
+    starved_teams: dict[str, Amounts]
 
 
-def wanted_tasks(controller: Controller, s: JobSlice) -> int:
+def demanded_tasks(controller: Controller, s: JobSlice) -> int:
     """Count the tasks of a slice that room is wanted for.
 
     A job that probably fails on every machine wants room for one task at a time; such a gang
     wants none and tries where there is room.
     """
     n = len(s.pending)
-    if n and controller.faults.is_suspected(s.spec.id):
-        return int(s.spec.kind != GANG and not s.placed)
+    if n and controller.failures.is_quarantined(s.spec.id):
+        return int(s.spec.kind != GANG and not s.placed_on)
     return n
 
 
@@ -49,30 +49,32 @@
     """Go through a part's waiting slices."""
     demand = Demand(0, {}, {})
     for s in part.slices.values():
-        n = wanted_tasks(controller, s)
-        if not n or s.cancelled:
+        n = demanded_tasks(controller, s)
+        if not n or s.is_cancelled:
             continue
-        demand.backlog += n * s.need[0]
-        _add(demand.wants, s, n)
+        demand.backlog_cpus += n * s.resources[0]
+        _add(demand.lacking_quota, s, n)
         unit = n if s.spec.kind == GANG else 1
-        share = controller.share(part, s.spec.team)
-        if unit * s.need[0] > share[0] or unit * s.need[1] > share[1]:
-            demand.stuck.setdefault(s.spec.team, [unit * s.need[0], unit * s.need[1]])
-    demand.wants = _lacking(controller, part, demand.wants)
+        share = controller.quota(part, s.spec.team)
+        if unit * s.resources[0] > share[0] or unit * s.resources[1] > share[1]:
+            demand.starved_teams.setdefault(
+                s.spec.team, [unit * s.resources[0], unit * s.resources[1]]
+            )
+    demand.lacking_quota = _lacking(controller, part, demand.lacking_quota)
     return demand
 
 
 def _add(totals: dict[str, Amounts], s: JobSlice, tasks: int) -> None:
     total = totals.setdefault(s.spec.team, [0, 0])
-    total[0] += tasks * s.need[0]
-    total[1] += tasks * s.need[1]
+    total[0] += tasks * s.resources[0]
+    total[1] += tasks * s.resources[1]
 
 
 def _lacking(controller: Controller, part: Shard, totals: dict[str, Amounts]) -> dict[str, Amounts]:
     """What of the teams' totals is more than their shares leave free here."""
     out = {}
     for team, total in totals.items():
-        used, share = part.usage(team), controller.share(part, team)
+        used, share = part.usage(team), controller.quota(part, team)
         lack = [max(0, total[i] - max(0, share[i] - used[i])) for i in range(2)]
         if any(lack):
             out[team] = lack
--- a/marblestair/core/capacity/failures.py
+++ b/marblestair/core/capacity/failures.py
@@ -40,16 +40,16 @@
 class JobEvidence:
     """What is known of one job's tasks."""
 
-    __slots__ = ("failed_on", "pause_s", "retry_at", "succeeded", "suspected")
+    __slots__ = ("failed_on", "backoff_s", "retry_at", "has_succeeded", "is_quarantined")
 
     def __init__(self) -> None:
         #: machines on which its tasks failed, the latest last
         self.failed_on: OrderedDict[str, None] = OrderedDict()
-        self.succeeded = False
-        self.suspected = False
+        self.has_succeeded = False
+        self.is_quarantined = False
         #: while it is suspected: when it may try again, and the pause before the latest try
         self.retry_at = 0.0
-        self.pause_s = 0.0
+        self.backoff_s = 0.0
 
 
 class MachineEvidence:
@@ -71,64 +71,68 @@
     """The evidence of one controller, and its judgement."""
 
     def __init__(self, workers: Workers) -> None:
-        self._first_pause_s = FIRST_PAUSE_REPORTS * workers.report_s
-        self._longest_pause_s = LONGEST_PAUSE_LEASES * workers.lease_s
-        self._machine_pause_s = MACHINE_PAUSE_REPORTS * workers.report_s
-        self._told_s = TOLD_LEASES * workers.lease_s
+        self._first_backoff_s = FIRST_PAUSE_REPORTS * workers.report_s
+        self._longest_backoff_s = LONGEST_PAUSE_LEASES * workers.lease_s
+        self._machine_backoff_s = MACHINE_PAUSE_REPORTS * workers.report_s
+        self._report_lifetime_s = TOLD_LEASES * workers.lease_s
         self._jobs: OrderedDict[str, JobEvidence] = OrderedDict()
         self._machines: OrderedDict[str, MachineEvidence] = OrderedDict()
         #: what was last told of other parts: until when it counts, and by job the number of
         #: machines on which nothing else fails
-        self._told: dict[int, tuple[float, dict[str, int]]] = {}
-        self._told_machines: dict[str, int] = {}
+        self._reported: dict[int, tuple[float, dict[str, int]]] = {}
+        self._reported_machines: dict[str, int] = {}
         #: jobs that came under suspicion or were cleared since this was last taken
-        self.changed = False
+        self.quarantine_changed = False
 
     # --- evidence --------------------------------------------------------------------------
 
-    def failed(self, job: str, machine: str, proven: bool, now: float) -> None:
+    def record_failure(self, job: str, machine: str, proven: bool, now: float) -> None:
         """A task ended with an error; ``proven`` if the job is known to have succeeded before."""
         by_job, by_machine = self._job(job), self._machine(machine)
-        by_job.succeeded = by_job.succeeded or proven
+        by_job.has_succeeded = by_job.has_succeeded or proven
         _keep(by_job.failed_on, machine, None)
         _keep(by_machine.failures, job, by_machine.failures.get(job, 0) + 1)
-        pause_s = min(self._longest_pause_s, by_machine.failures[job] * self._machine_pause_s)
+        pause_s = min(self._longest_backoff_s, by_machine.failures[job] * self._machine_backoff_s)
         by_machine.retry_at = {j: t for j, t in by_machine.retry_at.items() if t > now}
         by_machine.retry_at[job] = now + pause_s
-        if by_job.suspected:
+        if by_job.is_quarantined:
             if now >= by_job.retry_at:
-                self._pause(by_job, now)
+                self._back_off(by_job, now)
         elif self._fails_everywhere(job, by_job):
-            self._suspect(by_job, now)
+            self._quarantine(by_job, now)
 
-    def succeeded(self, job: str, machine: str) -> None:
+    def record_success(self, job: str, machine: str) -> None:
         """A task of a job was completed on a machine."""
         self._machines.pop(machine, None)
         evidence = self._jobs.get(job)
         if evidence is not None:
-            evidence.succeeded = True
-            self.changed = self.changed or evidence.suspected
-            evidence.suspected = False
+            evidence.has_succeeded = True
+            self.quarantine_changed = self.quarantine_changed or evidence.is_quarantined
+            evidence.is_quarantined = False
 
-    def told(self, part: int, failing: Iterable[tuple[str, int]], now: float) -> None:
+    def receive_failing_jobs(
+        self, part: int, failing: Iterable[tuple[str, int]], now: float
+    ) -> None:
         """What the owner of another part knows of failing jobs (see :meth:`failing`)."""
-        self._told[part] = now + self._told_s, dict(failing)
-        self._told = {p: told for p, told in self._told.items() if told[0] > now}
-        before = self._told_machines
-        self._told_machines = {}
-        for _, machines in self._told.values():
+        self._reported[part] = now + self._report_lifetime_s, dict(failing)
+        self._reported = {p: told for p, told in self._reported.items() if told[0] > now}
+        before = self._reported_machines
+        self._reported_machines = {}
+        for _, machines in self._reported.values():
             for job, count in machines.items():
-                self._told_machines[job] = self._told_machines.get(job, 0) + count
-        self.changed = self.changed or before.keys() != self._told_machines.keys()
-        for job in self._told_machines:
+                self._reported_machines[job] = self._reported_machines.get(job, 0) + count
+        self.quarantine_changed = (
+            self.quarantine_changed or before.keys() != self._reported_machines.keys()
+        )
+        for job in self._reported_machines:
             evidence = self._jobs.get(job)
-            if evidence is not None and not evidence.suspected:
+            if evidence is not None and not evidence.is_quarantined:
                 if self._fails_everywhere(job, evidence):
-                    self._suspect(evidence, now)
+                    self._quarantine(evidence, now)
 
     # --- judgement -------------------------------------------------------------------------
 
-    def failing(self) -> list[tuple[str, int]]:
+    def failing_jobs(self) -> list[tuple[str, int]]:
         """List jobs of which nothing succeeded, with the machines on which nothing else fails.
 
         The number of machines is told to the other controllers, whose own machines may show
@@ -136,35 +140,35 @@
         """
         out = []
         for job, evidence in self._jobs.items():
-            if evidence.succeeded:
+            if evidence.has_succeeded:
                 continue
             count = self._machines_against(job, evidence)
-            if evidence.suspected:
+            if evidence.is_quarantined:
                 count = max(count, JOB_MACHINES)
             if count:
                 out.append((job, count))
         return out
 
-    def suspects(self) -> list[str]:
+    def quarantined_jobs(self) -> list[str]:
         """Jobs that are suspected by what happened here."""
-        return [job for job, evidence in self._jobs.items() if evidence.suspected]
+        return [job for job, evidence in self._jobs.items() if evidence.is_quarantined]
 
-    def is_suspected(self, job: str) -> bool:
+    def is_quarantined(self, job: str) -> bool:
         """Whether a job probably fails on every machine."""
         evidence = self._jobs.get(job)
-        if evidence is not None and (evidence.suspected or evidence.succeeded):
-            return evidence.suspected
-        return self._told_machines.get(job, 0) >= JOB_MACHINES
+        if evidence is not None and (evidence.is_quarantined or evidence.has_succeeded):
+            return evidence.is_quarantined
+        return self._reported_machines.get(job, 0) >= JOB_MACHINES
 
-    def must_wait(self, job: str, now: float) -> bool:
+    def is_backing_off(self, job: str, now: float) -> bool:
         """Whether a suspected job may not try again yet."""
         evidence = self._jobs.get(job)
-        return evidence is not None and evidence.suspected and now < evidence.retry_at
+        return evidence is not None and evidence.is_quarantined and now < evidence.retry_at
 
-    def avoided(self, job: str, now: float) -> set[str]:
+    def avoided_machines(self, job: str, now: float) -> set[str]:
         """Machines that a job is not started on for now, because its tasks failed there."""
         evidence = self._jobs.get(job)
-        if evidence is None or evidence.suspected:
+        if evidence is None or evidence.is_quarantined:
             # What fails everywhere tries where its image is already.
             return set()
         return {
@@ -178,9 +182,9 @@
         """Whether a machine is to be given up."""
         return self._against(machine) >= MACHINE_FAILURES
 
-    def rest_s(self, machine: str) -> float:
+    def machine_backoff_s(self, machine: str) -> float:
         """For how long a machine is not used after a failure."""
-        return min(self._longest_pause_s, self._against(machine) * self._machine_pause_s)
+        return min(self._longest_backoff_s, self._against(machine) * self._machine_backoff_s)
 
     def _against(self, machine: str) -> int:
         """Failures that count against a machine."""
@@ -191,17 +195,17 @@
         open_jobs = 0
         for job, count in by_machine.failures.items():
             evidence = self._jobs.get(job)
-            if evidence is not None and evidence.succeeded:
+            if evidence is not None and evidence.has_succeeded:
                 proven += count
-            elif not self.is_suspected(job):
+            elif not self.is_quarantined(job):
                 open_jobs += 1
         # A single job of which nothing is known says nothing about the machine.
         return proven + (open_jobs if open_jobs > 1 or proven else 0)
 
     def _fails_everywhere(self, job: str, evidence: JobEvidence) -> bool:
-        if evidence.succeeded:
+        if evidence.has_succeeded:
             return False
-        told = self._told_machines.get(job, 0)
+        told = self._reported_machines.get(job, 0)
         return told + self._machines_against(job, evidence) >= JOB_MACHINES
 
     def _machines_against(self, job: str, evidence: JobEvidence) -> int:
@@ -213,16 +217,16 @@
         if by_machine is None:
             # Something has succeeded there since.
             return True
-        return all(j == job or self.is_suspected(j) for j in by_machine.failures)
+        return all(j == job or self.is_quarantined(j) for j in by_machine.failures)
 
-    def _suspect(self, evidence: JobEvidence, now: float) -> None:
-        evidence.suspected = self.changed = True
-        evidence.pause_s = self._first_pause_s / PAUSE_GROWTH
-        self._pause(evidence, now)
+    def _quarantine(self, evidence: JobEvidence, now: float) -> None:
+        evidence.is_quarantined = self.quarantine_changed = True
+        evidence.backoff_s = self._first_backoff_s / PAUSE_GROWTH
+        self._back_off(evidence, now)
 
-    def _pause(self, evidence: JobEvidence, now: float) -> None:
-        evidence.pause_s = min(self._longest_pause_s, PAUSE_GROWTH * evidence.pause_s)
-        evidence.retry_at = now + evidence.pause_s
+    def _back_off(self, evidence: JobEvidence, now: float) -> None:
+        evidence.backoff_s = min(self._longest_backoff_s, PAUSE_GROWTH * evidence.backoff_s)
+        evidence.retry_at = now + evidence.backoff_s
 
     def _job(self, job: str) -> JobEvidence:
         return _entry(self._jobs, job, JobEvidence)
--- a/marblestair/core/capacity/plan_inputs.py
+++ b/marblestair/core/capacity/plan_inputs.py
@@ -27,33 +27,33 @@
         #: job -> tasks waiting, tasks on machines
         self.tasks: dict[str, tuple[int, int]] = {}
         #: job -> a part that holds some of it
-        self.part: dict[str, int] = {}
-        self.idle: dict[str, float] = {}
-        self.leaving: set[str] = set()
-        self.absent: set[str] = set()
-        self.with_gangs: set[str] = set()
-        self.in_use: dict[str, int] = {}
+        self.shard_of_job: dict[str, int] = {}
+        self.idle_machines: dict[str, float] = {}
+        self.leaving_machines: set[str] = set()
+        self.absent_machines: set[str] = set()
+        self.gang_machines: set[str] = set()
+        self.used_cpus: dict[str, int] = {}
         limit = HEARD_LEASES * controller.settings.cluster.workers.lease_s
-        self.heard = {
+        self.recent_shards = {
             part
-            for part, (told_at, _) in controller.summaries.items()
+            for part, (told_at, _) in controller.shard_summaries.items()
             if controller.now - told_at <= limit
         }
-        for part in sorted(self.heard):
+        for part in sorted(self.recent_shards):
             self._take_in(controller, part)
 
     def _take_in(self, controller: Controller, part: int) -> None:
-        told_at, summary = controller.summaries[part]
-        for job, waiting, running in summary.waiting:
+        told_at, summary = controller.shard_summaries[part]
+        for job, waiting, running in summary.pending_jobs:
             before = self.tasks.get(job, (0, 0))
             self.tasks[job] = (before[0] + waiting, before[1] + running)
-            self.part[job] = part
-        self.with_gangs.update(summary.gangs)
-        self.in_use.update(summary.busy)
-        for name, since in summary.idle:
-            self.idle[name] = since + (controller.now - told_at)
-        self.leaving.update(summary.leaving)
-        self.absent.update(summary.absent)
+            self.shard_of_job[job] = part
+        self.gang_machines.update(summary.gang_machines)
+        self.used_cpus.update(summary.busy_machines)
+        for name, since in summary.idle_machines:
+            self.idle_machines[name] = since + (controller.now - told_at)
+        self.leaving_machines.update(summary.leaving_machines)
+        self.absent_machines.update(summary.absent_machines)
 
 
 class TeamCapacity:
@@ -91,20 +91,20 @@
     room = TeamCapacity(controller, told, live)
     found = []
     for record in live:
-        spec = controller.urgency.scheduling_spec(record)
+        spec = controller.inherited_urgency.scheduling_spec(record)
         waiting, running = told.tasks.get(spec.id, (0, 0))
-        if record.cancelled or not waiting + running:
+        if record.is_cancelled or not waiting + running:
             continue
         # More than the team's limit cannot run at once, whatever is rented.
         allowed = room.take(record, waiting)
         if spec.kind == GANG:
-            waiting = 0 if allowed < spec.tasks and not running else allowed
-        run_s = max(1.0, spec.estimate_s * controller.factor.get(spec.cls, 1.0))
-        due_at = record.ready_at + patience * run_s
+            waiting = 0 if allowed < spec.task_count and not running else allowed
+        run_s = max(1.0, spec.estimated_run_s * controller.run_time_ratios.get(spec.job_class, 1.0))
+        due_at = record.startable_since + patience * run_s
         if spec.deadline_s is not None:
-            due_at = spec.at + spec.deadline_s
-        due = due_at - controller.wall
-        part = told.part.get(spec.id, -1)
+            due_at = spec.accepted_at + spec.deadline_s
+        due = due_at - controller.wall_time
+        part = told.shard_of_job.get(spec.id, -1)
         found.append(JobLoad(spec, waiting, running, due, run_s, allowed, part))
     return found + _coming_loads(controller, told, live, room, patience)
 
@@ -122,26 +122,28 @@
     """
     found = []
     for record in live:
-        if not record.is_waiting or not _ends_soon(controller, told, record):
+        if not record.is_blocked or not _ends_soon(controller, told, record):
             continue
-        spec = controller.urgency.scheduling_spec(record)
+        spec = controller.inherited_urgency.scheduling_spec(record)
         if spec.kind == GANG:
             continue
-        allowed = room.take(record, spec.tasks)
-        run_s = max(1.0, spec.estimate_s * controller.factor.get(spec.cls, 1.0))
-        found.append(JobLoad(spec, spec.tasks, 0, patience * run_s, run_s, allowed, -1))
+        allowed = room.take(record, spec.task_count)
+        run_s = max(1.0, spec.estimated_run_s * controller.run_time_ratios.get(spec.job_class, 1.0))
+        found.append(JobLoad(spec, spec.task_count, 0, patience * run_s, run_s, allowed, -1))
     return found
 
 
 def _ends_soon(controller: Controller, told: ReportedState, child: JobRecord) -> bool:
     """Whether all that a job awaits runs, with all its tasks, and not for long any more."""
-    boot_s = min((kind.boot_s for kind in controller.types.values()), default=0.0)
-    for parent in controller.pipelines.unfinished(child.spec.id):
+    boot_s = min((kind.boot_s for kind in controller.machine_types.values()), default=0.0)
+    for parent in controller.dependencies.unfinished_parents(child.spec.id):
         record = controller.view.jobs.get(parent)
-        if record is None or record.is_waiting or record.cancelled:
+        if record is None or record.is_blocked or record.is_cancelled:
             return False
         waiting, running = told.tasks.get(parent, (0, 0))
-        run_s = record.spec.estimate_s * controller.factor.get(record.spec.cls, 1.0)
+        run_s = record.spec.estimated_run_s * controller.run_time_ratios.get(
+            record.spec.job_class, 1.0
+        )
         if waiting or not running or run_s > SOON_BOOTS * boot_s:
             return False
     return True
@@ -151,21 +153,25 @@
     """The machines at hand, up or booting, of parts that were heard."""
     found = []
     for name, known in controller.view.machines.items():
-        kind = controller.types.get(known.type)
-        if kind is None or name in told.leaving or known.part not in told.heard:
+        kind = controller.machine_types.get(known.machine_type)
+        if (
+            kind is None
+            or name in told.leaving_machines
+            or known.shard_id not in told.recent_shards
+        ):
             continue
         found.append(
             AvailableMachine(
                 name=name,
-                type=kind,
+                machine_type=kind,
                 zone=known.zone,
                 spot=known.spot,
-                gang=name in told.with_gangs,
-                idle=told.idle.get(name, -1.0),
-                age=controller.wall - known.since,
-                used=told.in_use.get(name, 0),
-                part=known.part,
-                absent=name in told.absent,
+                runs_gang=name in told.gang_machines,
+                idle_s=told.idle_machines.get(name, -1.0),
+                age_s=controller.wall_time - known.added_at,
+                used_cpus=told.used_cpus.get(name, 0),
+                shard_id=known.shard_id,
+                is_absent=name in told.absent_machines,
             )
         )
     return found
--- a/marblestair/core/capacity/planning.py
+++ b/marblestair/core/capacity/planning.py
@@ -23,10 +23,10 @@
     Plan,
     RentalRequest,
     Tuning,
-    kinds,
+    kinds_for_job,
     per_machine,
     price_per_task,
-    spares,
+    spare_gang_count,
 )
 from marblestair.core.domain.model import GANG, PRIORITIES, JobSpec, MachineType
 
@@ -43,7 +43,7 @@
 #: more than any price, where no spot machine is to be had
 NO_PRICE = 1e18
 #: part of a rental that any part may make
-ANY_PART = -1
+ANY_SHARD = -1
 #: number of a part, or ANY_PART, with the type, zone and spot of a machine
 RankedKind = tuple[tuple[str, str, bool], int]
 
@@ -97,7 +97,7 @@
         self._boot_s = SLOW_BOOTS * min((t.boot_s for t in types.values()), default=30.0)
         self._plan = Plan([], [])
         #: machines that run gangs or are set aside for them
-        self._taken = {m.name for m in machines if m.gang}
+        self._taken = {m.name for m in machines if m.runs_gang}
         self._wanted: dict[RankedKind, int] = {}
         #: types that only some classes' large tasks need: left to them where possible
         self._scarce: set[str] = set()
@@ -109,7 +109,7 @@
     def find_scarce_types(self, expected: dict[str, ExpectedGangs]) -> None:
         """Note the types that not every class can do without."""
         for coming in expected.values():
-            fitting = {kind.type.name for kind in kinds(coming.spec, self._types)}
+            fitting = {kind.machine_type.name for kind in kinds_for_job(coming.spec, self._types)}
             if len(fitting) < len(self._types):
                 self._scarce |= fitting
 
@@ -120,14 +120,14 @@
         for load in self._gangs:
             if load.pending:
                 aside = partial(self._reserve, job=load.spec.id)
-                self._set_aside(load.spec, load.pending, load.part, aside)
+                self._set_aside(load.spec, load.pending, load.shard_id, aside)
 
     def set_aside_for_expected_gangs(self, expected: dict[str, ExpectedGangs]) -> None:
         """Keep machines ready for classes whose starts are wanted sooner than a machine boots."""
         if not self._tuning.spare_gangs:
             return
         for _, coming in sorted(expected.items()):
-            if not coming.hurry:
+            if not coming.is_latency_sensitive:
                 continue
             spec = coming.spec
             # Where a gang may stop what runs there, arrays may use its machine meanwhile.
@@ -136,12 +136,12 @@
             count = self._tuning.spare_gangs
             aside: Callable[[str], None] = partial(self._reserve, job="")
             if shared:
-                count = spares(coming, self._types, count)
-                aside = self._plan.drain.add
-            self._set_aside(spec, count * spec.tasks, ANY_PART, aside)
+                count = spare_gang_count(coming, self._types, count)
+                aside = self._plan.draining_machines.add
+            self._set_aside(spec, count * spec.task_count, ANY_SHARD, aside)
 
     def _reserve(self, machine: str, job: str) -> None:
-        self._plan.reserved[machine] = job
+        self._plan.reserved_machines[machine] = job
 
     def _set_aside(
         self, spec: JobSpec, tasks: int, part: int, aside: Callable[[str], None]
@@ -150,24 +150,26 @@
 
         Those that are soonest empty go first, and of these the ones in the gang's own part.
         """
-        options = [kind for kind in kinds(spec, self._types) if not self._refused(kind)]
+        options = [kind for kind in kinds_for_job(spec, self._types) if not self._refused(kind)]
         fitting, room = self._fitting(spec, part)
         most_in_zone = tasks
-        if spec.one_zone:
+        if spec.single_zone:
             zones = {kind.zone for kind in options} | set(room)
             if not zones:
                 return
             zone = min(zones, key=lambda z: (-room.get(z, 0), z))
             fitting = [m for m in fitting if m.zone == zone]
             options = [kind for kind in options if kind.zone == zone]
-        elif spec.spread:
+        elif spec.spread_zones:
             most_in_zone = (tasks + 1) // 2
         in_zone: dict[str, int] = {}
         for m in fitting:
             if tasks <= 0:
                 return
             count = min(
-                tasks, per_machine(m.type, spec.need), most_in_zone - in_zone.get(m.zone, 0)
+                tasks,
+                per_machine(m.machine_type, spec.resources),
+                most_in_zone - in_zone.get(m.zone, 0),
             )
             if count > 0:
                 self._taken.add(m.name)
@@ -183,12 +185,12 @@
         fitting: list[AvailableMachine] = []
         room: dict[str, int] = {}
         for m in self._soonest_empty(part):
-            if m.name in self._taken or m.absent:
+            if m.name in self._taken or m.is_absent:
                 continue
-            kind = (m.type.name, m.zone, m.spot)
+            kind = (m.machine_type.name, m.zone, m.spot)
             if kind not in holds:
                 fits = spec.may_run_on(*kind)
-                holds[kind] = per_machine(m.type, spec.need) if fits else 0
+                holds[kind] = per_machine(m.machine_type, spec.resources) if fits else 0
             if holds[kind]:
                 fitting.append(m)
                 room[m.zone] = room.get(m.zone, 0) + holds[kind]
@@ -199,7 +201,7 @@
         if part not in self._by_part:
             self._by_part[part] = sorted(
                 self._machines,
-                key=lambda m: (m.ready_s(self._boot_s), m.part != part, m.spot, m.name),
+                key=lambda m: (m.ready_s(self._boot_s), m.shard_id != part, m.spot, m.name),
             )
         return self._by_part[part]
 
@@ -219,7 +221,7 @@
             best = self._cheapest_first(open_kinds, spec, set())[0]
             count = min(
                 tasks,
-                per_machine(best.type, spec.need),
+                per_machine(best.machine_type, spec.resources),
                 most_in_zone - in_zone.get(best.zone, 0),
             )
             self._want(best, 1, part)
@@ -236,14 +238,16 @@
             self._dear_share = dear / target
         if self._arrays or usual:
             target += self._tuning.reserve * usual
-        self._plan.target = smooth(target)
-        self._plan.capacity = sum(m.type.cpus for m in self._for_arrays())
+        self._plan.target_cpus = smooth(target)
+        self._plan.capacity_cpus = sum(m.machine_type.cpus for m in self._for_arrays())
 
     def rent_for_arrays(self) -> None:
         """Rent the cheapest kind for what lacks, beyond machines that spot ones would replace."""
         dearest = self._cheapest_spot_cpu() / CHEAPER
-        capacity = sum(m.type.cpus for m in self._for_arrays() if not self._is_dearer(m, dearest))
-        target = self._plan.target
+        capacity = sum(
+            m.machine_type.cpus for m in self._for_arrays() if not self._is_dearer(m, dearest)
+        )
+        target = self._plan.target_cpus
         if not self._arrays or target <= capacity:
             return
         widest = _widest(self._arrays)
@@ -251,19 +255,19 @@
         options = self._open_kinds(widest.spec)
         for kind in options:
             # A machine much larger than what lacks would stand half empty.
-            if kind.type.cpus > 2 * lack and kind is not options[-1] and not kind.spot:
+            if kind.machine_type.cpus > 2 * lack and kind is not options[-1] and not kind.spot:
                 continue
-            if not kind.spot and widest.spec.spot and self._plan.capacity > 0:
+            if not kind.spot and widest.spec.allows_spot and self._plan.capacity_cpus > 0:
                 lack = self._dear_share * target - capacity
-                if lack < DEAR_LACK * self._plan.capacity:
+                if lack < DEAR_LACK * self._plan.capacity_cpus:
                     # Neither work that has time left nor noise in the need of a large fleet is
                     # worth a dear machine.
                     return
             # Less than half a machine is not worth one, unless there is none at all.
-            count = round(lack / kind.type.cpus)
-            if self._plan.capacity <= 0:
+            count = round(lack / kind.machine_type.cpus)
+            if self._plan.capacity_cpus <= 0:
                 count = max(1, count)
-            self._want(kind, count, ANY_PART)
+            self._want(kind, count, ANY_SHARD)
             return
 
     def rent_in_bound_zones(self) -> None:
@@ -276,15 +280,19 @@
             options = self._open_kinds(_widest(loads).spec)
             if not options:
                 continue
-            here = sum(m.type.cpus for m in self._for_arrays() if m.zone == zone and not m.absent)
+            here = sum(
+                m.machine_type.cpus
+                for m in self._for_arrays()
+                if m.zone == zone and not m.is_absent
+            )
             asked = sum(
                 count * self._types[kind[0]].cpus
                 for (kind, _), count in self._wanted.items()
                 if kind[1] == zone
             )
             target = _array_target(loads, self._boot_s, self._tuning)
-            count = round((target - here - asked) / options[0].type.cpus)
-            self._want(options[0], count, ANY_PART)
+            count = round((target - here - asked) / options[0].machine_type.cpus)
+            self._want(options[0], count, ANY_SHARD)
 
     def rent_for_unserved_arrays(self) -> None:
         """Rent a machine for work that no machine at hand may run, whatever the capacity."""
@@ -294,13 +302,14 @@
             options = self._open_kinds(load.spec)
             wanted = {kind for kind, _ in self._wanted}
             if options and not any(kind.key in wanted for kind in options):
-                self._want(options[0], 1, ANY_PART)
+                self._want(options[0], 1, ANY_SHARD)
 
     def _is_served(self, spec: JobSpec) -> bool:
         return any(
-            spec.may_run_on(m.type.name, m.zone, m.spot) and per_machine(m.type, spec.need)
+            spec.may_run_on(m.machine_type.name, m.zone, m.spot)
+            and per_machine(m.machine_type, spec.resources)
             for m in self._machines
-            if m.name not in self._plan.reserved
+            if m.name not in self._plan.reserved_machines
         )
 
     def _cheapest_spot_cpu(self) -> float:
@@ -309,7 +318,7 @@
         # One list of kinds for each shape of task: many jobs have the same.
         shapes = [self._kinds_of(load.spec) for load in self._arrays]
         prices = [
-            kind.price * risk / max(kind.type.cpus, 1.0)
+            kind.price * risk / max(kind.machine_type.cpus, 1.0)
             for found in {id(found): found for found in shapes}.values()
             for kind in found
             if kind.spot and not self._refused(kind)
@@ -320,36 +329,39 @@
         """Whether an ordinary machine costs more than a price for a cpu."""
         if m.spot or not self._arrays:
             return False
-        return m.type.price / max(m.type.cpus, 1.0) > price_per_cpu
+        return m.machine_type.price / max(m.machine_type.cpus, 1.0) > price_per_cpu
 
     # --- surplus ---------------------------------------------------------------------------
 
     def drain_surplus(self) -> None:
         """Let whole machines beyond the target fall idle: dear ones first, then the emptiest."""
-        surplus = self._plan.capacity - self._plan.target
+        surplus = self._plan.capacity_cpus - self._plan.target_cpus
         for m in sorted(
-            self._machines, key=lambda m: (m.spot, m.used / max(1, m.type.size[0]), m.name)
+            self._machines,
+            key=lambda m: (m.spot, m.used_cpus / max(1, m.machine_type.capacity[0]), m.name),
         ):
-            if m.name not in self._taken and not m.absent and surplus >= m.type.cpus:
-                surplus -= m.type.cpus
-                self._plan.drain.add(m.name)
-                self._plan.empty.add(m.name)
+            if m.name not in self._taken and not m.is_absent and surplus >= m.machine_type.cpus:
+                surplus -= m.machine_type.cpus
+                self._plan.draining_machines.add(m.name)
+                self._plan.surplus_machines.add(m.name)
 
     def release_idle(self) -> None:
         """Give back idle machines that neither arrays nor a waiting gang need, dearest first."""
-        surplus = self._plan.capacity - self._plan.target
-        idle = [m for m in self._for_arrays() if m.idle >= 0]
-        idle.sort(key=lambda m: (m.spot, -(m.type.price / max(m.type.cpus, 1.0)), m.name))
+        surplus = self._plan.capacity_cpus - self._plan.target_cpus
+        idle = [m for m in self._for_arrays() if m.idle_s >= 0]
+        idle.sort(
+            key=lambda m: (m.spot, -(m.machine_type.price / max(m.machine_type.cpus, 1.0)), m.name)
+        )
         for m in idle:
-            if m.age < LEAST_AGE_S or m.idle < self._tuning.idle_boots * m.type.boot_s:
+            if m.age_s < LEAST_AGE_S or m.idle_s < self._tuning.idle_boots * m.machine_type.boot_s:
                 continue
-            if surplus >= m.type.cpus * self._tuning.keep or not self._arrays:
-                surplus -= m.type.cpus
-                self._plan.release.append(m.name)
+            if surplus >= m.machine_type.cpus * self._tuning.keep or not self._arrays:
+                surplus -= m.machine_type.cpus
+                self._plan.releases.append(m.name)
 
     def finish(self) -> Plan:
         """Return the plan with its rentals."""
-        self._plan.rent = [
+        self._plan.rentals = [
             RentalRequest(*kind, count, part) for (kind, part), count in self._wanted.items()
         ]
         return self._plan
@@ -367,10 +379,10 @@
 
     def _kinds_of(self, spec: JobSpec) -> list[MachineKind]:
         """Return the kinds a job may run on, found once per shape: many jobs have the same."""
-        types = None if spec.types is None else tuple(spec.types)
-        shape = (types, spec.zone, spec.spot, spec.need)
+        types = None if spec.machine_types is None else tuple(spec.machine_types)
+        shape = (types, spec.zone, spec.allows_spot, spec.resources)
         if shape not in self._kinds:
-            self._kinds[shape] = kinds(spec, self._types)
+            self._kinds[shape] = kinds_for_job(spec, self._types)
         return self._kinds[shape]
 
     def _open_kinds(self, spec: JobSpec) -> list[MachineKind]:
@@ -401,9 +413,9 @@
         target += x.running * c
         if x.pending:
             # What can no longer be done in time is served last; it need not be hurried.
-            lost = x.due < 0.3 * x.run_s
-            time = 3.0 * (boot_s + x.run_s) if lost else max(tuning.haste * x.due, x.run_s)
+            lost = x.due_in_s < 0.3 * x.run_s
+            time = 3.0 * (boot_s + x.run_s) if lost else max(tuning.haste * x.due_in_s, x.run_s)
             if not lost:
-                time = max(time, x.due - lead * x.run_s)
-            target += min(x.pending * x.run_s / time, x.wide) * c
+                time = max(time, x.due_in_s - lead * x.run_s)
+            target += min(x.pending * x.run_s / time, x.allowed_tasks) * c
     return target * (1 + tuning.margin)
--- a/marblestair/core/capacity/provisioning.py
+++ b/marblestair/core/capacity/provisioning.py
@@ -42,81 +42,81 @@
     pending: int
     running: int
     #: seconds until it should be done; negative when that has passed
-    due: float
+    due_in_s: float
     #: expected run time of one task
     run_s: float
     #: how many of the waiting tasks the team's limit lets run
-    wide: int
+    allowed_tasks: int
     #: part in which a gang waits; -1 when that is not known
-    part: int = -1
+    shard_id: int = -1
 
 
 class AvailableMachine(msgspec.Struct, frozen=True):
     """A machine at hand, up or booting."""
 
     name: str
-    type: MachineType
+    machine_type: MachineType
     zone: str
     spot: bool
     #: whether it runs a gang
-    gang: bool
+    runs_gang: bool
     #: seconds without any task; negative while it is in use, or not up
-    idle: float
-    age: float
+    idle_s: float
+    age_s: float
     #: cpus in use, in fixed point
-    used: int = 0
-    part: int = -1
+    used_cpus: int = 0
+    shard_id: int = -1
     #: silent with many others: likely back, so counted, but nothing is set aside on it
-    absent: bool = False
+    is_absent: bool = False
 
     def ready_s(self, busy_s: float) -> float:
         """In how many seconds it may be empty; ``busy_s`` if it runs arrays now."""
-        if self.idle >= 0:
+        if self.idle_s >= 0:
             return 0.0
-        return busy_s if self.used else max(1.0, self.type.boot_s - self.age)
+        return busy_s if self.used_cpus else max(1.0, self.machine_type.boot_s - self.age_s)
 
 
 class MachineKind(msgspec.Struct, frozen=True):
     """A kind of machine that can be rented."""
 
-    type: MachineType
+    machine_type: MachineType
     zone: str
     spot: bool
 
     @property
     def key(self) -> tuple[str, str, bool]:
         """Type, zone and whether spot."""
-        return self.type.name, self.zone, self.spot
+        return self.machine_type.name, self.zone, self.spot
 
     @property
     def price(self) -> float:
         """Per hour."""
-        return self.type.spot_price if self.spot else self.type.price
+        return self.machine_type.spot_price if self.spot else self.machine_type.price
 
 
 class RentalRequest(msgspec.Struct, frozen=True):
     """A rental to make."""
 
-    type: str
+    machine_type: str
     zone: str
     spot: bool
     count: int
     #: part whose owner should rent, because a gang waits there; -1 for any
-    part: int = -1
+    shard_id: int = -1
 
 
 def per_machine(t: MachineType, need: tuple[int, int, int]) -> int:
     """How many such tasks an empty machine holds."""
     return max(
-        0, min((s // n for s, n in zip(t.size, need, strict=True) if n > 0), default=1 << 20)
+        0, min((s // n for s, n in zip(t.capacity, need, strict=True) if n > 0), default=1 << 20)
     )
 
 
-def kinds(spec: JobSpec, types: dict[str, MachineType]) -> list[MachineKind]:
+def kinds_for_job(spec: JobSpec, types: dict[str, MachineType]) -> list[MachineKind]:
     """Every kind of machine a job may run on."""
     out = []
     for t in types.values():
-        if per_machine(t, spec.need) < 1:
+        if per_machine(t, spec.resources) < 1:
             continue
         for z in t.zones:
             for spot in (True, False):
@@ -127,10 +127,10 @@
 
 def price_per_task(k: MachineKind, spec: JobSpec, tuning: Tuning, scarce: set[str]) -> float:
     """Price of the share of the machine that one task takes, with what weighs against it."""
-    price = k.price / max(1, per_machine(k.type, spec.need))
+    price = k.price / max(1, per_machine(k.machine_type, spec.resources))
     if k.spot:
         price *= 1.0 + tuning.spot_risk
-    if k.type.name in scarce:
+    if k.machine_type.name in scarce:
         price *= 1.5
     return price
 
@@ -140,11 +140,11 @@
 
     spec: JobSpec
     #: whether starts are wanted sooner than a machine boots
-    hurry: bool
-    per_s: float = 0.0
+    is_latency_sensitive: bool
+    arrivals_per_s: float = 0.0
 
 
-def spares(k: ExpectedGangs, types: dict[str, MachineType], least: int) -> int:
+def spare_gang_count(k: ExpectedGangs, types: dict[str, MachineType], least: int) -> int:
     """Count the gangs of a class to keep machines ready for.
 
     As many as come while a machine is rented for one, and a standard deviation more.
@@ -152,23 +152,23 @@
     leads = [
         1.2 * t.boot_s + k.spec.image_gb / max(t.fetch_gb_per_s, 1e-6)
         for t in types.values()
-        if per_machine(t, k.spec.need)
+        if per_machine(t, k.spec.resources)
     ]
-    mean = k.per_s * min(leads, default=0.0)
+    mean = k.arrivals_per_s * min(leads, default=0.0)
     return max(least, math.ceil(mean + math.sqrt(mean)))
 
 
 class Plan(msgspec.Struct):
     """What should be done about the fleet."""
 
-    rent: list[RentalRequest]
-    release: list[str]
+    rentals: list[RentalRequest]
+    releases: list[str]
     #: cpus that arrays should have, and cpus they have
-    target: float = 0.0
-    capacity: float = 0.0
+    target_cpus: float = 0.0
+    capacity_cpus: float = 0.0
     #: machines that are to fall idle
-    drain: set[str] = set()
+    draining_machines: set[str] = set()
     #: those of them that nothing is kept for
-    empty: set[str] = set()
+    surplus_machines: set[str] = set()
     #: machines set aside for gangs: the job that waits for it, or "" for one that is expected
-    reserved: dict[str, str] = {}
+    reserved_machines: dict[str, str] = {}
--- a/marblestair/core/capacity/shard_summary.py
+++ b/marblestair/core/capacity/shard_summary.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from marblestair.core.capacity.decommissioning import absent
-from marblestair.core.capacity.demand import measure_demand, wanted_tasks
+from marblestair.core.capacity.decommissioning import absent_machines
+from marblestair.core.capacity.demand import demanded_tasks, measure_demand
 from marblestair.core.domain.model import GANG
 from marblestair.core.runtime.outbox import ShardSummary
 from marblestair.core.shard.machine import Machine
@@ -21,38 +21,40 @@
     """The machines of a part by what they are good for."""
 
     #: with tasks, and how much of them is in use
-    busy: list[tuple[str, int]] = []
+    busy_machines: list[tuple[str, int]] = []
     #: without tasks, and for how long
-    idle: list[tuple[str, float]] = []
+    idle_machines: list[tuple[str, float]] = []
     #: with gangs
-    gangs: list[str] = []
+    gang_machines: list[str] = []
     #: not to be counted on
-    leaving: list[str] = []
+    leaving_machines: list[str] = []
 
 
-def summarise(controller: Controller, part: Shard) -> ShardSummary:
+def summarize_shard(controller: Controller, part: Shard) -> ShardSummary:
     """What the others should know about a part."""
     demand = measure_demand(controller, part)
-    away = absent(part, controller.settings.cluster.workers.lease_s, controller.now)
+    away = absent_machines(part, controller.settings.cluster.workers.lease_s, controller.now)
     use = _machine_use(controller, part, away)
-    ordered = controller.dispatch.ordered(part)
+    ordered = controller.dispatcher.pending_in_order(part)
     return ShardSummary(
-        part=part.number,
+        shard_id=part.shard_id,
         term=part.term,
-        rooms=_free_rooms(controller, part),
-        held=controller.preemption.told(part),
-        backlog=demand.backlog,
-        shares=_shares_left(controller, part),
-        wants=demand.wants,
-        waiting=_waiting(controller, part),
-        busy=use.busy,
-        idle=use.idle,
-        needs=[s.spec.id for s in ordered if controller.machine_moves.lacks_room(part, s)],
-        gangs=use.gangs,
-        leaving=use.leaving,
-        absent=sorted(away),
-        stuck=demand.stuck,
-        failing=[x for x in controller.faults.failing() if x[0] in part.slices],
+        free_capacity=_free_rooms(controller, part),
+        preemptible_capacity=controller.preemption.preemptible_capacity(part),
+        backlog_cpus=demand.backlog_cpus,
+        free_quota=_shares_left(controller, part),
+        lacking_quota=demand.lacking_quota,
+        pending_jobs=_waiting(controller, part),
+        busy_machines=use.busy_machines,
+        idle_machines=use.idle_machines,
+        jobs_lacking_capacity=[
+            s.spec.id for s in ordered if controller.machine_transfers.lacks_capacity(part, s)
+        ],
+        gang_machines=use.gang_machines,
+        leaving_machines=use.leaving_machines,
+        absent_machines=sorted(away),
+        starved_teams=demand.starved_teams,
+        failing_jobs=[x for x in controller.failures.failing_jobs() if x[0] in part.slices],
     )
 
 
@@ -60,14 +62,14 @@
     return [
         (m.type_name, m.zone, m.spot, m.free[0], m.free[1], m.free[2])
         for m in part.machines.values()
-        if m.free[0] > 0 and m.usable(controller.now) and not controller.preemption.claimed(m)
+        if m.free[0] > 0 and m.is_usable(controller.now) and not controller.preemption.is_claimed(m)
     ]
 
 
 def _shares_left(controller: Controller, part: Shard) -> dict[str, list[int]]:
     left = {}
     for team in controller.teams:
-        used, share = part.usage(team), controller.share(part, team)
+        used, share = part.usage(team), controller.quota(part, team)
         left[team] = [max(0, share[i] - used[i]) for i in range(2)]
     return left
 
@@ -75,10 +77,10 @@
 def _waiting(controller: Controller, part: Shard) -> list[tuple[str, int, int]]:
     waiting = []
     for job, s in part.slices.items():
-        if s.cancelled or not (len(s.pending) or s.placed or s.leaving):
+        if s.is_cancelled or not (len(s.pending) or s.placed_on or s.migrating_ranges):
             continue
-        moving = sum(end - start for start, end in s.leaving)
-        waiting.append((job, wanted_tasks(controller, s) + moving, len(s.placed)))
+        moving = sum(end - start for start, end in s.migrating_ranges)
+        waiting.append((job, demanded_tasks(controller, s) + moving, len(s.placed_on)))
     return waiting
 
 
@@ -86,30 +88,30 @@
     """Sort a part's machines; those that fell silent together with many are left out."""
     use = MachineUse()
     with_gangs = {
-        m.name for s in part.slices.values() if s.spec.kind == GANG for m in s.placed.values()
+        m.name for s in part.slices.values() if s.spec.kind == GANG for m in s.placed_on.values()
     }
     for m in part.machines.values():
-        is_given_up = m.releasing or m.given_up or m.returning
+        is_given_up = m.is_releasing or m.is_given_up or m.is_returning
         if m.name in away and not is_given_up:
             continue
         if is_given_up or _is_leaving(controller, m):
-            use.leaving.append(m.name)
-        elif m.draining:
+            use.leaving_machines.append(m.name)
+        elif m.is_draining:
             # On its way to a gang's part: neither idle nor lost to the plan, which would rent
             # once more what is there already.
             continue
-        elif m.settled and m.idle_since is not None and not m.placed and not m.unknown_tasks:
-            use.idle.append((m.name, round(controller.now - m.idle_since, 2)))
+        elif m.is_reconciled and m.idle_since is not None and not m.tasks and not m.unknown_tasks:
+            use.idle_machines.append((m.name, round(controller.now - m.idle_since, 2)))
         elif m.name in with_gangs:
-            use.gangs.append(m.name)
-        elif m.type is not None and m.placed:
-            use.busy.append((m.name, m.type.size[0] - m.free[0]))
+            use.gang_machines.append(m.name)
+        elif m.machine_type is not None and m.tasks:
+            use.busy_machines.append((m.name, m.machine_type.capacity[0] - m.free[0]))
     return use
 
 
 def _is_leaving(controller: Controller, m: Machine) -> bool:
     """Whether a machine is not to be counted on."""
-    if m.silent or m.deaf or m.notice_at is not None:
+    if m.is_silent or m.is_unresponsive or m.reclaim_at is not None:
         return True
     return _is_overdue(controller, m)
 
@@ -121,6 +123,8 @@
     it may have reported elsewhere. Were it left out until it reports here, the others would rent
     machines in place of the whole part.
     """
-    if m.session or m.type is None:
+    if m.agent_incarnation or m.machine_type is None:
         return False
-    return controller.boots.is_overdue(m.type, controller.now - m.added, controller.now)
+    return controller.boot_times.is_overdue(
+        m.machine_type, controller.now - m.added_at, controller.now
+    )
--- a/marblestair/core/capacity/spending.py
+++ b/marblestair/core/capacity/spending.py
@@ -29,13 +29,16 @@
     def account(self, part: Shard) -> None:
         """Count what a part's machines cost since the last call; about once a minute, log it."""
         now = self._controller.now
-        pause_s = min(LONGEST_PAUSE_S, now - self._accounted_at.get(part.number, now))
-        self._accounted_at[part.number] = now
-        spent = self._spent.setdefault(part.number, {})
+        pause_s = min(LONGEST_PAUSE_S, now - self._accounted_at.get(part.shard_id, now))
+        self._accounted_at[part.shard_id] = now
+        spent = self._spent.setdefault(part.shard_id, {})
         for machine in part.machines.values():
             _add(spent, machine, pause_s)
-        if now - self._logged_at.setdefault(part.number, now) >= LOG_S and sum(spent.values()) > 0:
-            self._logged_at[part.number] = now
+        if (
+            now - self._logged_at.setdefault(part.shard_id, now) >= LOG_S
+            and sum(spent.values()) > 0
+        ):
+            self._logged_at[part.shard_id] = now
             self._log(part, spent)
             spent.clear()
 
@@ -45,24 +48,24 @@
         waiting = sum(len(s.pending) for s in part.slices.values())
         self._controller.log(
             "info",
-            f"part {part.number}: {len(part.machines)} machines,"
+            f"part {part.shard_id}: {len(part.machines)} machines,"
             f" {waiting} tasks waiting, spent {total:.3f}: {uses}",
         )
 
 
 def _add(spent: dict[str, float], machine: Machine, pause_s: float) -> None:
     """Divide what one machine cost by what its cpus were used for."""
-    if machine.type is None:
+    if machine.machine_type is None:
         return
-    price = machine.type.spot_price if machine.spot else machine.type.price
+    price = machine.machine_type.spot_price if machine.spot else machine.machine_type.price
     money = price * pause_s / SECONDS_PER_HOUR
-    if not machine.session or machine.silent:
+    if not machine.agent_incarnation or machine.is_silent:
         spent["boot"] = spent.get("boot", 0.0) + money
         return
-    running = sum(p.need[0] for p in machine.placed.values() if p.run_since is not None)
-    starting = sum(p.need[0] for p in machine.placed.values() if p.run_since is None)
-    size = max(1, machine.type.size[0])
-    left = "spare" if machine.placed else "idle"
+    running = sum(p.resources[0] for p in machine.tasks.values() if p.running_since is not None)
+    starting = sum(p.resources[0] for p in machine.tasks.values() if p.running_since is None)
+    size = max(1, machine.machine_type.capacity[0])
+    left = "spare" if machine.tasks else "idle"
     uses = (("run", running), ("start", starting), (left, max(0, size - running - starting)))
     for use, cpus in uses:
         spent[use] = spent.get(use, 0.0) + money * cpus / size
--- a/marblestair/core/jobs/acceptance.py
+++ b/marblestair/core/jobs/acceptance.py
@@ -10,16 +10,16 @@
 
 import msgspec
 
-from marblestair.core.domain.model import DESCRIPTION, GANG, JobRecord, JobSpec, too_large
+from marblestair.core.domain.model import DESCRIPTION, GANG, JobRecord, JobSpec, exceeds_value_limit
 from marblestair.core.jobs.admission import AdmissionStage
 from marblestair.core.jobs.answers import UNKNOWN, JobState, JobStatus
-from marblestair.core.jobs.parents import Parents, ParentsState, look_up
+from marblestair.core.jobs.parents import Parents, ParentsState, look_up_parents
 from marblestair.core.leadership import shard_map
 from marblestair.core.runtime.coroutines import Step
 from marblestair.core.runtime.requests import ACCEPT, CompareAndSwap, Put, StoreResponse
 from marblestair.core.scheduling.placement import gang_fits
-from marblestair.core.scheduling.quota import refusal
-from marblestair.core.scheduling.slice_migration import reserve
+from marblestair.core.scheduling.quota import rejection_reason
+from marblestair.core.scheduling.slice_migration import reserve_capacity
 from marblestair.core.state import keys
 
 if TYPE_CHECKING:
@@ -63,27 +63,27 @@
     def submit(self, spec: JobSpec) -> Step:
         """Accept or refuse a job, or tell the state of one that is known; an Outcome."""
         controller = self._controller
-        if spec.id in controller.answers.finals or spec.id in controller.view.jobs:
+        if spec.id in controller.answers.final_states or spec.id in controller.view.jobs:
             return (yield from self._known(spec.id))
-        if not controller.types:
+        if not controller.machine_types:
             return Outcome(503, UNKNOWN, "machine types are not known yet", RETRY_S)
         reason = self._refusal(spec)
         if reason is not None:
             return (yield from self._refused(spec, reason))
-        if spec.awaits:
+        if spec.depends_on:
             return (yield from self._submit_waiting(spec))
         return (yield from self._admit(spec))
 
     def _submit_waiting(self, spec: JobSpec) -> Step:
         """Accept or refuse a job that awaits others."""
-        found: Parents = yield from look_up(self._controller, spec.awaits)
+        found: Parents = yield from look_up_parents(self._controller, spec.depends_on)
         if found.state is ParentsState.UNDECIDED:
             return Outcome(503, UNKNOWN, f"nothing known of {found.deciding} yet", RETRY_S)
         if found.state is ParentsState.UNKNOWN:
             reason = f"it awaits {found.deciding}, which was never accepted"
             return (yield from self._refused(spec, reason))
         # What is done stays done: only the others need be remembered.
-        awaiting = msgspec.structs.replace(spec, awaits=found.unfinished)
+        awaiting = msgspec.structs.replace(spec, depends_on=found.unfinished)
         if found.state is ParentsState.CANCELLED:
             return (yield from self._accept_cancelled(awaiting, found.deciding))
         if self._is_too_large(awaiting):
@@ -113,16 +113,16 @@
     def _refusal(self, spec: JobSpec) -> str | None:
         """Why a job can never run; None if it can."""
         controller = self._controller
-        reason = refusal(spec, controller.teams, list(controller.types.values()))
+        reason = rejection_reason(spec, controller.teams, list(controller.machine_types.values()))
         if reason is not None:
             return reason
-        if self._is_too_large(msgspec.structs.replace(spec, awaits=[])):
+        if self._is_too_large(msgspec.structs.replace(spec, depends_on=[])):
             return "the description is larger than what can be kept"
         return None
 
     def _is_too_large(self, spec: JobSpec) -> bool:
         value_kb = self._controller.settings.cluster.state.value_kb
-        return too_large(JobRecord(spec, 0, {}, []), value_kb, DESCRIPTION)
+        return exceeds_value_limit(JobRecord(spec, 0, {}, []), value_kb, DESCRIPTION)
 
     def _refused(self, spec: JobSpec, reason: str) -> Step:
         """Refuse a job for good, unless it was accepted before: then it is known."""
@@ -131,7 +131,9 @@
             return Outcome(503, UNKNOWN, "state service unavailable", RETRY_S)
         if status != UNKNOWN:
             return Outcome(200, status)
-        self._controller.log("info", f"refused {spec.id} of {spec.cls} for {spec.team}: {reason}")
+        self._controller.log(
+            "info", f"refused {spec.id} of {spec.job_class} for {spec.team}: {reason}"
+        )
         return Outcome(422, UNKNOWN, reason)
 
     def _manager_part(self) -> int | None:
@@ -142,33 +144,37 @@
         over the part; its owner finds the record by its watch.
         """
         controller = self._controller
-        record = controller.view.split
-        numbers = [part.number for part in controller.acting()]
-        if not numbers and controller.authority.holds(controller.now) and record is not None:
-            numbers = [i for i, part in enumerate(record.parts) if self._is_heard(i, part.term)]
+        record = controller.view.shard_map
+        numbers = [part.shard_id for part in controller.led_shards()]
+        if (
+            not numbers
+            and controller.leadership.is_authorized(controller.now)
+            and record is not None
+        ):
+            numbers = [i for i, part in enumerate(record.shards) if self._is_heard(i, part.term)]
         return numbers[controller.rng.randrange(len(numbers))] if numbers else None
 
     def _is_heard(self, number: int, term: int) -> bool:
         """Whether a part's present owner has told of it within the last seconds."""
-        told_at, summary = self._controller.summaries.get(number, (-1e9, None))
+        told_at, summary = self._controller.shard_summaries.get(number, (-1e9, None))
         fresh = self._controller.now - told_at <= SUMMARY_FRESH_S
         return summary is not None and fresh and summary.term == term
 
     def _accept(self, spec: JobSpec, manager: int) -> Step:
         controller = self._controller
-        dated = msgspec.structs.replace(spec, at=round(controller.wall, 3))
+        dated = msgspec.structs.replace(spec, accepted_at=round(controller.wall_time, 3))
         record = JobRecord(dated, manager, self._assign(spec, manager), [])
         key = keys.JOBS + spec.id
         for _ in range(MOST_TRIES):
-            if not controller.authority.holds(controller.now):
+            if not controller.leadership.is_authorized(controller.now):
                 return Outcome(503, UNKNOWN, "no authority", RETRY_S)
-            guards = [(key, 0), (keys.FINALS + spec.id, 0), controller.fence(manager)]
+            guards = [(key, 0), (keys.FINALS + spec.id, 0), controller.fence_precondition(manager)]
             commit = CompareAndSwap(guards, [Put(key, record)], [], ACCEPT)
             result: StoreResponse = yield commit
             if result.status == 200:
-                controller.view.committed(commit, result.rev)
+                controller.view.record_commit(commit, result.revision)
                 controller.sync()
-                controller.jobs.tell_record(spec.id)
+                controller.job_managers.announce_record(spec.id)
                 self._log_accepted(spec, record)
                 return Outcome(201, JobStatus(JobState.QUEUED, 0, 0))
             if result.status == 400:
@@ -176,7 +182,7 @@
             if result.status not in (0, 409):
                 break
             # Perhaps an earlier try of ours, or of the user by way of another node.
-            status: JobStatus | None = yield from controller.answers.fresh(spec.id)
+            status: JobStatus | None = yield from controller.answers.read_status(spec.id)
             if status is None:
                 break
             if status != UNKNOWN:
@@ -186,19 +192,19 @@
     def _accept_cancelled(self, spec: JobSpec, parent: str) -> Step:
         """Accept a job that awaits a cancelled one: it is over from the start."""
         controller = self._controller
-        if not controller.authority.holds(controller.now):
+        if not controller.leadership.is_authorized(controller.now):
             return Outcome(503, UNKNOWN, "no authority", RETRY_S)
         final_key = keys.FINALS + spec.id
         guards = [(keys.JOBS + spec.id, 0), (final_key, 0)]
         commit = CompareAndSwap(guards, [Put(final_key, JobState.CANCELLED)], [], ACCEPT)
         result: StoreResponse = yield commit
         if result.status == 200:
-            controller.answers.final(spec.id, JobState.CANCELLED)
+            controller.answers.record_final(spec.id, JobState.CANCELLED)
             controller.log("info", f"accepted {spec.id} as cancelled, like {parent} before it")
             return Outcome(201, JobStatus(JobState.CANCELLED))
         if result.status in (0, 409):
             # Perhaps an earlier try of ours, or of the user by way of another node.
-            status: JobStatus | None = yield from controller.answers.fresh(spec.id)
+            status: JobStatus | None = yield from controller.answers.read_status(spec.id)
             if status is not None and status != UNKNOWN:
                 return Outcome(200, status)
         return Outcome(503, UNKNOWN, "not accepted yet", RETRY_S)
@@ -208,10 +214,10 @@
             part: sum(end - start for start, end in ranges)
             for part, ranges in record.slices.items()
         }
-        guaranteed = spec.id in self._controller.guaranteed
+        guaranteed = spec.id in self._controller.guaranteed_jobs
         self._controller.log(
             "info",
-            f"accepted {spec.id}: {spec.kind} of {spec.cls} for {spec.team}, tasks by part"
+            f"accepted {spec.id}: {spec.kind} of {spec.job_class} for {spec.team}, tasks by part"
             f" {sizes}{', within its guarantee' if guaranteed else ''}{_awaiting(spec)}",
         )
 
@@ -221,44 +227,46 @@
         """Which part gets which slice at first; unstarted ones can migrate later."""
         load = self._load_by_part(manager)
         able = self._parts_with_share(spec, load) or [manager]
-        whole = spec.kind == GANG or spec.one_zone or spec.spread
-        if whole or spec.tasks < 2 * len(able):
+        whole = spec.kind == GANG or spec.single_zone or spec.spread_zones
+        if whole or spec.task_count < 2 * len(able):
             part = self._part_for_whole(spec, able, load, manager)
-            return {str(part): [[0, spec.tasks]]}
+            return {str(part): [[0, spec.task_count]]}
         slices: dict[str, list[list[int]]] = {}
         start = 0
-        for part, size in zip(sorted(able), shard_map.even(spec.tasks, len(able)), strict=True):
+        for part, size in zip(
+            sorted(able), shard_map.split_evenly(spec.task_count, len(able)), strict=True
+        ):
             slices[str(part)] = [[start, start + size]]
             start += size
         return slices
 
     def _summary(self, part: int) -> ShardSummary | None:
-        told = self._controller.summaries.get(part)
+        told = self._controller.shard_summaries.get(part)
         return told[1] if told is not None else None
 
     def _load_by_part(self, manager: int) -> dict[int, float]:
         """Work that waits, less free room, of the manager's part and those heard lately."""
-        record = self._controller.view.split
+        record = self._controller.view.shard_map
         assert record is not None
         load: dict[int, float] = {}
-        for number, part in enumerate(record.parts):
+        for number, part in enumerate(record.shards):
             if number != manager and not self._is_heard(number, part.term):
                 continue
             summary = self._summary(number)
             load[number] = 0.0
             if summary is not None:
-                load[number] = summary.backlog - sum(room[3] for room in summary.rooms)
+                load[number] = summary.backlog_cpus - sum(room[3] for room in summary.free_capacity)
         return load
 
     def _parts_with_share(self, spec: JobSpec, load: dict[int, float]) -> list[int]:
         """Parts whose share of the team's limit holds a task, or the whole gang."""
-        record = self._controller.view.split
+        record = self._controller.view.shard_map
         assert record is not None
-        unit = spec.tasks if spec.kind == GANG else 1
+        unit = spec.task_count if spec.kind == GANG else 1
         able = []
         for number in load:
-            cpus, gpus = record.parts[number].shares.get(spec.team, [0, 0])
-            if cpus >= unit * spec.need[0] and gpus >= unit * spec.need[1]:
+            cpus, gpus = record.shards[number].quotas.get(spec.team, [0, 0])
+            if cpus >= unit * spec.resources[0] and gpus >= unit * spec.resources[1]:
                 able.append(number)
         return able
 
@@ -267,28 +275,30 @@
     ) -> int:
         """Choose the part for a job that stays one slice: one with room, and of least load."""
         controller = self._controller
-        whole = spec.kind == GANG or spec.one_zone or spec.spread
-        count = spec.tasks if whole else 1
+        whole = spec.kind == GANG or spec.single_zone or spec.spread_zones
+        count = spec.task_count if whole else 1
         told = {part: g for part in able if (g := self._summary(part)) is not None}
-        fitting = [p for p, g in told.items() if gang_fits(spec, spec.need, g.rooms, count)]
-        if not fitting and controller.fleet.arrivals.is_hurried(spec):
+        fitting = [
+            p for p, g in told.items() if gang_fits(spec, spec.resources, g.free_capacity, count)
+        ]
+        if not fitting and controller.fleet.arrivals.is_latency_sensitive(spec):
             # Else where it may stop what runs there.
             fitting = [
                 part
                 for part, g in told.items()
-                if gang_fits(spec, spec.need, g.rooms + g.held, count)
+                if gang_fits(spec, spec.resources, g.free_capacity + g.preemptible_capacity, count)
             ]
         candidates = fitting or able
         best = min(candidates, key=lambda part: (load[part], part != manager, part))
         if best in told and spec.kind == GANG:
             # Several that come at once are not all sent to the same machine.
-            reserve(told[best], spec, count)
+            reserve_capacity(told[best], spec, count)
         return best
 
 
 def _awaiting(spec: JobSpec) -> str:
     """What a job waits for, for the log."""
-    if not spec.awaits:
+    if not spec.depends_on:
         return ""
-    more = ", ..." if len(spec.awaits) > LOGGED_PARENTS else ""
-    return f", waits for {', '.join(spec.awaits[:LOGGED_PARENTS])}{more}"
+    more = ", ..." if len(spec.depends_on) > LOGGED_PARENTS else ""
+    return f", waits for {', '.join(spec.depends_on[:LOGGED_PARENTS])}{more}"
--- a/marblestair/core/jobs/answers.py
+++ b/marblestair/core/jobs/answers.py
@@ -85,35 +85,45 @@
 
     def __init__(self, controller: Controller) -> None:
         self.controller = controller
-        self.finals: OrderedDict[str, JobState] = OrderedDict()
+        self.final_states: OrderedDict[str, JobState] = OrderedDict()
         state = controller.settings.cluster.state
-        self.lookups = Lookups(controller.runner, self, state.rps / len(controller.settings.nodes))
+        self.lookups = Lookups(
+            controller.coroutines, self, state.rps / len(controller.settings.nodes)
+        )
 
-    def final(self, job: str, state: JobState) -> None:
+    def record_final(self, job: str, state: JobState) -> None:
         """Remember a job's final state."""
-        if job not in self.finals and self.controller.pipelines.is_awaited(job):
+        if job not in self.final_states and self.controller.dependencies.has_dependents(job):
             self.controller.decisions.note(
-                self.controller.now, Decision.END, state, job=job, view_rev=self.controller.view.rev
+                self.controller.now,
+                Decision.END,
+                state,
+                job=job,
+                view_rev=self.controller.view.revision,
             )
-        self.finals[job] = state
-        while len(self.finals) > REMEMBERED:
-            self.finals.popitem(last=False)
-        self.controller.pipelines.ended(job, state)
+        self.final_states[job] = state
+        while len(self.final_states) > REMEMBERED:
+            self.final_states.popitem(last=False)
+        self.controller.dependencies.parent_ended(job, state)
 
-    def may_tell(self, job: str, found: ProvenStatus | None) -> JobStatus | None:
+    def answerable_status(self, job: str, found: ProvenStatus | None) -> JobStatus | None:
         """What may be told of a job that was found in a status; None when nothing may be.
 
         Every answer to a user, whatever the request, passes here last. Between the commit of a
         cancel and its confirmation neither "cancelled" nor what was before is told: another node
         may have told the one already, and the other is not so yet.
         """
-        if job in self.finals:
-            return JobStatus(self.finals[job])
-        if self.controller.cancels.known(job):
-            return JobStatus(JobState.CANCELLED) if self.controller.cancels.confirmed(job) else None
-        pipelines = self.controller.pipelines
+        if job in self.final_states:
+            return JobStatus(self.final_states[job])
+        if self.controller.cancellations.is_known(job):
+            return (
+                JobStatus(JobState.CANCELLED)
+                if self.controller.cancellations.is_confirmed(job)
+                else None
+            )
+        pipelines = self.controller.dependencies
         if pipelines.has_cancelled_ancestor(job):
-            if pipelines.may_be_told_cancelled(job):
+            if pipelines.may_answer_cancelled(job):
                 return JobStatus(JobState.CANCELLED)
             # Whatever was found, here or by another node, rests on an older view than this one.
             found = None
@@ -124,48 +134,48 @@
         decisions.count(Decision.ANSWER, f"by {found.proof.name.lower()}")
         return found.status
 
-    def local(self, job: str) -> JobStatus | None:
+    def status_from_memory(self, job: str) -> JobStatus | None:
         """The status of a job if this node may tell it from memory."""
-        return self.may_tell(job, self._managed_status(job))
+        return self.answerable_status(job, self._managed_status(job))
 
     def _managed_status(self, job: str) -> ProvenStatus | None:
         controller = self.controller
         record = controller.view.jobs.get(job)
-        managed = controller.jobs.managed.get(job)
-        if record is None or managed is None or not controller.acts(managed.part):
+        managed = controller.job_managers.managed.get(job)
+        if record is None or managed is None or not controller.is_leader(managed.shard_id):
             return None
-        if not managed.is_settled:
+        if not managed.is_record_known:
             # The end may be committed already, and others may have told it.
             return None
-        if record.is_waiting and not controller.pipelines.knows_ancestors(job):
+        if record.is_blocked and not controller.dependencies.knows_ancestors(job):
             return None
-        done = min(managed.tasks_done, record.spec.tasks)
+        done = min(managed.tasks_done, record.spec.task_count)
         running = managed.tasks_running
         state = JobState.RUNNING if running or done else JobState.QUEUED
         return ProvenStatus(JobStatus(state, done, running), Proof.MANAGER)
 
     def lookup(self, job: str) -> Step:
         """The status of any job: UNKNOWN, or None when it cannot be told now."""
-        local = self.local(job)
+        local = self.status_from_memory(job)
         if local is not None:
             return local
-        return (yield from self.lookups.find(job))
+        return (yield from self.lookups.find_status(job))
 
     def search(self, job: str) -> Step:
         """The status of a job that this node does not manage, from its manager or a fresh read."""
         controller = self.controller
         record = controller.view.jobs.get(job)
-        controller.cancels.carry(job)
+        controller.cancellations.propagate_in_background(job)
         if record is not None:
-            owner = controller.owner(record.manager)
-            if owner is not None and owner != controller.node and not controller.cut_off():
+            owner = controller.leader_of(record.manager_shard)
+            if owner is not None and owner != controller.node and not controller.is_cut_off():
                 answer = yield PeerRequest(owner, "query", [job], QUERY_PEER_S)
-                told = self._take_answer(job, answer)
+                told = self._accept_peer_answer(job, answer)
                 if told is not None:
                     return told
-        return (yield from self.lookups.read(job))
+        return (yield from self.lookups.read_status(job))
 
-    def _take_answer(self, job: str, answer: Any) -> JobStatus | None:
+    def _accept_peer_answer(self, job: str, answer: Any) -> JobStatus | None:
         """Take in what another node said of a job when it was asked."""
         try:
             status = msgspec.convert(answer, JobStatus)
@@ -174,53 +184,53 @@
         if status.state is JobState.UNKNOWN:
             return None
         if status.is_final:
-            self.final(job, status.state)
-        return self.may_tell(job, ProvenStatus(status, Proof.PEER))
+            self.record_final(job, status.state)
+        return self.answerable_status(job, ProvenStatus(status, Proof.PEER))
 
-    def fresh(self, job: str, lane: int = ACCEPT) -> Step:
+    def read_status(self, job: str, lane: int = ACCEPT) -> Step:
         """A job's status from a fresh read: UNKNOWN, or None when it cannot be told now."""
         controller = self.controller
-        found = yield from self.read(job, lane)
+        found = yield from self.read_record(job, lane)
         if found is None or found == UNKNOWN:
             return found
-        if job in self.finals:
-            return self.may_tell(job, None)
-        if found.state is JobState.CANCELLED and not controller.cancels.known(job):
+        if job in self.final_states:
+            return self.answerable_status(job, None)
+        if found.state is JobState.CANCELLED and not controller.cancellations.is_known(job):
             # The record was read before the job ended, and the view is past its end: its entry
             # is forgotten, and its final state is not read yet.
-            return self.may_tell(job, None)
+            return self.answerable_status(job, None)
         record = controller.view.jobs.get(job)
         if record is None:
             # The view is past the end of the job: what was read is no proof, least of all that no
             # ancestor is cancelled. The final state is committed.
             yield from self._read_final(job, lane)
-            return self.may_tell(job, None)
-        if record.is_waiting:
-            if not (yield from controller.pipelines.may_tell_waiting(record, lane)):
-                return self.may_tell(job, None)
-        managed = controller.jobs.managed.get(job)
+            return self.answerable_status(job, None)
+        if record.is_blocked:
+            if not (yield from controller.dependencies.may_answer_blocked(record, lane)):
+                return self.answerable_status(job, None)
+        managed = controller.job_managers.managed.get(job)
         done = managed.tasks_done if managed is not None else 0
         state = JobState.RUNNING if done else JobState.QUEUED
-        return self.may_tell(job, ProvenStatus(JobStatus(state, done, 0), Proof.READ))
+        return self.answerable_status(job, ProvenStatus(JobStatus(state, done, 0), Proof.READ))
 
-    def read(self, job: str, lane: int = ACCEPT) -> Step:
+    def read_record(self, job: str, lane: int = ACCEPT) -> Step:
         """Read a job's record or final state afresh.
 
         Returns the status as kept, UNKNOWN, or None when it could not be read. What is read
         is taken into the view; whether it may be told is for the caller to ask.
         """
         controller = self.controller
-        if controller.cut_off():
+        if controller.is_cut_off():
             return None
         r: StoreResponse = yield Get(keys.JOBS + job, lane)
         if r.status == 200:
-            controller.view.take_in(keys.JOBS + job, r.value, r.version)
+            controller.view.record_read(keys.JOBS + job, r.value, r.version)
             controller.sync()
             record = msgspec.convert(r.value, JobRecord)
-            return JobStatus(JobState.CANCELLED if record.cancelled else JobState.QUEUED)
+            return JobStatus(JobState.CANCELLED if record.is_cancelled else JobState.QUEUED)
         if r.status != 404:
             return None
-        controller.view.take_absence(keys.JOBS + job, r.rev)
+        controller.view.record_absence(keys.JOBS + job, r.revision)
         controller.sync()
         # In this order: a job that ends between the two reads moves from the first key to the
         # second.
@@ -230,23 +240,23 @@
         """Read a job's final state; UNKNOWN if it has none, None when it could not be read."""
         got: StoreResponse = yield Get(keys.FINALS + job, lane)
         if got.status == 200 and got.value in FINAL_STATES:
-            self.final(job, JobState(got.value))
+            self.record_final(job, JobState(got.value))
             return JobStatus(JobState(got.value))
         return UNKNOWN if got.status == 404 else None
 
-    def find_final(self, job: str, lane: int) -> Step:
+    def read_final_first(self, job: str, lane: int) -> Step:
         """Look first for a job's final state, then for its record, by fresh reads.
 
         UNKNOWN, or None when that could not be told. A job that the view lacks is most often over.
         """
-        if self.controller.cut_off():
+        if self.controller.is_cut_off():
             return None
         final = yield from self._read_final(job, lane)
         if final != UNKNOWN:
             return final
         # Between the two reads it may have ended: the next one looks for both, in that order.
-        return (yield from self.read(job, lane))
+        return (yield from self.read_record(job, lane))
 
-    def refresh(self, job: str) -> Step:
+    def refresh_record(self, job: str) -> Step:
         """Read a job's record afresh; whether that succeeded."""
-        return (yield from self.read(job)) is not None
+        return (yield from self.read_record(job)) is not None
--- a/marblestair/core/jobs/cancellations.py
+++ b/marblestair/core/jobs/cancellations.py
@@ -19,7 +19,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from marblestair.core.domain.model import JobRecord, cancelled
+from marblestair.core.domain.model import JobRecord, with_cancel
 from marblestair.core.leadership.shard_map import ShardRecord
 from marblestair.core.runtime.coroutines import Coroutine, Step
 from marblestair.core.runtime.decision_log import Decision
@@ -55,19 +55,19 @@
 class CancelEntry:
     """The cancel of one job, as far as this node knows."""
 
-    __slots__ = ("applied", "carried", "confirmed", "rev", "since")
+    __slots__ = ("applied_terms", "is_propagating", "is_confirmed", "revision", "known_since")
 
     def __init__(self, rev: int, now: float) -> None:
         #: a revision at which the record held the entry
-        self.rev = rev
+        self.revision = rev
         #: when this node first knew of it
-        self.since = now
+        self.known_since = now
         #: part -> term under which its owner said that it has the entry
-        self.applied: dict[int, int] = {}
+        self.applied_terms: dict[int, int] = {}
         #: users may be told
-        self.confirmed = False
+        self.is_confirmed = False
         #: somebody here is at it
-        self.carried = False
+        self.is_propagating = False
 
 
 class Cancellations:
@@ -79,50 +79,52 @@
 
     # --- what is known ---------------------------------------------------------------------
 
-    def known(self, job: str) -> bool:
+    def is_known(self, job: str) -> bool:
         """Whether a cancel of the job is committed, by the view or ahead of it."""
         return job in self._entries
 
-    def known_confirmed(self, job: str) -> bool:
+    def is_known_confirmed(self, job: str) -> bool:
         """Whether a cancel is known to be confirmed, without looking whether it could be now."""
         entry = self._entries.get(job)
-        return entry is not None and entry.confirmed
+        return entry is not None and entry.is_confirmed
 
-    def learn(self, job: str, rev: int) -> CancelEntry:
+    def record(self, job: str, rev: int) -> CancelEntry:
         """A cancel is committed: apply it to all that is held here, now and later."""
         controller = self.controller
         entry = self._entries.get(job)
         if entry is None:
             entry = self._entries[job] = CancelEntry(rev, controller.now)
-            self._note("known", job, rev=rev, view_rev=controller.view.rev)
-            for part in controller.parts.values():
+            self._note("known", job, rev=rev, view_rev=controller.view.revision)
+            for part in controller.shards.values():
                 part.cancel(job, controller.now)
-            controller.pipelines.cancelled(job)
+            controller.dependencies.parent_cancelled(job)
         return entry
 
-    def changed(self, job: str) -> None:
+    def record_changed(self, job: str) -> None:
         """A job's record changed in the view."""
         record = self.controller.view.jobs.get(job)
         if record is None:
             entry = self._entries.get(job)
-            if entry is not None and self.controller.view.rev >= entry.rev:
+            if entry is not None and self.controller.view.revision >= entry.revision:
                 # Buried; its final state tells the rest.
-                self._note("forgotten", job, view_rev=self.controller.view.rev)
+                self._note("forgotten", job, view_rev=self.controller.view.revision)
                 del self._entries[job]
-        elif record.cancelled:
-            self.learn(job, self.controller.view.version(keys.JOBS + job))
+        elif record.is_cancelled:
+            self.record(job, self.controller.view.version(keys.JOBS + job))
 
     def prune(self) -> None:
         """Forget entries of jobs that are over, which came late or ahead of the view."""
         controller = self.controller
-        for job in [j for j, entry in self._entries.items() if entry.rev <= controller.view.rev]:
+        for job in [
+            j for j, entry in self._entries.items() if entry.revision <= controller.view.revision
+        ]:
             if job not in controller.view.jobs:
-                self._note("forgotten", job, view_rev=controller.view.rev)
+                self._note("forgotten", job, view_rev=controller.view.revision)
                 del self._entries[job]
 
     # --- what may be told ------------------------------------------------------------------
 
-    def missing(self, job: str) -> list[int] | None:
+    def shards_without_entry(self, job: str) -> list[int] | None:
         """List the parts whose owners may act without the entry.
 
         None when that cannot be told, because owners may have changed before the entry was
@@ -131,174 +133,183 @@
         view = self.controller.view
         entry = self._entries.get(job)
         record = view.jobs.get(job)
-        if entry is None or record is None or view.split is None or view.rev < entry.rev:
+        if (
+            entry is None
+            or record is None
+            or view.shard_map is None
+            or view.revision < entry.revision
+        ):
             return None
-        if self._is_over(entry):
+        if self._is_known_everywhere(entry):
             return []
         return [
             number
-            for number in sorted(self._concerned_parts(job, record))
-            if not self._has_entry(number, view.split.parts[number], entry)
+            for number in sorted(self._concerned_shards(job, record))
+            if not self._has_entry(number, view.shard_map.shards[number], entry)
         ]
 
-    def _concerned_parts(self, job: str, record: JobRecord) -> set[int]:
+    def _concerned_shards(self, job: str, record: JobRecord) -> set[int]:
         """Parts whose owners may act for the job or tell of it, or of what needs it.
 
         Its slices' owners may start its tasks, its manager's owner may tell that it runs, and the
         managers' owners of its descendants that those are queued.
         """
-        numbers = {record.manager, *map(int, record.slices)}
-        for descendant in self.controller.pipelines.descendants(job):
+        numbers = {record.manager_shard, *map(int, record.slices)}
+        for descendant in self.controller.dependencies.descendants(job):
             # One that is over, though the index does not show it yet, is told of by nobody.
             live = self.controller.view.jobs.get(descendant)
             if live is not None:
-                numbers.add(live.manager)
+                numbers.add(live.manager_shard)
         return numbers
 
     def _has_entry(self, number: int, part: ShardRecord, entry: CancelEntry) -> bool:
         """Whether a part's present owner is known to have applied an entry."""
-        is_here = (part.owner, part.incarnation) == self.controller.me
-        return is_here or entry.applied.get(number) == part.term
+        is_here = (part.leader, part.incarnation) == self.controller.identity
+        return is_here or entry.applied_terms.get(number) == part.term
 
-    def _is_over(self, entry: CancelEntry) -> bool:
+    def _is_known_everywhere(self, entry: CancelEntry) -> bool:
         """Whether whoever has not applied an entry by now can act no more."""
         lease_s = self.controller.settings.cluster.workers.lease_s
-        return self.controller.now - entry.since > OVER_LEASES * lease_s
+        return self.controller.now - entry.known_since > OVER_LEASES * lease_s
 
     @property
-    def unconfirmed(self) -> int:
+    def unconfirmed_count(self) -> int:
         """Committed cancels that users may not be told of yet."""
-        return sum(not entry.confirmed for entry in self._entries.values())
+        return sum(not entry.is_confirmed for entry in self._entries.values())
 
     @property
     def oldest_unconfirmed_s(self) -> float:
         """For how long the oldest of them has been known."""
-        waiting = [entry.since for entry in self._entries.values() if not entry.confirmed]
+        waiting = [entry.known_since for entry in self._entries.values() if not entry.is_confirmed]
         return self.controller.now - min(waiting) if waiting else 0.0
 
     def _note(self, what: str, job: str, **facts: object) -> None:
         self.controller.decisions.note(self.controller.now, Decision.CANCEL, what, job=job, **facts)
 
-    def confirmed(self, job: str) -> bool:
+    def is_confirmed(self, job: str) -> bool:
         """Whether users may be told that the job is cancelled."""
         entry = self._entries.get(job)
         if entry is None:
             return False
-        if not entry.confirmed and self.missing(job) == []:
+        if not entry.is_confirmed and self.shards_without_entry(job) == []:
             self._note(
                 "confirmed",
                 job,
-                after_s=round(self.controller.now - entry.since, 2),
-                by=f"answers {entry.applied}" if not self._is_over(entry) else "time",
-                view_rev=self.controller.view.rev,
+                after_s=round(self.controller.now - entry.known_since, 2),
+                by=f"answers {entry.applied_terms}"
+                if not self._is_known_everywhere(entry)
+                else "time",
+                view_rev=self.controller.view.revision,
             )
-            self.confirm(job, entry.rev)
+            self.mark_confirmed(job, entry.revision)
             for peer in self.controller.settings.others:
-                self.controller.tell(peer.node, "confirmed", [job, entry.rev])
-        return entry.confirmed
+                self.controller.send(peer.node, "confirmed", [job, entry.revision])
+        return entry.is_confirmed
 
-    def confirm(self, job: str, rev: int) -> None:
+    def mark_confirmed(self, job: str, rev: int) -> None:
         """A user may be told, here or by another node that has said so."""
-        entry = self.learn(job, rev)
-        if not entry.confirmed:
-            entry.confirmed = True
-            self.controller.pipelines.confirmed(job)
+        entry = self.record(job, rev)
+        if not entry.is_confirmed:
+            entry.is_confirmed = True
+            self.controller.dependencies.cancel_confirmed(job)
 
     # --- having it applied -----------------------------------------------------------------
 
-    def apply(self, job: str, rev: int) -> list[list[int]]:
+    def apply_entry(self, job: str, rev: int) -> list[list[int]]:
         """Another node asks to apply an entry: the parts and terms for which that is done."""
-        self.learn(job, rev)
-        return [[p.number, p.term] for p in self.controller.acting()]
+        self.record(job, rev)
+        return [[p.shard_id, p.term] for p in self.controller.led_shards()]
 
-    def ask(self, job: str, heard_s: float = 1e9) -> Step:
+    def propagate(self, job: str, heard_s: float = 1e9) -> Step:
         """Ask every owner that may lack the entry to apply it, the latest heard first.
 
         Owners that were not heard within ``heard_s`` are left out. Returns whether the
         cancel is confirmed.
         """
         controller = self.controller
-        s, entry = controller.view.split, self._entries.get(job)
+        s, entry = controller.view.shard_map, self._entries.get(job)
         nodes: dict[str, None] = {}
-        for p in self.missing(job) or ():
+        for p in self.shards_without_entry(job) or ():
             if s is not None:
-                nodes[s.parts[p].owner] = None
-        for node in sorted(nodes, key=lambda n: (-controller.heard.get(n, -1e9), n)):
+                nodes[s.shards[p].leader] = None
+        for node in sorted(nodes, key=lambda n: (-controller.last_received_at.get(n, -1e9), n)):
             if (
                 entry is None
                 or node == controller.node
-                or controller.now - controller.heard.get(node, -1e9) > heard_s
+                or controller.now - controller.last_received_at.get(node, -1e9) > heard_s
             ):
                 continue
-            got = yield PeerRequest(node, "apply", [job, entry.rev], APPLY_PEER_S)
+            got = yield PeerRequest(node, "apply", [job, entry.revision], APPLY_PEER_S)
             for pair in got if isinstance(got, list) else ():
-                entry.applied[int(pair[0])] = int(pair[1])
-        return self.confirmed(job)
+                entry.applied_terms[int(pair[0])] = int(pair[1])
+        return self.is_confirmed(job)
 
-    def settle(self, job: str, most_s: float) -> Step:
+    def await_confirmation(self, job: str, most_s: float) -> Step:
         """Have a committed cancel applied within some time; whether it is confirmed."""
         controller = self.controller
         until = controller.now + most_s
-        while self.known(job):
+        while self.is_known(job):
             # A user waits: those that do not answer anyway are left to what goes on afterwards.
-            if (yield from self.ask(job, UNHEARD_S)):
+            if (yield from self.propagate(job, UNHEARD_S)):
                 return True
             if controller.now >= until:
-                self.carry(job)
+                self.propagate_in_background(job)
                 return False
             yield Sleep(0.05)
         return False
 
-    def carry(self, job: str) -> None:
+    def propagate_in_background(self, job: str) -> None:
         """Go on with it while nobody waits, for a bounded time."""
         entry = self._entries.get(job)
-        if entry is None or entry.confirmed or entry.carried:
+        if entry is None or entry.is_confirmed or entry.is_propagating:
             return
-        managed = self.controller.jobs.managed.get(job)
-        if managed is not None and managed.editing:
+        managed = self.controller.job_managers.managed.get(job)
+        if managed is not None and managed.is_advancing:
             return
-        if sum(x.carried for x in self._entries.values()) < MOST_CARRIED:
-            entry.carried = True
-            self.controller.spawn(self._carry(job, entry))
+        if sum(x.is_propagating for x in self._entries.values()) < MOST_CARRIED:
+            entry.is_propagating = True
+            self.controller.spawn(self._propagate_until_confirmed(job, entry))
 
-    def _carry(self, job: str, entry: CancelEntry) -> Coroutine:
+    def _propagate_until_confirmed(self, job: str, entry: CancelEntry) -> Coroutine:
         controller = self.controller
         until = controller.now + CARRY_LEASES * controller.settings.cluster.workers.lease_s
         try:
             while (
-                self._entries.get(job) is entry and controller.now < until and not entry.confirmed
+                self._entries.get(job) is entry
+                and controller.now < until
+                and not entry.is_confirmed
             ):
-                if (yield from self.ask(job)):
+                if (yield from self.propagate(job)):
                     return
                 yield Sleep(0.5)
         finally:
-            entry.carried = False
+            entry.is_propagating = False
 
-    def enter(self, job: str) -> Step:
+    def commit_entry(self, job: str) -> Step:
         """Commit the entry by way of the record, where the manager is not heard.
 
         A refused or silent connection shows nothing about the controller behind it, so nothing
         is taken from it; every owner that can read finds the entry by its watch.
         """
         controller = self.controller
-        state = yield from controller.answers.read(job)
+        state = yield from controller.answers.read_record(job)
         record = controller.view.jobs.get(job)
-        if state is None or record is None or record.cancelled:
+        if state is None or record is None or record.is_cancelled:
             return
         key = keys.JOBS + job
-        new = cancelled(record, controller.settings.cluster.state.value_kb)
+        new = with_cancel(record, controller.settings.cluster.state.value_kb)
         commit = CompareAndSwap([(key, controller.view.version(key))], [Put(key, new)], [], ACCEPT)
         r: StoreResponse = yield commit
         if r.status == 200:
-            controller.view.committed(commit, r.rev)
+            controller.view.record_commit(commit, r.revision)
             controller.sync()
         # In doubt or outrun: the next request reads the record afresh.
 
     # --- promises --------------------------------------------------------------------------
 
-    def later_than(self, rev: int) -> list[list[Any]] | None:
+    def entries_after(self, rev: int) -> list[list[Any]] | None:
         """Entries that a view of some revision may lack; None when they are too many."""
         out: list[list[Any]] = [
-            [j, entry.rev] for j, entry in self._entries.items() if entry.rev > rev
+            [j, entry.revision] for j, entry in self._entries.items() if entry.revision > rev
         ]
         return out if len(out) <= MOST_ENTRIES else None
--- a/marblestair/core/jobs/completion_records.py
+++ b/marblestair/core/jobs/completion_records.py
@@ -36,46 +36,49 @@
         controller = self.controller
         limit = UNHEARD_REPORTS * controller.settings.cluster.workers.report_s
         for p in acting:
-            if p.number in self._writing:
+            if p.shard_id in self._writing:
                 continue
             jobs = []
             for job, s in p.slices.items():
-                if not s.size or s.done_count != s.size or s.cancelled or s.leaving:
+                if not s.size or s.done_count != s.size or s.is_cancelled or s.migrating_ranges:
                     continue
                 record = controller.view.jobs.get(job)
-                if record is None or record.cancelled or p.number in record.complete:
+                if record is None or record.is_cancelled or p.shard_id in record.complete_shards:
                     continue
-                owner = controller.owner(record.manager)
+                owner = controller.leader_of(record.manager_shard)
                 if owner is None or owner == controller.node:
                     continue
-                if controller.now - controller.heard.get(owner, controller.started) > limit:
+                if (
+                    controller.now - controller.last_received_at.get(owner, controller.started_at)
+                    > limit
+                ):
                     jobs.append(job)
             if jobs:
-                self._writing.add(p.number)
-                controller.spawn(self._record(p, jobs[: controller.batch]))
+                self._writing.add(p.shard_id)
+                controller.spawn(self._record(p, jobs[: controller.max_batch_changes]))
 
     def _record(self, p: Shard, jobs: list[str]) -> Coroutine:
         controller = self.controller
         try:
-            guards, puts = [controller.fence(p.number)], []
+            guards, puts = [controller.fence_precondition(p.shard_id)], []
             for job in jobs:
                 record, s = controller.view.jobs.get(job), p.slices.get(job)
-                if record is None or s is None or s.ranges != record.slices.get(str(p.number)):
+                if record is None or s is None or s.ranges != record.slices.get(str(p.shard_id)):
                     continue
                 key = keys.JOBS + job
                 guards.append((key, controller.view.version(key)))
-                complete = sorted({*record.complete, p.number})
-                puts.append(Put(key, msgspec.structs.replace(record, complete=complete)))
+                complete = sorted({*record.complete_shards, p.shard_id})
+                puts.append(Put(key, msgspec.structs.replace(record, complete_shards=complete)))
             if puts:
                 commit = CompareAndSwap(guards, puts, [], FINAL)
                 r: StoreResponse = yield commit
                 if r.status == 200:
-                    controller.view.committed(commit, r.rev)
+                    controller.view.record_commit(commit, r.revision)
                     controller.sync()
                 else:
                     # One record that has moved on must not hold up the others.
                     for put in puts:
-                        yield from controller.answers.read(put.key[len(keys.JOBS) :])
+                        yield from controller.answers.read_record(put.key[len(keys.JOBS) :])
                     yield Sleep(0.3)
         finally:
-            self._writing.discard(p.number)
+            self._writing.discard(p.shard_id)
--- a/marblestair/core/jobs/dependencies.py
+++ b/marblestair/core/jobs/dependencies.py
@@ -49,14 +49,14 @@
         #: waiting job -> its parents that are not known to be done
         self._unfinished: dict[str, set[str]] = {}
         #: job -> the waiting jobs that name it
-        self._children: dict[str, set[str]] = {}
+        self._dependents: dict[str, set[str]] = {}
         #: waiting jobs with a cancelled ancestor
         self._cancelled: set[str] = set()
         #: those of them whose ends may be recorded, and since when that is known here: the cancel
         #: is confirmed
         self._may_end: dict[str, float] = {}
         #: parents whose records are gone and whose final states are not known here
-        self._unread: dict[str, None] = {}
+        self._unknown_ends: dict[str, None] = {}
 
     # --- what is known ---------------------------------------------------------------------
 
@@ -87,7 +87,7 @@
         cancel_s = self._controller.settings.cluster.workers.cancel_s
         return since is not None and self._controller.now - since > PATIENCE * cancel_s
 
-    def may_be_told_cancelled(self, job: str) -> bool:
+    def may_answer_cancelled(self, job: str) -> bool:
         """Whether users may be told that a waiting job is cancelled, before its end is written.
 
         Its manager knows, since the cancel above it is confirmed. Another node proves "queued" by
@@ -98,24 +98,24 @@
         lease_s = self._controller.settings.cluster.workers.lease_s
         return since is not None and self._controller.now - since > OVER_LEASES * lease_s
 
-    def is_awaited(self, job: str) -> bool:
+    def has_dependents(self, job: str) -> bool:
         """Whether a waiting job names this one."""
-        return job in self._children
+        return job in self._dependents
 
-    def unfinished(self, job: str) -> Iterable[str]:
+    def unfinished_parents(self, job: str) -> Iterable[str]:
         """What a waiting job awaits that is not known to be done."""
         return self._unfinished.get(job, ())
 
-    def children(self, job: str) -> Iterable[str]:
+    def dependents(self, job: str) -> Iterable[str]:
         """The waiting jobs that name a job."""
-        return self._children.get(job, ())
+        return self._dependents.get(job, ())
 
     def descendants(self, job: str) -> Iterator[str]:
         """The waiting jobs that need a job, directly or through others, each once."""
         seen = {job}
         stack = [job]
         while stack:
-            for child in sorted(self._children.get(stack.pop(), ())):
+            for child in sorted(self._dependents.get(stack.pop(), ())):
                 if child not in seen:
                     seen.add(child)
                     stack.append(child)
@@ -137,103 +137,103 @@
         return shown
 
     @property
-    def waiting(self) -> int:
+    def blocked_count(self) -> int:
         """How many live jobs wait for others."""
         return len(self._unfinished)
 
     # --- following the view ------------------------------------------------------------------
 
-    def job_changed(self, job: str) -> None:
+    def record_changed(self, job: str) -> None:
         """A job's record changed in the view."""
         record = self._controller.view.jobs.get(job)
-        if record is not None and record.is_waiting:
+        if record is not None and record.is_blocked:
             if job not in self._unfinished:
                 self._add(job, record)
         elif job in self._unfinished:
             self._remove(job)
-        if job not in self._children:
+        if job not in self._dependents:
             return
         if record is not None:
             # It may have come into the view after the jobs that need it.
-            self._unread.pop(job, None)
-            self._controller.urgency.child_changed([job])
+            self._unknown_ends.pop(job, None)
+            self._controller.inherited_urgency.dependents_changed([job])
         elif self._final(job) is None:
-            self._unread[job] = None
+            self._unknown_ends[job] = None
 
     def _final(self, job: str) -> JobState | None:
-        return self._controller.answers.finals.get(job)
+        return self._controller.answers.final_states.get(job)
 
     def _add(self, job: str, record: JobRecord) -> None:
         unfinished = self._unfinished[job] = set()
         is_cancelled = is_confirmed = False
-        for parent in record.spec.awaits:
+        for parent in record.spec.depends_on:
             final = self._final(parent)
             if final is JobState.DONE:
                 continue
             unfinished.add(parent)
-            self._children.setdefault(parent, set()).add(job)
+            self._dependents.setdefault(parent, set()).add(job)
             is_over = final is JobState.CANCELLED
             is_cancelled = is_cancelled or is_over or self.is_cancelled(parent)
             is_confirmed = is_confirmed or is_over or self._is_confirmed(parent)
             if final is None and parent not in self._controller.view.jobs:
-                self._unread[parent] = None
+                self._unknown_ends[parent] = None
         if is_cancelled:
             self._mark_cancelled(job)
         if is_confirmed:
             self._mark_confirmed(job)
-        self._controller.urgency.child_changed(unfinished)
+        self._controller.inherited_urgency.dependents_changed(unfinished)
 
     def is_cancelled(self, job: str) -> bool:
         """Whether a live job is cancelled, or is going to be with an ancestor."""
-        return self._controller.cancels.known(job) or job in self._cancelled
+        return self._controller.cancellations.is_known(job) or job in self._cancelled
 
     def _is_confirmed(self, job: str) -> bool:
         """Whether the cancel of a live job, or of an ancestor, is confirmed as far as is known."""
-        return self._controller.cancels.known_confirmed(job) or job in self._may_end
+        return self._controller.cancellations.is_known_confirmed(job) or job in self._may_end
 
     def _remove(self, job: str) -> None:
         """A job waits no more: it is released or over."""
         unfinished = self._unfinished.pop(job)
         for parent in unfinished:
-            self._forget_child(parent, job)
+            self._forget_dependent(parent, job)
         self._cancelled.discard(job)
         self._may_end.pop(job, None)
-        self._controller.urgency.child_changed(unfinished)
+        self._controller.inherited_urgency.dependents_changed(unfinished)
 
-    def _forget_child(self, parent: str, job: str) -> None:
-        children = self._children.get(parent)
+    def _forget_dependent(self, parent: str, job: str) -> None:
+        children = self._dependents.get(parent)
         if children is None:
             return
         children.discard(job)
         if not children:
-            del self._children[parent]
-            self._unread.pop(parent, None)
+            del self._dependents[parent]
+            self._unknown_ends.pop(parent, None)
 
     # --- ends of parents ---------------------------------------------------------------------
 
-    def ended(self, parent: str, state: JobState) -> None:
+    def parent_ended(self, parent: str, state: JobState) -> None:
         """The final state of a job is known to be committed."""
-        self._unread.pop(parent, None)
-        if parent not in self._children:
+        self._unknown_ends.pop(parent, None)
+        if parent not in self._dependents:
             return
         if state is JobState.CANCELLED:
             # No cancelled job ends before its cancel, or that of an ancestor, is confirmed.
-            self.cancelled(parent)
-            self.confirmed(parent)
+            self.parent_cancelled(parent)
+            self.cancel_confirmed(parent)
             return
-        for job in sorted(self._children.pop(parent)):
+        for job in sorted(self._dependents.pop(parent)):
             self._unfinished[job].discard(parent)
             if not self._unfinished[job]:
-                self._controller.jobs.advance(job)
+                self._controller.job_managers.advance(job)
 
-    def cancelled(self, parent: str) -> None:
+    def parent_cancelled(self, parent: str) -> None:
         """The cancel of a job is known to be committed."""
-        for job in sorted(self._children.get(parent, ())):
+        for job in sorted(self._dependents.get(parent, ())):
             self._mark_cancelled(job)
 
-    def confirmed(self, parent: str) -> None:
+    def cancel_confirmed(self, parent: str) -> None:
         """The cancel of a job is confirmed: the managers of all its live descendants have it."""
-        for job in sorted(self._children.get(parent, ())):
+        for job in sorted(self._dependents.get(parent, ())):
             self._mark_confirmed(job)
 
     def _mark_cancelled(self, job: str) -> None:
@@ -243,43 +243,43 @@
         for waiting in (job, *self.descendants(job)):
             if waiting not in self._may_end:
                 self._may_end[waiting] = self._controller.now
-                self._controller.jobs.advance(waiting)
+                self._controller.job_managers.advance(waiting)
 
-    def tell_ended(self, job: str, state: JobState) -> None:
+    def announce_end(self, job: str, state: JobState) -> None:
         """Tell the other nodes of an end that this node committed, if jobs wait for it.
 
         They would find that its record is gone, and read its final state.
         """
-        if job in self._children:
+        if job in self._dependents:
             for peer in self._controller.settings.others:
-                self._controller.tell(peer.node, "ended", [job, state])
+                self._controller.send(peer.node, "ended", [job, state])
 
-    def told_ended(self, job: str, state: str) -> None:
+    def receive_end(self, job: str, state: str) -> None:
         """Another node committed the end of a job."""
         if state not in FINAL_STATES:
             raise ValueError(f"not a final state: {state}")
-        self._controller.answers.final(job, JobState(state))
+        self._controller.answers.record_final(job, JobState(state))
 
-    def keep_reading(self) -> Coroutine:
+    def read_unknown_ends(self) -> Coroutine:
         """Read the ends of parents that nobody told of."""
         controller = self._controller
         while True:
             yield Sleep(READ_PAUSE_S * (0.8 + 0.4 * controller.rng.random()))
             for parent in self._parents_to_read():
-                yield from controller.answers.find_final(parent, FINAL)
+                yield from controller.answers.read_final_first(parent, FINAL)
 
     def _parents_to_read(self) -> list[str]:
         """Parents whose end decides about a job that is managed here."""
-        jobs = self._controller.jobs
+        jobs = self._controller.job_managers
         found = []
-        for parent in self._unread:
-            if any(job in jobs.managed for job in self.children(parent)):
+        for parent in self._unknown_ends:
+            if any(job in jobs.managed for job in self.dependents(parent)):
                 found.append(parent)
                 if len(found) == MOST_READS:
                     break
         return found
 
-    def may_tell_waiting(self, record: JobRecord, lane: int) -> Step:
+    def may_answer_blocked(self, record: JobRecord, lane: int) -> Step:
         """Whether users may be told that a job still waits, whose record was just read.
 
         The record alone does not show the cancel of an ancestor. This node's view does, unless
@@ -288,15 +288,15 @@
         controller = self._controller
         job = record.spec.id
         lease_s = controller.settings.cluster.workers.lease_s
-        if controller.now - controller.view.fresh_at > lease_s:
+        if controller.now - controller.view.fresh_as_of > lease_s:
             return False
         # One that is found alive may have ancestors that are gone in their turn.
         for _ in range(MOST_READS_FOR_USER):
-            gone = self._gone_ancestors(job)
+            gone = self._ancestors_of_unknown_end(job)
             if not gone:
                 return not self.has_cancelled_ancestor(job)
-            yield from controller.answers.find_final(gone[0], lane)
-        return not self._gone_ancestors(job) and not self.has_cancelled_ancestor(job)
+            yield from controller.answers.read_final_first(gone[0], lane)
+        return not self._ancestors_of_unknown_end(job) and not self.has_cancelled_ancestor(job)
 
     def knows_ancestors(self, job: str) -> bool:
         """Whether this node would know if an ancestor of a waiting job had been cancelled.
@@ -306,11 +306,13 @@
         of it for long. And it must know how each ancestor ended that is gone from the view.
         """
         view = self._controller.view
-        return view.rev >= view.version(keys.JOBS + job) and not self._gone_ancestors(job)
+        return view.revision >= view.version(
+            keys.JOBS + job
+        ) and not self._ancestors_of_unknown_end(job)
 
-    def _gone_ancestors(self, job: str) -> list[str]:
+    def _ancestors_of_unknown_end(self, job: str) -> list[str]:
         """The ancestors of a waiting job that are over, and whose final state is not known here."""
-        if not self._unread:
+        if not self._unknown_ends:
             return []
         seen = {job}
         stack = [job]
@@ -321,6 +323,6 @@
                     continue
                 seen.add(parent)
                 stack.append(parent)
-                if parent in self._unread:
+                if parent in self._unknown_ends:
                     gone.append(parent)
         return gone
--- a/marblestair/core/jobs/job_managers.py
+++ b/marblestair/core/jobs/job_managers.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from marblestair.core.domain.model import CANCEL, JobRecord, cancelled, released
+from marblestair.core.domain.model import CANCEL, JobRecord, with_cancel, with_release
 from marblestair.core.jobs.answers import JobState
 from marblestair.core.jobs.managed_job import ManagedJob, SliceProgress
 from marblestair.core.leadership.shard_map import ShardMap
@@ -78,22 +78,22 @@
         self._controller = controller
         self.managed: dict[str, ManagedJob] = {}
         #: part and job -> when the manager was last told of the slice, and what
-        self._sent: dict[tuple[int, str], tuple[float, SliceProgress]] = {}
+        self._reported: dict[tuple[int, str], tuple[float, SliceProgress]] = {}
         #: descendants of cancelled jobs whose ends are being recorded
         self._aborting = 0
 
     # --- which jobs are managed here ---------------------------------------------------------
 
-    def parts_changed(self) -> None:
+    def shards_changed(self) -> None:
         """Ownership moved: run the managers of the parts that are here, drop the others."""
         controller = self._controller
         for job, record in controller.view.jobs.items():
             self._manage(job, record)
-        for job in [j for j, m in self.managed.items() if m.part not in controller.parts]:
+        for job in [j for j, m in self.managed.items() if m.shard_id not in controller.shards]:
             del self.managed[job]
-        self._sent.clear()
+        self._reported.clear()
 
-    def changed(self, job: str) -> None:
+    def record_changed(self, job: str) -> None:
         """A job's record changed in the view."""
         record = self._controller.view.jobs.get(job)
         if record is None:
@@ -102,42 +102,42 @@
         self._manage(job, record)
 
     def _manage(self, job: str, record: JobRecord) -> None:
-        part = self._controller.parts.get(record.manager)
-        if part is not None and part.ready and job not in self.managed:
+        part = self._controller.shards.get(record.manager_shard)
+        if part is not None and part.is_ready and job not in self.managed:
             self.managed[job] = ManagedJob(job, record)
 
     # --- what parts report --------------------------------------------------------------------
 
-    def told(self, args: list[Any]) -> None:
+    def receive_progress(self, args: list[Any]) -> None:
         """A part's owner tells of its slices."""
         for raw in args:
-            self._take_report(msgspec.convert(raw, SliceProgress))
+            self._record_progress(msgspec.convert(raw, SliceProgress))
 
-    def _take_report(self, report: SliceProgress) -> None:
-        record = self._controller.view.split
+    def _record_progress(self, report: SliceProgress) -> None:
+        record = self._controller.view.shard_map
         managed = self.managed.get(report.job)
-        if managed is None or record is None or not 0 <= report.part < len(record.parts):
+        if managed is None or record is None or not 0 <= report.shard_id < len(record.shards):
             return
         # Only the present owner's word counts: an earlier owner's count may include tasks that
         # have since moved to another part.
-        if record.parts[report.part].term == report.term:
-            managed.reports[report.part] = report
+        if record.shards[report.shard_id].term == report.term:
+            managed.progress_by_shard[report.shard_id] = report
 
-    def _report(self, part: Shard, owned: JobSlice) -> SliceProgress:
+    def _slice_progress(self, part: Shard, owned: JobSlice) -> SliceProgress:
         """What is to be told of a slice here."""
-        placed = -1 if owned.suspect or part.suspects else len(owned.placed)
+        placed = -1 if owned.is_unreconciled or part.unreconciled_machines else len(owned.placed_on)
         return SliceProgress(
             owned.spec.id,
-            part.number,
+            part.shard_id,
             part.term,
             owned.done_count,
-            owned.runs,
+            owned.running_count,
             placed,
             owned.size,
-            owned.cancelled,
+            owned.is_cancelled,
         )
 
-    def _tell_managers(self, acting: list[Shard]) -> None:
+    def _report_progress(self, acting: list[Shard]) -> None:
         """Report the slices of the parts here, each to its job's manager, when they changed."""
         controller = self._controller
         reports: dict[str, list[Any]] = {}
@@ -146,23 +146,23 @@
                 record = controller.view.jobs.get(job)
                 if record is None:
                     continue
-                report = self._report(part, owned)
-                owner = controller.owner(record.manager)
+                report = self._slice_progress(part, owned)
+                owner = controller.leader_of(record.manager_shard)
                 if owner == controller.node:
                     managed = self.managed.get(job)
-                    if managed is None or managed.reports.get(part.number) != report:
-                        self._take_report(report)
+                    if managed is None or managed.progress_by_shard.get(part.shard_id) != report:
+                        self._record_progress(report)
                 elif owner is not None and self._is_due(part, job, report):
-                    self._sent[(part.number, job)] = (controller.now, report)
+                    self._reported[(part.shard_id, job)] = (controller.now, report)
                     reports.setdefault(owner, []).append(msgspec.to_builtins(report))
         for node, told in reports.items():
-            controller.tell(node, "progress", told)
-        if len(self._sent) > 4 * len(controller.view.jobs) + MOST_SENT:
-            self._sent.clear()
+            controller.send(node, "progress", told)
+        if len(self._reported) > 4 * len(controller.view.jobs) + MOST_SENT:
+            self._reported.clear()
 
     def _is_due(self, part: Shard, job: str, report: SliceProgress) -> bool:
         """Whether a manager elsewhere has to be told of a slice now."""
-        sent = self._sent.get((part.number, job))
+        sent = self._reported.get((part.shard_id, job))
         if sent is None:
             return True
         sent_at, before = sent
@@ -173,11 +173,11 @@
     def tick(self) -> None:
         """Tell managers of progress; carry managed jobs on."""
         controller = self._controller
-        if controller.view.split is None:
+        if controller.view.shard_map is None:
             return
-        acting = controller.acting()
+        acting = controller.led_shards()
         controller.completion_records.tick(acting)
-        self._tell_managers(acting)
+        self._report_progress(acting)
         for job in list(self.managed):
             self.advance(job)
 
@@ -185,11 +185,11 @@
         """Begin to do for a job what there is to do, if it is managed here."""
         controller = self._controller
         managed = self.managed.get(job)
-        if managed is None or managed.editing or not controller.acts(managed.part):
+        if managed is None or managed.is_advancing or not controller.is_leader(managed.shard_id):
             return
         record = controller.view.jobs.get(job)
-        if record is not None and self._next(managed, record) is not None:
-            controller.spawn(self._carry_on(managed))
+        if record is not None and self._next_step(managed, record) is not None:
+            controller.spawn(self._advance(managed))
 
     def _is_complete(self, managed: ManagedJob, record: JobRecord, split: ShardMap) -> bool:
         """Whether every slice of the record is reported done by its part's present owner."""
@@ -197,74 +197,76 @@
         for name, ranges in record.slices.items():
             part = int(name)
             size = sum(end - start for start, end in ranges)
-            report = managed.reports.get(part)
+            report = managed.progress_by_shard.get(part)
             is_done = (
                 report is not None
-                and report.term == split.parts[part].term
+                and report.term == split.shards[part].term
                 and report.done == report.size == size
             )
-            if part not in record.complete and not is_done:
+            if part not in record.complete_shards and not is_done:
                 return False
             total += size
-        return total == record.spec.tasks
+        return total == record.spec.task_count
 
     def _is_empty(self, managed: ManagedJob, record: JobRecord, split: ShardMap) -> bool:
         """Whether no part has a task of the job on a machine any more."""
         for name in record.slices:
-            report = managed.reports.get(int(name))
-            if report is None or report.term != split.parts[int(name)].term:
+            report = managed.progress_by_shard.get(int(name))
+            if report is None or report.term != split.shards[int(name)].term:
                 return False
             # What was told before the cancel was applied says nothing of what started since.
-            if report.placed != 0 or not report.over:
+            if report.placed_tasks != 0 or not report.is_cancelled:
                 return False
         return True
 
-    def _next(self, managed: ManagedJob, record: JobRecord) -> ManagerStep | None:
+    def _next_step(self, managed: ManagedJob, record: JobRecord) -> ManagerStep | None:
         """What is to be done for a job now, if anything."""
-        split = self._controller.view.split
+        split = self._controller.view.shard_map
         if split is None:
             return None
-        if managed.doubt and not managed.moving:
+        if managed.is_uncertain and not managed.is_migrating:
             # A change is in doubt that nobody follows up.
             return ManagerStep.TOUCH
-        if record.cancelled:
-            if not self._controller.cancels.confirmed(managed.job):
+        if record.is_cancelled:
+            if not self._controller.cancellations.is_confirmed(managed.job):
                 return ManagerStep.APPLY
             return ManagerStep.BURY if self._is_empty(managed, record, split) else None
-        if record.is_waiting:
-            return self._next_waiting(managed)
+        if record.is_blocked:
+            return self._next_blocked_step(managed)
         if self._is_complete(managed, record, split):
             return ManagerStep.FINISH
-        return ManagerStep.CANCEL if managed.want_cancel else None
+        return ManagerStep.CANCEL if managed.is_cancel_requested else None
 
-    def _next_waiting(self, managed: ManagedJob) -> ManagerStep | None:
+    def _next_blocked_step(self, managed: ManagedJob) -> ManagerStep | None:
         """What is to be done for a job that awaits others."""
-        pipelines = self._controller.pipelines
+        pipelines = self._controller.dependencies
         if pipelines.has_cancelled_ancestor(managed.job):
             if not pipelines.may_end(managed.job):
-                return ManagerStep.CANCEL if managed.want_cancel else None
+                return ManagerStep.CANCEL if managed.is_cancel_requested else None
             # Nobody waits for these ends: only so many at once, behind all else that is written.
-            is_full = self._aborting >= self._controller.batch
-            return None if is_full and not managed.editing else ManagerStep.ABORT
-        if managed.want_cancel:
+            is_full = self._aborting >= self._controller.max_batch_changes
+            return None if is_full and not managed.is_advancing else ManagerStep.ABORT
+        if managed.is_cancel_requested:
             return ManagerStep.CANCEL
         return ManagerStep.RELEASE if pipelines.is_ready(managed.job) else None
 
-    def _carry_on(self, managed: ManagedJob) -> Coroutine:
+    def _advance(self, managed: ManagedJob) -> Coroutine:
         """Do for a job what there is to do, one step after the other (Algorithm 3)."""
         controller = self._controller
-        managed.editing = True
+        managed.is_advancing = True
         holder = ("edit", managed.job)
         try:
-            while self.managed.get(managed.job) is managed and controller.acts(managed.part):
+            while self.managed.get(managed.job) is managed and controller.is_leader(
+                managed.shard_id
+            ):
                 record = controller.view.jobs.get(managed.job)
-                step = self._next(managed, record) if record is not None else None
+                step = self._next_step(managed, record) if record is not None else None
                 if record is None or step is None:
                     return
-                if managed.moving or managed.locks.request_exclusive(holder) is None:
+                if managed.is_migrating or managed.locks.request_exclusive(holder) is None:
                     yield Sleep(0.05)
                 elif step is ManagerStep.APPLY:
-                    if not (yield from controller.cancels.ask(managed.job)):
+                    if not (yield from controller.cancellations.propagate(managed.job)):
                         yield Sleep(0.3)
                 elif step is ManagerStep.ABORT:
                     yield from self._abort(managed, record)
@@ -272,7 +274,7 @@
                     yield from self._change(managed, record, step)
         finally:
             managed.locks.release_exclusive(holder)
-            managed.editing = False
+            managed.is_advancing = False
 
     def _abort(self, managed: ManagedJob, record: JobRecord) -> Step:
         """Record the end of a job that waits for a cancelled one."""
@@ -286,31 +288,31 @@
         """Send the change of the record that a step asks for, and take in what became of it."""
         controller = self._controller
         commit = self._commit_for(managed, record, step)
-        result: StoreResponse = yield from managed.change(commit)
+        result: StoreResponse = yield from managed.commit_change(commit)
         if result.status == 200:
             controller.decisions.note(
                 controller.now,
                 Decision.RECORD,
                 step.name.lower(),
                 job=managed.job,
-                rev=result.rev,
+                rev=result.revision,
                 read_rev=controller.view.version(keys.JOBS + managed.job),
-                fence_rev=controller.fence(managed.part)[1],
-                awaits=len(record.spec.awaits),
+                fence_rev=controller.fence_precondition(managed.shard_id)[1],
+                awaits=len(record.spec.depends_on),
             )
             if step in FINAL_STATE:
-                controller.pipelines.tell_ended(managed.job, FINAL_STATE[step])
-                controller.answers.final(managed.job, FINAL_STATE[step])
-            controller.view.committed(commit, result.rev)
+                controller.dependencies.announce_end(managed.job, FINAL_STATE[step])
+                controller.answers.record_final(managed.job, FINAL_STATE[step])
+            controller.view.record_commit(commit, result.revision)
             controller.sync()
             if step is ManagerStep.RELEASE:
                 controller.log("info", f"released {managed.job}: all that it awaits is done")
-                self.tell_record(managed.job)
+                self.announce_record(managed.job)
         elif result.status == 409:
             # The record moved on: by an earlier try of ours, or the part has a new owner.
             # Whatever was in doubt is settled by reading it.
-            if (yield from controller.answers.refresh(managed.job)):
-                managed.doubt = False
+            if (yield from controller.answers.refresh_record(managed.job)):
+                managed.is_uncertain = False
             yield Sleep(0.05)
         elif result.status == 400:
             yield Sleep(REFUSED_PAUSE_S)
@@ -322,16 +324,21 @@
     ) -> CompareAndSwap:
         controller = self._controller
         key = keys.JOBS + managed.job
-        guards = [(key, controller.view.version(key)), controller.fence(managed.part)]
+        guards = [
+            (key, controller.view.version(key)),
+            controller.fence_precondition(managed.shard_id),
+        ]
         if step is ManagerStep.TOUCH:
             return CompareAndSwap(guards, [Put(key, record)], [], ACCEPT)
         if step is ManagerStep.CANCEL:
             value_kb = controller.settings.cluster.state.value_kb
-            return CompareAndSwap(guards, [Put(key, cancelled(record, value_kb))], [], ACCEPT)
+            return CompareAndSwap(guards, [Put(key, with_cancel(record, value_kb))], [], ACCEPT)
         if step is ManagerStep.RELEASE:
-            return CompareAndSwap(guards, [Put(key, released(record, controller.wall))], [], FINAL)
+            return CompareAndSwap(
+                guards, [Put(key, with_release(record, controller.wall_time))], [], FINAL
+            )
         final_key = keys.FINALS + managed.job
-        is_patient = step is ManagerStep.ABORT and not controller.pipelines.must_end(managed.job)
+        is_patient = step is ManagerStep.ABORT and not controller.dependencies.must_end(managed.job)
         lane = PROGRESS if is_patient else FINAL
         return CompareAndSwap(
             [*guards, (final_key, 0)], [Put(final_key, FINAL_STATE[step])], [key], lane
@@ -339,7 +346,7 @@
 
     # --- records ahead of the watch -------------------------------------------------------------
 
-    def tell_record(self, job: str) -> None:
+    def announce_record(self, job: str) -> None:
         """Tell the other nodes of a record that this one has committed, ahead of their watches.
 
         They can start what was released, and know an accepted job when another one awaits it.
@@ -350,50 +357,52 @@
             return
         version = controller.view.version(keys.JOBS + job)
         for peer in controller.settings.others:
-            controller.tell(peer.node, "record", [job, msgspec.to_builtins(record), version])
+            controller.send(peer.node, "record", [job, msgspec.to_builtins(record), version])
 
-    def told_record(self, job: str, record: Any, version: int) -> None:
+    def receive_record(self, job: str, record: Any, version: int) -> None:
         """Another node has committed a job's record."""
         msgspec.convert(record, JobRecord)
-        self._controller.view.take_in(keys.JOBS + job, record, version)
+        self._controller.view.record_read(keys.JOBS + job, record, version)
         self._controller.sync()
 
     # --- asked by others -----------------------------------------------------------------------
 
-    def arrive(self, job: str, version: int) -> Step:
+    def slice_arrived(self, job: str, version: int) -> Step:
         """A slice was moved here: the last change entry known of its job (Algorithm 4)."""
         controller = self._controller
         if controller.view.version(keys.JOBS + job) < version:
-            yield from controller.answers.read(job)
+            yield from controller.answers.read_record(job)
         record = controller.view.jobs.get(job)
-        return len(record.changes) if record is not None else 0
+        return len(record.change_list) if record is not None else 0
 
-    def entries(self, job: str, changes: list[Any], version: int) -> bool:
+    def receive_change_entries(self, job: str, changes: list[Any], version: int) -> bool:
         """Later change entries of a job, sent by the source of a migration."""
         if any(entry[0] == CANCEL for entry in changes):
-            self._controller.cancels.learn(job, version)
+            self._controller.cancellations.record(job, version)
         return True
 
-    def cancel_here(self, job: str) -> Step:
+    def cancel_managed(self, job: str) -> Step:
         """Cancel a job managed here: its final state, or None if it takes too long."""
         controller = self._controller
         until = controller.now + CANCEL_HERE_S
         while controller.now < until:
-            if job in controller.answers.finals:
-                return controller.answers.finals[job]
+            if job in controller.answers.final_states:
+                return controller.answers.final_states[job]
             managed = self.managed.get(job)
             if job not in controller.view.jobs or managed is None:
                 break
-            if not controller.acts(managed.part):
+            if not controller.is_leader(managed.shard_id):
                 break
-            if controller.authority.failing and not controller.cancels.known(job):
+            if controller.leadership.is_renewal_failing and not controller.cancellations.is_known(
+                job
+            ):
                 # What cannot be written here another may be able to write.
                 break
-            if controller.cancels.confirmed(job):
+            if controller.cancellations.is_confirmed(job):
                 return JobState.CANCELLED
-            managed.want_cancel = True
-            if not managed.editing:
-                controller.spawn(self._carry_on(managed))
+            managed.is_cancel_requested = True
+            if not managed.is_advancing:
+                controller.spawn(self._advance(managed))
                 continue
             yield Sleep(0.02)
         return None
--- a/marblestair/core/jobs/lookups.py
+++ b/marblestair/core/jobs/lookups.py
@@ -28,12 +28,12 @@
     def __init__(self, runner: CoroutineRunner, answers: Answers, requests_per_s: float) -> None:
         self._runner = runner
         self._answers = answers
-        self.most_reads = max(LEAST_READS, int(READ_AHEAD_S * requests_per_s))
+        self.max_reads = max(LEAST_READS, int(READ_AHEAD_S * requests_per_s))
         self._reads = 0
         #: job under search -> what those wait for who asked after the search began
         self._searches: dict[str, Signal] = {}
 
-    def find(self, job: str) -> Step:
+    def find_status(self, job: str) -> Step:
         """The state of a job, or None when it cannot be told now."""
         following = self._searches.get(job)
         if following is not None:
@@ -42,19 +42,19 @@
             return (yield following)
         return (yield from self._search(job))
 
-    def read(self, job: str) -> Step:
+    def read_status(self, job: str) -> Step:
         """The state of a job by a fresh read, or None at once when too many are under way."""
-        return (yield from self._bounded(self._answers.fresh(job, LOOKUP)))
+        return (yield from self._bounded(self._answers.read_status(job, LOOKUP)))
 
     def find_final(self, job: str) -> Step:
         """The final state of a job that the view lacks, else what its record says.
 
         None at once when too many reads are under way.
         """
-        return (yield from self._bounded(self._answers.find_final(job, LOOKUP)))
+        return (yield from self._bounded(self._answers.read_final_first(job, LOOKUP)))
 
     def _bounded(self, read: Step) -> Step:
-        if self._reads >= self.most_reads:
+        if self._reads >= self.max_reads:
             return None
         self._reads += 1
         try:
--- a/marblestair/core/jobs/managed_job.py
+++ b/marblestair/core/jobs/managed_job.py
@@ -14,15 +14,15 @@
     """What the owner of a part last told the manager about its slice of a job."""
 
     job: str
-    part: int
+    shard_id: int
     term: int
     done: int
     running: int
     #: tasks on machines or perhaps so; -1 while that is not known
-    placed: int
+    placed_tasks: int
     size: int
     #: the owner has applied the job's cancel
-    over: bool = False
+    is_cancelled: bool = False
 
 
 class ManagedJob:
@@ -30,37 +30,37 @@
 
     def __init__(self, job: str, record: JobRecord) -> None:
         self.job = job
-        self.part = record.manager
+        self.shard_id = record.manager_shard
         self.locks = ServerManager({int(part) for part in record.slices})
-        self.reports: dict[int, SliceProgress] = {}
-        self.want_cancel = False
-        self.editing = False
+        self.progress_by_shard: dict[int, SliceProgress] = {}
+        self.is_cancel_requested = False
+        self.is_advancing = False
         #: a change of the slices is being committed
-        self.moving = False
+        self.is_migrating = False
         #: a change of the record was sent, and whether it was carried out is not known
-        self.doubt = False
+        self.is_uncertain = False
         self._changes_under_way = 0
 
     @property
-    def is_settled(self) -> bool:
+    def is_record_known(self) -> bool:
         """Whether the record is surely as this node knows it, but for changes by others.
 
         A change may be carried out, seen by the other nodes' watches and told by them to users
         long before its answer is back here. So it counts as unsettled from before it is sent.
         """
-        return not self.doubt and not self._changes_under_way
+        return not self.is_uncertain and not self._changes_under_way
 
     @property
     def tasks_done(self) -> int:
         """Tasks done, as the parts last told."""
-        return sum(report.done for report in self.reports.values())
+        return sum(report.done for report in self.progress_by_shard.values())
 
     @property
     def tasks_running(self) -> int:
         """Tasks running, as the parts last told."""
-        return sum(report.running for report in self.reports.values())
+        return sum(report.running for report in self.progress_by_shard.values())
 
-    def change(self, commit: CompareAndSwap) -> Step:
+    def commit_change(self, commit: CompareAndSwap) -> Step:
         """Send a change of the record; every change by its manager goes this way.
 
         Without an answer it may have been carried out, or may yet be. Such a doubt lasts until a
@@ -73,7 +73,7 @@
             self._changes_under_way -= 1
         if result.status == 200:
             # Guarded on the same version, no earlier try can be carried out any more.
-            self.doubt = False
+            self.is_uncertain = False
         elif result.status == 0:
-            self.doubt = True
+            self.is_uncertain = True
         return result
--- a/marblestair/core/jobs/migration_locks.py
+++ b/marblestair/core/jobs/migration_locks.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from marblestair.core.domain.index_ranges import Ranges
-from marblestair.core.domain.model import RECORD, JobRecord, too_large
+from marblestair.core.domain.model import RECORD, JobRecord, exceeds_value_limit
 from marblestair.core.jobs.managed_job import ManagedJob
 from marblestair.core.runtime.coroutines import Step
 from marblestair.core.runtime.requests import FINAL, CompareAndSwap, Put, Sleep, StoreResponse
@@ -43,14 +43,18 @@
     def __init__(self, controller: Controller) -> None:
         self._controller = controller
         #: job and holder -> when the lock was given
-        self._held: dict[tuple[str, Hashable], float] = {}
+        self._locked_since: dict[tuple[str, Hashable], float] = {}
 
-    def answer(self, tag: str, args: list[Any]) -> Step:
+    def handle(self, tag: str, args: list[Any]) -> Step:
         """A question to the ServerManager: lock, update or release; None when it is not here."""
         controller = self._controller
         job, holder = str(args[0]), str(args[1])
-        managed = controller.jobs.managed.get(job)
-        if managed is None or job not in controller.view.jobs or not controller.acts(managed.part):
+        managed = controller.job_managers.managed.get(job)
+        if (
+            managed is None
+            or job not in controller.view.jobs
+            or not controller.is_leader(managed.shard_id)
+        ):
             return None
         if tag == "lock":
             return self._lock(managed, holder)
@@ -59,17 +63,17 @@
         return (yield from self._update(managed, msgspec.convert(args, SliceUpdate)))
 
     def _lock(self, managed: ManagedJob, holder: str) -> bool:
-        if self._controller.cancels.known(managed.job) or managed.want_cancel:
+        if self._controller.cancellations.is_known(managed.job) or managed.is_cancel_requested:
             return False
         if not managed.locks.request_migration(holder):
             return False
-        self._held[(managed.job, holder)] = self._controller.now
+        self._locked_since[(managed.job, holder)] = self._controller.now
         return True
 
     def _release(self, managed: ManagedJob, holder: str) -> bool:
-        if managed.moving or managed.doubt:
+        if managed.is_migrating or managed.is_uncertain:
             return False
-        self._held.pop((managed.job, holder), None)
+        self._locked_since.pop((managed.job, holder), None)
         managed.locks.release_shared(holder)
         return True
 
@@ -82,29 +86,29 @@
         record = self._updated(managed, update)
         if record is None:
             return False
-        managed.moving = True
+        managed.is_migrating = True
         try:
             return (yield from self._commit(managed, update, record))
         finally:
-            managed.moving = False
+            managed.is_migrating = False
 
     def _updated(self, managed: ManagedJob, update: SliceUpdate) -> JobRecord | None:
         """The record with the slices as they are to be; None when the update is not valid."""
         controller = self._controller
-        split = controller.view.split
+        split = controller.view.shard_map
         record = controller.view.jobs[managed.job]
         if managed.locks.short != update.holder or split is None:
             return None
-        if split.parts[update.source].term != update.term:
+        if split.shards[update.source].term != update.term:
             return None
         if update.source == update.target or not update.ranges:
             return None
         slices = _moved(record.slices, update)
         if slices is None:
             return None
-        complete = [p for p in record.complete if p not in (update.source, update.target)]
-        updated = msgspec.structs.replace(record, slices=slices, complete=complete)
-        if too_large(updated, controller.settings.cluster.state.value_kb, RECORD):
+        complete = [p for p in record.complete_shards if p not in (update.source, update.target)]
+        updated = msgspec.structs.replace(record, slices=slices, complete_shards=complete)
+        if exceeds_value_limit(updated, controller.settings.cluster.state.value_kb, RECORD):
             # So many small ranges would outgrow the record; the source keeps its tasks.
             return None
         return updated
@@ -114,29 +118,34 @@
         key = keys.JOBS + managed.job
         # The source's fence too: were the part taken over meanwhile, its new owner may have
         # started what an update still on its way would give to another part.
-        guards = [(key, controller.view.version(key)), controller.fence(managed.part)]
-        if update.source != managed.part:
-            guards.append(controller.fence(update.source))
+        guards = [
+            (key, controller.view.version(key)),
+            controller.fence_precondition(managed.shard_id),
+        ]
+        if update.source != managed.shard_id:
+            guards.append(controller.fence_precondition(update.source))
         commit = CompareAndSwap(guards, [Put(key, record)], [], FINAL)
         outcome: bool | None = False
         tries = 0
-        while controller.jobs.managed.get(managed.job) is managed and controller.acts(managed.part):
+        while controller.job_managers.managed.get(managed.job) is managed and controller.is_leader(
+            managed.shard_id
+        ):
             tries += 1
-            result: StoreResponse = yield from managed.change(commit)
+            result: StoreResponse = yield from managed.commit_change(commit)
             if result.status == 200:
-                controller.view.committed(commit, result.rev)
+                controller.view.record_commit(commit, result.revision)
                 managed.locks.update(update.holder, update.source, update.option, update.target)
-                managed.reports.pop(update.source, None)
-                managed.reports.pop(update.target, None)
+                managed.progress_by_shard.pop(update.source, None)
+                managed.progress_by_shard.pop(update.target, None)
                 controller.sync()
-                return [result.rev]
+                return [result.revision]
             if result.status == 409:
-                if (yield from controller.answers.refresh(managed.job)):
-                    managed.doubt = False
+                if (yield from controller.answers.refresh_record(managed.job)):
+                    managed.is_uncertain = False
                     return self._found(managed, update, record)
             elif result.status == 0:
                 outcome = None
-            elif not managed.doubt and tries > MOST_TRIES:
+            elif not managed.is_uncertain and tries > MOST_TRIES:
                 return False
             yield Sleep(0.1 + 0.2 * controller.rng.random())
         return outcome
@@ -154,10 +163,10 @@
         """Give up the locks of sources that have not come back."""
         controller = self._controller
         limit = LOCK_RATIO * controller.settings.cluster.workers.lease_s
-        for (job, holder), since in list(self._held.items()):
-            managed = controller.jobs.managed.get(job)
-            if managed is None or (controller.now - since > limit and not managed.moving):
-                del self._held[(job, holder)]
+        for (job, holder), since in list(self._locked_since.items()):
+            managed = controller.job_managers.managed.get(job)
+            if managed is None or (controller.now - since > limit and not managed.is_migrating):
+                del self._locked_since[(job, holder)]
                 if managed is not None:
                     managed.locks.release_shared(holder)
 
--- a/marblestair/core/jobs/parents.py
+++ b/marblestair/core/jobs/parents.py
@@ -44,7 +44,7 @@
     deciding: str = ""
 
 
-def look_up(controller: Controller, awaits: list[str]) -> Step:
+def look_up_parents(controller: Controller, awaits: list[str]) -> Step:
     """Look for each awaited job: in what is remembered, in the view, and else by a read.
 
     What was read is remembered, so that a repeated submission goes on where this one ended.
@@ -72,11 +72,11 @@
 def _status(controller: Controller, job: str) -> Step:
     """One job's status as far as it matters here; None when it cannot be told now."""
     answers = controller.answers
-    if job not in answers.finals and job not in controller.view.jobs:
+    if job not in answers.final_states and job not in controller.view.jobs:
         status: JobStatus | None = yield from answers.lookups.find_final(job)
         if status is None or status == UNKNOWN:
             return status
-    if job in answers.finals:
-        return JobStatus(answers.finals[job])
-    is_cancelled = controller.pipelines.is_cancelled(job)
+    if job in answers.final_states:
+        return JobStatus(answers.final_states[job])
+    is_cancelled = controller.dependencies.is_cancelled(job)
     return JobStatus(JobState.CANCELLED if is_cancelled else JobState.QUEUED)
--- a/marblestair/core/jobs/progress.py
+++ b/marblestair/core/jobs/progress.py
@@ -42,9 +42,9 @@
 def load_progress(controller: Controller, part: Shard) -> Step:
     """All pages of a part: job -> page -> (bits, version); None when the part was lost."""
     out: dict[str, dict[int, tuple[int, int]]] = {}
-    prefix = f"{keys.PROGRESS}{part.number}/"
+    prefix = f"{keys.PROGRESS}{part.shard_id}/"
     after = ""
-    while controller.parts.get(part.number) is part:
+    while controller.shards.get(part.shard_id) is part:
         # Until it is read no worker of the part gets an answer: it must not wait behind users.
         r: StoreResponse = yield ListKeys(prefix, after, 500, LEASE)
         if r.status != 200:
@@ -53,7 +53,7 @@
         for i in r.items:
             job, _, page = i.key[len(prefix) :].rpartition("/")
             out.setdefault(job, {})[int(page)] = (decode_bits(i.value), i.version)
-        if not r.more or not r.items:
+        if not r.has_more or not r.items:
             return out
         after = r.items[-1].key
     return None
@@ -62,13 +62,13 @@
 def _dirty(part: Shard, now: float) -> list[tuple[JobSlice, int]]:
     out = []
     for s in part.slices.values():
-        if s.dirty_since is None or s.cancelled:
+        if s.dirty_since is None or s.is_cancelled:
             continue
         # A slice that is complete is about to be recorded with its job's end.
         wait = 1.5 if s.done_count == s.size else 0.5
         if now - s.dirty_since < wait:
             continue
-        fresh = s.done & ~s.durable
+        fresh = s.done_bits & ~s.durable_bits
         mask = (1 << PAGE) - 1
         page = 0
         while fresh:
@@ -93,7 +93,9 @@
         elif got.status == 200:
             part.obsolete_keys[key] = got.version
     used = {
-        keys.progress(part.number, job, page) for job, s in part.slices.items() for page in s.pages
+        keys.progress_page(part.shard_id, job, page)
+        for job, s in part.slices.items()
+        for page in s.page_versions
     }
     for key in used & part.obsolete_keys.keys():
         # The slice has come back, and its page is in use again.
@@ -103,7 +105,7 @@
     if not drop:
         return 0
     r: StoreResponse = yield CompareAndSwap(
-        [controller.fence(part.number), *drop.items()], [], list(drop), PROGRESS
+        [controller.fence_precondition(part.shard_id), *drop.items()], [], list(drop), PROGRESS
     )
     for key in drop:
         if r.status == 200:
@@ -121,7 +123,7 @@
     bits: int
 
 
-def keep_progress(controller: Controller, part: Shard) -> Coroutine:
+def persist_progress(controller: Controller, part: Shard) -> Coroutine:
     """Write finished tasks in batches, about once a second or as the rate allows.
 
     The number of slices grows with the load, the state service's rate does not. What is
@@ -131,17 +133,17 @@
     state = controller.settings.cluster.state
     rate = SHARE * state.write_rps / len(controller.settings.nodes)
     spent = turn = 0
-    while controller.parts.get(part.number) is part:
-        held = [p for p in controller.parts.values() if p.ready]
+    while controller.shards.get(part.shard_id) is part:
+        held = [p for p in controller.shards.values() if p.is_ready]
         pause = max(LEAST_PAUSE_S, spent * len(held) / rate)
         spent = 0
         yield Sleep(pause + 0.2 * controller.rng.random())
-        if not controller.acts(part.number):
+        if not controller.is_leader(part.shard_id):
             continue
-        batch = _dirty(part, controller.now)[: controller.batch]
+        batch = _dirty(part, controller.now)[: controller.max_batch_changes]
         turn += 1
         if part.obsolete_keys and (not batch or turn % SWEEP_EVERY == 0):
-            spent = yield from _sweep(controller, part, controller.batch)
+            spent = yield from _sweep(controller, part, controller.max_batch_changes)
         elif batch:
             spent = len(batch)
             yield from _write(controller, part, batch)
@@ -150,19 +152,19 @@
 def _write(controller: Controller, part: Shard, batch: list[tuple[JobSlice, int]]) -> Step:
     """Write pages in one commit, and take in what became of it."""
     mask = (1 << PAGE) - 1
-    written = [WrittenPage(s, page, (s.done >> (page * PAGE)) & mask) for s, page in batch]
-    guards = [controller.fence(part.number)]
+    written = [WrittenPage(s, page, (s.done_bits >> (page * PAGE)) & mask) for s, page in batch]
+    guards = [controller.fence_precondition(part.shard_id)]
     puts = []
     for w in written:
-        key = keys.progress(part.number, w.owned.spec.id, w.page)
-        guards.append((key, w.owned.pages.get(w.page, 0)))
+        key = keys.progress_page(part.shard_id, w.owned.spec.id, w.page)
+        guards.append((key, w.owned.page_versions.get(w.page, 0)))
         puts.append(Put(key, encode_bits(w.bits)))
     result: StoreResponse = yield CompareAndSwap(guards, puts, [], PROGRESS)
     if result.status == 200:
         for w in written:
-            w.owned.pages[w.page] = result.rev
-            w.owned.durable |= w.bits << (w.page * PAGE)
-            is_dirty = bool(w.owned.done & ~w.owned.durable)
+            w.owned.page_versions[w.page] = result.revision
+            w.owned.durable_bits |= w.bits << (w.page * PAGE)
+            is_dirty = bool(w.owned.done_bits & ~w.owned.durable_bits)
             w.owned.dirty_since = controller.now if is_dirty else None
     elif result.status in (0, 409):
         # No answer, or an earlier try was applied after all.
@@ -170,17 +172,17 @@
     # A slice that ended meanwhile leaves pages behind.
     for w in written:
         if part.slices.get(w.owned.spec.id) is not w.owned:
-            part.obsolete_keys[keys.progress(part.number, w.owned.spec.id, w.page)] = None
+            part.obsolete_keys[keys.progress_page(part.shard_id, w.owned.spec.id, w.page)] = None
 
 
 def _read_back(part: Shard, written: list[WrittenPage]) -> Step:
     """Read the versions of pages; one that is read late fails the next guard, and is read again."""
     for w in written:
         got: StoreResponse = yield Get(
-            keys.progress(part.number, w.owned.spec.id, w.page), PROGRESS
+            keys.progress_page(part.shard_id, w.owned.spec.id, w.page), PROGRESS
         )
         if got.status == 200:
-            w.owned.pages[w.page] = got.version
-            w.owned.durable |= decode_bits(got.value) << (w.page * PAGE)
+            w.owned.page_versions[w.page] = got.version
+            w.owned.durable_bits |= decode_bits(got.value) << (w.page * PAGE)
         elif got.status == 404:
-            w.owned.pages[w.page] = 0
+            w.owned.page_versions[w.page] = 0
--- a/marblestair/core/jobs/user_requests.py
+++ b/marblestair/core/jobs/user_requests.py
@@ -52,12 +52,12 @@
     def _cancel(self, job: str) -> Step:
         controller = self._controller
         answers = controller.answers
-        if job not in answers.finals and job not in controller.view.jobs:
-            yield from answers.read(job)
-        if job in answers.finals:
-            return Outcome(200, JobStatus(answers.finals[job]))
+        if job not in answers.final_states and job not in controller.view.jobs:
+            yield from answers.read_record(job)
+        if job in answers.final_states:
+            return Outcome(200, JobStatus(answers.final_states[job]))
         final: JobState | None = None
-        if not controller.cut_off():
+        if not controller.is_cut_off():
             if job in controller.view.jobs:
                 final = yield from self._cancel_live(job)
             else:
@@ -73,13 +73,13 @@
     def _cancel_live(self, job: str) -> Step:
         """Have a job cancelled whose record is in the view: its final state, or None for now."""
         controller = self._controller
-        known: JobStatus | None = controller.answers.may_tell(job, None)
+        known: JobStatus | None = controller.answers.answerable_status(job, None)
         if known is not None:
             return known.state
-        owner = controller.owner(controller.view.jobs[job].manager)
+        owner = controller.leader_of(controller.view.jobs[job].manager_shard)
         answer: Any = None
         if owner == controller.node:
-            answer = yield from controller.jobs.cancel_here(job)
+            answer = yield from controller.job_managers.cancel_managed(job)
         elif owner is not None:
             answer = yield PeerRequest(owner, "cancel", [job], CANCEL_PEER_S)
         if answer in FINAL_STATES:
@@ -87,11 +87,11 @@
         if owner == controller.node:
             return None
         # The manager is not heard, or cannot write: by way of the record.
-        if not controller.cancels.known(job):
-            yield from controller.cancels.enter(job)
-        if (yield from controller.cancels.settle(job, SETTLE_S)):
+        if not controller.cancellations.is_known(job):
+            yield from controller.cancellations.commit_entry(job)
+        if (yield from controller.cancellations.await_confirmation(job, SETTLE_S)):
             return JobState.CANCELLED
-        return controller.answers.finals.get(job)
+        return controller.answers.final_states.get(job)
 
     def _reply(self, request: int, job: str, outcome: Outcome) -> None:
         status = outcome.status
--- a/marblestair/core/leadership/leadership.py
+++ b/marblestair/core/leadership/leadership.py
@@ -53,8 +53,8 @@
 class GrantedLease(msgspec.Struct, frozen=True):
     """A lease, and the time at which it was last asked for."""
 
-    lease: int
-    asked_at: float
+    lease_id: int
+    requested_at: float
 
 
 class LeadershipBasis(enum.StrEnum):
@@ -71,53 +71,55 @@
     def __init__(self, controller: Controller) -> None:
         self.controller = controller
         workers = controller.settings.cluster.workers
-        self.ttl = min(600.0, max(0.5, workers.lease_s * LEASE_RATIO))
-        self.takeover_s = TAKEOVER_LEASES * self.ttl
-        self.until = -1e9
+        self.lease_ttl_s = min(600.0, max(0.5, workers.lease_s * LEASE_RATIO))
+        self.failover_s = TAKEOVER_LEASES * self.lease_ttl_s
+        self.lease_expires_at = -1e9
         #: revision of the commit that put this node's key; the view must include it
-        self.key_rev = 0
-        self.lease: int | None = None
+        self.node_key_revision = 0
+        self.lease_id: int | None = None
         #: a lease that the node's key is to be tied to
-        self._granted: GrantedLease | None = None
-        self.booted = False
+        self._granted_lease: GrantedLease | None = None
+        self.is_started = False
         #: part -> a term that this node itself raised while it went on acting
-        self.raised: dict[int, int] = {}
-        self._taking = False
-        self._absent: dict[int, float] = {}
+        self.raised_terms: dict[int, int] = {}
+        self._failover_in_progress = False
+        self._absent_since: dict[int, float] = {}
         #: when each other node's present incarnation was first seen
-        self.seen_since: dict[str, tuple[int, float]] = {}
-        self._last_given = -1e9
-        self._pause = 1.0
+        self.incarnation_seen_since: dict[str, tuple[int, float]] = {}
+        self._last_transfer_at = -1e9
+        self._transfer_pause_s = 1.0
         self.promises = Promises(controller, self)
         #: when a renewal last succeeded, and whether the latest one did
-        self.renewed = -1e9
-        self.failing = False
+        self.renewed_at = -1e9
+        self.is_renewal_failing = False
         #: until when this node asks for no part, because it lost touch with its workers
-        self._resting_until = -1e9
+        self._cooldown_until = -1e9
         #: version of the split at which a takeover was sent whose fate is unknown
-        self._take_doubt = -1
+        self._uncertain_failover_version = -1
         #: by what this node acted when it last looked
         self._basis = LeadershipBasis.NONE
 
     # --- what holds ------------------------------------------------------------------------
 
-    def holds(self, now: float) -> bool:
+    def is_authorized(self, now: float) -> bool:
         """Whether this node's lease surely holds and its view is recent enough to act on."""
         controller = self.controller
-        if controller.view.rev < self.key_rev:
+        if controller.view.revision < self.node_key_revision:
             return False
-        if self.promises.hold(now):
+        if self.promises.are_held(now):
             return True
         return (
-            now < self.until
-            and now - controller.view.fresh_at < controller.settings.cluster.workers.lease_s
+            now < self.lease_expires_at
+            and now - controller.view.fresh_as_of < controller.settings.cluster.workers.lease_s
         )
 
-    def _note_basis(self, now: float) -> None:
+    def _log_basis_change(self, now: float) -> None:
         """Log by what this node may act, when that has changed."""
         basis = LeadershipBasis.NONE
-        if self.holds(now):
-            basis = LeadershipBasis.LEASE if now < self.until else LeadershipBasis.PROMISES
+        if self.is_authorized(now):
+            basis = (
+                LeadershipBasis.LEASE if now < self.lease_expires_at else LeadershipBasis.PROMISES
+            )
         if basis is self._basis:
             return
         self._basis = basis
@@ -126,44 +128,46 @@
             now,
             Decision.AUTHORITY,
             basis,
-            lease_left_s=round(self.until - now, 2),
-            promises_left_s=round(self.promises.held_until - now, 2),
-            view_age_s=round(now - view.fresh_at, 2),
-            view_rev=view.rev,
-            parts={number: part.term for number, part in self.controller.parts.items()},
+            lease_left_s=round(self.lease_expires_at - now, 2),
+            promises_left_s=round(self.promises.valid_until - now, 2),
+            view_age_s=round(now - view.fresh_as_of, 2),
+            view_rev=view.revision,
+            parts={number: part.term for number, part in self.controller.shards.items()},
         )
 
-    def acts(self, part: Shard | None, now: float) -> bool:
+    def may_lead(self, part: Shard | None, now: float) -> bool:
         """Whether this node may act for a part."""
-        return part is not None and part.ready and not part.closing and self.holds(now)
+        return (
+            part is not None and part.is_ready and not part.is_closing and self.is_authorized(now)
+        )
 
-    def resting(self, now: float) -> bool:
+    def is_in_cooldown(self, now: float) -> bool:
         """Whether this node has lost touch with its workers a short while ago."""
-        return now < self._resting_until
+        return now < self._cooldown_until
 
-    def heard_worker(self) -> None:
+    def heartbeat_received(self) -> None:
         """A worker has reached this node."""
-        self._resting_until = -1e9
+        self._cooldown_until = -1e9
 
     # --- flows -----------------------------------------------------------------------------
 
-    def boot(self) -> Coroutine:
+    def start(self) -> Coroutine:
         """Load the view, then follow it and keep a lease."""
-        yield from self._load()
-        self.booted = True
-        self.controller.runner.keep(self._follow)
-        self.controller.runner.keep(self._keep_lease)
-        self.controller.runner.keep(self.promises.keep)
+        yield from self._load_view()
+        self.is_started = True
+        self.controller.coroutines.supervise(self._follow_store)
+        self.controller.coroutines.supervise(self._maintain_lease)
+        self.controller.coroutines.supervise(self.promises.maintain)
 
-    def _load(self) -> Step:
+    def _load_view(self) -> Step:
         """Read all that is followed, for as long as it takes."""
         controller = self.controller
         while True:
             sent = controller.now
             pages = yield from self._list_pages()
             if pages is not None:
-                controller.view.load(pages)
-                controller.view.fresh_at = sent
+                controller.view.load_listing(pages)
+                controller.view.fresh_as_of = sent
                 controller.sync()
                 return
             yield Sleep(0.3 + 0.4 * controller.rng.random())
@@ -177,43 +181,43 @@
             if page.status != 200:
                 return None
             pages.append(page)
-            if not page.more or not page.items:
+            if not page.has_more or not page.items:
                 return pages
             after = page.items[-1].key
 
-    def _follow(self) -> Coroutine:
+    def _follow_store(self) -> Coroutine:
         controller = self.controller
-        wait_ms = int(self.ttl * 500)
+        wait_ms = int(self.lease_ttl_s * 500)
         # On a busy deployment something always has changed: a watch answers at once, and may not
         # take the node's whole rate of requests.
         rps = controller.settings.cluster.state.rps / len(controller.settings.nodes)
-        pause = min(self.ttl / 8, max(0.15, 1.0 / (WATCH_SHARE * rps)))
+        pause = min(self.lease_ttl_s / 8, max(0.15, 1.0 / (WATCH_SHARE * rps)))
         while True:
             sent = controller.now
-            r: StoreResponse = yield Watch(keys.VIEW, controller.view.rev, wait_ms)
+            r: StoreResponse = yield Watch(keys.VIEW, controller.view.revision, wait_ms)
             if r.status == 200:
-                controller.view.apply(r.events, r.rev)
-                controller.view.fresh_at = max(controller.view.fresh_at, sent)
+                controller.view.apply_changes(r.events, r.revision)
+                controller.view.fresh_as_of = max(controller.view.fresh_as_of, sent)
                 controller.sync()
                 yield Sleep(max(0.0, sent + pause - controller.now))
             elif r.status == 410:
-                yield from self._load()
+                yield from self._load_view()
             else:
                 yield Sleep(0.2 + 0.3 * controller.rng.random())
 
-    def _keep_lease(self) -> Coroutine:
+    def _maintain_lease(self) -> Coroutine:
         controller = self.controller
         while True:
-            if self.lease is not None:
-                status = yield from self._renew(self.lease)
-            elif self._granted is None:
+            if self.lease_id is not None:
+                status = yield from self._renew(self.lease_id)
+            elif self._granted_lease is None:
                 status = yield from self._grant()
             else:
-                status = yield from self._tie_key(self._granted)
+                status = yield from self._attach_node_key(self._granted_lease)
             if status is None:
                 continue
-            self.failing = status != 200
-            pause = self.ttl / 4 if status == 200 else self.ttl / 12
+            self.is_renewal_failing = status != 200
+            pause = self.lease_ttl_s / 4 if status == 200 else self.lease_ttl_s / 12
             yield Sleep(pause * (0.8 + 0.4 * controller.rng.random()))
 
     def _renew(self, lease: int) -> Step:
@@ -223,20 +227,20 @@
         if result.status == 200:
             self._extend(sent)
         elif result.status == 404:
-            self.lease = None
+            self.lease_id = None
             return None
         return result.status
 
     def _grant(self) -> Step:
         """Ask for a lease: the status, or None when there is one to tie the node's key to."""
         sent = self.controller.now
-        result: StoreResponse = yield GrantLease(int(self.ttl * 1000))
+        result: StoreResponse = yield GrantLease(int(self.lease_ttl_s * 1000))
         if result.status == 200:
-            self._granted = GrantedLease(result.lease, sent)
+            self._granted_lease = GrantedLease(result.lease_id, sent)
             return None
         return result.status
 
-    def _tie_key(self, granted: GrantedLease) -> Step:
+    def _attach_node_key(self, granted: GrantedLease) -> Step:
         """Put the node's key under a granted lease: the status, or None when that has ended.
 
         Every try ties the key to this one lease, and each is guarded on the version read before
@@ -246,30 +250,32 @@
         controller = self.controller
         key = keys.NODES + controller.node
         guards = [(key, controller.view.version(key))]
-        put = CompareAndSwap(guards, [Put(key, controller.incarnation, granted.lease)], lane=LEASE)
+        put = CompareAndSwap(
+            guards, [Put(key, controller.incarnation, granted.lease_id)], lane=LEASE
+        )
         result: StoreResponse = yield put
         if result.status == 200:
-            self.lease, self._granted = granted.lease, None
+            self.lease_id, self._granted_lease = granted.lease_id, None
             # Authority counts only once the view includes this commit: while the key was
             # missing, another node may have taken the parts.
-            self.key_rev = result.rev
-            controller.view.committed(put, result.rev)
-            self._extend(granted.asked_at)
+            self.node_key_revision = result.revision
+            controller.view.record_commit(put, result.revision)
+            self._extend(granted.requested_at)
             controller.sync()
             return result.status
         if result.status == 400:
             # The lease has ended meanwhile.
-            self._granted = None
+            self._granted_lease = None
             return None
         if result.status == 409:
             yield from self._refresh_key(key)
         # Tried again while it holds: what may still come is tied to it too.
         asked_at = controller.now
-        kept: StoreResponse = yield RenewLease(granted.lease)
+        kept: StoreResponse = yield RenewLease(granted.lease_id)
         if kept.status == 200:
-            self._granted = GrantedLease(granted.lease, asked_at)
+            self._granted_lease = GrantedLease(granted.lease_id, asked_at)
         elif kept.status == 404:
-            self._granted = None
+            self._granted_lease = None
         return result.status
 
     def _refresh_key(self, key: str) -> Step:
@@ -277,123 +283,137 @@
         controller = self.controller
         got: StoreResponse = yield Get(key, LEASE)
         if got.status == 200:
-            controller.view.take_in(key, got.value, got.version)
+            controller.view.record_read(key, got.value, got.version)
         elif got.status == 404:
-            controller.view.take_absence(key, got.rev)
+            controller.view.record_absence(key, got.revision)
         else:
             return False
         controller.sync()
         return True
 
     def _extend(self, sent: float) -> None:
-        self.renewed = sent
-        self.until = max(self.until, sent + self.ttl * (1 - DRIFT) - 0.05)
+        self.renewed_at = sent
+        self.lease_expires_at = max(
+            self.lease_expires_at, sent + self.lease_ttl_s * (1 - DRIFT) - 0.05
+        )
 
     # --- ownership -------------------------------------------------------------------------
 
     @property
-    def may_be_taking(self) -> bool:
+    def is_failover_pending(self) -> bool:
         """Whether a takeover by this node is under way, or was sent and may yet be carried out."""
-        return self._taking or self._take_doubt == self.controller.view.version(keys.SPLIT)
+        return (
+            self._failover_in_progress
+            or self._uncertain_failover_version == self.controller.view.version(keys.SHARD_MAP)
+        )
 
     @property
     def renewal_overdue(self) -> bool:
         """Whether the lease could not be renewed when it should have been."""
-        return self.failing and self.controller.now - self.renewed > OVERDUE * self.ttl
+        return (
+            self.is_renewal_failing
+            and self.controller.now - self.renewed_at > OVERDUE * self.lease_ttl_s
+        )
 
     def tick(self, now: float) -> None:
         """Take what is orphaned, give back what is too much."""
         controller = self.controller
-        self._note_basis(now)
+        self._log_basis_change(now)
         for node, incarnation in controller.view.nodes.items():
-            if self.seen_since.get(node, (None, 0.0))[0] != incarnation:
-                self.seen_since[node] = (incarnation, now)
-        if not self.booted or self._taking or not self.holds(now):
+            if self.incarnation_seen_since.get(node, (None, 0.0))[0] != incarnation:
+                self.incarnation_seen_since[node] = (incarnation, now)
+        if not self.is_started or self._failover_in_progress or not self.is_authorized(now):
             return
-        record = controller.view.split
+        record = controller.view.shard_map
         if record is None:
-            self._taking = True
-            controller.spawn(self._create())
+            self._failover_in_progress = True
+            controller.spawn(self._create_shard_map())
             return
         mine = [
             number
-            for number, part in enumerate(record.parts)
-            if (part.owner, part.incarnation) == controller.me
+            for number, part in enumerate(record.shards)
+            if (part.leader, part.incarnation) == controller.identity
         ]
         take: list[int] = []
-        for number, part in enumerate(record.parts):
+        for number, part in enumerate(record.shards):
             if number in mine:
-                self._absent.pop(number, None)
-            elif self._is_orphaned(number, part, len(mine) + len(take), now):
+                self._absent_since.pop(number, None)
+            elif self._should_take_over(number, part, len(mine) + len(take), now):
                 take.append(number)
         # Each part taken is a change of its fence besides that of the split.
         take = take[: controller.settings.cluster.state.txn_ops - 1]
         if take:
-            self._taking = True
-            controller.spawn(self._take(take, self._absence_guards(record, take)))
+            self._failover_in_progress = True
+            controller.spawn(self._take_over(take, self._absence_preconditions(record, take)))
         else:
-            self._give(now, mine)
+            self._transfer_surplus(now, mine)
 
-    def _is_orphaned(self, number: int, part: shard_map.ShardRecord, held: int, now: float) -> bool:
+    def _should_take_over(
+        self, number: int, part: shard_map.ShardRecord, held: int, now: float
+    ) -> bool:
         """Whether to take a part now, by a node that holds some number of parts already."""
         controller = self.controller
-        if part.owner == controller.node:
+        if part.leader == controller.node:
             # This node's earlier process held it, and that process is dead.
             return True
-        if part.owner and controller.view.nodes.get(part.owner) == part.incarnation:
-            self._absent.pop(number, None)
+        if part.leader and controller.view.nodes.get(part.leader) == part.incarnation:
+            self._absent_since.pop(number, None)
             return False
-        if part.owner and self.promises.bind(part.owner, now):
+        if part.leader and self.promises.may_be_relied_on(part.leader, now):
             return False
-        since = self._absent.setdefault(number, now)
+        since = self._absent_since.setdefault(number, now)
         wait = 0.35 * held + 0.15 * controller.rng.random()
-        if not part.owner:
+        if not part.leader:
             # A new deployment: leave each node time to take its own.
-            wait += 0.0 if controller.home(number) == controller.node else self.ttl
-        elif controller.view.nodes.get(part.owner) is not None:
+            wait += 0.0 if controller.home_node(number) == controller.node else self.lease_ttl_s
+        elif controller.view.nodes.get(part.leader) is not None:
             # Its node is back as a new process, which takes the part itself.
-            wait += self.ttl / 2
+            wait += self.lease_ttl_s / 2
         return now - since >= wait
 
-    def _absence_guards(self, record: shard_map.ShardMap, take: list[int]) -> list[tuple[str, int]]:
+    def _absence_preconditions(
+        self, record: shard_map.ShardMap, take: list[int]
+    ) -> list[tuple[str, int]]:
         """Guards that hold only while the owners of parts to be taken are gone."""
         guards = []
         for number in take:
-            owner = record.parts[number].owner
+            owner = record.shards[number].leader
             if owner not in ("", self.controller.node):
                 key = keys.NODES + owner
                 guards.append((key, self.controller.view.version(key)))
         return guards
 
-    def _create(self) -> Coroutine:
+    def _create_shard_map(self) -> Coroutine:
         controller = self.controller
-        first = shard_map.first(controller.settings.cluster.size, controller.settings.cluster.teams)
-        put = CompareAndSwap([(keys.SPLIT, 0)], [Put(keys.SPLIT, first)], lane=LEASE)
+        first = shard_map.initial_shard_map(
+            controller.settings.cluster.size, controller.settings.cluster.teams
+        )
+        put = CompareAndSwap([(keys.SHARD_MAP, 0)], [Put(keys.SHARD_MAP, first)], lane=LEASE)
         r: StoreResponse = yield put
         if r.status == 200:
-            controller.view.committed(put, r.rev)
+            controller.view.record_commit(put, r.revision)
         else:
             yield Sleep(0.3)
-        self._taking = False
+        self._failover_in_progress = False
 
-    def _take(self, parts: list[int], guards: list[tuple[str, int]]) -> Coroutine:
+    def _take_over(self, parts: list[int], guards: list[tuple[str, int]]) -> Coroutine:
         controller = self.controller
-        s = controller.view.split
+        s = controller.view.shard_map
         if s is not None:
-            new = shard_map.take(s, parts, controller.node, controller.incarnation)
+            new = shard_map.assign_shards(s, parts, controller.node, controller.incarnation)
             own = keys.NODES + controller.node
-            ok = yield from self.commit_split(
+            ok = yield from self.commit_shard_map(
                 new,
                 parts,
                 [*guards, (own, controller.view.version(own))],
-                controller.view.version(keys.SPLIT),
+                controller.view.version(keys.SHARD_MAP),
             )
             if ok is None:
-                self._take_doubt = controller.view.version(keys.SPLIT)
+                self._uncertain_failover_version = controller.view.version(keys.SHARD_MAP)
             controller.log("info", f"took parts {parts}: {ok}")
-        self._taking = False
+        self._failover_in_progress = False
 
-    def commit_split(
+    def commit_shard_map(
         self,
         new: shard_map.ShardMap,
         fenced: list[int],
@@ -406,105 +426,116 @@
         yet be applied.
         """
         controller = self.controller
-        puts = [Put(keys.SPLIT, new)]
-        puts += [Put(f"{keys.FENCES}{i}", new.parts[i].term) for i in fenced]
-        commit = CompareAndSwap([(keys.SPLIT, version), *guards], puts, lane=LEASE)
+        puts = [Put(keys.SHARD_MAP, new)]
+        puts += [Put(f"{keys.FENCES}{i}", new.shards[i].term) for i in fenced]
+        commit = CompareAndSwap([(keys.SHARD_MAP, version), *guards], puts, lane=LEASE)
         r: StoreResponse = yield commit
         if r.status == 200:
-            controller.view.committed(commit, r.rev)
+            controller.view.record_commit(commit, r.revision)
             controller.sync()
             return True
         if r.status == 409:
-            yield from self.refresh_split()
+            yield from self.refresh_shard_map()
             return False
         return None if r.status == 0 else False
 
-    def refresh_split(self) -> Step:
+    def refresh_shard_map(self) -> Step:
         """Read the split record afresh."""
-        return (yield from self._refresh_key(keys.SPLIT))
+        return (yield from self._refresh_key(keys.SHARD_MAP))
 
     def refresh_machine(self, key: str) -> Step:
         """Read a machine's membership afresh, for as long as that takes."""
         while not (yield from self._refresh_key(key)):
             yield Sleep(0.3)
 
-    def _give(self, now: float, mine: list[int]) -> None:
+    def _transfer_surplus(self, now: float, mine: list[int]) -> None:
         """Hand parts back to nodes that have none, or away when the machines are out of reach."""
         controller = self.controller
-        s = controller.view.split
-        if s is None or now - self._last_given < self._pause:
+        s = controller.view.shard_map
+        if s is None or now - self._last_transfer_at < self._transfer_pause_s:
             return
         owned = {n: 0 for n in controller.view.nodes}
-        for p in s.parts:
-            if p.owner in owned:
-                owned[p.owner] += 1
+        for p in s.shards:
+            if p.leader in owned:
+                owned[p.leader] += 1
         heard = [
-            n for n in owned if n != controller.node and now - controller.heard.get(n, -1e9) < 3.0
+            n
+            for n in owned
+            if n != controller.node and now - controller.last_received_at.get(n, -1e9) < 3.0
         ]
         movable = [
-            i for i in mine if controller.acts(i) and now - controller.parts[i].since > self.ttl
+            i
+            for i in mine
+            if controller.is_leader(i) and now - controller.shards[i].acquired_at > self.lease_ttl_s
         ]
-        if controller.isolated(now):
+        if controller.is_isolated(now):
             # Where all nodes have lost the machines, it is not this node's network; and while
             # the others are heard, only one that hears its machines can do better.
             others = heard if heard else [n for n in owned if n != controller.node]
-            others = [n for n in others if not heard or controller.in_touch.get(n, False)]
+            others = [
+                n for n in others if not heard or controller.peer_reaches_agents.get(n, False)
+            ]
             if others and movable:
                 target = min(others, key=lambda n: (owned[n], n))
                 controller.log("info", f"out of touch with the machines: giving part to {target}")
                 # Without a part no worker turns to this node, whether or not it could: whether it
                 # is in touch again shows only when it is given one.
-                self._resting_until = (
+                self._cooldown_until = (
                     now + REST_LEASES * controller.settings.cluster.workers.lease_s
                 )
-                self._hand(movable[-1], target, now)
+                self._begin_transfer(movable[-1], target, now)
             return
         if len(mine) < 2 or not movable:
             return
         for n in sorted(heard):
-            since = self.seen_since.get(n, (0, now))[1]
-            fit = controller.in_touch.get(n, False) and now - since > SETTLE * self.ttl
+            since = self.incarnation_seen_since.get(n, (0, now))[1]
+            fit = (
+                controller.peer_reaches_agents.get(n, False)
+                and now - since > SETTLE * self.lease_ttl_s
+            )
             if owned[n] == 0 and fit:
-                part = next((i for i in movable if controller.home(i) == n), movable[-1])
-                self._hand(part, n, now)
+                part = next((i for i in movable if controller.home_node(i) == n), movable[-1])
+                self._begin_transfer(part, n, now)
                 return
 
-    def _hand(self, part: int, target: str, now: float) -> None:
+    def _begin_transfer(self, part: int, target: str, now: float) -> None:
         # Each hand-over doubles the pause before the next, so that a flapping node does not
         # move parts every time.
-        quiet = now - self._last_given > 20 * self.ttl
-        self._pause = 1.0 if quiet else min(2 * self._pause, 10 * self.ttl)
-        self._last_given = now
-        self.controller.spawn(self._hand_over(part, target))
+        quiet = now - self._last_transfer_at > 20 * self.lease_ttl_s
+        self._transfer_pause_s = (
+            1.0 if quiet else min(2 * self._transfer_pause_s, 10 * self.lease_ttl_s)
+        )
+        self._last_transfer_at = now
+        self.controller.spawn(self._transfer(part, target))
 
-    def _hand_over(self, number: int, target: str) -> Coroutine:
+    def _transfer(self, number: int, target: str) -> Coroutine:
         controller = self.controller
-        part = controller.parts.get(number)
-        if part is None or part.closing:
+        part = controller.shards.get(number)
+        if part is None or part.is_closing:
             return
         # From here on this node does not act for the part: the commit may be applied any time.
-        part.closing = True
+        part.is_closing = True
         doubt = -1
         tries = 0
-        while controller.parts.get(number) is part and controller.view.split is not None:
-            version = controller.view.version(keys.SPLIT)
+        while controller.shards.get(number) is part and controller.view.shard_map is not None:
+            version = controller.view.version(keys.SHARD_MAP)
             inc = controller.view.nodes.get(target)
             tries += 1
             if inc is None or tries > 20:
                 if doubt != version:
                     # Nothing that was sent can be applied any more: the split has moved on.
-                    part.closing = False
+                    part.is_closing = False
                     return
                 # Take the part anew, so that the commit in doubt cannot be applied late.
                 target = controller.node
                 inc = controller.incarnation
-            new = shard_map.take(controller.view.split, [number], target, inc)
+            new = shard_map.assign_shards(controller.view.shard_map, [number], target, inc)
             key = keys.NODES + target
-            guards = [(key, controller.view.version(key)), controller.fence(number)]
-            ok = yield from self.commit_split(new, [number], guards, version)
+            guards = [(key, controller.view.version(key)), controller.fence_precondition(number)]
+            ok = yield from self.commit_shard_map(new, [number], guards, version)
             if ok:
                 return
             if ok is None:
                 doubt = version
-                yield from self.refresh_split()
+                yield from self.refresh_shard_map()
             yield Sleep(0.1 + 0.2 * controller.rng.random())
