--- a/marblestair/core/leadership/promises.py
+++ b/marblestair/core/leadership/promises.py
@@ -34,54 +34,54 @@
 
     def __init__(self, controller: Controller, authority: Leadership) -> None:
         self._controller = controller
-        self._authority = authority
+        self._leadership = authority
         #: node -> until when its parts are not taken
-        self._given: dict[str, float] = {}
+        self._granted_until: dict[str, float] = {}
         #: until when promises of all the others stand in for the lease
-        self.held_until = -1e9
+        self.valid_until = -1e9
 
     # --- held ------------------------------------------------------------------------------
 
-    def hold(self, now: float) -> bool:
+    def are_held(self, now: float) -> bool:
         """Whether all the others have promised not to take this node's parts."""
-        return now < self.held_until
+        return now < self.valid_until
 
-    def keep(self) -> Coroutine:
+    def maintain(self) -> Coroutine:
         """While the lease cannot be renewed, ask all the others for promises."""
         while True:
-            yield Sleep(self._authority.ttl / LOOKS_PER_LEASE)
-            if self._are_needed(self._controller.now):
-                yield from self._ask_all()
+            yield Sleep(self._leadership.lease_ttl_s / LOOKS_PER_LEASE)
+            if self._should_request(self._controller.now):
+                yield from self._request_all()
 
-    def _are_needed(self, now: float) -> bool:
-        if not self._controller.parts or not self._controller.settings.others:
+    def _should_request(self, now: float) -> bool:
+        if not self._controller.shards or not self._controller.settings.others:
             return False
-        if not self._authority.renewal_overdue or not self._authority.holds(now):
+        if not self._leadership.renewal_overdue or not self._leadership.is_authorized(now):
             return False
-        return self.held_until - now <= ENOUGH * self._authority.ttl
+        return self.valid_until - now <= ENOUGH * self._leadership.lease_ttl_s
 
-    def _ask_all(self) -> Step:
+    def _request_all(self) -> Step:
         """Ask all the others, and count their promises from before the first was asked."""
         controller = self._controller
         asked_at = controller.now
         for peer in controller.settings.others:
-            ask = [controller.node, controller.incarnation, controller.view.rev]
+            ask = [controller.node, controller.incarnation, controller.view.revision]
             entries = yield PeerRequest(peer.node, "promise", ask, ASK_S)
             if not isinstance(entries, list):
                 return
             for job, rev in entries:
-                controller.cancels.learn(str(job), int(rev))
-        if not self._authority.holds(controller.now):
+                controller.cancellations.record(str(job), int(rev))
+        if not self._leadership.is_authorized(controller.now):
             return
-        was_held = self.hold(asked_at)
-        until = asked_at + self._authority.ttl * (1 - DRIFT) - MARGIN_S
-        self.held_until = max(self.held_until, until)
+        was_held = self.are_held(asked_at)
+        until = asked_at + self._leadership.lease_ttl_s * (1 - DRIFT) - MARGIN_S
+        self.valid_until = max(self.valid_until, until)
         if not was_held:
             controller.log("info", "the state service is out of reach: acting on promises")
 
     # --- given -----------------------------------------------------------------------------
 
-    def give(self, node: str, incarnation: int, rev: int) -> list[list[Any]] | None:
+    def grant(self, node: str, incarnation: int, rev: int) -> list[list[Any]] | None:
         """Promise not to take a node's parts for a lease's time, unless this node might.
 
         With the promise go the cancels that a view of the asker's revision may lack; it counts
@@ -89,27 +89,33 @@
         each cancel that any other node can have confirmed. None: no promise.
         """
         controller = self._controller
-        authority = self._authority
-        if controller.view.split is None or not authority.booted or not authority.failing:
+        authority = self._leadership
+        if (
+            controller.view.shard_map is None
+            or not authority.is_started
+            or not authority.is_renewal_failing
+        ):
             return None
-        if authority.may_be_taking or controller.view.nodes.get(node) != incarnation:
+        if authority.is_failover_pending or controller.view.nodes.get(node) != incarnation:
             return None
-        entries = controller.cancels.later_than(rev)
+        entries = controller.cancellations.entries_after(rev)
         if entries is None:
             return None
-        self._given[node] = controller.now + authority.ttl
+        self._granted_until[node] = controller.now + authority.lease_ttl_s
         controller.decisions.note(
             controller.now,
             Decision.PROMISE,
             "given",
             to=node,
             asker_rev=rev,
-            view_rev=controller.view.rev,
+            view_rev=controller.view.revision,
             cancels=len(entries),
         )
         return entries
 
-    def bind(self, node: str, now: float) -> bool:
+    def may_be_relied_on(self, node: str, now: float) -> bool:
         """Whether a node may be acting on a promise given here, also before a restart."""
-        since_start = now - self._controller.started
-        return now < self._given.get(node, -1e9) or since_start < self._authority.ttl
+        since_start = now - self._controller.started_at
+        return (
+            now < self._granted_until.get(node, -1e9) or since_start < self._leadership.lease_ttl_s
+        )
--- a/marblestair/core/leadership/shard_map.py
+++ b/marblestair/core/leadership/shard_map.py
@@ -8,90 +8,101 @@
 
 import msgspec
 
-from marblestair.core.domain.model import down
+from marblestair.core.domain.model import fixed_point_down
 from marblestair.settings import Team
 
 
 class ShardRecord(msgspec.Struct, array_like=True):
     """One part: its owner (node and incarnation), its term and its share of each team's limit."""
 
-    owner: str
+    leader: str
     incarnation: int
     term: int
-    shares: dict[str, list[int]]
+    quotas: dict[str, list[int]]
     #: term under which the owner took the part; a raise of the term leaves it
-    taken: int = 0
+    acquired_term: int = 0
 
 
 class ShardMap(msgspec.Struct, array_like=True):
     """The whole split; ``counter`` is the highest term ever given out."""
 
-    counter: int
-    parts: list[ShardRecord]
+    last_term: int
+    shards: list[ShardRecord]
 
 
 class MachineRecord(msgspec.Struct, array_like=True):
     """Membership of a machine in a part."""
 
-    part: int
-    type: str
+    shard_id: int
+    machine_type: str
     zone: str
     spot: bool
     #: wall-clock time at which it was rented or first seen
-    since: float
+    added_at: float
 
 
-def even(total: int, n: int) -> list[int]:
+def split_evenly(total: int, n: int) -> list[int]:
     """Split a total into n near-equal whole numbers that add up to it exactly."""
     return [total // n + (1 if i < total % n else 0) for i in range(n)]
 
 
-def first(parts: int, teams: list[Team]) -> ShardMap:
+def initial_shard_map(parts: int, teams: list[Team]) -> ShardMap:
     """The record of a new deployment: no owners, limits split evenly."""
     records = [ShardRecord("", 0, 0, {}) for _ in range(parts)]
     for t in teams:
-        cpus = even(down(t.cpu_limit), parts)
-        gpus = even(down(t.gpu_limit), parts)
+        cpus = split_evenly(fixed_point_down(t.cpu_limit), parts)
+        gpus = split_evenly(fixed_point_down(t.gpu_limit), parts)
         for p, c, g in zip(records, cpus, gpus, strict=True):
-            p.shares[t.name] = [c, g]
+            p.quotas[t.name] = [c, g]
     return ShardMap(0, records)
 
 
-def copy(split: ShardMap) -> ShardMap:
+def copy_shard_map(split: ShardMap) -> ShardMap:
     """A copy that can be changed."""
     return ShardMap(
-        split.counter,
+        split.last_term,
         [
             ShardRecord(
-                p.owner, p.incarnation, p.term, {t: list(s) for t, s in p.shares.items()}, p.taken
+                p.leader,
+                p.incarnation,
+                p.term,
+                {t: list(s) for t, s in p.quotas.items()},
+                p.acquired_term,
             )
-            for p in split.parts
+            for p in split.shards
         ],
     )
 
 
-def take(split: ShardMap, parts: list[int], owner: str, incarnation: int) -> ShardMap:
+def assign_shards(split: ShardMap, parts: list[int], owner: str, incarnation: int) -> ShardMap:
     """Give parts to a node, each under a fresh term."""
-    out = copy(split)
+    out = copy_shard_map(split)
     for i in parts:
-        out.counter += 1
-        p = out.parts[i]
-        p.owner, p.incarnation, p.term, p.taken = owner, incarnation, out.counter, out.counter
+        out.last_term += 1
+        p = out.shards[i]
+        p.leader, p.incarnation, p.term, p.acquired_term = (
+            owner,
+            incarnation,
+            out.last_term,
+            out.last_term,
+        )
     return out
 
 
 def raise_term(split: ShardMap, part: int) -> ShardMap:
     """Give a part a fresh term under the same owner."""
-    out = copy(split)
-    out.counter += 1
-    out.parts[part].term = out.counter
+    out = copy_shard_map(split)
+    out.last_term += 1
+    out.shards[part].term = out.last_term
     return out
 
 
-def shift(split: ShardMap, source: int, target: int, team: str, cpus: int, gpus: int) -> ShardMap:
+def shift_quota(
+    split: ShardMap, source: int, target: int, team: str, cpus: int, gpus: int
+) -> ShardMap:
     """Move room under a team's limit from one part to another; the sum stays the same."""
-    out = copy(split)
-    a, b = out.parts[source].shares[team], out.parts[target].shares[team]
+    out = copy_shard_map(split)
+    a, b = out.shards[source].quotas[team], out.shards[target].quotas[team]
     if not (0 <= cpus <= a[0] and 0 <= gpus <= a[1]):
         raise ValueError("more than the source's share")
     a[0] -= cpus
--- a/marblestair/core/leadership/shard_recovery.py
+++ b/marblestair/core/leadership/shard_recovery.py
@@ -9,7 +9,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from marblestair.core.jobs.progress import keep_progress, load_progress
+from marblestair.core.jobs.progress import load_progress, persist_progress
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
 from marblestair.core.shard.shard import Shard
@@ -22,12 +22,12 @@
 LOOK_S = 0.02
 
 
-def rebuild(controller: Controller, part: Shard, taken_at: int) -> Coroutine:
+def recover_shard(controller: Controller, part: Shard, taken_at: int) -> Coroutine:
     """Rebuild a part that was taken by a commit of the split at a revision."""
     # Everything committed before the takeover must be in the view first: jobs, cancels, machines.
-    while controller.view.rev < taken_at:
+    while controller.view.revision < taken_at:
         yield Sleep(LOOK_S)
-        if controller.parts.get(part.number) is not part:
+        if controller.shards.get(part.shard_id) is not part:
             return
     pages = yield from load_progress(controller, part)
     if pages is None:
@@ -38,27 +38,27 @@
     _take_progress(part, pages)
     for s in part.slices.values():
         # What awaits other jobs never had a task: it may start as soon as it is released.
-        s.suspect = bool(part.suspects) and not s.is_waiting
-        if s.cancelled:
+        s.is_unreconciled = bool(part.unreconciled_machines) and not s.is_blocked
+        if s.is_cancelled:
             # Users may have been told before the earlier owner fell.
-            s.cancelled_at = controller.now - controller.authority.takeover_s
-    part.ready = True
+            s.cancelled_at = controller.now - controller.leadership.failover_s
+    part.is_ready = True
     controller.log(
         "info",
-        f"part {part.number} ready, term {part.term}: {len(part.machines)} machines,"
-        f" {len(part.slices)} jobs, {controller.now - part.since:.2f} s after the takeover",
+        f"part {part.shard_id} ready, term {part.term}: {len(part.machines)} machines,"
+        f" {len(part.slices)} jobs, {controller.now - part.acquired_at:.2f} s after the takeover",
     )
-    controller.jobs.parts_changed()
-    controller.runner.keep(partial(keep_progress, controller, part))
-    controller.runner.keep(partial(controller.fleet.keep_part, part))
+    controller.job_managers.shards_changed()
+    controller.coroutines.supervise(partial(persist_progress, controller, part))
+    controller.coroutines.supervise(partial(controller.fleet.manage_shard, part))
 
 
 def _take_machines(controller: Controller, part: Shard) -> None:
     """Every machine of the part is suspect: what runs there is not known."""
     for name, member in controller.view.machines.items():
-        if member.part == part.number:
+        if member.shard_id == part.shard_id:
             controller.sync_machine(name, part)
-            part.suspects.add(name)
+            part.unreconciled_machines.add(name)
 
 
 def _take_progress(part: Shard, pages: dict[str, dict[int, tuple[int, int]]]) -> None:
@@ -67,7 +67,7 @@
         s = part.slices.get(job)
         for page, (bits, version) in numbered.items():
             if s is None:
-                part.obsolete_keys[keys.progress(part.number, job, page)] = version
+                part.obsolete_keys[keys.progress_page(part.shard_id, job, page)] = version
                 continue
-            s.pages[page] = version
-            s.load_done(page, bits)
+            s.page_versions[page] = version
+            s.load_done_page(page, bits)
--- a/marblestair/core/runtime/coroutines.py
+++ b/marblestair/core/runtime/coroutines.py
@@ -32,7 +32,7 @@
         self._next = 1
         self._waiting: dict[int, Coroutine] = {}
         self._sleeping: list[tuple[float, int]] = []
-        self.calls: list[tuple[int, OutsideRequest]] = []
+        self.requests: list[tuple[int, OutsideRequest]] = []
         self.now = 0.0
         #: told of a flow that ended by an error, which must not end the process
         self.on_error: Callable[[BaseException], None] | None = None
@@ -41,11 +41,11 @@
         """Start a flow."""
         self._advance(flow, None)
 
-    def keep(self, make: Callable[[], Coroutine]) -> None:
+    def supervise(self, make: Callable[[], Coroutine]) -> None:
         """Start a flow that is to run for good: one that an error ends is started again."""
-        self._advance(self._kept(make), None)
+        self._advance(self._supervised(make), None)
 
-    def _kept(self, make: Callable[[], Coroutine]) -> Coroutine:
+    def _supervised(self, make: Callable[[], Coroutine]) -> Coroutine:
         while True:
             try:
                 yield from make()
@@ -56,7 +56,7 @@
                 self.on_error(e)
             yield Sleep(1.0)
 
-    def complete(self, call: int, result: Any) -> None:
+    def resume(self, call: int, result: Any) -> None:
         """Resume the flow that waits for a call; unknown calls are ignored."""
         flow = self._waiting.pop(call, None)
         if flow is not None:
@@ -66,7 +66,7 @@
         """Resume all flows that wait for a signal."""
         waiters, signal.waiters = signal.waiters, []
         for call in waiters:
-            self.complete(call, result)
+            self.resume(call, result)
 
     def wake(self, now: float) -> None:
         """Resume the flows whose sleep is over."""
@@ -77,7 +77,7 @@
         if due:
             self._sleeping = [s for s in self._sleeping if s[0] > now]
             for call in due:
-                self.complete(call, None)
+                self.resume(call, None)
 
     def _advance(self, flow: Coroutine, value: Any) -> None:
         try:
@@ -97,4 +97,4 @@
         elif isinstance(call, Sleep):
             self._sleeping.append((self.now + call.seconds, n))
         else:
-            self.calls.append((n, call))
+            self.requests.append((n, call))
--- a/marblestair/core/runtime/outbox.py
+++ b/marblestair/core/runtime/outbox.py
@@ -12,23 +12,23 @@
 class UserReply(msgspec.Struct, frozen=True):
     """Final answer to a user's request."""
 
-    request: int
+    request_id: int
     status: int
     job: str = ""
     state: str = ""
     done: int | None = None
     running: int | None = None
     error: str = ""
-    retry_after: int = 0
+    retry_after_s: int = 0
 
 
 class DirectCommand(msgspec.Struct, frozen=True):
     """Orders to send straight to a worker."""
 
-    addr: str
-    token: int
-    session: int
-    orders: list[TaskCommand]
+    address: str
+    fencing_token: int
+    agent_incarnation: int
+    commands: list[TaskCommand]
 
 
 class PeerMessage(msgspec.Struct, frozen=True):
@@ -42,33 +42,33 @@
 class ShardSummary(msgspec.Struct, array_like=True):
     """What a node tells the others about one of its parts."""
 
-    part: int
+    shard_id: int
     term: int
     #: free room by machine: type, zone, spot, cpus, gpus, memory
-    rooms: list[tuple[str, str, bool, int, int, int]]
+    free_capacity: list[tuple[str, str, bool, int, int, int]]
     #: the same, for what a hurried gang of high priority may have by stopping arrays
-    held: list[tuple[str, str, bool, int, int, int]]
-    backlog: int
+    preemptible_capacity: list[tuple[str, str, bool, int, int, int]]
+    backlog_cpus: int
     #: room left under each team's share
-    shares: dict[str, list[int]]
+    free_quota: dict[str, list[int]]
     #: team -> cpus and gpus that waiting tasks lack in this part's share
-    wants: dict[str, list[int]]
+    lacking_quota: dict[str, list[int]]
     #: job, tasks waiting, tasks on machines
-    waiting: list[tuple[str, int, int]]
+    pending_jobs: list[tuple[str, int, int]]
     #: machines with tasks, and how much of them is in use
-    busy: list[tuple[str, int]]
+    busy_machines: list[tuple[str, int]]
     #: machines without tasks, and for how long
-    idle: list[tuple[str, float]]
+    idle_machines: list[tuple[str, float]]
     #: jobs whose tasks must start together and that no part has room for as it is
-    needs: list[str]
+    jobs_lacking_capacity: list[str]
     #: machines that run gangs
-    gangs: list[str]
+    gang_machines: list[str]
     #: machines that are not to be counted on
-    leaving: list[str]
+    leaving_machines: list[str]
     #: machines that fell silent together with many, and for which is waited
-    absent: list[str]
+    absent_machines: list[str]
     #: team -> what the whole share must hold for the first waiting unit (a task, or a gang) that
     #: it is too small for
-    stuck: dict[str, list[int]]
+    starved_teams: dict[str, list[int]]
     #: jobs of which nothing succeeded, and on how many machines nothing else fails
-    failing: list[tuple[str, int]] = []
+    failing_jobs: list[tuple[str, int]] = []
--- a/marblestair/core/runtime/requests.py
+++ b/marblestair/core/runtime/requests.py
@@ -29,7 +29,7 @@
     """Read the keys with a prefix, after a key."""
 
     prefix: str
-    after: str = ""
+    after_key: str = ""
     limit: int = 200
     lane: int = SPLIT
 
@@ -39,19 +39,19 @@
 
     key: str
     value: Any
-    lease: int | None = None
+    lease_id: int | None = None
 
 
 class CompareAndSwap(msgspec.Struct, frozen=True):
     """An atomic change, carried out if every guard key has its version."""
 
-    guards: list[tuple[str, int]]
+    preconditions: list[tuple[str, int]]
     puts: list[Put] = []
     deletes: list[str] = []
     lane: int = ACCEPT
 
     @property
-    def writes(self) -> int:
+    def change_count(self) -> int:
         """Changes that count against the budget."""
         return len(self.puts) + len(self.deletes)
 
@@ -66,7 +66,7 @@
 class RenewLease(msgspec.Struct, frozen=True):
     """Renew a lease."""
 
-    lease: int
+    lease_id: int
     lane: int = LEASE
 
 
@@ -74,7 +74,7 @@
     """Wait for changes of a prefix after a revision."""
 
     prefix: str
-    rev: int
+    after_revision: int
     wait_ms: int
     lane: int = LEASE
 
@@ -104,12 +104,12 @@
     status: int
     value: Any = None
     version: int = 0
-    rev: int = 0
+    revision: int = 0
     items: list[StoredKey] = []
     events: list[KeyChange] = []
-    more: bool = False
-    failed: list[str] = []
-    lease: int = 0
+    has_more: bool = False
+    failed_keys: list[str] = []
+    lease_id: int = 0
 
 
 class ListMachineTypes(msgspec.Struct, frozen=True):
@@ -120,7 +120,7 @@
     """Rent machines under a name that is never reused."""
 
     name: str
-    type: str
+    machine_type: str
     zone: str
     spot: bool
     count: int
@@ -135,7 +135,7 @@
 class ListMachines(msgspec.Struct, frozen=True):
     """List machines by name."""
 
-    after: str = ""
+    after_name: str = ""
     limit: int = 500
 
 
@@ -146,8 +146,8 @@
     """A machine in the cloud's list."""
 
     name: str
-    addr: str
-    type: str
+    address: str
+    machine_type: str
     zone: str
     spot: bool
     state: str
@@ -159,10 +159,10 @@
 
     status: int
     no_capacity: bool = False
-    types: list[MachineType] = []
+    machine_types: list[MachineType] = []
     machines: list[str] = []
     listed: list[ListedMachine] = []
-    more: bool = False
+    has_more: bool = False
 
 
 class PeerRequest(msgspec.Struct, frozen=True):
@@ -183,7 +183,7 @@
 class InspectAgent(msgspec.Struct, frozen=True):
     """Ask a worker for its report at once; None when it does not answer."""
 
-    addr: str
+    address: str
 
 
 OutsideRequest: TypeAlias = StoreRequest | CloudRequest | PeerRequest | InspectAgent | Sleep
--- a/marblestair/core/scheduling/best_effort.py
+++ b/marblestair/core/scheduling/best_effort.py
@@ -9,7 +9,7 @@
 
 from typing import TYPE_CHECKING
 
-from marblestair.core.scheduling.placement import allowed
+from marblestair.core.scheduling.placement import may_run_on_machine
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine, PlacedTask
 from marblestair.core.shard.shard import Shard
@@ -30,30 +30,30 @@
         #: room that comes up by stops under way and that nobody counts on yet
         self._coming = 0
         self._spare = 0
-        guests = {name for name, team in controller.teams.items() if team.is_guest}
+        guests = {name for name, team in controller.teams.items() if team.is_best_effort}
         if not guests:
             return
         capacity = 0
         for m in part.machines.values():
-            if not m.usable(controller.now) or m.type is None:
+            if not m.is_usable(controller.now) or m.machine_type is None:
                 continue
-            capacity += m.type.size[0]
-            for p in m.placed.values():
+            capacity += m.machine_type.capacity[0]
+            for p in m.tasks.values():
                 if p.team in guests:
                     self._add(p, m, controller.now)
-        self._spare = sum(p.need[0] for _, p, _ in self._running) - int(GUEST_FLOOR * capacity)
+        self._spare = sum(p.resources[0] for _, p, _ in self._running) - int(GUEST_FLOOR * capacity)
         self._running.sort(key=lambda found: found[0])
 
     def _add(self, p: PlacedTask, m: Machine, now: float) -> None:
-        if p.grace is not None:
-            self._coming += p.need[0]
+        if p.stop_grace_s is not None:
+            self._coming += p.resources[0]
             return
         s = self._part.slices.get(p.job)
-        saves = s is not None and s.spec.checkpoint_s > 0
-        lost_s = 0.0 if saves or p.run_since is None else now - p.run_since
+        saves = s is not None and s.spec.checkpoint_interval_s > 0
+        lost_s = 0.0 if saves or p.running_since is None else now - p.running_since
         self._running.append((lost_s, p, m))
 
-    def stop_for(self, s: JobSlice, lack: int) -> None:
+    def preempt_for(self, s: JobSlice, lack: int) -> None:
         """Stop tasks of guests so that as many cpus come free for a slice's waiting tasks."""
         counted = min(lack, self._coming)
         self._coming -= counted
@@ -62,12 +62,12 @@
         left = []
         for found in self._running:
             _, p, m = found
-            if lack > 0 and allowed(s.spec, m):
+            if lack > 0 and may_run_on_machine(s.spec, m):
                 chosen.append(p)
-                lack -= p.need[0]
-                self._spare -= p.need[0]
+                lack -= p.resources[0]
+                self._spare -= p.resources[0]
             else:
                 left.append(found)
         if chosen:
             self._running = left
-            self._part.stop(chosen, "preempted")
+            self._part.stop_tasks(chosen, "preempted")
--- a/marblestair/core/scheduling/inherited_urgency.py
+++ b/marblestair/core/scheduling/inherited_urgency.py
@@ -45,13 +45,13 @@
             return spec
         deadline_s = spec.deadline_s
         if need.done_by is not None:
-            inherited_s = need.done_by - spec.at
+            inherited_s = need.done_by - spec.accepted_at
             deadline_s = inherited_s if deadline_s is None else min(deadline_s, inherited_s)
         return msgspec.structs.replace(
             spec, priority=_higher(spec.priority, need.priority), deadline_s=deadline_s
         )
 
-    def take_changed(self) -> set[str]:
+    def pop_changed(self) -> set[str]:
         """The jobs whose inherited needs changed since they were last taken."""
         changed, self._changed = self._changed, set()
         return changed
@@ -60,7 +60,7 @@
         """A job's record is gone."""
         self._inherited.pop(job, None)
 
-    def child_changed(self, parents: Iterable[str]) -> None:
+    def dependents_changed(self, parents: Iterable[str]) -> None:
         """A waiting job came or went: work its parents' needs out anew, and so on upwards."""
         stack = sorted(parents)
         while stack:
@@ -76,12 +76,12 @@
             else:
                 self._inherited[job] = need
             self._changed.add(job)
-            if record.is_waiting:
-                stack += record.spec.awaits
+            if record.is_blocked:
+                stack += record.spec.depends_on
 
     def _need_of_children(self, job: str) -> InheritedNeed | None:
         needs = []
-        for child in self._controller.pipelines.children(job):
+        for child in self._controller.dependencies.dependents(job):
             record = self._controller.view.jobs.get(child)
             if record is not None:
                 needs.append(self._need_of(record))
@@ -97,9 +97,11 @@
         if spec.deadline_s is None:
             return InheritedNeed(spec.priority, None)
         controller = self._controller
-        run_s = spec.estimate_s * controller.factor.get(spec.cls, 1.0)
+        run_s = spec.estimated_run_s * controller.run_time_ratios.get(spec.job_class, 1.0)
         start_s = START_REPORTS * controller.settings.cluster.workers.report_s
-        return InheritedNeed(spec.priority, round(spec.at + spec.deadline_s - run_s - start_s, 1))
+        return InheritedNeed(
+            spec.priority, round(spec.accepted_at + spec.deadline_s - run_s - start_s, 1)
+        )
 
 
 def _higher(one: str, other: str) -> str:
--- a/marblestair/core/scheduling/placement.py
+++ b/marblestair/core/scheduling/placement.py
@@ -19,12 +19,12 @@
 SAMPLE = 6
 
 
-def allowed(spec: JobSpec, m: Machine) -> bool:
+def may_run_on_machine(spec: JobSpec, m: Machine) -> bool:
     """Whether the job may run on this machine at all."""
     return spec.may_run_on(m.type_name, m.zone, m.spot)
 
 
-def room(m: Machine, need: tuple[int, int, int]) -> int:
+def tasks_that_fit(m: Machine, need: tuple[int, int, int]) -> int:
     """How many such tasks fit into what is free on the machine."""
     free = m.free
     n = 1 << 30
@@ -49,18 +49,18 @@
     Full machines are filled first and dear ones last, so that whole machines fall idle and can
     be given back.
     """
-    t = m.type
+    t = m.machine_type
     if t is None:
         return 1e9, m.name
     fetch = 0.0
-    if spec.image not in m.images:
+    if spec.image not in m.cached_images:
         fetch = spec.image_gb / max(t.fetch_gb_per_s, 1e-6)
-    left = (m.free[0] - need[0]) / max(t.size[0], 1)
+    left = (m.free[0] - need[0]) / max(t.capacity[0], 1)
     price = (t.spot_price / t.price) if m.spot and t.price > 0 else 1.0
     return hurry * fetch + LEFT_S * left + PRICE_S * price, m.name
 
 
-def pick(
+def choose_machine(
     spec: JobSpec,
     need: tuple[int, int, int],
     candidates: list[Machine],
@@ -75,7 +75,7 @@
     if len(fitting) < 2:
         return fitting[0] if fitting else None
     sample = candidates if len(candidates) <= SAMPLE else rng.sample(candidates, SAMPLE)
-    found = [m for m in sample if room(m, need)]
+    found = [m for m in sample if tasks_that_fit(m, need)]
     if found:
         return min(found, key=lambda m: _score(spec, m, need, hurry))
     return fitting[0]
@@ -83,14 +83,14 @@
 
 def zone_limit(spec: JobSpec) -> int:
     """How many of a job's tasks one zone may hold."""
-    return (spec.tasks + 1) // 2 if spec.spread else spec.tasks
+    return (spec.task_count + 1) // 2 if spec.spread_zones else spec.task_count
 
 
-def within_share(part: Shard, s: JobSlice, share: tuple[int, int]) -> int:
+def tasks_within_quota(part: Shard, s: JobSlice, share: tuple[int, int]) -> int:
     """How many more of the slice's tasks the team's share in this part allows."""
     used = part.usage(s.spec.team)
     n = 1 << 30
-    for u, limit, x in zip(used, share, s.need, strict=False):
+    for u, limit, x in zip(used, share, s.resources, strict=False):
         if x > 0:
             n = min(n, (limit - u) // x)
     return max(n, 0)
@@ -101,21 +101,21 @@
 
     def __init__(self, s: JobSlice) -> None:
         self._spec = s.spec
-        self.binds = s.spec.one_zone or s.spec.spread
+        self.binds = s.spec.single_zone or s.spec.spread_zones
         self._limit = zone_limit(s.spec)
         self._zones: Counter[str] = Counter()
         if self.binds:
-            self._zones.update(m.zone for m in s.placed.values())
+            self._zones.update(m.zone for m in s.placed_on.values())
 
     def is_open(self, m: Machine) -> bool:
         """Whether one more task may lie in a machine's zone."""
-        if self._spec.one_zone and self._zones and not self._zones[m.zone]:
+        if self._spec.single_zone and self._zones and not self._zones[m.zone]:
             return False
-        return not self._spec.spread or self._zones[m.zone] < self._limit
+        return not self._spec.spread_zones or self._zones[m.zone] < self._limit
 
     def most(self, m: Machine, tasks: int) -> int:
         """How many of some tasks may lie in a machine's zone."""
-        return min(tasks, self._limit - self._zones[m.zone]) if self._spec.spread else tasks
+        return min(tasks, self._limit - self._zones[m.zone]) if self._spec.spread_zones else tasks
 
     def add(self, m: Machine, tasks: int) -> None:
         """Tasks were placed on a machine."""
@@ -141,17 +141,21 @@
     ``free`` are those of the ``usable`` machines that may have room. Machines in ``keep`` are left
     to gangs; those in ``drain`` are used only when no other has room.
     """
-    spec, need = s.spec, s.need
-    budget = min(within_share(part, s, share), len(s.pending), most)
+    spec, need = s.spec, s.resources
+    budget = min(tasks_within_quota(part, s, share), len(s.pending), most)
     if budget <= 0:
         return 0
-    fitting = [m for m in free if m.name not in keep and allowed(spec, m) and room(m, need)]
+    fitting = [
+        m
+        for m in free
+        if m.name not in keep and may_run_on_machine(spec, m) and tasks_that_fit(m, need)
+    ]
     if not fitting:
         return 0
     # Sampled are all that may be used, also those that are full; a single one needs no sample.
     machines = fitting
     if usable is not free:
-        machines = [m for m in usable if m.name not in keep and allowed(spec, m)]
+        machines = [m for m in usable if m.name not in keep and may_run_on_machine(spec, m)]
     # Those that are to fall idle are used only when no other has room.
     late: list[Machine] = []
     if drain:
@@ -168,30 +172,30 @@
         if zones.binds:
             options = [m for m in machines if zones.is_open(m)]
             fits = [m for m in fitting if zones.is_open(m)]
-        m = pick(spec, need, options, fits, rng, hurry)
+        m = choose_machine(spec, need, options, fits, rng, hurry)
         if m is None:
             fitting = []
             continue
-        n = zones.most(m, min(room(m, need), budget))
+        n = zones.most(m, min(tasks_that_fit(m, need), budget))
         for _ in range(n):
             part.launch(m, s, s.pending.pop(), part.new_attempt(), now)
         zones.add(m, n)
         budget -= n
         started += n
-        if budget > 0 and not room(m, need):
+        if budget > 0 and not tasks_that_fit(m, need):
             fitting = [x for x in fitting if x is not m]
     return started
 
 
-def plan_gang(
+def assign_gang(
     spec: JobSpec, need: tuple[int, int, int], machines: list[Machine], n: int
 ) -> list[Machine] | None:
     """Machines for n tasks of a gang, all at once, or None; tightest and cached first."""
-    rooms = [(m, room(m, need)) for m in machines]
+    rooms = [(m, tasks_that_fit(m, need)) for m in machines]
     rooms = [(m, r) for m, r in rooms if r]
     rooms.sort(key=lambda x: _score(spec, x[0], need))
     zones: list[str | None] = [None]
-    if spec.one_zone:
+    if spec.single_zone:
         zones = sorted({m.zone for m, _ in rooms})  # type: ignore[assignment]
     limit = zone_limit(spec)
     for zone in zones:
@@ -209,10 +213,12 @@
     return None
 
 
-def place_room(part: Shard, spec: JobSpec, now: float) -> int:
+def placeable_tasks(part: Shard, spec: JobSpec, now: float) -> int:
     """How many of a job's tasks this part's machines have room for now."""
     return sum(
-        room(m, spec.need) for m in part.machines.values() if m.usable(now) and allowed(spec, m)
+        tasks_that_fit(m, spec.resources)
+        for m in part.machines.values()
+        if m.is_usable(now) and may_run_on_machine(spec, m)
     )
 
 
@@ -220,7 +226,9 @@
 FreeCapacity = tuple[str, str, bool, int, int, int]
 
 
-def rooms_for(spec: JobSpec, need: tuple[int, int, int], rooms: list[FreeCapacity]) -> Counter[str]:
+def capacity_by_zone(
+    spec: JobSpec, need: tuple[int, int, int], rooms: list[FreeCapacity]
+) -> Counter[str]:
     """How many of a job's tasks fit into told rooms, by zone."""
     out: Counter[str] = Counter()
     for type_name, zone, spot, *free in rooms:
@@ -232,8 +240,8 @@
 
 def gang_fits(spec: JobSpec, need: tuple[int, int, int], rooms: list[FreeCapacity], n: int) -> bool:
     """Whether n tasks that start together fit into told rooms."""
-    by_zone = rooms_for(spec, need, rooms)
-    if spec.one_zone:
+    by_zone = capacity_by_zone(spec, need, rooms)
+    if spec.single_zone:
         return any(x >= n for x in by_zone.values())
     limit = zone_limit(spec)
     return sum(min(x, limit) for x in by_zone.values()) >= n
@@ -249,13 +257,15 @@
 ) -> int:
     """Launch a whole gang or nothing; machines ``claimed`` for another job are left to it."""
     n = s.size - s.done_count
-    if n <= 0 or s.placed or len(s.pending) != n or within_share(part, s, share) < n:
+    if n <= 0 or s.placed_on or len(s.pending) != n or tasks_within_quota(part, s, share) < n:
         return 0
     spec = s.spec
     machines = [
-        m for m in options if m.usable(now) and allowed(spec, m) and not claimed(m, spec.id)
+        m
+        for m in options
+        if m.is_usable(now) and may_run_on_machine(spec, m) and not claimed(m, spec.id)
     ]
-    chosen = plan_gang(spec, s.need, machines, n)
+    chosen = assign_gang(spec, s.resources, machines, n)
     if chosen is None:
         return 0
     attempt = part.new_attempt()
--- a/marblestair/core/scheduling/preemption.py
+++ b/marblestair/core/scheduling/preemption.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from marblestair.core.domain.model import PRIORITIES, JobSpec
-from marblestair.core.scheduling.placement import FreeCapacity, allowed, room
+from marblestair.core.scheduling.placement import FreeCapacity, may_run_on_machine, tasks_that_fit
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine, PlacedTask
 from marblestair.core.shard.shard import Shard
@@ -42,14 +42,14 @@
             out = self._machines[level] = []
             now = self.preemption.controller.now
             for m in self.part.machines.values():
-                if not m.usable(now):
+                if not m.is_usable(now):
                     continue
                 free, lost = list(m.free), 0.0
                 for p in self.preemption._victims(self.part, m, level):
                     for i in (0, 1, 2):
-                        free[i] += p.need[i]
-                    if p.run_since is not None:
-                        lost += p.need[0] * (now - p.run_since)
+                        free[i] += p.resources[i]
+                    if p.running_since is not None:
+                        lost += p.resources[0] * (now - p.running_since)
                 out.append((m, lost, free))
         return out
 
@@ -61,14 +61,14 @@
             for other in self.part.slices.values():
                 if other.spec.team != team or PRIORITIES[other.spec.priority] >= level:
                     continue
-                for i, m in other.placed.items():
-                    p = m.placed.get((other.spec.id, i))
+                for i, m in other.placed_on.items():
+                    p = m.tasks.get((other.spec.id, i))
                     if p is not None:
-                        ran = now - p.run_since if p.run_since is not None else 0.0
-                        found.append((ran if p.grace is None else -1.0, p))
+                        ran = now - p.running_since if p.running_since is not None else 0.0
+                        found.append((ran if p.stop_grace_s is None else -1.0, p))
             found.sort(key=lambda x: x[0])
             self._teams[(team, level)] = found
-            self._sums[(team, level)] = sum(p.need[0] for _, p in found)
+            self._sums[(team, level)] = sum(p.resources[0] for _, p in found)
         return found
 
     def stoppable(self, team: str, level: int) -> int:
@@ -93,7 +93,7 @@
                 break
             if id(p) not in left:
                 out.append(p)
-                lack -= p.need[0]
+                lack -= p.resources[0]
         return None if lack > 0 else out
 
     def stopped(self, team: str) -> None:
@@ -110,12 +110,12 @@
         #: machine -> job that it is cleared for, and until when
         self.claims: dict[str, tuple[str, float]] = {}
 
-    def claimed(self, m: Machine, job: str = "") -> bool:
+    def is_claimed(self, m: Machine, job: str = "") -> bool:
         """Whether a machine is being cleared, or set aside by the plan, for another job."""
         claim = self.claims.get(m.name)
         if claim is not None:
             return claim[0] != job
-        kept = self.controller.fleet.reserved.get(m.name, "")
+        kept = self.controller.fleet.reserved_machines.get(m.name, "")
         return kept not in ("", job) and kept in self.controller.view.jobs
 
     def tick(self) -> None:
@@ -123,8 +123,8 @@
         controller = self.controller
         for name, (job, until) in list(self.claims.items()):
             waits = any(
-                name in p.machines and (s := p.slices.get(job)) is not None and not s.placed
-                for p in controller.parts.values()
+                name in p.machines and (s := p.slices.get(job)) is not None and not s.placed_on
+                for p in controller.shards.values()
             )
             if not waits or controller.now > until:
                 del self.claims[name]
@@ -132,7 +132,7 @@
     def _victims(self, part: Shard, m: Machine, level: int) -> list[PlacedTask]:
         """What may be stopped on a machine for work of a priority."""
         out = []
-        for p in m.placed.values():
+        for p in m.tasks.values():
             s = part.slices.get(p.job)
             if s is None or PRIORITIES[s.spec.priority] < level:
                 out.append(p)
@@ -143,19 +143,19 @@
         free = list(m.free)
         for p in victims:
             for i in (0, 1, 2):
-                free[i] += p.need[i]
+                free[i] += p.resources[i]
         return _holds(free, need)
 
     def survey(self, part: Shard) -> PreemptionSurvey:
         """What could be stopped in a part; to be kept for one look through all that waits."""
         return PreemptionSurvey(part, self)
 
-    def claimed_for(self, part: Shard, job: str) -> list[Machine]:
+    def machines_claimed_for(self, part: Shard, job: str) -> list[Machine]:
         """Machines of a part that are being cleared for a job."""
         names = [name for name, (claimer, _) in self.claims.items() if claimer == job]
         return [part.machines[n] for n in names if n in part.machines]
 
-    def clear(
+    def make_room(
         self, part: Shard, s: JobSlice, share: tuple[int, int], act: bool, survey: PreemptionSurvey
     ) -> bool:
         """Whether a gang can have its machines here by stopping work of lower priority.
@@ -168,7 +168,7 @@
         if any(claim[0] == job for claim in self.claims.values()):
             return True
         level = PRIORITIES[spec.priority]
-        used, wanted = part.usage(spec.team)[0], len(s.pending) * s.need[0]
+        used, wanted = part.usage(spec.team)[0], len(s.pending) * s.resources[0]
         # What the share lacks at least, whatever is stopped for its room.
         if share[0] + survey.stoppable(spec.team, level) < used + wanted:
             return False
@@ -178,12 +178,12 @@
         stopped = [p for _, victims in chosen for p in victims]
         # What the share lacks, less what the victims free of it.
         lack = wanted - (share[0] - used)
-        lack -= sum(p.need[0] for p in stopped if p.team == spec.team)
+        lack -= sum(p.resources[0] for p in stopped if p.team == spec.team)
         own = survey.of_team(spec.team, level, lack, stopped)
         if own is None:
             return False
         if act:
-            part.stop(own, "preempted")
+            part.stop_tasks(own, "preempted")
             self._claim(part, job, chosen)
             survey.stopped(spec.team)
         return True
@@ -199,12 +199,12 @@
                 break
             # Counted afresh: something may have been placed or stopped since the survey.
             victims: list[PlacedTask] = []
-            fits = room(m, s.need)
+            fits = tasks_that_fit(m, s.resources)
             if not fits:
-                if any(p.grace is not None for p in m.placed.values()):
+                if any(p.stop_grace_s is not None for p in m.tasks.values()):
                     continue
                 victims = self._victims(part, m, level)
-                fits = self._without(m, victims, s.need)
+                fits = self._without(m, victims, s.resources)
             if fits:
                 chosen.append((name, victims))
                 lacking -= fits
@@ -216,11 +216,15 @@
         """Machines that a gang could have, with the work lost for each of its tasks there."""
         options: list[tuple[float, str, Machine]] = []
         for m, lost, after in survey.machines(level):
-            if after[0] < s.need[0] or self.claimed(m, s.spec.id) or not allowed(s.spec, m):
+            if (
+                after[0] < s.resources[0]
+                or self.is_claimed(m, s.spec.id)
+                or not may_run_on_machine(s.spec, m)
+            ):
                 continue
-            if room(m, s.need):
+            if tasks_that_fit(m, s.resources):
                 options.append((0.0, m.name, m))
-            elif fits := _holds(after, s.need):
+            elif fits := _holds(after, s.resources):
                 options.append((lost / fits, m.name, m))
         return options
 
@@ -231,27 +235,29 @@
         until = controller.now + CLAIM_REPORTS * report_s
         for name, victims in chosen:
             self.claims[name] = (job, until)
-            part.stop(victims, "preempted")
+            part.stop_tasks(victims, "preempted")
 
-    def told(self, part: Shard) -> list[FreeCapacity]:
+    def preemptible_capacity(self, part: Shard) -> list[FreeCapacity]:
         """Room that a hurried class could have here by stopping lower-priority work."""
         controller = self.controller
         coming: list[JobSpec] = [
-            k.spec for k in controller.fleet.arrivals.classes.values() if k.hurry
+            k.spec
+            for k in controller.fleet.arrivals.expected_gangs.values()
+            if k.is_latency_sensitive
         ]
         if not coming:
             return []
         level = max(PRIORITIES[x.priority] for x in coming)
         out: list[FreeCapacity] = []
         for m in part.machines.values():
-            if not m.placed or not m.usable(controller.now) or self.claimed(m):
+            if not m.tasks or not m.is_usable(controller.now) or self.is_claimed(m):
                 continue
-            if not any(allowed(x, m) for x in coming):
+            if not any(may_run_on_machine(x, m) for x in coming):
                 continue
             victims = self._victims(part, m, level)
-            if not victims or any(p.grace is not None for p in m.placed.values()):
+            if not victims or any(p.stop_grace_s is not None for p in m.tasks.values()):
                 continue
-            free = [m.free[i] + sum(p.need[i] for p in victims) for i in range(3)]
-            if any(all(f >= x for f, x in zip(free, k.need, strict=True)) for k in coming):
+            free = [m.free[i] + sum(p.resources[i] for p in victims) for i in range(3)]
+            if any(all(f >= x for f, x in zip(free, k.resources, strict=True)) for k in coming):
                 out.append((m.type_name, m.zone, m.spot, free[0], free[1], free[2]))
         return out
--- a/marblestair/core/scheduling/quota.py
+++ b/marblestair/core/scheduling/quota.py
@@ -10,39 +10,41 @@
     JobRecord,
     JobSpec,
     MachineType,
-    down,
-    up,
+    fixed_point_down,
+    fixed_point_up,
 )
 from marblestair.settings import Team
 
 
-def refusal(spec: JobSpec, teams: dict[str, Team], types: list[MachineType]) -> str | None:
+def rejection_reason(spec: JobSpec, teams: dict[str, Team], types: list[MachineType]) -> str | None:
     """Why a job can never run, or None: the same answer on every controller."""
     team = teams.get(spec.team)
     if team is None:
         return "unknown team"
-    need = spec.need
+    need = spec.resources
     options = [
         t
         for t in types
-        if (spec.types is None or t.name in spec.types)
+        if (spec.machine_types is None or t.name in spec.machine_types)
         and (spec.zone is None or spec.zone in t.zones)
     ]
-    options = [t for t in options if t.fits(need)]
+    options = [t for t in options if t.can_hold(need)]
     if not options:
         return "a task fits no allowed machine type"
     zones = {z for t in options for z in t.zones if spec.zone in (None, z)}
-    if spec.kind == GANG and spec.spread and spec.tasks > 1:
+    if spec.kind == GANG and spec.spread_zones and spec.task_count > 1:
         # At most half of the tasks may lie in one zone, and all run at the same time.
-        if spec.one_zone or len(zones) < 2:
+        if spec.single_zone or len(zones) < 2:
             return "its tasks must lie apart, and there is one zone only"
-    n = spec.tasks if spec.kind == GANG else 1
-    if n * need[0] > down(team.cpu_limit) or n * need[1] > down(team.gpu_limit):
+    n = spec.task_count if spec.kind == GANG else 1
+    if n * need[0] > fixed_point_down(team.cpu_limit) or n * need[1] > fixed_point_down(
+        team.gpu_limit
+    ):
         return "more than the team's limit"
     return None
 
 
-def within_guarantee(
+def jobs_within_guarantee(
     jobs: dict[str, JobRecord],
     teams: dict[str, Team],
     is_suspected: Callable[[str], bool],
@@ -54,20 +56,20 @@
     """
     used: dict[str, list[int]] = {}
     out: set[str] = set()
-    for record in sorted(jobs.values(), key=lambda r: (r.ready_at, r.spec.id)):
+    for record in sorted(jobs.values(), key=lambda r: (r.startable_since, r.spec.id)):
         spec = record.spec
         team = teams.get(spec.team)
-        if team is None or record.cancelled or record.is_waiting or is_suspected(spec.id):
+        if team is None or record.is_cancelled or record.is_blocked or is_suspected(spec.id):
             continue
         u = used.setdefault(spec.team, [0, 0])
-        u[0] += spec.tasks * up(spec.cpus)
-        u[1] += spec.tasks * up(spec.gpus)
-        if u[0] <= down(team.cpus) and u[1] <= down(team.gpus):
+        u[0] += spec.task_count * fixed_point_up(spec.cpus)
+        u[1] += spec.task_count * fixed_point_up(spec.gpus)
+        if u[0] <= fixed_point_down(team.cpus) and u[1] <= fixed_point_down(team.gpus):
             out.add(spec.id)
     return out
 
 
-def order_key(
+def priority_key(
     spec: JobSpec,
     guaranteed: bool,
     hopeless: bool,
@@ -87,17 +89,17 @@
     """
     late = 8 * int(suspected) + 4 * int(is_guest)
     if spec.deadline_s is not None:
-        slack = spec.at + spec.deadline_s - wall - spec.estimate_s * factor
+        slack = spec.accepted_at + spec.deadline_s - wall - spec.estimated_run_s * factor
         # What cannot be done by a deadline and half any more is of least use.
         if not is_awaited:
             late += int(hopeless) + 2 * int(slack + 0.5 * spec.deadline_s < 0)
     else:
-        slack = (spec.at if ready_at is None else ready_at) - wall + 120.0
+        slack = (spec.accepted_at if ready_at is None else ready_at) - wall + 120.0
     first = guaranteed or PRIORITIES[spec.priority] >= PRIORITIES["high"]
     return (late, 0 if first else 1, -PRIORITIES[spec.priority], slack, spec.id)
 
 
-def hopeless(work: list[tuple[float, float, str]], limit: float) -> set[str]:
+def infeasible_jobs(work: list[tuple[float, float, str]], limit: float) -> set[str]:
     """Jobs to put off so that as many as possible are done when due (Moore and Hodgson).
 
     ``work`` holds seconds until due, cpu seconds left, and the job; ``limit`` is what all of them
--- a/marblestair/core/scheduling/quota_transfers.py
+++ b/marblestair/core/scheduling/quota_transfers.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING
 
-from marblestair.core.capacity.shard_summary import summarise
+from marblestair.core.capacity.shard_summary import summarize_shard
 from marblestair.core.domain.model import GANG
 from marblestair.core.leadership import shard_map
 from marblestair.core.runtime.coroutines import Coroutine
@@ -35,31 +35,33 @@
     def rebalance(self, acting: list[Shard]) -> None:
         """Give room under a team's limit to a part that lacks it, one move at a time."""
         controller = self._controller
-        record = controller.view.split
-        if controller.lowered or record is None:
+        record = controller.view.shard_map
+        if controller.pending_quota_releases or record is None:
             return
         for part in acting:
-            if part.suspects:
+            if part.unreconciled_machines:
                 continue
-            for number, (told_at, summary) in sorted(controller.summaries.items()):
-                if number == part.number or controller.now - told_at > FRESH_S:
+            for number, (told_at, summary) in sorted(controller.shard_summaries.items()):
+                if number == part.shard_id or controller.now - told_at > FRESH_S:
                     continue
-                if summary.term == record.parts[number].term and self._give_one(part, summary):
+                if summary.term == record.shards[number].term and self._begin_transfer(
+                    part, summary
+                ):
                     return
 
-    def _give_one(self, part: Shard, other: ShardSummary) -> bool:
+    def _begin_transfer(self, part: Shard, other: ShardSummary) -> bool:
         """Begin to give the first room that another part lacks and this one can spare."""
         controller = self._controller
-        told = controller.summaries.get(part.number)
-        own = told[1] if told is not None else summarise(controller, part)
-        for team, want in (*other.stuck.items(), *other.wants.items()):
+        told = controller.shard_summaries.get(part.shard_id)
+        own = told[1] if told is not None else summarize_shard(controller, part)
+        for team, want in (*other.starved_teams.items(), *other.lacking_quota.items()):
             free = self._free(part, team, own, other)
             if free is None:
                 continue
             give = [max(0, min(free[i], want[i])) for i in range(2)]
             if give[0] or give[1]:
-                controller.lowered[(part.number, team)] = give
-                controller.spawn(self.give_room(part, other.part, team, give))
+                controller.pending_quota_releases[(part.shard_id, team)] = give
+                controller.spawn(self.transfer(part, other.shard_id, team, give))
                 return True
         return False
 
@@ -67,13 +69,13 @@
         self, part: Shard, team: str, own: ShardSummary, other: ShardSummary
     ) -> list[int] | None:
         """Room that a part can spare for another; None when it gives none of this team's."""
-        used, share = part.usage(team), self._controller.share(part, team)
+        used, share = part.usage(team), self._controller.quota(part, team)
         free = [share[i] - used[i] for i in range(2)]
-        if team in other.stuck:
+        if team in other.starved_teams:
             # One of two parts that are both stuck must give way.
-            gives_way = team not in own.stuck or part.number > other.part
+            gives_way = team not in own.starved_teams or part.shard_id > other.shard_id
             return free if gives_way else None
-        if own.wants.get(team) is not None or team in own.stuck:
+        if own.lacking_quota.get(team) is not None or team in own.starved_teams:
             return None
         kept = self._pending(part, team)
         return [free[i] - kept[i] for i in range(2)]
@@ -85,9 +87,9 @@
         """
         return max(
             (
-                len(s.pending) * s.need[0]
+                len(s.pending) * s.resources[0]
                 for s in part.slices.values()
-                if s.spec.team == team and s.spec.kind == GANG and not s.cancelled
+                if s.spec.team == team and s.spec.kind == GANG and not s.is_cancelled
             ),
             default=0,
         )
@@ -96,12 +98,12 @@
         """What a team's waiting tasks in a part will need of the share."""
         needs = [0, 0]
         for s in part.slices.values():
-            if s.spec.team == team and not s.cancelled:
-                needs[0] += len(s.pending) * s.need[0]
-                needs[1] += len(s.pending) * s.need[1]
+            if s.spec.team == team and not s.is_cancelled:
+                needs[0] += len(s.pending) * s.resources[0]
+                needs[1] += len(s.pending) * s.resources[1]
         return needs
 
-    def give_room(self, part: Shard, target: int, team: str, give: list[int]) -> Coroutine:
+    def transfer(self, part: Shard, target: int, team: str, give: list[int]) -> Coroutine:
         """Change both shares in one commit; the room was lowered here already."""
         controller = self._controller
         try:
@@ -109,25 +111,25 @@
             tries = 0
             while True:
                 tries += 1
-                record = controller.view.split
-                version = controller.view.version(keys.SPLIT)
-                if record is None or controller.parts.get(part.number) is not part:
+                record = controller.view.shard_map
+                version = controller.view.version(keys.SHARD_MAP)
+                if record is None or controller.shards.get(part.shard_id) is not part:
                     return
                 if doubt >= 0 and doubt != version:
                     # Whatever was sent has been applied or cannot be any more.
                     return
-                share = record.parts[part.number].shares.get(team, [0, 0])
+                share = record.shards[part.shard_id].quotas.get(team, [0, 0])
                 too_much = give[0] > share[0] or give[1] > share[1]
                 if doubt < 0 and (too_much or tries > MOST_TRIES):
                     return
-                new = shard_map.shift(record, part.number, target, team, give[0], give[1])
-                guards = [controller.fence(part.number)]
-                moved = yield from controller.authority.commit_split(new, [], guards, version)
+                new = shard_map.shift_quota(record, part.shard_id, target, team, give[0], give[1])
+                guards = [controller.fence_precondition(part.shard_id)]
+                moved = yield from controller.leadership.commit_shard_map(new, [], guards, version)
                 if moved:
                     return
                 if moved is None:
                     doubt = version
-                    yield from controller.authority.refresh_split()
+                    yield from controller.leadership.refresh_shard_map()
                 yield Sleep(0.1 + 0.2 * controller.rng.random())
         finally:
-            controller.lowered.pop((part.number, team), None)
+            controller.pending_quota_releases.pop((part.shard_id, team), None)
--- a/marblestair/core/shard/machine.py
+++ b/marblestair/core/shard/machine.py
@@ -15,18 +15,18 @@
 
     __slots__ = (
         "attempt",
-        "grace",
+        "stop_grace_s",
         "index",
         "job",
-        "need",
-        "run_since",
-        "saved",
-        "sent_seq",
-        "since",
+        "resources",
+        "running_since",
+        "is_checkpoint_saved",
+        "sent_sequence",
+        "placed_at",
         "state",
-        "stop_sent",
+        "stop_sent_at",
         "team",
-        "why_stop",
+        "stop_reason",
     )
 
     def __init__(
@@ -35,121 +35,127 @@
         self.job = job
         self.index = index
         self.attempt = attempt
-        self.need = need
+        self.resources = need
         self.team = team
         #: ``planned`` until the launch is in an answer, ``sent`` until a report lists the task
         self.state = "planned"
-        self.since = now
-        self.run_since: float | None = None
+        self.placed_at = now
+        self.running_since: float | None = None
         #: sequence number of the report whose answer carried the launch
-        self.sent_seq = -1
+        self.sent_sequence = -1
         #: grace of the stop that is wanted, None when none is
-        self.grace: float | None = None
-        self.why_stop = ""
-        self.stop_sent = -1e9
-        self.saved = False
+        self.stop_grace_s: float | None = None
+        self.stop_reason = ""
+        self.stop_sent_at = -1e9
+        self.is_checkpoint_saved = False
 
 
 class Machine:
     """A machine of this part."""
 
     #: no placement on a machine that has not reported for this long; the part sets it
-    quiet_s = 1e9
+    silence_limit_s = 1e9
 
     def __init__(self, name: str, type_name: str, zone: str, spot: bool, now: float) -> None:
         self.name = name
         self.type_name = type_name
         self.zone = zone
         self.spot = spot
-        self.type: MachineType | None = None
-        self.addr = ""
-        self.added = now
+        self.machine_type: MachineType | None = None
+        self.address = ""
+        self.added_at = now
         #: newest (session, seq) seen; older reports are late copies
-        self.session = 0
-        self.seq = -1
+        self.agent_incarnation = 0
+        self.sequence = -1
         #: sessions below this one have lost their lease for certain
-        self.min_session = 0
+        self.min_incarnation = 0
         #: a report under this part's term has been seen; the term at which it joined counts
-        self.settled = False
+        self.is_reconciled = False
         self.join_term = 0
-        self.answered = -1e9
-        self.seen = -1e9
-        self.notice_at: float | None = None
-        self.placed: dict[TaskKey, PlacedTask] = {}
+        self.answered_at = -1e9
+        self.last_heartbeat_at = -1e9
+        self.reclaim_at: float | None = None
+        self.tasks: dict[TaskKey, PlacedTask] = {}
         self.free = [0, 0, 0]
         #: exited tasks listed in the newest report: key -> (attempt, done)
-        self.exited: dict[TaskKey, tuple[int, bool]] = {}
+        self.exited_tasks: dict[TaskKey, tuple[int, bool]] = {}
         #: tasks listed that this part knows nothing of; they are stopped
         self.unknown_tasks: dict[TaskKey, int] = {}
-        self.draining = False
+        self.is_draining = False
         #: what it ran was stopped so that it can be given back
-        self.returning = False
+        self.is_returning = False
         #: no more 200 answers: its lease is to run out, and the cloud is to take it
-        self.given_up = False
-        self.releasing = False
-        self.silent = False
+        self.is_given_up = False
+        self.is_releasing = False
+        self.is_silent = False
         #: it fell silent together with many others, and is waited for
-        self.awaited = False
+        self.is_awaited = False
         #: the cloud lists it as stopped by itself
-        self.failed = False
+        self.has_failed = False
         #: its reports arrive, but answers and commands seem not to: nothing is placed here until
         #: it reports as often as only a worker does that is answered
-        self.deaf = False
-        self.deaf_since = now
+        self.is_unresponsive = False
+        self.unresponsive_since = now
         #: how often in a row a launch did not show in a newer report, or a lease ran out though
         #: it was answered
-        self.unheeded = 0
+        self.ignored_commands = 0
         #: since when it has reported, without a gap, as often as only an answered worker does
-        self.often_since = now
+        self.frequent_since = now
         #: answers to reports that did not carry this part's term yet
-        self.untaken = 0
+        self.ignored_terms = 0
         #: it rests after a failure that counts against it
-        self.not_before = -1e9
+        self.usable_from = -1e9
         self.idle_since: float | None = now
-        self.images: OrderedDict[str, float] = OrderedDict()
+        self.cached_images: OrderedDict[str, float] = OrderedDict()
 
-    def set_type(self, t: MachineType | None) -> None:
+    def set_machine_type(self, t: MachineType | None) -> None:
         """Learn the machine's capacity."""
-        if self.type is None and t is not None:
-            self.type = t
-            self.free = list(t.size)
-            for p in self.placed.values():
-                self._use(p.need, 1)
-
-    def _use(self, need: tuple[int, int, int], sign: int) -> None:
-        if self.type is not None:
+        if self.machine_type is None and t is not None:
+            self.machine_type = t
+            self.free = list(t.capacity)
+            for p in self.tasks.values():
+                self._reserve(p.resources, 1)
+
+    def _reserve(self, need: tuple[int, int, int], sign: int) -> None:
+        if self.machine_type is not None:
             for i in range(3):
                 self.free[i] -= sign * need[i]
 
-    def put(self, p: PlacedTask) -> None:
+    def add_task(self, p: PlacedTask) -> None:
         """Account for a task."""
-        self.placed[(p.job, p.index)] = p
-        self._use(p.need, 1)
+        self.tasks[(p.job, p.index)] = p
+        self._reserve(p.resources, 1)
         self.idle_since = None
 
-    def take(self, p: PlacedTask, now: float) -> None:
+    def remove_task(self, p: PlacedTask, now: float) -> None:
         """Stop accounting for a task."""
-        if self.placed.pop((p.job, p.index), None) is not None:
-            self._use(p.need, -1)
-            if not self.placed:
+        if self.tasks.pop((p.job, p.index), None) is not None:
+            self._reserve(p.resources, -1)
+            if not self.tasks:
                 self.idle_since = now
 
-    def usable(self, now: float) -> bool:
+    def is_usable(self, now: float) -> bool:
         """Whether tasks may be placed here now."""
         return (
-            self.settled
-            and self.type is not None
-            and not (self.draining or self.given_up or self.releasing or self.silent or self.deaf)
-            and now - self.seen < self.quiet_s
-            and self.notice_at is None
+            self.is_reconciled
+            and self.machine_type is not None
+            and not (
+                self.is_draining
+                or self.is_given_up
+                or self.is_releasing
+                or self.is_silent
+                or self.is_unresponsive
+            )
+            and now - self.last_heartbeat_at < self.silence_limit_s
+            and self.reclaim_at is None
             and not self.unknown_tasks
-            and now >= self.not_before
+            and now >= self.usable_from
         )
 
-    def note_image(self, spec: JobSpec) -> None:
+    def record_image(self, spec: JobSpec) -> None:
         """Remember that the machine has, or fetches, an image."""
-        self.images[spec.image] = spec.image_gb
-        self.images.move_to_end(spec.image)
-        cache = self.type.cache_gb if self.type else 0.0
-        while len(self.images) > 1 and sum(self.images.values()) > cache:
-            self.images.popitem(last=False)
+        self.cached_images[spec.image] = spec.image_gb
+        self.cached_images.move_to_end(spec.image)
+        cache = self.machine_type.cache_gb if self.machine_type else 0.0
+        while len(self.cached_images) > 1 and sum(self.cached_images.values()) > cache:
+            self.cached_images.popitem(last=False)
--- a/marblestair/core/state/keys.py
+++ b/marblestair/core/state/keys.py
@@ -6,7 +6,7 @@
 
 #: everything that every controller follows by its watch
 VIEW = f"{TENANT}/w/"
-SPLIT = f"{VIEW}split"
+SHARD_MAP = f"{VIEW}split"
 NODES = f"{VIEW}node/"
 #: one key per part, rewritten at each takeover: everything that an owner commits is guarded on
 #: it, so that a transaction of an earlier owner that is applied late changes nothing
@@ -19,16 +19,16 @@
 #: progress pages, by part
 PROGRESS = f"{TENANT}/p/"
 #: hire intents, by part
-HIRES = f"{TENANT}/h/"
+RENTAL_INTENTS = f"{TENANT}/h/"
 #: last known machine types, one key each
 TYPES = f"{TENANT}/t/"
 
 
-def progress(part: int, job: str, page: int) -> str:
+def progress_page(part: int, job: str, page: int) -> str:
     """Key of one page of a part's progress on a job."""
     return f"{PROGRESS}{part}/{job}/{page}"
 
 
-def hire(part: int, name: str) -> str:
+def rental_intent(part: int, name: str) -> str:
     """Key of a hire intent."""
-    return f"{HIRES}{part}/{name}"
+    return f"{RENTAL_INTENTS}{part}/{name}"
--- a/marblestair/core/state/store_view.py
+++ b/marblestair/core/state/store_view.py
@@ -19,14 +19,14 @@
 class ListedRange(msgspec.Struct, frozen=True):
     """The keys that one page of a listing tells of, as of its revision."""
 
-    after: str
+    after_key: str
     #: the last of them; None when the page reaches to the end
-    last: str | None
-    rev: int
+    last_key: str | None
+    revision: int
 
     def covers(self, key: str) -> bool:
         """Whether the page would hold a key if it existed."""
-        return key > self.after and (self.last is None or key <= self.last)
+        return key > self.after_key and (self.last_key is None or key <= self.last_key)
 
 
 class StoreView:
@@ -39,10 +39,10 @@
     """
 
     def __init__(self) -> None:
-        self.rev = -1
+        self.revision = -1
         #: steady time as of which everything committed before is known
-        self.fresh_at = -1e9
-        self.split: ShardMap | None = None
+        self.fresh_as_of = -1e9
+        self.shard_map: ShardMap | None = None
         self.nodes: dict[str, int] = {}
         self.machines: dict[str, MachineRecord] = {}
         self.jobs: dict[str, JobRecord] = {}
@@ -50,19 +50,19 @@
         #: revisions at which keys are known not to exist, until ``rev`` has reached them
         self._absent_at: dict[str, int] = {}
         #: pages of the latest listing, until ``rev`` has reached them
-        self._ranges: list[ListedRange] = []
+        self._listed_ranges: list[ListedRange] = []
         #: machines that are gone for good; their late reports are ignored
-        self.gone: OrderedDict[str, None] = OrderedDict()
+        self.gone_machines: OrderedDict[str, None] = OrderedDict()
         #: jobs, machines and parts changed since they were last taken
         self.changed_jobs: set[str] = set()
         self.changed_machines: set[str] = set()
-        self.changed_split = False
+        self.shard_map_changed = False
 
     def version(self, key: str) -> int:
         """Version of a key as known here; 0 when it does not exist."""
         return self.versions.get(key, 0)
 
-    def load(self, pages: list[StoreResponse]) -> None:
+    def load_listing(self, pages: list[StoreResponse]) -> None:
         """Replace everything by a fresh listing, each page of which has a revision of its own.
 
         The view is then as of the first page; later changes come by the watch from there on.
@@ -70,50 +70,50 @@
         after = ""
         ranges: list[ListedRange] = []
         for page in pages:
-            last = page.items[-1].key if page.more and page.items else None
-            ranges.append(ListedRange(after, last, page.rev))
+            last = page.items[-1].key if page.has_more and page.items else None
+            ranges.append(ListedRange(after, last, page.revision))
             listed = {item.key for item in page.items}
             for key in [k for k in self.versions if ranges[-1].covers(k) and k not in listed]:
-                if self.versions[key] <= page.rev:
-                    self._set(key, None, page.rev)
+                if self.versions[key] <= page.revision:
+                    self._set(key, None, page.revision)
             for item in page.items:
                 # Read after everything that the watch has returned, so its revision is no bar.
                 if item.version > max(self.version(item.key), self._absent_since(item.key)):
                     self._set(item.key, item.value, item.version)
             after = last or ""
-        self._ranges = ranges
-        self._advance(pages[0].rev)
+        self._listed_ranges = ranges
+        self._advance(pages[0].revision)
 
-    def apply(self, events: list[KeyChange], rev: int) -> None:
+    def apply_changes(self, events: list[KeyChange], rev: int) -> None:
         """Take in what a watch returned."""
         for e in events:
             if e.version > max(self.version(e.key), self._absent_since(e.key)):
                 self._set(e.key, e.value, e.version)
         self._advance(rev)
 
-    def take_in(self, key: str, value: Any, version: int) -> None:
+    def record_read(self, key: str, value: Any, version: int) -> None:
         """Take in one key as a read has found it."""
-        if self._is_news(key, version):
+        if self._is_newer(key, version):
             self._set(key, value, version)
 
-    def take_absence(self, key: str, rev: int) -> None:
+    def record_absence(self, key: str, rev: int) -> None:
         """Take in that a read at a revision has found no such key."""
         if key not in self.versions or rev < self.versions[key]:
             return
         self._note_absence(key, rev)
         self._set(key, None, rev)
 
-    def committed(self, commit: CompareAndSwap, rev: int) -> None:
+    def record_commit(self, commit: CompareAndSwap, rev: int) -> None:
         """Take in an own commit, ahead of the watch or behind it."""
         for p in commit.puts:
-            if p.key.startswith(keys.VIEW) and self._is_news(p.key, rev):
+            if p.key.startswith(keys.VIEW) and self._is_newer(p.key, rev):
                 self._set(p.key, msgspec.to_builtins(p.value), rev)
         for k in commit.deletes:
             if k.startswith(keys.VIEW) and rev > self.version(k):
                 self._note_absence(k, rev)
                 self._set(k, None, rev)
 
-    def _is_news(self, key: str, version: int) -> bool:
+    def _is_newer(self, key: str, version: int) -> bool:
         """Whether a version of a key is newer than what is known of it.
 
         A deletion leaves no version behind: that of a key which the view lacks must be newer
@@ -122,24 +122,24 @@
         """
         if key in self.versions:
             return version > self.versions[key]
-        return version > max(self.rev, self._absent_since(key))
+        return version > max(self.revision, self._absent_since(key))
 
     def _absent_since(self, key: str) -> int:
         """Revision beyond ``rev`` at which a key that the view lacks is known not to exist."""
-        listed = max((r.rev for r in self._ranges if r.covers(key)), default=0)
+        listed = max((r.revision for r in self._listed_ranges if r.covers(key)), default=0)
         return max(listed, self._absent_at.get(key, 0))
 
     def _note_absence(self, key: str, rev: int) -> None:
-        if rev > self.rev:
+        if rev > self.revision:
             self._absent_at[key] = max(rev, self._absent_at.get(key, 0))
 
     def _advance(self, rev: int) -> None:
         """The view is as of a revision: what is known beyond it alone is kept."""
-        self.rev = max(self.rev, rev)
+        self.revision = max(self.revision, rev)
         if self._absent_at:
-            self._absent_at = {k: at for k, at in self._absent_at.items() if at > self.rev}
-        if self._ranges:
-            self._ranges = [r for r in self._ranges if r.rev > self.rev]
+            self._absent_at = {k: at for k, at in self._absent_at.items() if at > self.revision}
+        if self._listed_ranges:
+            self._listed_ranges = [r for r in self._listed_ranges if r.revision > self.revision]
 
     def _set(self, key: str, value: Any, version: int) -> None:
         """Set a key to a version, or remove it with a value of None."""
@@ -147,9 +147,9 @@
             self.versions.pop(key, None)
         else:
             self.versions[key] = version
-        if key == keys.SPLIT:
-            self.split = None if value is None else msgspec.convert(value, ShardMap)
-            self.changed_split = True
+        if key == keys.SHARD_MAP:
+            self.shard_map = None if value is None else msgspec.convert(value, ShardMap)
+            self.shard_map_changed = True
         elif key.startswith(keys.JOBS):
             self._set_job(key[len(keys.JOBS) :], value)
         elif key.startswith(keys.MACHINES):
@@ -168,9 +168,9 @@
         if value is not None:
             self.machines[name] = msgspec.convert(value, MachineRecord)
         elif self.machines.pop(name, None) is not None:
-            self.gone[name] = None
-            while len(self.gone) > MOST_GONE:
-                self.gone.popitem(last=False)
+            self.gone_machines[name] = None
+            while len(self.gone_machines) > MOST_GONE:
+                self.gone_machines.popitem(last=False)
         self.changed_machines.add(name)
 
     def _set_node(self, node: str, value: Any) -> None:
@@ -178,4 +178,4 @@
             self.nodes.pop(node, None)
         else:
             self.nodes[node] = int(value)
-        self.changed_split = True
+        self.shard_map_changed = True
--- a/marblestair/core/status.py
+++ b/marblestair/core/status.py
@@ -26,53 +26,53 @@
 
 def _leadership(controller: Controller) -> dict[str, Any]:
     now = controller.now
-    authority = controller.authority
+    authority = controller.leadership
     return {
         "node": controller.node,
-        "acts_for": [part.number for part in controller.acting()],
-        "lease_s_left": round(max(0.0, authority.until - now), 1),
-        "on_promises": authority.promises.hold(now),
-        "view_s_old": round(min(MOST_AGE_S, now - controller.view.fresh_at), 1),
+        "acts_for": [part.shard_id for part in controller.led_shards()],
+        "lease_s_left": round(max(0.0, authority.lease_expires_at - now), 1),
+        "on_promises": authority.promises.are_held(now),
+        "view_s_old": round(min(MOST_AGE_S, now - controller.view.fresh_as_of), 1),
     }
 
 
 def _jobs(controller: Controller) -> dict[str, Any]:
     return {
         "live_jobs": len(controller.view.jobs),
-        "managed_jobs": len(controller.jobs.managed),
-        "waiting_jobs": controller.pipelines.waiting,
-        "waiting": controller.pipelines.status(),
-        "migrations": controller.migrations.done,
-        "refused_commits": controller.refused_commits,
+        "managed_jobs": len(controller.job_managers.managed),
+        "waiting_jobs": controller.dependencies.blocked_count,
+        "waiting": controller.dependencies.status(),
+        "migrations": controller.slice_migrations.completed_count,
+        "refused_commits": controller.rejected_writes,
     }
 
 
 def _waiting(controller: Controller) -> dict[str, Any]:
     """What is under way, and for how long it has been."""
-    parts = controller.parts.values()
-    managed = controller.jobs.managed.values()
+    parts = controller.shards.values()
+    managed = controller.job_managers.managed.values()
     return {
-        "cancels_not_confirmed": controller.cancels.unconfirmed,
-        "oldest_not_confirmed_s": round(controller.cancels.oldest_unconfirmed_s, 1),
-        "changes_in_doubt": sum(not job.is_settled for job in managed),
-        "stops_waiting": sum(part.stops_waiting for part in parts),
-        "machines_with_unknown_tasks": sum(len(part.with_unknown_tasks) for part in parts),
+        "cancels_not_confirmed": controller.cancellations.unconfirmed_count,
+        "oldest_not_confirmed_s": round(controller.cancellations.oldest_unconfirmed_s, 1),
+        "changes_in_doubt": sum(not job.is_record_known for job in managed),
+        "stops_waiting": sum(part.pending_stop_count for part in parts),
+        "machines_with_unknown_tasks": sum(len(part.machines_with_unknown_tasks) for part in parts),
     }
 
 
 def _parts(controller: Controller) -> list[dict[str, Any]]:
-    split = controller.view.split
+    split = controller.view.shard_map
     shown = []
-    for number, record in enumerate(split.parts if split is not None else []):
-        told_at, summary = controller.summaries.get(number, (None, None))
-        members = (m.part == number for m in controller.view.machines.values())
+    for number, record in enumerate(split.shards if split is not None else []):
+        told_at, summary = controller.shard_summaries.get(number, (None, None))
+        members = (m.shard_id == number for m in controller.view.machines.values())
         shown.append(
             {
                 "part": number,
-                "owner": record.owner,
+                "owner": record.leader,
                 "term": record.term,
-                "shares_cpus": {team: x[0] / UNIT for team, x in record.shares.items()},
-                "backlog_cpus": summary.backlog / UNIT if summary is not None else None,
+                "shares_cpus": {team: x[0] / UNIT for team, x in record.quotas.items()},
+                "backlog_cpus": summary.backlog_cpus / UNIT if summary is not None else None,
                 "told_s_ago": round(controller.now - told_at, 1) if told_at is not None else None,
                 "machines": sum(members),
             }
--- a/marblestair/node.py
+++ b/marblestair/node.py
@@ -62,7 +62,7 @@
         seed = int.from_bytes(os.urandom(7), "big")
         self.core = Controller(settings, seed, random.Random(seed), time.monotonic(), time.time())
         self.core.fleet.tuning = policy.tuning
-        self.core.lead_s = policy.lead_s
+        self.core.deadline_offsets_s = policy.lead_s
         sockets = int(c.machine_limits.sockets)
         few = max(4, int(sockets * OUTGOING))
         self.server = HttpServer(
@@ -129,19 +129,19 @@
 
     def _flush(self) -> None:
         core = self.core
-        while core.runner.calls:
-            calls, core.runner.calls = core.runner.calls, []
+        while core.coroutines.requests:
+            calls, core.coroutines.requests = core.coroutines.requests, []
             for n, call in calls:
                 self._spawn(self._carry_out(n, call))
         replies, core.replies = core.replies, []
         for r in replies:
-            conn = self._requests.pop(r.request, None)
+            conn = self._requests.pop(r.request_id, None)
             if conn is not None:
                 self._answer(conn, r)
-        commands, core.commands = core.commands, []
+        commands, core.direct_commands = core.direct_commands, []
         for c in commands:
             self._spawn(self._command(c))
-        notes, core.notes = core.notes, []
+        notes, core.messages = core.messages, []
         for note in notes:
             link = self.links.get(note.node)
             if link is not None:
@@ -151,7 +151,7 @@
             send = self._asks.pop(n, None)
             if send is not None:
                 send(value)
-        lines, core.lines = core.lines, []
+        lines, core.log_lines = core.log_lines, []
         for level, text in lines:
             log.log(_LEVELS.get(level, logging.INFO), "%s", text)
 
@@ -178,7 +178,7 @@
             link = self.links.get(call.node)
             return None if link is None else await link.ask(call.tag, call.args, call.timeout_s)
         if isinstance(call, (Get, ListKeys, CompareAndSwap, GrantLease, RenewLease, Watch)):
-            writes = call.writes if isinstance(call, CompareAndSwap) else 0
+            writes = call.change_count if isinstance(call, CompareAndSwap) else 0
             if not await self.state_budget.take(call.lane, writes):
                 return StoreResponse(NOT_SENT)
             wait = call.wait_ms / 1000 if isinstance(call, Watch) else 0.0
@@ -189,7 +189,7 @@
             if status <= 0 or status >= 500:
                 log.debug("state %s %s: %s", method, path, status)
             if isinstance(call, CompareAndSwap) and status == 400:
-                self.core.note_refused_commit(call)
+                self.core.record_rejected_write(call)
             return wire.state_result(call, status, data)
         if isinstance(call, (ListMachineTypes, RentMachines, ReleaseMachines, ListMachines)):
             if not await self.cloud_budget.take(1 if isinstance(call, ListMachines) else 0, 0):
@@ -203,7 +203,7 @@
             return wire.cloud_result(call, status, data)
         if isinstance(call, InspectAgent):
             status, data = await self.workers.request(
-                call.addr, "GET", wire.INSPECT_PATH, b"", WORKER_S
+                call.address, "GET", wire.INSPECT_PATH, b"", WORKER_S
             )
             try:
                 return wire.parse_report(data) if status == 200 else None
@@ -212,8 +212,8 @@
         raise TypeError(f"unknown call {call!r}")
 
     async def _command(self, c: DirectCommand) -> None:
-        body = wire.do_body(c.token, c.session, c.orders)
-        await self.workers.request(c.addr, "POST", wire.DO_PATH, body, WORKER_S)
+        body = wire.do_body(c.fencing_token, c.agent_incarnation, c.commands)
+        await self.workers.request(c.address, "POST", wire.DO_PATH, body, WORKER_S)
 
     # --- inputs ----------------------------------------------------------------------------
 
@@ -227,7 +227,7 @@
     def _route(self, conn: Connection, method: str, path: str, body: bytes) -> None:
         action, job = wire.route_user(method, path)
         if action == "health":
-            ok = self.core.healthy()
+            ok = self.core.is_healthy()
             conn.respond(200 if ok else 503, wire.pack({}))
         elif action == "none":
             conn.respond(404, wire.pack(wire.error_answer("no such path")))
@@ -248,7 +248,7 @@
         except wire.BadRequestError as e:
             conn.respond(400, wire.pack(wire.error_answer(str(e))))
             return
-        status, token, orders, node = self.core.report(rep)
+        status, token, orders, node = self.core.receive_heartbeat(rep)
         if status == 200:
             answer = wire.report_answer(token, orders)
         else:
@@ -278,11 +278,11 @@
         self._next += 1
         self._requests[n] = conn
         if spec is not None:
-            self.core.spawn(self.core.requests.submit(n, spec))
+            self.core.spawn(self.core.user_requests.submit(n, spec))
         elif action == "query":
-            self.core.spawn(self.core.requests.query(n, job))
+            self.core.spawn(self.core.user_requests.query(n, job))
         else:
-            self.core.spawn(self.core.requests.cancel(n, job))
+            self.core.spawn(self.core.user_requests.cancel(n, job))
         self._flush()
 
     def _answer(self, conn: Connection, r: UserReply) -> None:
@@ -290,12 +290,12 @@
             body = wire.job_answer(r.job, r.state, r.done, r.running)
         else:
             body = wire.error_answer(r.error)
-        extra = f"Retry-After: {r.retry_after}\r\n" if r.retry_after else ""
+        extra = f"Retry-After: {r.retry_after_s}\r\n" if r.retry_after_s else ""
         conn.respond(r.status, wire.pack(body), extra)
 
     def _on_note(self, node: str, tag: str, args: list[Any]) -> None:
         self._time()
-        self.core.note(node, tag, args)
+        self.core.receive_message(node, tag, args)
         self._flush()
 
     def _on_ask(self, send: Any, node: str, tag: str, args: list[Any]) -> None:
@@ -303,7 +303,7 @@
         self._next += 1
         self._asks[n] = send
         self._time()
-        self.core.peer_request(n, node, tag, args)
+        self.core.receive_request(n, node, tag, args)
         self._flush()
 
 
--- a/marblestair/settings.py
+++ b/marblestair/settings.py
@@ -57,7 +57,7 @@
         return self.gpus_max or UNLIMITED
 
     @property
-    def is_guest(self) -> bool:
+    def is_best_effort(self) -> bool:
         """Whether the team has no guarantee: it lives on what the others leave free."""
         return self.cpus == 0 and self.gpus == 0
 
@@ -262,12 +262,12 @@
     c = s.cluster
     if c.size > MAX_PARTS:
         raise SettingsError(f"cluster.size: must be at most {MAX_PARTS}")
-    record = shard_map.first(c.size, c.teams)
-    for p in record.parts:
-        p.owner, p.incarnation = max(s.nodes, key=len), 1 << 56
-        p.term = p.taken = 1 << 32
+    record = shard_map.initial_shard_map(c.size, c.teams)
+    for p in record.shards:
+        p.leader, p.incarnation = max(s.nodes, key=len), 1 << 56
+        p.term = p.acquired_term = 1 << 32
         # A part's share may come to be the whole of a limit.
-        for share in p.shares.values():
+        for share in p.quotas.values():
             share[:] = [1 << 40, 1 << 40]
     size = len(msgspec.msgpack.encode(record))
     if size > c.state.lasting().value_kb * 1024:
--- a/marblestair/wire.py
+++ b/marblestair/wire.py
@@ -21,7 +21,7 @@
     MachineType,
     TaskCommand,
     TaskStatus,
-    finite,
+    all_finite,
 )
 from marblestair.core.runtime.requests import (
     CloudRequest,
@@ -134,7 +134,7 @@
     if not 1 <= s.pieces <= MAX_TASKS:
         raise BadRequestError(f"pieces: must be from 1 to {MAX_TASKS}")
     amounts = (s.cpus, s.gpus, s.mem_gb, s.size_gb, s.expected_s, s.bookmark_s)
-    if not finite(*amounts, s.bookmark_cost_s, s.due_s):
+    if not all_finite(*amounts, s.bookmark_cost_s, s.due_s):
         raise BadRequestError("an amount is negative, infinite or not a number")
     if max(*amounts, s.bookmark_cost_s, s.due_s or 0.0) > 1e12:
         raise BadRequestError("an amount is out of range")
@@ -146,26 +146,26 @@
         raise BadRequestError("awaits: not a list of ids of the form job-NUMBER")
     return JobSpec(
         id=s.ref,
-        cls=s.jobclass,
+        job_class=s.jobclass,
         team=s.owner,
         kind=_KINDS[s.shape],
         priority=_PRIORITIES[s.urgency],
-        tasks=s.pieces,
+        task_count=s.pieces,
         cpus=s.cpus,
         gpus=s.gpus,
         mem_gb=s.mem_gb,
         image=s.bundle,
         image_gb=s.size_gb,
-        types=s.builds,
+        machine_types=s.builds,
         zone=s.room,
-        one_zone=s.together,
-        spread=s.scatter,
-        spot=s.loaners,
-        estimate_s=s.expected_s,
-        checkpoint_s=s.bookmark_s,
-        save_s=s.bookmark_cost_s,
+        single_zone=s.together,
+        spread_zones=s.scatter,
+        allows_spot=s.loaners,
+        estimated_run_s=s.expected_s,
+        checkpoint_interval_s=s.bookmark_s,
+        checkpoint_save_s=s.bookmark_cost_s,
         deadline_s=s.due_s,
-        awaits=awaits,
+        depends_on=awaits,
     )
 
 
@@ -258,8 +258,8 @@
 
 
 def _order(o: TaskCommand) -> dict[str, Any]:
-    out: dict[str, Any] = {"verb": _OPS[o.op], "piece": f"{o.job}/{o.index}", "try": o.attempt}
-    if o.op == "stop":
+    out: dict[str, Any] = {"verb": _OPS[o.verb], "piece": f"{o.job}/{o.index}", "try": o.attempt}
+    if o.verb == "stop":
         out["wind_down_s"] = o.grace_s
     return out
 
@@ -329,7 +329,7 @@
     if isinstance(op, RentMachines):
         body = {
             "hire": op.name,
-            "build": op.type,
+            "build": op.machine_type,
             "room": op.zone,
             "loaners": op.spot,
             "how_many": op.count,
@@ -338,8 +338,8 @@
     if isinstance(op, ReleaseMachines):
         return "POST", "/rentals/release", pack({"benches": op.machines})
     path = f"/rentals?limit={op.limit}"
-    if op.after:
-        path += "&from=" + quote(op.after)
+    if op.after_name:
+        path += "&from=" + quote(op.after_name)
     return "GET", path, b""
 
 
@@ -356,7 +356,7 @@
             types = msgspec.msgpack.decode(body, type=_Types)
             return CloudResponse(
                 200,
-                types=[
+                machine_types=[
                     MachineType(
                         t.sku,
                         t.cpus,
@@ -380,7 +380,7 @@
                 ListedMachine(b.ref, b.endpoint, b.build, b.room, b.loaners, b.status, b.age_s)
                 for b in page.benches
             ]
-            return CloudResponse(200, listed=listed, more=page.more)
+            return CloudResponse(200, listed=listed, has_more=page.more)
         return CloudResponse(200)
     except (msgspec.DecodeError, UnicodeDecodeError, ValueError):
         return CloudResponse(0)
@@ -395,27 +395,27 @@
         return "GET", "/keys/" + op.key, b""
     if isinstance(op, ListKeys):
         path = f"/keys?starts={quote(op.prefix, safe='/')}&limit={op.limit}"
-        if op.after:
-            path += "&from=" + quote(op.after, safe="/")
+        if op.after_key:
+            path += "&from=" + quote(op.after_key, safe="/")
         return "GET", path, b""
     if isinstance(op, CompareAndSwap):
         ops: list[dict[str, Any]] = []
         for p in op.puts:
             item: dict[str, Any] = {"set": p.key, "value": p.value}
-            if p.lease is not None:
-                item["tenancy"] = p.lease
+            if p.lease_id is not None:
+                item["tenancy"] = p.lease_id
             ops.append(item)
         ops += [{"delete": k} for k in op.deletes]
-        body: dict[str, Any] = {"guards": [{"path": k, "stamp": v} for k, v in op.guards]}
+        body: dict[str, Any] = {"guards": [{"path": k, "stamp": v} for k, v in op.preconditions]}
         if ops:
             body["apply"] = ops
         return "POST", "/commit", pack(body)
     if isinstance(op, GrantLease):
         return "POST", "/leases", pack({"ttl_ms": op.ttl_ms})
     if isinstance(op, RenewLease):
-        return "POST", f"/leases/{op.lease}/renew", b""
+        return "POST", f"/leases/{op.lease_id}/renew", b""
     wait = f"&hold_ms={op.wait_ms}"
-    return "GET", f"/watch?starts={quote(op.prefix, safe='/')}&from={op.rev}{wait}", b""
+    return "GET", f"/watch?starts={quote(op.prefix, safe='/')}&from={op.after_revision}{wait}", b""
 
 
 def state_result(op: StoreRequest, status: int, body: bytes) -> StoreResponse:
@@ -429,7 +429,7 @@
         if status == 200 and isinstance(op, ListKeys):
             items = [StoredKey(i["path"], i["value"], int(i["stamp"])) for i in data["items"]]
             more = bool(data.get("more"))
-            return StoreResponse(200, items=items, more=more, rev=int(data["ledger_rev"]))
+            return StoreResponse(200, items=items, has_more=more, revision=int(data["ledger_rev"]))
         if status == 200 and isinstance(op, Watch):
             events = [
                 KeyChange(e["set"], e["value"], int(e["stamp"]))
@@ -437,16 +437,18 @@
                 else KeyChange(e["delete"], None, int(e["stamp"]))
                 for e in data["log"]
             ]
-            return StoreResponse(200, events=events, rev=int(data["ledger_rev"]))
+            return StoreResponse(200, events=events, revision=int(data["ledger_rev"]))
         if isinstance(op, GrantLease) and status == 200:
-            return StoreResponse(200, lease=int(data["tenancy"]))
+            return StoreResponse(200, lease_id=int(data["tenancy"]))
         if (isinstance(op, Get) and status == 404) or (
             isinstance(op, CompareAndSwap) and status == 200
         ):
             # Without the revision nobody could tell whether something newer is known already.
-            return StoreResponse(status, rev=int(data["ledger_rev"]))
+            return StoreResponse(status, revision=int(data["ledger_rev"]))
         failed = data.get("failed") or []
-        return StoreResponse(status, rev=int(data.get("ledger_rev") or 0), failed=list(failed))
+        return StoreResponse(
+            status, revision=int(data.get("ledger_rev") or 0), failed_keys=list(failed)
+        )
     except (msgspec.DecodeError, UnicodeDecodeError, ValueError, KeyError, TypeError):
         # It may have been carried out, unless the status alone says that it was not.
         return StoreResponse(status if status == 429 or status >= 500 else 0)
--- a/tests/fakes/production.py
+++ b/tests/fakes/production.py
@@ -216,27 +216,31 @@
     return msgspec.msgpack.decode(msgspec.msgpack.encode(value))
 
 
-class _Runner:
+class _CoroutineRunner:
     """The calls of a production core, as the present version's."""
 
     def __init__(self, runner: Any) -> None:
         self._runner = runner
 
     @property
-    def calls(self) -> list[tuple[int, Any]]:
-        return [(number, self._call(call)) for number, call in self._runner.calls]
+    def requests(self) -> list[tuple[int, Any]]:
+        return [(number, self._request(call)) for number, call in self._runner.calls]
 
-    @calls.setter
-    def calls(self, value: list[tuple[int, Any]]) -> None:
+    @requests.setter
+    def requests(self, value: list[tuple[int, Any]]) -> None:
         self._runner.calls = value
 
-    def _call(self, call: Any) -> Any:
+    def _request(self, call: Any) -> Any:
         present = to_present(call)
         if isinstance(present, PeerRequest):
             return msgspec.structs.replace(present, args=over_the_wire(present.args))
         return present
 
 
+#: a controller's outputs, by the present names: their names in production
+OUTPUTS = {"direct_commands": "commands", "messages": "notes", "log_lines": "lines"}
+
+
 class ProductionController:
     """A controller of the version in production, as the simulated environment drives one."""
 
@@ -247,20 +251,31 @@
         settings = self._production.settings(raw)
         kind = self._production.module("core.controller").Controller
         self.core = kind(settings, incarnation, rng, now, wall)
-        self.runner = _Runner(self.core.runner)
+        self.coroutines = _CoroutineRunner(self.core.runner)
 
     def __getattr__(self, name: str) -> Any:
-        return getattr(self.core, name)
+        return getattr(self.core, OUTPUTS.get(name, name))
 
     def __setattr__(self, name: str, value: Any) -> None:
-        if name in ("core", "runner", "_production"):
+        if name in ("core", "coroutines", "_production"):
             object.__setattr__(self, name, value)
         else:
-            setattr(self.core, name, value)
+            setattr(self.core, OUTPUTS.get(name, name), value)
+
+    @property
+    def replies(self) -> list[Any]:
+        return [to_present(reply) for reply in self.core.replies]
+
+    @property
+    def direct_commands(self) -> list[Any]:
+        return [to_present(command) for command in self.core.commands]
 
     @property
-    def notes(self) -> list[Any]:
-        return [msgspec.structs.replace(n, args=over_the_wire(n.args)) for n in self.core.notes]
+    def messages(self) -> list[Any]:
+        return [
+            msgspec.structs.replace(to_present(note), args=over_the_wire(note.args))
+            for note in self.core.notes
+        ]
 
     @property
     def peer_replies(self) -> list[Any]:
@@ -272,14 +287,14 @@
         else:
             self.core.complete(call, over_the_wire(result))
 
-    def report(self, report: Any) -> tuple[int, int, list[Any], str | None]:
+    def receive_heartbeat(self, report: Any) -> tuple[int, int, list[Any], str | None]:
         status, token, orders, node = self.core.report(self._production.translate(report))
         return status, token, to_present(orders), node
 
-    def note(self, node: str, tag: str, args: list[Any]) -> None:
+    def receive_message(self, node: str, tag: str, args: list[Any]) -> None:
         self.core.note(node, tag, over_the_wire(args))
 
-    def peer_request(self, request: int, node: str, tag: str, args: list[Any]) -> None:
+    def receive_request(self, request: int, node: str, tag: str, args: list[Any]) -> None:
         self.core.peer_request(request, node, tag, over_the_wire(args))
 
     def request(self, what: str, number: int, arg: Any) -> None:
--- a/tests/fakes/rules.py
+++ b/tests/fakes/rules.py
@@ -67,7 +67,9 @@
                 self.broken.append(f"went_back: {job} cancelled by nobody")
             self._judge_orphan(job, r.state)
             if r.state == "done":
-                missing = [i for i in range(self.specs[job].tasks) if (job, i) not in self.results]
+                missing = [
+                    i for i in range(self.specs[job].task_count) if (job, i) not in self.results
+                ]
                 if missing:
                     self.broken.append(f"not_done: {job} lacks {missing}")
             self._note_told(job, r.state)
@@ -85,7 +87,7 @@
         found: set[str] = set()
         stack = [job]
         while stack:
-            for parent in self.specs[stack.pop()].awaits:
+            for parent in self.specs[stack.pop()].depends_on:
                 if parent not in found and parent in self.specs:
                     found.add(parent)
                     stack.append(parent)
@@ -108,15 +110,15 @@
         """The jobs that a job awaits and of which some task is not done."""
         return [
             parent
-            for parent in self.specs[job].awaits
-            if any((parent, i) not in self.results for i in range(self.specs[parent].tasks))
+            for parent in self.specs[job].depends_on
+            if any((parent, i) not in self.results for i in range(self.specs[parent].task_count))
         ]
 
     def _ready(self, job: str) -> float:
         """When a job's tasks might start: after its acceptance and after all that it awaits."""
         if self._lacks(job):
             return self.now
-        done = [self.done_at.get(parent, 0.0) for parent in self.specs[job].awaits]
+        done = [self.done_at.get(parent, 0.0) for parent in self.specs[job].depends_on]
         return max([self.accepted[job], *done])
 
     def _judge_order(self, job: str, state: str, begun: int) -> None:
@@ -142,11 +144,11 @@
             x = other.tasks.get((t.job, t.index))
             if x is not None and x is not t and x.state != "exited" and not other.deleted:
                 self.broken.append(f"ran_twice: {t.job}/{t.index} on {m.name} and {other.name}")
-        if (s.types is not None and m.type.name not in s.types) or (
+        if (s.machine_types is not None and m.type.name not in s.machine_types) or (
             s.zone is not None and m.zone != s.zone
         ):
             self.broken.append(f"wrong_place: {t.job} on {m.name}")
-        if m.spot and not s.spot:
+        if m.spot and not s.allows_spot:
             self.broken.append(f"wrong_place: {t.job} on spot {m.name}")
         zones = [
             x.zone
@@ -155,9 +157,9 @@
             for y in x.live.values()
             if y.job == t.job
         ]
-        if s.one_zone and len(set(zones)) > 1:
+        if s.single_zone and len(set(zones)) > 1:
             self.broken.append(f"wrong_place: {t.job} in {set(zones)}")
-        if s.spread and zones.count(m.zone) > (s.tasks + 1) // 2:
+        if s.spread_zones and zones.count(m.zone) > (s.task_count + 1) // 2:
             self.broken.append(f"wrong_place: {t.job} has too many in {m.zone}")
         told = self.cancel_told.get(t.job)
         if told is not None and self.now > told + self.cancel_s:
@@ -205,8 +207,8 @@
         rooms = []
         for m in self.workers.values():
             if not m.deleted and m.up and not m.hung and m.notice is None:
-                live = [self.specs[t.job].need for t in m.live.values()]
-                free = [a - sum(n[i] for n in live) for i, a in enumerate(m.type.size)]
+                live = [self.specs[t.job].resources for t in m.live.values()]
+                free = [a - sum(n[i] for n in live) for i, a in enumerate(m.type.capacity)]
                 rooms.append((m, free))
                 for t in m.live.values():
                     s = self.specs[t.job]
@@ -220,20 +222,20 @@
                 if t.job == job and not m.deleted
             }
             done = {i for j, i in self.results if j == job}
-            waits = s.tasks - len(on | done)
+            waits = s.task_count - len(on | done)
             over = self.told.get(job) in ("done", "cancelled")
             if self._cancel_asked_before(job) or waits <= 0 or over or self._lacks(job):
                 self._beside.pop(job, None)
                 continue
             whole = s.kind == GANG
             fits = sum(
-                min((f // n for f, n in zip(free, s.need, strict=True) if n), default=0)
+                min((f // n for f, n in zip(free, s.resources, strict=True) if n), default=0)
                 for m, free in rooms
                 if s.may_run_on(m.type.name, m.zone, m.spot)
-                and (not s.one_zone or not on or m.zone in self._zones_of(job))
+                and (not s.single_zone or not on or m.zone in self._zones_of(job))
             )
-            enough = fits >= (s.tasks if whole else 1) and not (whole and on)
-            if not enough or limits[s.team] < s.cpus * (s.tasks if whole else 1):
+            enough = fits >= (s.task_count if whole else 1) and not (whole and on)
+            if not enough or limits[s.team] < s.cpus * (s.task_count if whole else 1):
                 self._beside.pop(job, None)
                 continue
             since = self._beside.setdefault(job, self.now)
@@ -260,8 +262,8 @@
         jobs = [j for j in self.accepted if not self._cancel_asked_before(j)]
         kinds: dict[str, list[bool]] = {}
         for j in jobs:
-            over = all((j, i) in self.results for i in range(self.specs[j].tasks))
-            for kind in (f"class {self.specs[j].cls}", f"team {self.specs[j].team}"):
+            over = all((j, i) in self.results for i in range(self.specs[j].task_count))
+            for kind in (f"class {self.specs[j].job_class}", f"team {self.specs[j].team}"):
                 kinds.setdefault(kind, []).append(over)
             if began.get(j, self.now) - self._ready(j) > 240.0:
                 out.append(f"late: {j}")
--- a/tests/fakes/state.py
+++ b/tests/fakes/state.py
@@ -79,24 +79,24 @@
             return StoreResponse(503)
         if isinstance(op, Get):
             if op.key not in self.data:
-                return StoreResponse(404, rev=self.rev)
+                return StoreResponse(404, revision=self.rev)
             value, version, _ = self.data[op.key]
             return StoreResponse(200, value=value, version=version)
         if isinstance(op, ListKeys):
-            found = sorted(k for k in self.data if k.startswith(op.prefix) and k > op.after)
+            found = sorted(k for k in self.data if k.startswith(op.prefix) and k > op.after_key)
             limit = min(op.limit, self.page_limit)
             items = [StoredKey(k, self.data[k][0], self.data[k][1]) for k in found[:limit]]
             more = len(found) > limit
-            return StoreResponse(200, items=items, more=more, rev=self.rev)
+            return StoreResponse(200, items=items, has_more=more, revision=self.rev)
         if isinstance(op, GrantLease):
             n = self._next_lease
             self._next_lease += 1
             self.leases[n] = [op.ttl_ms / 1000, now + op.ttl_ms / 1000]
-            return StoreResponse(200, lease=n)
+            return StoreResponse(200, lease_id=n)
         if isinstance(op, RenewLease):
-            if op.lease not in self.leases:
+            if op.lease_id not in self.leases:
                 return StoreResponse(404)
-            self.leases[op.lease][1] = now + self.leases[op.lease][0]
+            self.leases[op.lease_id][1] = now + self.leases[op.lease_id][0]
             return StoreResponse(200)
         if isinstance(op, CompareAndSwap):
             r = self._commit(op)
@@ -106,35 +106,35 @@
         raise TypeError(op)
 
     def _commit(self, op: CompareAndSwap) -> StoreResponse:
-        if any(p.lease is not None and p.lease not in self.leases for p in op.puts):
+        if any(p.lease_id is not None and p.lease_id not in self.leases for p in op.puts):
             return StoreResponse(400)
         sizes = {p.key: len(msgspec.msgpack.encode(p.value)) for p in op.puts}
         self.largest = max([self.largest, *sizes.values()])
-        if max(sizes.values(), default=0) > self.value_limit or op.writes > self.ops_limit:
-            self.refused.append(f"too large: {op.writes} changes, {sizes}")
+        if max(sizes.values(), default=0) > self.value_limit or op.change_count > self.ops_limit:
+            self.refused.append(f"too large: {op.change_count} changes, {sizes}")
             return StoreResponse(400)
-        failed = [k for k, v in op.guards if (self.data[k][1] if k in self.data else 0) != v]
+        failed = [k for k, v in op.preconditions if (self.data[k][1] if k in self.data else 0) != v]
         if failed:
-            return StoreResponse(409, rev=self.rev, failed=failed)
+            return StoreResponse(409, revision=self.rev, failed_keys=failed)
         if op.puts or op.deletes:
             self.rev += 1
-            self.writes += op.writes
+            self.writes += op.change_count
         for p in op.puts:
             # As on the wire: what is stored is a copy made of plain values.
             value = msgspec.msgpack.decode(msgspec.msgpack.encode(p.value))
-            self.data[p.key] = (value, self.rev, p.lease)
+            self.data[p.key] = (value, self.rev, p.lease_id)
             self.log.append(KeyChange(p.key, value, self.rev))
         for k in op.deletes:
             if self.data.pop(k, None) is not None:
                 self.log.append(KeyChange(k, None, self.rev))
-        return StoreResponse(200, rev=self.rev)
+        return StoreResponse(200, revision=self.rev)
 
     def _check_order(self, op: CompareAndSwap, order: tuple[int, int] | None) -> None:
         """No change may undo a newer one of the same process, however late it comes."""
-        guarded = dict(op.guards)
+        guarded = dict(op.preconditions)
         for k in (*(p.key for p in op.puts), *op.deletes):
             # A fence changes only together with the split, whose version orders both.
-            if k not in guarded and not (k.startswith(keys.FENCES) and keys.SPLIT in guarded):
+            if k not in guarded and not (k.startswith(keys.FENCES) and keys.SHARD_MAP in guarded):
                 self.unsafe.append(f"unguarded: {k}")
             if order is None:
                 continue
@@ -143,7 +143,9 @@
             # What is created anew after its deletion, by a try that comes late: a membership is
             # dropped like that of a machine that fell; a page says only what is done, which stays
             # true; an intent's name gives the same machines again, or none.
-            anew = guarded.get(k) == 0 and k.startswith((keys.MACHINES, keys.PROGRESS, keys.HIRES))
+            anew = guarded.get(k) == 0 and k.startswith(
+                (keys.MACHINES, keys.PROGRESS, keys.RENTAL_INTENTS)
+            )
             if n < newest and not anew:
                 self.unsafe.append(f"reordered: {k}, request {n} after {newest}")
             self._latest[(k, process)] = max(n, newest)
@@ -162,4 +164,4 @@
                 break
             if e.key.startswith(prefix):
                 events.append(e)
-        return StoreResponse(200, events=events[::-1], rev=self.rev)
+        return StoreResponse(200, events=events[::-1], revision=self.rev)
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -125,18 +125,18 @@
         if token < self.token or session != self.session:
             return
         self.token = token
-        assert all(o.op != "start" for o in orders), "a launch by direct command"
+        assert all(o.verb != "start" for o in orders), "a launch by direct command"
         self.obey(orders)
 
     def obey(self, orders: list[TaskCommand]) -> None:
         for o in orders:
             key = (o.job, o.index)
             t = self.tasks.get(key)
-            if o.op == "start":
+            if o.verb == "start":
                 if t is not None and t.attempt == o.attempt:
                     continue
                 self.start(o, t)
-            elif o.op == "stop":
+            elif o.verb == "stop":
                 if t is not None and t.attempt == o.attempt and t.state != "exited":
                     t.state, t.why = "exited", "stopped"
             elif t is not None and t.attempt == o.attempt and t.state == "exited":
@@ -147,10 +147,10 @@
         key = (o.job, o.index)
         t = FakeTask(o.job, o.index, o.attempt)
         s = w.specs[o.job]
-        need = s.need
+        need = s.resources
         free = [
-            a - sum(w.specs[x.job].need[i] for x in self.live.values())
-            for i, a in enumerate(self.type.size)
+            a - sum(w.specs[x.job].resources[i] for x in self.live.values())
+            for i, a in enumerate(self.type.capacity)
         ]
         if old is not None and old.state != "exited":
             return
@@ -159,7 +159,7 @@
         if any(n > f for n, f in zip(need, free, strict=True)):
             t.state, t.why = "exited", "no_room"
             return
-        if self.fails or s.cls == "bad":
+        if self.fails or s.job_class == "bad":
             t.state, t.why = "exited", "error"
             return
         w.check_start(self, t)
@@ -214,7 +214,7 @@
         w = self.world
         t.waited += 0.25
         gang = w.gang(t)
-        if len(gang) == w.specs[t.job].tasks and all(x.state == "waiting" for _, x in gang):
+        if len(gang) == w.specs[t.job].task_count and all(x.state == "waiting" for _, x in gang):
             for _, x in gang:
                 x.state = "running"
         elif t.waited > w.settings[0].cluster.workers.gang_wait_s:
@@ -225,7 +225,7 @@
         w = self.world
         s = w.specs[t.job]
         gang = w.gang(t) if s.kind == GANG else []
-        if s.kind == GANG and (len(gang) < s.tasks or any(m.hung for m, _ in gang)):
+        if s.kind == GANG and (len(gang) < s.task_count or any(m.hung for m, _ in gang)):
             t.waited += 0.25
             if t.waited > w.settings[0].cluster.workers.gang_peer_s:
                 t.state, t.why = "exited", "peers"
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -216,30 +216,30 @@
             return
         if self.asleep(name, lambda: self.flush(name)):
             return
-        while core.runner.calls:
-            calls, core.runner.calls = core.runner.calls, []
+        while core.coroutines.requests:
+            calls, core.coroutines.requests = core.coroutines.requests, []
             for n, call in calls:
                 self._point("call", name, call)
                 if not self.asleep(name, lambda n=n, call=call: self._call_late(core, n, call)):
                     self._call(core, n, call)
         replies, core.replies = core.replies, []
         for r in replies:
-            done = self._waiters.pop(r.request, None)
+            done = self._waiters.pop(r.request_id, None)
             if done is not None:
                 done(r)
-        commands, core.commands = core.commands, []
+        commands, core.direct_commands = core.direct_commands, []
         self._send_commands(name, commands)
-        notes, core.notes = core.notes, []
+        notes, core.messages = core.messages, []
         for note in notes:
             if note.tag not in self.lost:
                 self.send(name, note.node, lambda n=note: self._note(name, n))
         answers, core.peer_replies = core.peer_replies, []
         for n, value in answers:
             self._answer_peer(name, n, value)
-        errors = [t for level, t in core.lines if level == "error"]
+        errors = [t for level, t in core.log_lines if level == "error"]
         assert not errors, errors
-        self.log += [(self.now, name, text) for _, text in core.lines]
-        core.lines = []
+        self.log += [(self.now, name, text) for _, text in core.log_lines]
+        core.log_lines = []
 
     def logged(self, *words: str) -> list[tuple[float, str, str]]:
         """The lines of the controllers' logs that hold all of some words."""
@@ -247,9 +247,9 @@
 
     def _send_commands(self, name: str, commands: list[DirectCommand]) -> None:
         for c in commands:
-            worker = self.workers.get(c.addr.split(":")[0])
+            worker = self.workers.get(c.address.split(":")[0])
             if worker is not None and not worker.deaf:
-                args = (c.token, c.session, c.orders)
+                args = (c.fencing_token, c.agent_incarnation, c.commands)
                 self.send(name, worker.name, lambda w=worker, a=args: w.direct(*a))
 
     def _answer_peer(self, name: str, n: int, value: Any) -> None:
@@ -275,7 +275,7 @@
         core = self.cores.get(n.node)
         if core is not None:
             self.set_time(core)
-            core.note(sender, n.tag, n.args)
+            core.receive_message(sender, n.tag, n.args)
             self.flush(n.node)
 
     def send(self, a: str, b: str, do: Callable[[], None]) -> None:
@@ -337,14 +337,14 @@
             self._waiters[ask] = lambda v: self.send(call.node, name, lambda: answer(v))
             self._tags[ask] = call.tag
             self.set_time(peer)
-            peer.peer_request(ask, name, call.tag, call.args)
+            peer.receive_request(ask, name, call.tag, call.args)
             self.flush(call.node)
 
         self.send(name, call.node, deliver)
 
     def _call_worker(self, name: str, call: InspectAgent, answer: Answer) -> None:
         self.at(1.5, lambda: answer(None))
-        seen = self.workers.get(call.addr.split(":")[0])
+        seen = self.workers.get(call.address.split(":")[0])
         if seen is None:
             return
 
@@ -372,7 +372,7 @@
             if answer.given:
                 return
             if not self.state.down and name not in self.state.refused_nodes:
-                r = self.state.changes(call.prefix, call.rev)
+                r = self.state.changes(call.prefix, call.after_revision)
                 if r.events or r.status != 200 or self.now >= end:
                     lag = self.watch_lag.get(name, 0.0)
                     self.at(lag, lambda: self.send("state", name, lambda: answer(r)))
@@ -410,7 +410,7 @@
         if self.cloud_down:
             return CloudResponse(503)
         if isinstance(call, ListMachineTypes):
-            return CloudResponse(200, types=self.types)
+            return CloudResponse(200, machine_types=self.types)
         if isinstance(call, RentMachines):
             if call.name not in self.hires:
                 alive = sum(1 for m in self.workers.values() if not m.deleted)
@@ -418,7 +418,7 @@
                 if n <= 0:
                     return CloudResponse(503, no_capacity=True)
                 names = []
-                t = next(x for x in self.types if x.name == call.type)
+                t = next(x for x in self.types if x.name == call.machine_type)
                 for _ in range(n):
                     m = Worker(self, f"host-{len(self.workers):06d}", t, call.zone, call.spot)
                     self.workers[m.name] = m
@@ -458,11 +458,11 @@
                 self.at(0.001, lambda: answered(0, 0, [], None))
                 return
             self.set_time(core)
-            result = core.report(rep)
+            result = core.receive_heartbeat(rep)
             self.flush(node)
             self._point("answer", node, result)
             for o in result[2]:
-                if o.op == "start" and o.job in self.cancel_told:
+                if o.verb == "start" and o.job in self.cancel_told:
                     self.broken.append(f"started_cancelled: {o.job} by {node}")
 
             def answer() -> None:
@@ -485,7 +485,7 @@
         core = self.cores.get(node)
         if core is not None:
             self.set_time(core)
-            core.report(rep)
+            core.receive_heartbeat(rep)
             self.flush(node)
 
     def cut_off(self, group: list[str]) -> None:
@@ -541,7 +541,7 @@
                 if isinstance(core, ProductionController):
                     core.request(what, n, arg)
                 else:
-                    core.spawn(getattr(core.requests, what)(n, arg))
+                    core.spawn(getattr(core.user_requests, what)(n, arg))
                 self.flush(node)
 
         deliver()
@@ -588,7 +588,9 @@
         return False
 
     def run_s(self, s: JobSpec) -> float:
-        return s.estimate_s if s.kind == GANG else s.estimate_s * self.rng.uniform(0.5, 1.5)
+        return (
+            s.estimated_run_s if s.kind == GANG else s.estimated_run_s * self.rng.uniform(0.5, 1.5)
+        )
 
     def gang(self, t: FakeTask) -> list[tuple[Worker, FakeTask]]:
         """The members of a task's gang that are there, of the same attempt."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -22,7 +22,7 @@
 
 
 def owner(w: World, part: int) -> str:
-    return str(w.state.data[keys.SPLIT][0][1][part][0])
+    return str(w.state.data[keys.SHARD_MAP][0][1][part][0])
 
 
 def busy(w: World) -> list[Worker]:
@@ -60,15 +60,17 @@
 
 def cost(w: World, seconds: float) -> dict[str, float]:
     """Steps per report and per tick of the cores, and bytes per note, over some seconds."""
-    total = {"report": 0, "tick": 0, "note": 0}
-    count = {"report": 0, "tick": 0, "note": 0}
-    plain = {name: getattr(Controller, name) for name in ("report", "tick", "note")}
+    total = {"receive_heartbeat": 0, "tick": 0, "receive_message": 0}
+    count = {"receive_heartbeat": 0, "tick": 0, "receive_message": 0}
+    plain = {
+        name: getattr(Controller, name) for name in ("receive_heartbeat", "tick", "receive_message")
+    }
 
     def counted(name: str) -> Callable[..., Any]:
         def call(self: Controller, *args: Any) -> Any:
             out: list[Any] = []
             count[name] += 1
-            if name == "note":
+            if name == "receive_message":
                 total[name] += len(msgspec.msgpack.encode(args))
                 return plain[name](self, *args)
             total[name] += steps(lambda: out.append(plain[name](self, *args)))
@@ -130,4 +132,4 @@
     """The node that runs a job's ServerManager."""
     core = world.cores["n0"]
     assert core is not None
-    return owner(world, core.view.jobs[job].manager)
+    return owner(world, core.view.jobs[job].manager_shard)
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -30,7 +30,7 @@
 
 def test_a_deaf_machine_loses_its_work_to_others_and_gets_no_more() -> None:
     w = warm(50)
-    first = w.submit(spec(1, tasks=12, estimate_s=30.0))
+    first = w.submit(spec(1, task_count=12, estimated_run_s=30.0))
     w.run(14.0)
     m = busy(w)[0]
     mine = {(t.job, t.index) for t in m.live.values()}
@@ -39,7 +39,7 @@
     # Its lease ran out, and what it held has begun elsewhere.
     again = {(j, i) for t, j, i, name, _ in w.starts if t > since and name != m.name}
     assert mine <= again
-    jobs = [w.submit(spec(n, tasks=8, estimate_s=4.0)) for n in range(2, 6)]
+    jobs = [w.submit(spec(n, task_count=8, estimated_run_s=4.0)) for n in range(2, 6)]
     assert all(w.finish(j, 60.0) for j in [first, *jobs])
     # It was given back rather than kept and paid for.
     w.run(3 * w.lease_s)
@@ -49,7 +49,7 @@
 
 def test_a_new_machine_that_never_hears_holds_nothing_up() -> None:
     w = warm(51, teams=[{"name": "red", "cpus": 24.0, "cpus_max": 24.0}])
-    job = w.submit(spec(1, tasks=16, estimate_s=6.0))
+    job = w.submit(spec(1, task_count=16, estimated_run_s=6.0))
     w.run(1.0)
     assert w.until(lambda: len(w.workers) >= 2, 10.0)
     m = next(iter(w.workers.values()))
@@ -61,7 +61,7 @@
 
 def test_a_cancel_on_a_deaf_machine_is_settled_in_time() -> None:
     w = warm(52)
-    job = w.submit(spec(1, tasks=12, estimate_s=200.0))
+    job = w.submit(spec(1, task_count=12, estimated_run_s=200.0))
     w.run(14.0)
     for m in busy(w):
         m.deaf = True
@@ -74,7 +74,7 @@
 def test_a_takeover_of_a_deaf_machine_waits_for_its_lease_and_no_longer() -> None:
     w = World(53, 2)
     w.run(4.0)
-    job = w.submit(spec(1, tasks=12, estimate_s=4.0))
+    job = w.submit(spec(1, task_count=12, estimated_run_s=4.0))
     assert w.until(lambda: len(w.starts) >= 4, 20.0)
     m = busy(w)[0]
     m.deaf = True
@@ -89,7 +89,7 @@
 def test_a_deaf_machine_is_sent_no_launches_for_ever() -> None:
     w = World(54, 1)
     w.run(4.0)
-    jobs = [w.submit(spec(n, tasks=8, estimate_s=10.0)) for n in (1, 2)]
+    jobs = [w.submit(spec(n, task_count=8, estimated_run_s=10.0)) for n in (1, 2)]
     assert w.until(lambda: len(busy(w)) >= 2, 30.0)
     m = busy(w)[0]
     m.deaf = True
@@ -97,17 +97,17 @@
     core = w.cores["n0"]
     assert core is not None
     launches: list[Any] = []
-    plain = core.report
+    plain = core.receive_heartbeat
 
     def report(rep: Any) -> Any:
         out = plain(rep)
         if rep.machine == m.name:
-            launches.extend(o for o in out[2] if o.op == "start")
+            launches.extend(o for o in out[2] if o.verb == "start")
         return out
 
-    core.report = report  # type: ignore[method-assign]
+    core.receive_heartbeat = report  # type: ignore[method-assign]
     w.capacity = len([x for x in w.workers.values() if not x.deleted])
-    jobs += [w.submit(spec(n, tasks=30, estimate_s=5.0)) for n in (3, 4)]
+    jobs += [w.submit(spec(n, task_count=30, estimated_run_s=5.0)) for n in (3, 4)]
     w.run(2 * w.lease_s)
     assert not launches
     # It was given back, though it reported all the while and work waits.
@@ -125,7 +125,7 @@
     w.copies = 0.6
     jobs = []
     for n in range(1, 7):
-        jobs.append(w.submit(spec(n, tasks=9, estimate_s=w.rng.uniform(3.0, 20.0))))
+        jobs.append(w.submit(spec(n, task_count=9, estimated_run_s=w.rng.uniform(3.0, 20.0))))
         w.run(w.rng.uniform(2.0, 8.0))
         if n in (2, 4):
             w.kill(w.rng.choice(w.node_names), back_after=w.rng.choice([0.1, 6.0]))
@@ -140,7 +140,7 @@
 
 def test_a_late_copy_of_a_released_machine_revives_nothing() -> None:
     w = warm(65)
-    w.submit(spec(1, tasks=6, estimate_s=3.0))
+    w.submit(spec(1, task_count=6, estimated_run_s=3.0))
     assert w.finish("job-000001", 60.0)
     reports = {m.name: m.body() for m in w.workers.values() if m.up}
     assert w.until(lambda: all(m.deleted for m in w.workers.values()), 200.0)
@@ -159,10 +159,13 @@
 
 def test_a_late_copy_settles_no_task_after_a_takeover() -> None:
     w = warm(66)
-    job = w.submit(spec(1, tasks=12, estimate_s=60.0))
+    job = w.submit(spec(1, task_count=12, estimated_run_s=60.0))
     w.run(15.0)
     # Reports from before the launches: they list nothing.
-    old = {m.name: msgspec.structs.replace(m.body(), seq=1, token=0, tasks=[]) for m in busy(w)}
+    old = {
+        m.name: msgspec.structs.replace(m.body(), sequence=1, fencing_token=0, tasks=[])
+        for m in busy(w)
+    }
     held = {m.name: dict(m.live) for m in busy(w)}
     assert held
     w.isolate("n0")
@@ -179,7 +182,7 @@
 
 def test_an_old_copy_takes_no_notice_back_and_brings_none() -> None:
     w = warm(67)
-    w.submit(spec(1, tasks=12, estimate_s=60.0))
+    w.submit(spec(1, task_count=12, estimated_run_s=60.0))
     w.run(14.0)
     m = busy(w)[0]
     before = m.body()
@@ -188,51 +191,53 @@
         (c, p)
         for c in w.cores.values()
         if c is not None
-        for p in c.acting()
+        for p in c.led_shards()
         if m.name in p.machines
     )
-    seen = part.machines[m.name].seen
+    seen = part.machines[m.name].last_heartbeat_at
     w._copy(core.node, before)
     w.set_time(core)
     done = [TaskStatus("job-000001", 0, 1, "exited", "done")]
-    late = msgspec.structs.replace(before, notice_s=1.0, tasks=done)
+    late = msgspec.structs.replace(before, reclaim_in_s=1.0, tasks=done)
     w._copy(core.node, late)
     k = part.machines[m.name]
-    assert k.notice_at is None and k.seen >= seen and len(k.placed) == len(m.live)
-    assert not part.slices["job-000001"].done
+    assert k.reclaim_at is None and k.last_heartbeat_at >= seen and len(k.tasks) == len(m.live)
+    assert not part.slices["job-000001"].done_bits
     assert not w.broken
 
 
 def test_an_earlier_owners_report_settles_nothing_for_the_next() -> None:
     w = warm(69)
-    job = w.submit(spec(1, tasks=12, estimate_s=60.0))
+    job = w.submit(spec(1, task_count=12, estimated_run_s=60.0))
     w.run(14.0)
     m = busy(w)[0]
     part = Shard(0, 99, w.settings[0].cluster, w.now)
     known = Machine(m.name, m.type.name, m.zone, m.spot, w.now)
-    known.set_type(m.type)
+    known.set_machine_type(m.type)
     part.add_machine(known)
-    part.suspects.add(m.name)
+    part.unreconciled_machines.add(m.name)
     s = part.slices[job] = JobSlice(w.specs[job])
-    s.ranges, s.size, s.suspect = [[0, 12]], 12, True
+    s.ranges, s.size, s.is_unreconciled = [[0, 12]], 12, True
     before = msgspec.structs.replace(m.body(), tasks=[])
-    assert part.report(before, w.now) == []
-    assert not known.settled and s.suspect and part.usage("red")[0] == m.type.size[0]
-    fenced = msgspec.structs.replace(m.body(), token=99)
-    assert part.report(fenced, w.now) is not None
-    assert known.settled and not s.suspect and len(s.placed) == len(m.live)
+    assert part.receive_heartbeat(before, w.now) == []
+    assert (
+        not known.is_reconciled and s.is_unreconciled and part.usage("red")[0] == m.type.capacity[0]
+    )
+    fenced = msgspec.structs.replace(m.body(), fencing_token=99)
+    assert part.receive_heartbeat(fenced, w.now) is not None
+    assert known.is_reconciled and not s.is_unreconciled and len(s.placed_on) == len(m.live)
 
 
 def test_a_copy_from_a_session_that_is_over_brings_no_task_back() -> None:
     w = warm(68)
-    w.submit(spec(1, tasks=12, estimate_s=90.0))
+    w.submit(spec(1, task_count=12, estimated_run_s=90.0))
     w.run(14.0)
     m = busy(w)[0]
     core, part = next(
         (c, p)
         for c in w.cores.values()
         if c is not None
-        for p in c.acting()
+        for p in c.led_shards()
         if m.name in p.machines
     )
     m.hung = True
@@ -240,11 +245,11 @@
     lost = m.body()
     assert lost.tasks
     w.capacity = 0
-    assert w.until(lambda: part.machines[m.name].silent, 2 * w.lease_s)
-    held = dict(part.slices["job-000001"].placed)
+    assert w.until(lambda: part.machines[m.name].is_silent, 2 * w.lease_s)
+    held = dict(part.slices["job-000001"].placed_on)
     w._copy(core.node, lost)
-    assert not part.machines[m.name].placed and part.machines[m.name].silent
-    assert part.slices["job-000001"].placed == held
+    assert not part.machines[m.name].tasks and part.machines[m.name].is_silent
+    assert part.slices["job-000001"].placed_on == held
     assert not w.broken
 
 
@@ -253,16 +258,19 @@
 
 def test_controllers_that_cannot_reach_each_other_serve_by_the_state_service() -> None:
     w = warm(70)
-    old = [w.submit(spec(n, tasks=9, estimate_s=8.0)) for n in range(1, 4)]
+    old = [w.submit(spec(n, task_count=9, estimated_run_s=8.0)) for n in range(1, 4)]
     w.run(10.0)
     apart(w)
     w.run(4.0)
-    new = [w.submit(spec(10 + i, tasks=6, estimate_s=5.0), x) for i, x in enumerate(w.node_names)]
+    new = [
+        w.submit(spec(10 + i, task_count=6, estimated_run_s=5.0), x)
+        for i, x in enumerate(w.node_names)
+    ]
     # Every node tells of every job, and a job whose slices lie in several parts is done.
     for job in old + new:
         assert all(w.state_of(job, x) for x in w.node_names)
     assert all(w.finish(j, 60.0) for j in old + new)
-    long = [w.submit(spec(20 + i, tasks=6, estimate_s=300.0), "n0") for i in range(3)]
+    long = [w.submit(spec(20 + i, task_count=6, estimated_run_s=300.0), "n0") for i in range(3)]
     w.run(8.0)
     for job, x in zip(long, w.node_names, strict=True):
         w.cancel_asked.add(job)
@@ -283,27 +291,27 @@
 
 def test_a_controller_left_with_its_workers_only_is_relieved() -> None:
     w = warm(71)
-    job = w.submit(spec(1, tasks=12, estimate_s=40.0))
+    job = w.submit(spec(1, task_count=12, estimated_run_s=40.0))
     w.run(12.0)
     core = w.cores["n1"]
-    assert core is not None and core.healthy()
+    assert core is not None and core.is_healthy()
     w.isolate("n1", "state", "n0", "n2")
     w.run(8.0)
-    assert owner(w, 1) != "n1" and not core.acting() and not core.healthy()
+    assert owner(w, 1) != "n1" and not core.led_shards() and not core.is_healthy()
     # Workers and users are refused at once: no 200, no name, nothing held back.
     m = busy(w)[0]
     w.set_time(core)
-    status, _, orders, _ = core.report(m.body())
+    status, _, orders, _ = core.receive_heartbeat(m.body())
     assert status in (421, 503) and not orders
     for what, arg in (("submit", spec(2)), ("query", job), ("cancel", job)):
         w.specs["job-000002"] = spec(2)
         asked = w.now
         out = w.ask("n1", what, arg)
-        assert out and out[0].status == 503 and w.now == asked and out[0].retry_after
+        assert out and out[0].status == 503 and w.now == asked and out[0].retry_after_s
     w.heal()
     assert w.finish(job, 200.0)
     w.run(15.0)
-    assert core.healthy() and core.acting()
+    assert core.is_healthy() and core.led_shards()
     assert w.state_of(job, "n1") == "done"
     assert not w.broken
 
@@ -315,7 +323,7 @@
 def test_processes_back_at_once_amid_takeovers_with_late_messages(seed: int) -> None:
     w = warm(seed)
     w.late_commits, w.lose_answers, w.copies = 0.1, 0.05, 0.2
-    jobs = [w.submit(spec(n, tasks=9, estimate_s=10.0)) for n in range(1, 5)]
+    jobs = [w.submit(spec(n, task_count=9, estimated_run_s=10.0)) for n in range(1, 5)]
     for n in range(10):
         w.heal()
         x = w.node_names[n % 3]
@@ -345,7 +353,9 @@
     # Several times what the fleet can do, all of it dated, the large ones hopeless from the start.
     for n in range(1, 61):
         size = sizes[n % 5]
-        s = spec(n, tasks=size, estimate_s=12.0, deadline_s=30.0, team=["red", "blue"][n % 2])
+        s = spec(
+            n, task_count=size, estimated_run_s=12.0, deadline_s=30.0, team=["red", "blue"][n % 2]
+        )
         jobs[w.submit(s)] = size
         w.run(2.0)
     w.run(200.0)
@@ -421,9 +431,9 @@
             n,
             kind=kind,
             team=rng.choice(["red", "blue"]),
-            tasks=rng.randint(1, 6 if kind == "gang" else 14),
-            estimate_s=rng.uniform(2.0, 15.0),
-            spot=rng.random() < 0.5,
+            task_count=rng.randint(1, 6 if kind == "gang" else 14),
+            estimated_run_s=rng.uniform(2.0, 15.0),
+            allows_spot=rng.random() < 0.5,
         )
         w.specs[s.id] = s
         w.ask(rng.choice(w.node_names), "submit", s)
@@ -449,20 +459,20 @@
 
 def test_a_zone_cut_off_a_slow_state_service_and_all_nodes_crashing_in_the_middle() -> None:
     w = warm(91)
-    jobs = [w.submit(spec(n, tasks=9, estimate_s=15.0)) for n in range(1, 5)]
+    jobs = [w.submit(spec(n, task_count=9, estimated_run_s=15.0)) for n in range(1, 5)]
     w.run(10.0)
     # Half of the machines cannot reach any controller, and the state service takes 0.3 s.
     for m in busy(w)[::2]:
         w.isolate(m.name, *w.node_names)
     w.state_slow = 0.3
     w.run(8.0)
-    jobs.append(w.submit(spec(5, tasks=6, estimate_s=5.0)))
+    jobs.append(w.submit(spec(5, task_count=6, estimated_run_s=5.0)))
     for x in w.node_names:
         w.kill(x, back_after=w.rng.uniform(0.1, 3.0))
     w.run(12.0)
     # Slow as it is, parts have owners, and users are served.
-    assert all(c is not None and c.acting() for c in w.cores.values())
-    jobs.append(w.submit(spec(6, tasks=6, estimate_s=5.0)))
+    assert all(c is not None and c.led_shards() for c in w.cores.values())
+    jobs.append(w.submit(spec(6, task_count=6, estimated_run_s=5.0)))
     assert not w.broken
     w.heal()
     w.state_slow = 0.0
@@ -475,7 +485,7 @@
     w = warm(72)
     core = w.cores["n0"]
     assert core is not None
-    job = w.submit(spec(1, tasks=12, estimate_s=120.0), "n0")
+    job = w.submit(spec(1, task_count=12, estimated_run_s=120.0), "n0")
     w.run(14.0)
     # n0 still answers its workers while its lease lasts, and cannot see the entry.
     w.isolate("n0", "state", "n1", "n2")
@@ -486,7 +496,7 @@
         outs.append(w.ask("n1", "cancel", job))
         w.run(0.25)
         if any(o and o[0].status == 200 for o in outs):
-            assert not core.acting()
+            assert not core.led_shards()
     w.heal()
     w.run(w.cancel_s + 2.0)
     assert not w.broken
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -43,7 +43,7 @@
     # The end is committed at once. The other nodes find it by their watch, while the answer to
     # the manager is still on its way or lost.
     w = warm(11)
-    job = w.submit(spec(1, tasks=3, estimate_s=3.0))
+    job = w.submit(spec(1, task_count=3, estimated_run_s=3.0))
     w.watch_lag[manager(w, job)] = 1.0
     w.answer_late = lambda node, call: delay if ends(call, job) else None
     if cancelled:
@@ -68,7 +68,7 @@
     # Reads that are carried out just before the job ends, as migrations and cancels make them,
     # are answered only after the reader's watch has shown the deletion of the record.
     w = warm(12)
-    job = w.submit(spec(1, tasks=3, estimate_s=4.0))
+    job = w.submit(spec(1, task_count=3, estimated_run_s=4.0))
     w.run(6.0)
     home = manager(w, job)
     part = w.state.data[keys.JOBS + job][0][1]
@@ -79,7 +79,7 @@
         w.ask(home, "cancel", job)
     while keys.FINALS + job not in w.state.data:
         core = running(w, reader)
-        core.spawn(core.answers.refresh(job))
+        core.spawn(core.answers.refresh_record(job))
         w.flush(reader)
         w.run(0.1)
     assert w.until(lambda: bool(w.state_of(job, home)), 5.0)
@@ -97,11 +97,11 @@
     # accepted it is answered. Were it taken in again, its tasks would start.
     w = warm(13)
     job = "job-000001"
-    w.specs[job] = spec(1, tasks=3)
+    w.specs[job] = spec(1, task_count=3)
     key = keys.JOBS + job
 
     def accepts(call: Any) -> bool:
-        return isinstance(call, CompareAndSwap) and (key, 0) in call.guards
+        return isinstance(call, CompareAndSwap) and (key, 0) in call.preconditions
 
     w.answer_late = lambda node, call: 1.15 if accepts(call) else None
     w.ask("n0", "submit", w.specs[job])
@@ -131,47 +131,47 @@
     # Read while the cancel was confirmed already, answered after the view has passed the burial:
     # the view knows neither the record nor the entry any more.
     w = warm(14)
-    job = w.submit(spec(1, tasks=3, estimate_s=200.0))
+    job = w.submit(spec(1, task_count=3, estimated_run_s=200.0))
     core = running(w, next(x for x in w.node_names if x != manager(w, job)))
     record, version, _ = w.state.data[keys.JOBS + job]
     cancelled = [*record[:3], [["cancel", 1]]]
     rev = w.state.rev + 2
-    core.view.apply([KeyChange(keys.JOBS + job, None, rev)], rev)
+    core.view.apply_changes([KeyChange(keys.JOBS + job, None, rev)], rev)
     core.sync()
     late = StoreResponse(200, value=cancelled, version=version + 1)
-    assert step_with(core.answers.fresh(job), late) is None
+    assert step_with(core.answers.read_status(job), late) is None
 
 
 def test_a_read_that_finds_no_record_is_ahead_of_the_watch() -> None:
     w = warm(17)
-    job = w.submit(spec(1, tasks=3, estimate_s=200.0))
+    job = w.submit(spec(1, task_count=3, estimated_run_s=200.0))
     core = running(w, manager(w, job))
     record, version, _ = w.state.data[keys.JOBS + job]
-    reading = core.answers.read(job)
+    reading = core.answers.read_record(job)
     next(reading)
-    reading.send(StoreResponse(404, rev=version + 5))
+    reading.send(StoreResponse(404, revision=version + 5))
     assert job not in core.view.jobs
     # What was read or committed before that comes too late.
-    core.view.take_in(keys.JOBS + job, record, version + 4)
-    core.view.apply([KeyChange(keys.JOBS + job, record, version + 3)], version + 3)
+    core.view.record_read(keys.JOBS + job, record, version + 4)
+    core.view.apply_changes([KeyChange(keys.JOBS + job, record, version + 3)], version + 3)
     assert job not in core.view.jobs
     # A read that was carried out before the acceptance removes nothing either.
-    core.view.take_in(keys.JOBS + job, record, version + 6)
-    step_with(core.answers.read(job), StoreResponse(0))
-    late = core.answers.read(job)
+    core.view.record_read(keys.JOBS + job, record, version + 6)
+    step_with(core.answers.read_record(job), StoreResponse(0))
+    late = core.answers.read_record(job)
     next(late)
-    late.send(StoreResponse(404, rev=version + 5))
+    late.send(StoreResponse(404, revision=version + 5))
     assert job in core.view.jobs
 
 
 @pytest.mark.parametrize("answer", [None, 7, ["done"], ["lost", 1, 1], ["unknown", None, None]])
 def test_a_malformed_answer_of_another_node_is_no_answer(answer: Any) -> None:
     w = warm(15)
-    job = w.submit(spec(1, tasks=3, estimate_s=200.0))
+    job = w.submit(spec(1, task_count=3, estimated_run_s=200.0))
     w.run(5.0)
     home = manager(w, job)
     reader = next(x for x in w.node_names if x != home)
-    running(w, home).answers.local = lambda job: answer  # type: ignore[method-assign]
+    running(w, home).answers.status_from_memory = lambda job: answer  # type: ignore[method-assign]
     state = w.state_of(job, reader)
     # A status without its counts is one; everything else is left to a fresh read.
     assert state == ("done" if answer == ["done"] else "queued")
@@ -179,8 +179,8 @@
 
 def test_the_owner_answers_from_memory_without_a_read() -> None:
     w = warm(16)
-    job = w.submit(spec(1, tasks=3, estimate_s=200.0))
+    job = w.submit(spec(1, task_count=3, estimated_run_s=200.0))
     w.run(12.0)
     core = running(w, manager(w, job))
-    assert core.answers.local(job) == JobStatus(JobState.RUNNING, 0, 3)
-    assert core.jobs.managed[job].is_settled
+    assert core.answers.status_from_memory(job) == JobStatus(JobState.RUNNING, 0, 3)
+    assert core.job_managers.managed[job].is_record_known
--- a/tests/test_answers_search.py
+++ b/tests/test_answers_search.py
@@ -41,7 +41,7 @@
 
     def _job(self, number: int) -> Any:
         tasks = self.rng.choice([1, 1, 2, 3, 6])
-        return spec(number, tasks=tasks, estimate_s=self.rng.uniform(0.5, 6.0))
+        return spec(number, task_count=tasks, estimated_run_s=self.rng.uniform(0.5, 6.0))
 
     def run(self) -> list[str]:
         """Play it all; what broke, and what is not answered in the end."""
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -43,7 +43,12 @@
 def test_a_good_submission_with_unknown_and_omitted_fields() -> None:
     body = {k: v for k, v in GOOD.items() if k not in ("room", "builds", "due_s")}
     spec = wire.parse_submit(wire.pack({**body, "later_field": [1, 2]}))
-    assert (spec.id, spec.kind, spec.types, spec.deadline_s) == ("job-000412", "array", None, None)
+    assert (spec.id, spec.kind, spec.machine_types, spec.deadline_s) == (
+        "job-000412",
+        "array",
+        None,
+        None,
+    )
 
 
 @pytest.mark.parametrize(
@@ -292,12 +297,12 @@
     w.run(3.0)
     core = w.cores["n0"]
     assert core is not None
-    core.note("n1", "summaries", [])
-    core.note("n1", "summaries", [core.view.nodes["n1"], [["x"]]])
-    core.note("n1", "progress", [[1, 2]])
-    core.note("n1", "what", [1])
-    assert sum(level == "error" for level, _ in core.lines) == 3
-    core.lines.clear()
+    core.receive_message("n1", "summaries", [])
+    core.receive_message("n1", "summaries", [core.view.nodes["n1"], [["x"]]])
+    core.receive_message("n1", "progress", [[1, 2]])
+    core.receive_message("n1", "what", [1])
+    assert sum(level == "error" for level, _ in core.log_lines) == 3
+    core.log_lines.clear()
     w.run(1.0)
 
 
--- a/tests/test_boots.py
+++ b/tests/test_boots.py
@@ -5,7 +5,7 @@
 import pytest
 
 from marblestair.core.capacity.boot_times import MOST_RATIO, BootTimes
-from marblestair.core.capacity.shard_summary import summarise
+from marblestair.core.capacity.shard_summary import summarize_shard
 from marblestair.core.leadership.shard_map import MachineRecord
 from marblestair.core.shard.machine import Machine
 from tests.fakes.deployment import TYPES, spec
@@ -20,15 +20,15 @@
     boots = BootTimes()
     assert not boots.is_overdue(KIND, 1.5 * KIND.boot_s, 0.0)
     assert boots.is_overdue(KIND, 1.7 * KIND.boot_s, 0.0)
-    assert boots.give_up_s(KIND, 0.0) == 3.0 * KIND.boot_s
+    assert boots.give_up_after_s(KIND, 0.0) == 3.0 * KIND.boot_s
 
 
 def test_boots_that_take_longer_are_expected_to_for_a_while() -> None:
     boots = BootTimes()
     for at in range(8):
-        boots.note(KIND, 3.0 * KIND.boot_s, float(at))
+        boots.record(KIND, 3.0 * KIND.boot_s, float(at))
     assert not boots.is_overdue(KIND, 4.0 * KIND.boot_s, 10.0)
-    assert boots.give_up_s(KIND, 10.0) == pytest.approx(6.0 * KIND.boot_s)
+    assert boots.give_up_after_s(KIND, 10.0) == pytest.approx(6.0 * KIND.boot_s)
     # Other types are not concerned, and it is forgotten.
     assert boots.is_overdue(TYPES[1], 4.0 * TYPES[1].boot_s, 10.0)
     assert boots.is_overdue(KIND, 4.0 * KIND.boot_s, 100.0)
@@ -36,10 +36,10 @@
 
 def test_what_is_learned_is_bounded() -> None:
     boots = BootTimes()
-    boots.note(KIND, 1000.0 * KIND.boot_s, 0.0)
+    boots.record(KIND, 1000.0 * KIND.boot_s, 0.0)
     assert boots.expected_ratio(KIND, 1.0) == MOST_RATIO
     boots = BootTimes()
-    boots.note(KIND, 0.0, 0.0)
+    boots.record(KIND, 0.0, 0.0)
     assert boots.expected_ratio(KIND, 1.0) == 1.0
 
 
@@ -67,7 +67,7 @@
     world = World(460, 3)
     world.run(4.0)
     boots = Boots(monkeypatch, None)
-    job = world.submit(spec(1, tasks=8, estimate_s=4.0))
+    job = world.submit(spec(1, task_count=8, estimated_run_s=4.0))
     assert world.until(lambda: bool(boots.first), 20.0)
     world.run(3.0)
     boots.open = False
@@ -86,7 +86,7 @@
     world.capacity = 1
     world.run(4.0)
     boots = Boots(monkeypatch, 2.6)
-    job = world.submit(spec(1, tasks=4, estimate_s=3.0))
+    job = world.submit(spec(1, task_count=4, estimated_run_s=3.0))
     assert world.finish(job, 60.0)
     assert {name for _, _, _, name, _ in world.starts} == {boots.first[0].name}
     assert not world.broken
@@ -98,7 +98,7 @@
     """
     world = World(462, 3, teams=[{"name": "red", "cpus": 40.0, "cpus_max": 80.0}])
     world.run(4.0)
-    world.submit(spec(1, tasks=20, cpus=4.0, estimate_s=300.0))
+    world.submit(spec(1, task_count=20, cpus=4.0, estimated_run_s=300.0))
     world.run(30.0)
     core = world.cores["n0"]
     assert core is not None
@@ -111,7 +111,9 @@
         world.run(0.25)
         for name, other in world.cores.items():
             if other is not None and name != dead:
-                left |= {x for _, told in other.summaries.values() for x in told.leaving}
+                left |= {
+                    x for _, told in other.shard_summaries.values() for x in told.leaving_machines
+                }
     assert not left & machines
     assert not world.broken
 
@@ -122,11 +124,11 @@
     core = world.cores["n0"]
     assert core is not None
     world.set_time(core)
-    part = core.acting()[0]
+    part = core.led_shards()[0]
     machine = Machine("host-900", KIND.name, "a", False, core.now)
     part.add_machine(machine)
-    machine.set_type(KIND)
-    core.view.machines["host-900"] = MachineRecord(part.number, KIND.name, "a", False, 0.0)
-    assert summarise(core, part).leaving == []
-    core.set_time(core.now + 1.7 * KIND.boot_s, core.wall)
-    assert summarise(core, part).leaving == ["host-900"]
+    machine.set_machine_type(KIND)
+    core.view.machines["host-900"] = MachineRecord(part.shard_id, KIND.name, "a", False, 0.0)
+    assert summarize_shard(core, part).leaving_machines == []
+    core.set_time(core.now + 1.7 * KIND.boot_s, core.wall_time)
+    assert summarize_shard(core, part).leaving_machines == ["host-900"]
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -26,7 +26,7 @@
         m = Worker(w, f"host-{n:06d}", TYPES[1], zone, spot)
         m.up, m.renewed = True, 1e9
         w.workers[m.name] = m
-    w.specs["job-000001"] = spec(1, **{"spot": True, "estimate_s": 1e6, **job})
+    w.specs["job-000001"] = spec(1, **{"allows_spot": True, "estimated_run_s": 1e6, **job})
     judge(w, "submit", "queued", 201)
     return w
 
@@ -65,7 +65,7 @@
     core = w.cores["n0"]
     assert core is not None
     answer = (200, 1, [TaskCommand("start", "job-000001", 0, 1)], None)
-    core.report = lambda rep: answer  # type: ignore[method-assign]
+    core.receive_heartbeat = lambda rep: answer  # type: ignore[method-assign]
     w.workers["host-000000"].report()
     w.run(1.0)
 
@@ -82,7 +82,7 @@
 
 
 def reordered(w: World) -> None:
-    lease = w.state.execute(GrantLease(5000), "n0", w.now).lease
+    lease = w.state.execute(GrantLease(5000), "n0", w.now).lease_id
     key = keys.NODES + "n0"
     version = w.state.data[key][1] if key in w.state.data else 0
     for n, v in ((9, version), (4, None)):
@@ -93,14 +93,14 @@
 
 def too_early(w: World) -> None:
     """A job starts before the one that it awaits is done."""
-    w.specs["job-000002"] = spec(2, tasks=2)
+    w.specs["job-000002"] = spec(2, task_count=2)
     w.results.add(("job-000002", 0))
     start(w, 0, 0)
 
 
 def orphan(w: World, state: str) -> None:
     """A job is called alive too long after one before it, twice removed, was cancelled."""
-    w.specs["job-000002"] = spec(2, awaits=["job-000003"])
+    w.specs["job-000002"] = spec(2, depends_on=["job-000003"])
     w.specs["job-000003"] = spec(3)
     judge(w, "submit", "queued", 201, "job-000003")
     w.cancel_asked.add("job-000003")
@@ -126,7 +126,9 @@
     w.specs["job-000002"] = spec(2)
     judge(w, "submit", "queued", 201, "job-000002")
     start(w, 0, 0)
-    w.specs["job-000001"] = spec(1, spot=True, estimate_s=1e6, awaits=["job-000002"])
+    w.specs["job-000001"] = spec(
+        1, allows_spot=True, estimated_run_s=1e6, depends_on=["job-000002"]
+    )
     w.cancel_asked.add("job-000002")
     judge(w, "withdraw", "cancelled", job="job-000002")
     w.run(w.cancel_s + 0.5)
@@ -135,16 +137,16 @@
 CRIES: dict[str, tuple[dict[str, Any], Callable[[World], object], str]] = {
     "twice": ({}, lambda w: (start(w, 0, 0), start(w, 0, 2, 2)), "ran_twice"),
     "limit": (
-        {"cpus": 4.0, "tasks": 9},
+        {"cpus": 4.0, "task_count": 9},
         lambda w: ([start(w, i, i // 2) for i in range(6)], w.run(0.5), grown(w)),
         "quota",
     ),
-    "type": ({"types": ["t4"]}, lambda w: start(w, 0, 0), "wrong_place"),
+    "type": ({"machine_types": ["t4"]}, lambda w: start(w, 0, 0), "wrong_place"),
     "zone": ({"zone": "b"}, lambda w: start(w, 0, 0), "wrong_place"),
-    "spot": ({"spot": False}, lambda w: start(w, 0, 1), "wrong_place"),
-    "together": ({"one_zone": True}, lambda w: (start(w, 0, 0), start(w, 1, 2)), "wrong_place"),
+    "spot": ({"allows_spot": False}, lambda w: start(w, 0, 1), "wrong_place"),
+    "together": ({"single_zone": True}, lambda w: (start(w, 0, 0), start(w, 1, 2)), "wrong_place"),
     "apart": (
-        {"spread": True, "tasks": 3},
+        {"spread_zones": True, "task_count": 3},
         lambda w: [start(w, i, 0) for i in range(3)],
         "wrong_place",
     ),
@@ -158,9 +160,9 @@
     "back": ({}, lambda w: (cancelled(w), judge(w, "query", "running")), "went_back"),
     "by nobody": ({}, lambda w: judge(w, "query", "cancelled"), "went_back"),
     "beside room": ({}, waits, "waits"),
-    "too early": ({"awaits": ["job-000002"]}, too_early, "too_early"),
-    "orphan queued": ({"awaits": ["job-000002"]}, lambda w: orphan(w, "queued"), "orphaned"),
-    "orphan running": ({"awaits": ["job-000002"]}, lambda w: orphan(w, "running"), "orphaned"),
+    "too early": ({"depends_on": ["job-000002"]}, too_early, "too_early"),
+    "orphan queued": ({"depends_on": ["job-000002"]}, lambda w: orphan(w, "queued"), "orphaned"),
+    "orphan running": ({"depends_on": ["job-000002"]}, lambda w: orphan(w, "running"), "orphaned"),
     "left over": ({}, left_over, "orphaned"),
     "left over child": ({}, left_over_child, "orphaned"),
     "unguarded": ({}, unguarded, "unguarded"),
@@ -170,7 +172,7 @@
 
 def grown(w: World) -> None:
     """A team's limit is 24 cpus and all its tasks hold 24; one more."""
-    w.specs["job-000001"] = spec(1, spot=True, estimate_s=1e6, cpus=4.5, tasks=9)
+    w.specs["job-000001"] = spec(1, allows_spot=True, estimated_run_s=1e6, cpus=4.5, task_count=9)
     w.run(0.5)
 
 
--- a/tests/test_cost_of_a_job.py
+++ b/tests/test_cost_of_a_job.py
@@ -108,7 +108,7 @@
 def costs(machines: int) -> dict[str, Cost]:
     """What accepted, polled, cancelled and finished jobs cost, summed over some of each."""
     w = fleet(61, machines)
-    fill(w, 1, machines // 10, 40, estimate_s=300.0, deadline_s=None)
+    fill(w, 1, machines // 10, 40, estimated_run_s=300.0, deadline_s=None)
     w.run(20.0)
     meter = Meter(w)
     total = {name: Cost() for name in MOST}
@@ -121,7 +121,9 @@
         total[name] = total[name].added(cost)
 
     for number in range(5000, 5000 + JOBS):
-        job = spec(number, tasks=12, team="red", mem_gb=0.5, estimate_s=4.0, spot=True)
+        job = spec(
+            number, task_count=12, team="red", mem_gb=0.5, estimated_run_s=4.0, allows_spot=True
+        )
         w.specs[job.id] = job
         count("accepted", Ask(w, "n0", "submit", job), job.id, 0.1)
         meter.about("none")
--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -26,7 +26,7 @@
 def test_the_log_tells_who_had_a_cancel_before_it_was_told_and_why_it_could_be() -> None:
     """By answers at once, or by time where an owner could not be asked."""
     w = warm()
-    jobs = [w.submit(spec(n, tasks=6, estimate_s=100.0)) for n in (1, 2)]
+    jobs = [w.submit(spec(n, task_count=6, estimated_run_s=100.0)) for n in (1, 2)]
     w.until(lambda: len(w.starts) == 12, 30.0)
     assert w.cancel(jobs[0]) == "cancelled"
     told = w.now
@@ -48,8 +48,8 @@
 
 def test_the_log_tells_a_release_from_an_end_and_counts_starts_and_stops() -> None:
     w = warm()
-    parent = w.submit(spec(1, tasks=1, estimate_s=2.0))
-    child = w.submit(spec(2, tasks=1, estimate_s=60.0, awaits=[parent]))
+    parent = w.submit(spec(1, task_count=1, estimated_run_s=2.0))
+    child = w.submit(spec(2, task_count=1, estimated_run_s=60.0, depends_on=[parent]))
     assert w.until(lambda: any(job == child for _, job, *_ in w.starts), 60.0)
     released = w.logged("record release", child)
     finished = w.logged("record finish", parent)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -55,8 +55,14 @@
     out = []
     for n in range(first, first + jobs):
         team = ("red", "blue")[n % 2]
-        changes = {"estimate_s": 12.0, "deadline_s": 90.0, "spot": True, "mem_gb": 0.5, **more}
-        s = spec(n, tasks=tasks, team=team, image=f"i{n % 9}", **changes)
+        changes = {
+            "estimated_run_s": 12.0,
+            "deadline_s": 90.0,
+            "allows_spot": True,
+            "mem_gb": 0.5,
+            **more,
+        }
+        s = spec(n, task_count=tasks, team=team, image=f"i{n % 9}", **changes)
         w.specs[s.id] = s
         w.ask(w.rng.choice(w.node_names), "submit", s)
         out.append(s.id)
@@ -75,7 +81,7 @@
     seen = {}
     for machines, jobs in ((300, 60), (900, 180), (300, 180)):
         w = fleet(7, machines)
-        fill(w, 1, jobs, 160, estimate_s=15.0, deadline_s=40.0)
+        fill(w, 1, jobs, 160, estimated_run_s=15.0, deadline_s=40.0)
         w.run(22.0)
         assert len(serving(w)) >= 0.5 * machines
         before, then = w.state.writes, w.now
@@ -85,11 +91,11 @@
         assert not w.broken and not w.state.refused and w.state.largest <= 4096
     small, large, busy = seen[300, 60], seen[900, 180], seen[300, 180]
     # A report and what it starts or ends: neither the machines nor the jobs beside it count.
-    assert large["report"] < 1.5 * small["report"], seen
-    assert busy["report"] < 1.5 * small["report"], seen
+    assert large["receive_heartbeat"] < 1.5 * small["receive_heartbeat"], seen
+    assert busy["receive_heartbeat"] < 1.5 * small["receive_heartbeat"], seen
     # What is done twice a second may go once through the part, which is three times as large.
     assert large["tick"] < 3.5 * small["tick"], seen
-    assert large["note"] < 3.5 * small["note"], seen
+    assert large["receive_message"] < 3.5 * small["receive_message"], seen
 
 
 def test_four_thousand_machines_cost_each_event_no_more_than_nine_hundred() -> None:
@@ -98,7 +104,7 @@
     seen, changes = {}, {}
     for machines, jobs in ((900, 45), (4000, 200)):
         w = fleet(7, machines, workers=workers, cloud=dict(rps=16.0, list_lag_s=5.0))
-        fill(w, 1, jobs, 40, estimate_s=60.0, deadline_s=60.0, cpus=14.0)
+        fill(w, 1, jobs, 40, estimated_run_s=60.0, deadline_s=60.0, cpus=14.0)
         w.run(30.0)
         assert len(serving(w)) >= 0.95 * machines
         assert sum(bool(m.live) for m in serving(w)) >= 0.9 * machines
@@ -106,10 +112,10 @@
         seen[machines] = cost(w, 4.0)
         changes[machines] = (w.state.writes - before) / (w.now - then)
         assert not w.broken and not w.state.refused and w.state.largest <= 4096
-    assert seen[4000]["report"] < 1.2 * seen[900]["report"], seen
+    assert seen[4000]["receive_heartbeat"] < 1.2 * seen[900]["receive_heartbeat"], seen
     # What is done twice a second goes through the part, which is 4.4 times as large.
     assert seen[4000]["tick"] < 1.2 * 4.5 * seen[900]["tick"], seen
-    assert seen[4000]["note"] < 1.2 * 4.5 * seen[900]["note"], seen
+    assert seen[4000]["receive_message"] < 1.2 * 4.5 * seen[900]["receive_message"], seen
     assert max(changes.values()) < STATE["write_rps"], changes
 
 
@@ -117,32 +123,32 @@
     names = [f"host-{n:06d}" for n in range(4000)]
     view = StoreView()
     for name in names:
-        view.take_in(keys.MACHINES + name, [0, "m16", "a", False, 0.0], 1)
+        view.record_read(keys.MACHINES + name, [0, "m16", "a", False, 0.0], 1)
     for name in names:
-        view.take_absence(keys.MACHINES + name, 2)
-    assert set(view.gone) == set(names)
+        view.record_absence(keys.MACHINES + name, 2)
+    assert set(view.gone_machines) == set(names)
     faults = FailureAttribution(Workers(**WORKERS))
     for number, name in enumerate(names):
-        faults.failed(f"job-{number % 50}", name, True, 0.0)
-    assert all(faults.rest_s(name) > 0 for name in names)
+        faults.record_failure(f"job-{number % 50}", name, True, 0.0)
+    assert all(faults.machine_backoff_s(name) > 0 for name in names)
     # One node owns all of them, each in each list of the summary, and promises all cancels.
     room = ("a-long-name-of-a-type", "a-long-name-of-a-zone", False, 1 << 40, 1 << 40, 1 << 40)
     summary = ShardSummary(
-        part=0,
+        shard_id=0,
         term=1 << 32,
-        rooms=[room] * 4000,
-        held=[room] * 4000,
-        backlog=1 << 60,
-        shares={},
-        wants={},
-        waiting=[(f"job-{n:06d}", 100_000, 100_000) for n in range(4000)],
-        busy=[(name, 1 << 40) for name in names],
-        idle=[(name, 1234.56) for name in names],
-        needs=[f"job-{n:06d}" for n in range(4000)],
-        gangs=names,
-        leaving=names,
-        absent=names,
-        stuck={},
+        free_capacity=[room] * 4000,
+        preemptible_capacity=[room] * 4000,
+        backlog_cpus=1 << 60,
+        free_quota={},
+        lacking_quota={},
+        pending_jobs=[(f"job-{n:06d}", 100_000, 100_000) for n in range(4000)],
+        busy_machines=[(name, 1 << 40) for name in names],
+        idle_machines=[(name, 1234.56) for name in names],
+        jobs_lacking_capacity=[f"job-{n:06d}" for n in range(4000)],
+        gang_machines=names,
+        leaving_machines=names,
+        absent_machines=names,
+        starved_teams={},
     )
     assert len(msgspec.msgpack.encode(summary)) < MAX_FRAME
     w = World(1)
@@ -150,8 +156,8 @@
     core = w.cores["n0"]
     assert core is not None
     for number in range(4000):
-        core.cancels.learn(f"job-{number:06d}", 1_000_000)
-    entries = core.cancels.later_than(0)
+        core.cancellations.record(f"job-{number:06d}", 1_000_000)
+    entries = core.cancellations.entries_after(0)
     assert entries is not None and len(entries) == 4000
     assert len(msgspec.msgpack.encode(entries)) < MAX_FRAME
 
@@ -163,11 +169,19 @@
     aims = [{"kind": "wait", "class": "g", "within_s": 6.0, "share": 0.9}]
     teams = [{"name": n, "cpus": 90.0, "cpus_max": 200.0} for n in ("red", "blue")]
     w = fleet(26, 6, 1, objectives=aims, teams=teams)
-    arrays = fill(w, 1, 6, 200, estimate_s=30.0, deadline_s=None, spot=False)
+    arrays = fill(w, 1, 6, 200, estimated_run_s=30.0, deadline_s=None, allows_spot=False)
     w.run(40.0)
     waits = []
     for n in range(50, 56):
-        s = spec(n, kind="gang", cls="g", tasks=1, cpus=15.0, mem_gb=20.0, estimate_s=15.0)
+        s = spec(
+            n,
+            kind="gang",
+            job_class="g",
+            task_count=1,
+            cpus=15.0,
+            mem_gb=20.0,
+            estimated_run_s=15.0,
+        )
         s = msgspec.structs.replace(s, priority="high", team=("red", "blue")[n % 2])
         gang, asked = w.submit(s), w.now
         w.run(20.0)
@@ -201,7 +215,7 @@
 def starts_again(w: World, most: float) -> None:
     """Service is there again: a small job starts within the time."""
     n = 900_000 + len(w.specs)
-    s = spec(n, tasks=3, team="red", mem_gb=0.5, estimate_s=2.0, spot=True)
+    s = spec(n, task_count=3, team="red", mem_gb=0.5, estimated_run_s=2.0, allows_spot=True)
     job = w.submit(s)
     assert w.until(lambda: any(j == job for _, j, *_ in w.starts), most)
 
@@ -209,7 +223,7 @@
 @pytest.mark.parametrize("back_after", [0.2, 1.0, 8.0])
 def test_all_nodes_fall_at_once_and_every_worker_comes_back(back_after: float) -> None:
     w = fleet(20, 150)
-    jobs = fill(w, 1, 24, 60, estimate_s=40.0, deadline_s=60.0)
+    jobs = fill(w, 1, 24, 60, estimated_run_s=40.0, deadline_s=60.0)
     w.run(20.0)
     before = running(w)
     assert len(before) > 600
@@ -230,7 +244,7 @@
 @pytest.mark.parametrize("how", ["die", "hang", "cut"])
 def test_a_fifth_of_the_machines_falls_and_the_rest_goes_on(how: str) -> None:
     w = fleet(21, 150)
-    jobs = fill(w, 1, 24, 60, estimate_s=40.0, deadline_s=60.0)
+    jobs = fill(w, 1, 24, 60, estimated_run_s=40.0, deadline_s=60.0)
     w.run(20.0)
     up = serving(w)
     fallen = w.rng.sample(up, len(up) // 5)
@@ -266,7 +280,7 @@
 
 def test_a_wave_of_notices_and_a_zone_cut_off_from_everything() -> None:
     w = fleet(22, 150)
-    jobs = fill(w, 1, 20, 60, estimate_s=40.0, deadline_s=60.0)
+    jobs = fill(w, 1, 20, 60, estimated_run_s=40.0, deadline_s=60.0)
     gangs = fill(
         w,
         50,
@@ -275,9 +289,9 @@
         kind="gang",
         cpus=30.0,
         mem_gb=20.0,
-        checkpoint_s=20.0,
-        save_s=2.0,
-        estimate_s=60.0,
+        checkpoint_interval_s=20.0,
+        checkpoint_save_s=2.0,
+        estimated_run_s=60.0,
         deadline_s=None,
     )
     w.run(20.0)
@@ -299,13 +313,20 @@
 
 def test_a_burst_of_jobs_during_a_rolling_restart() -> None:
     w = fleet(23, 150)
-    jobs = fill(w, 1, 10, 40, estimate_s=20.0, deadline_s=60.0)
+    jobs = fill(w, 1, 10, 40, estimated_run_s=20.0, deadline_s=60.0)
     w.run(15.0)
     for i, x in enumerate(w.node_names):
         w.at(12.0 * i, lambda x=x: w.kill(x, back_after=3.0))
     more = []
     for n in range(100, 130):
-        s = spec(n, tasks=40, team=("red", "blue")[n % 2], mem_gb=0.5, spot=True, estimate_s=15.0)
+        s = spec(
+            n,
+            task_count=40,
+            team=("red", "blue")[n % 2],
+            mem_gb=0.5,
+            allows_spot=True,
+            estimated_run_s=15.0,
+        )
         more.append(w.submit(s))
         w.run(0.6)
     assert all(m.session == 1 for m in serving(w))
@@ -314,8 +335,8 @@
 
 def test_the_largest_array_is_cancelled_while_its_machines_are_cut() -> None:
     w = fleet(24, 150)
-    largest = fill(w, 1, 1, 700, estimate_s=300.0, deadline_s=None)[0]
-    others = fill(w, 2, 6, 40, estimate_s=20.0, deadline_s=60.0)
+    largest = fill(w, 1, 1, 700, estimated_run_s=300.0, deadline_s=None)[0]
+    others = fill(w, 2, 6, 40, estimated_run_s=20.0, deadline_s=60.0)
     w.run(25.0)
     holders = [m for m in serving(w) if any(t.job == largest for t in m.live.values())]
     assert len(holders) > 20
@@ -342,29 +363,29 @@
     core = w.cores["n0"]
     assert core is not None
     w.set_time(core)
-    part = core.acting()[0]
+    part = core.led_shards()[0]
     m = Machine("host-1", "t64", "a", False, core.now)
-    m.set_type(MachineType("t64", 64.0, 0.0, 256.0, 50.0, 1.0, 1.0, 0.3, 5.0, ["a"]))
+    m.set_machine_type(MachineType("t64", 64.0, 0.0, 256.0, 50.0, 1.0, 1.0, 0.3, 5.0, ["a"]))
     part.add_machine(m)
-    m.settled, m.seen = True, core.now
+    m.is_reconciled, m.last_heartbeat_at = True, core.now
     for n in range(1, 9):
-        s = JobSlice(spec(n, tasks=160, at=core.wall - 200.0))
+        s = JobSlice(spec(n, task_count=160, accepted_at=core.wall_time - 200.0))
         s.ranges, s.size = [[0, 160]], 160
         s.pending.add(0, 160)
         part.slices[s.spec.id] = s
     m.free[0] = 0
-    core.dispatch.place(part)
-    assert not m.placed
+    core.dispatcher.place_all(part)
+    assert not m.tasks
     m.free[0] = 30_000_000
-    core.dispatch.fill(part, m)
+    core.dispatcher.fill_machine(part, m)
     # A quarter of 64 for the first helpings, a task for each that got none; then the usual order.
-    assert [len(s.placed) for s in part.slices.values()] == [18, 6, 1, 1, 1, 1, 1, 1]
+    assert [len(s.placed_on) for s in part.slices.values()] == [18, 6, 1, 1, 1, 1, 1, 1]
 
 
 @pytest.mark.parametrize("over", [0, 5000])
 def test_starting_does_not_read_the_jobs_that_are_over(over: int) -> None:
     w = fleet(27, 60)
-    jobs = fill(w, 1, 12, 40, estimate_s=40.0)
+    jobs = fill(w, 1, 12, 40, estimated_run_s=40.0)
     w.run(15.0)
     for n in range(500_000, 500_000 + over):
         w.state.rev += 1
@@ -383,11 +404,11 @@
         w.kill(x, back_after=1.0)
     w.run(4.0)
     # Ready in a bounded time, from what is live only.
-    assert {p.number for c in w.cores.values() if c for p in c.acting()} == {0, 1, 2}
+    assert {p.shard_id for c in w.cores.values() if c for p in c.led_shards()} == {0, 1, 2}
     assert len(reads) < 40 and sum(reads) < 1500, (len(reads), sum(reads))
     # What is over is read when somebody asks for it.
     if over:
-        w.specs["job-500007"] = spec(500_007, tasks=0)
+        w.specs["job-500007"] = spec(500_007, task_count=0)
         assert w.state_of("job-500007") == "done"
     settled(w, jobs, 300.0)
 
@@ -396,10 +417,10 @@
     seen = {}
     for machines in (60, 240):
         w = fleet(28, machines)
-        fill(w, 900, 4, 100, estimate_s=6.0)
+        fill(w, 900, 4, 100, estimated_run_s=6.0)
         w.run(40.0)
         before, rented = w.state.writes, len(w.workers)
-        jobs = fill(w, 1, 30, 60, estimate_s=6.0, deadline_s=60.0)
+        jobs = fill(w, 1, 30, 60, estimated_run_s=6.0, deadline_s=60.0)
         assert all(w.finish(j, 200.0) for j in jobs)
         w.run(10.0)
         # Beside the jobs: two changes of a machine's own key, and of a rental's.
@@ -422,7 +443,10 @@
     w = fleet(
         29, machines, nodes, workers=pace, teams=[{"name": "red", "cpus": 8, "cpus_max": 999}]
     )
-    jobs = [w.submit(spec(n, tasks=machines + 3, estimate_s=3.0, mem_gb=0.5)) for n in range(1, 5)]
+    jobs = [
+        w.submit(spec(n, task_count=machines + 3, estimated_run_s=3.0, mem_gb=0.5))
+        for n in range(1, 5)
+    ]
     w.run(10.0)
     w.kill("n0", back_after=2.0)
     assert all(w.finish(j, 300.0) for j in jobs)
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from marblestair.core.capacity.decommissioning import nearly_empty
-from marblestair.core.capacity.shard_summary import summarise
+from marblestair.core.capacity.decommissioning import nearly_empty_machines
+from marblestair.core.capacity.shard_summary import summarize_shard
 from marblestair.core.domain.model import MachineType
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
@@ -42,22 +42,22 @@
             s = spec(
                 n,
                 kind="gang",
-                cls="g",
-                tasks=1,
+                job_class="g",
+                task_count=1,
                 cpus=30.0,
                 mem_gb=20.0,
-                estimate_s=20.0,
+                estimated_run_s=20.0,
                 priority="high",
                 team=team,
             )
         else:
             s = spec(
                 n,
-                tasks=w.rng.randint(*tasks),
+                task_count=w.rng.randint(*tasks),
                 mem_gb=0.5,
-                estimate_s=15.0,
+                estimated_run_s=15.0,
                 deadline_s=60.0,
-                spot=True,
+                allows_spot=True,
                 team=team,
             )
         out.append(w.submit(s))
@@ -81,9 +81,9 @@
     after = cost(w, 6.0)
     # Four times the machines and five times the tasks. A report costs what it lists, a tick what
     # its part holds; neither what the whole fleet and all jobs together are.
-    assert after["report"] < 2.5 * before["report"]
+    assert after["receive_heartbeat"] < 2.5 * before["receive_heartbeat"]
     assert after["tick"] < 3.0 * before["tick"]
-    assert after["note"] < 3.0 * before["note"]
+    assert after["receive_message"] < 3.0 * before["receive_message"]
     # Changes of the state service stay within its rate, whatever runs.
     assert (w.state.writes - writes) / (w.now - then) < 40.0
     # A node falls and comes back at once, and another for longer.
@@ -100,13 +100,22 @@
 def test_gangs_of_whole_machines_collect_them_from_all_parts_while_arrays_fill_the_fleet() -> None:
     w = fleet(8, 3, 9, 300.0)
     arrays = [
-        w.submit(spec(n, tasks=60, estimate_s=12.0, mem_gb=0.5, team="red")) for n in range(1, 7)
+        w.submit(spec(n, task_count=60, estimated_run_s=12.0, mem_gb=0.5, team="red"))
+        for n in range(1, 7)
     ]
     w.run(15.0)
     asked = w.now
     gangs = [
         w.submit(
-            spec(n, kind="gang", team="blue", tasks=3, cpus=30.0, mem_gb=20.0, estimate_s=10.0)
+            spec(
+                n,
+                kind="gang",
+                team="blue",
+                task_count=3,
+                cpus=30.0,
+                mem_gb=20.0,
+                estimated_run_s=10.0,
+            )
         )
         for n in (20, 21)
     ]
@@ -135,7 +144,7 @@
     w = World(10, state=state)
     w.run(4.0)
     # A description that leaves no room for the slices is refused for good, on every node.
-    long = spec(1, types=[f"type-{i:04d}-{'x' * 20}" for i in range(40)] + ["t8"])
+    long = spec(1, machine_types=[f"type-{i:04d}-{'x' * 20}" for i in range(40)] + ["t8"])
     w.specs[long.id] = long
     for x in w.node_names:
         out = w.ask(x, "submit", long)
@@ -143,20 +152,22 @@
         assert out[0].status == 422 and "larger" in out[0].error
     # Slices that go to and fro in small ranges stop before the record is too large.
     w.capacity = 1
-    job = w.submit(spec(2, tasks=400, estimate_s=30.0))
-    core, part = next((c, p) for c in w.cores.values() if c for p in c.acting() if job in p.slices)
-    target = next(i for i in range(3) if i != part.number)
+    job = w.submit(spec(2, task_count=400, estimated_run_s=30.0))
+    core, part = next(
+        (c, p) for c in w.cores.values() if c for p in c.led_shards() if job in p.slices
+    )
+    target = next(i for i in range(3) if i != part.shard_id)
     for _ in range(150):
         s = part.slices.get(job)
         if s is None or len(s.pending) < 10:
             break
-        if s.leaving:
+        if s.migrating_ranges:
             w.run(0.5)
             continue
         a, b = max(s.pending.items, key=lambda r: r[1] - r[0])
         w.set_time(core)
-        if b - a > 1 and core.migrations.under_way < 4:
-            core.migrations.start(part, s, [[a + 1, a + 2]], target)
+        if b - a > 1 and core.slice_migrations.active_count < 4:
+            core.slice_migrations.start(part, s, [[a + 1, a + 2]], target)
         w.flush(core.node)
         w.run(0.6)
     assert not w.state.refused and w.state.largest <= 512
@@ -175,43 +186,43 @@
 
     def machine(name: str, tasks: int, ran: float, job: str) -> Machine:
         m = Machine(name, kind.name, "a", False, 0.0)
-        m.set_type(kind)
+        m.set_machine_type(kind)
         part.add_machine(m)
-        m.settled, m.seen = True, 100.0
-        s = part.slices[job] = JobSlice(spec(int(job[4:]), tasks=tasks, estimate_s=60.0))
+        m.is_reconciled, m.last_heartbeat_at = True, 100.0
+        s = part.slices[job] = JobSlice(spec(int(job[4:]), task_count=tasks, estimated_run_s=60.0))
         s.ranges = [[0, tasks]]
         for i in range(tasks):
             part.launch(m, s, i, 1, 100.0 - ran)
-            p = m.placed[(job, i)]
-            p.state, p.run_since = "running", 100.0 - ran
+            p = m.tasks[(job, i)]
+            p.state, p.running_since = "running", 100.0 - ran
         return m
 
     few = machine("host-1", 1, 20.0, "job-000001")
     many = machine("host-2", 14, 50.0, "job-000002")
     other = machine("host-3", 2, 20.0, "job-000003")
     names = {"host-1", "host-2"}
-    assert nearly_empty(part, names, 100.0) == [few]
+    assert nearly_empty_machines(part, names, 100.0) == [few]
     # Not where the tasks would find no room, nor before the least rental is over.
-    assert nearly_empty(part, {"host-1", "host-2", "host-3"}, 100.0) == []
-    assert nearly_empty(part, names, 50.0) == []
-    part.stop(list(few.placed.values()), "returned")
-    assert nearly_empty(part, names, 100.0) == []
-    assert many.placed and other.placed
+    assert nearly_empty_machines(part, {"host-1", "host-2", "host-3"}, 100.0) == []
+    assert nearly_empty_machines(part, names, 50.0) == []
+    part.stop_tasks(list(few.tasks.values()), "returned")
+    assert nearly_empty_machines(part, names, 100.0) == []
+    assert many.tasks and other.tasks
 
 
 def test_machines_on_their_way_to_a_gang_are_not_rented_once_more() -> None:
     """Found on simulated rough days: while machines moved to a gang's part the plan missed them."""
     w = fleet(12, 3, 40, 300.0)
-    job = w.submit(spec(1, kind="gang", tasks=4, cpus=30.0, mem_gb=20.0, estimate_s=30.0))
+    job = w.submit(spec(1, kind="gang", task_count=4, cpus=30.0, mem_gb=20.0, estimated_run_s=30.0))
     w.run(12.0)
-    core, part = next((c, p) for c in w.cores.values() if c for p in c.acting() if p.machines)
+    core, part = next((c, p) for c in w.cores.values() if c for p in c.led_shards() if p.machines)
     m = next(iter(part.machines.values()))
-    m.draining = True
-    told = summarise(core, part)
-    assert m.name not in told.leaving and m.name not in [n for n, _ in told.idle]
-    m.returning = True
-    assert m.name in summarise(core, part).leaving
-    m.draining = m.returning = False
+    m.is_draining = True
+    told = summarize_shard(core, part)
+    assert m.name not in told.leaving_machines and m.name not in [n for n, _ in told.idle_machines]
+    m.is_returning = True
+    assert m.name in summarize_shard(core, part).leaving_machines
+    m.is_draining = m.is_returning = False
     assert w.finish(job, 90.0)
     assert sum(x.type.name == "m32" for x in w.workers.values()) == 4
     assert not w.broken
@@ -224,41 +235,49 @@
     """
     w = World(13)
     w.run(4.0)
-    arrays = [w.submit(spec(n, team="blue", tasks=150, estimate_s=4.0)) for n in (1, 2)]
+    arrays = [w.submit(spec(n, team="blue", task_count=150, estimated_run_s=4.0)) for n in (1, 2)]
     assert w.until(lambda: len(w.starts) >= 30, 60.0)
     asked = w.now
     gang = w.submit(
-        spec(3, kind="gang", team="blue", tasks=1, cpus=6.0, estimate_s=5.0, priority="high")
+        spec(
+            3,
+            kind="gang",
+            team="blue",
+            task_count=1,
+            cpus=6.0,
+            estimated_run_s=5.0,
+            priority="high",
+        )
     )
     assert w.until(lambda: any(j == gang for _, j, *_ in w.starts), 40.0), w.now - asked
     assert all(w.finish(j, 500.0) for j in (*arrays, gang))
-    split = w.state.data[keys.SPLIT][0]
+    split = w.state.data[keys.SHARD_MAP][0]
     assert sum(p[3]["blue"][0] for p in split[1]) == 12_000_000
     assert not w.broken
 
 
 def test_a_machine_set_aside_for_one_gang_is_no_room_for_another() -> None:
     w = fleet(14, 3, 9, 300.0)
-    held = w.submit(spec(1, kind="gang", tasks=1, cpus=30.0, mem_gb=20.0, estimate_s=4.0))
+    held = w.submit(spec(1, kind="gang", task_count=1, cpus=30.0, mem_gb=20.0, estimated_run_s=4.0))
     assert w.finish(held, 60.0)
-    older = w.submit(spec(2, tasks=8, estimate_s=60.0))
+    older = w.submit(spec(2, task_count=8, estimated_run_s=60.0))
     w.run(12.0)
     core, part, m = next(
         (c, p, m)
         for c in w.cores.values()
         if c is not None
-        for p in c.acting()
+        for p in c.led_shards()
         for m in p.machines.values()
-        if m.usable(c.now) and m.free[0] > 0
+        if m.is_usable(c.now) and m.free[0] > 0
     )
     w.set_time(core)
-    core.fleet.reserved = {m.name: older}
+    core.fleet.reserved_machines = {m.name: older}
     free = m.free[0]
-    rooms = summarise(core, part).rooms
-    assert core.preemption.claimed(m, "job-000003") and not core.preemption.claimed(m, older)
-    core.fleet.reserved = {}
+    rooms = summarize_shard(core, part).free_capacity
+    assert core.preemption.is_claimed(m, "job-000003") and not core.preemption.is_claimed(m, older)
+    core.fleet.reserved_machines = {}
     # Told to the others, too, only once it is nobody's.
-    now = summarise(core, part).rooms
+    now = summarize_shard(core, part).free_capacity
     assert len(now) == len(rooms) + 1 and free in [r[3] for r in now]
     assert w.finish(older, 200.0)
     assert not w.broken
--- a/tests/test_guest_scale.py
+++ b/tests/test_guest_scale.py
@@ -22,7 +22,7 @@
     """Three controllers with a guest's array of a size, as wide as the fleet."""
     world = World(470, 3, teams=TEAMS)
     world.run(4.0)
-    world.submit(spec(1, team="guest", priority="low", tasks=tasks, estimate_s=8.0))
+    world.submit(spec(1, team="guest", priority="low", task_count=tasks, estimated_run_s=8.0))
     world.run(40.0)
     return world
 
@@ -59,7 +59,7 @@
 def test_a_swarm_is_accepted_and_done_at_a_bounded_number_of_changes(per_s: int) -> None:
     world = World(471, 3, teams=TEAMS)
     world.run(4.0)
-    anchor = world.submit(spec(1, tasks=4, estimate_s=120.0))
+    anchor = world.submit(spec(1, task_count=4, estimated_run_s=120.0))
     world.run(20.0)
     writes = [0]
     plain = world.state.execute
@@ -67,14 +67,14 @@
     def execute(call: Any, *args: Any) -> Any:
         result = plain(call, *args)
         if result.status == 200:
-            writes[0] += getattr(call, "writes", 0)
+            writes[0] += getattr(call, "change_count", 0)
         return result
 
     world.state.execute = execute  # type: ignore[method-assign]
     answers = []
     count = 20 * per_s
     for number in range(count):
-        job = spec(100 + number, team="guest", tasks=1, estimate_s=3.0)
+        job = spec(100 + number, team="guest", task_count=1, estimated_run_s=3.0)
         world.specs[job.id] = job
         answers.append(world.ask(world.node_names[number % 3], "submit", job))
         world.run(1.0 / per_s)
--- a/tests/test_guest_teams.py
+++ b/tests/test_guest_teams.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from marblestair.core.capacity.decommissioning import nearly_empty
-from marblestair.core.leadership.shard_map import first
-from marblestair.core.scheduling.quota import order_key, refusal
+from marblestair.core.capacity.decommissioning import nearly_empty_machines
+from marblestair.core.leadership.shard_map import initial_shard_map
+from marblestair.core.scheduling.quota import priority_key, rejection_reason
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
 from marblestair.core.shard.shard import Shard
@@ -30,31 +30,33 @@
 @pytest.mark.parametrize(
     ("team", "changes", "accepted"),
     [
-        ("guest", {"kind": "array", "tasks": 100_000, "cpus": 4.0}, True),
-        ("guest", {"kind": "gang", "tasks": 40, "cpus": 4.0}, True),
+        ("guest", {"kind": "array", "task_count": 100_000, "cpus": 4.0}, True),
+        ("guest", {"kind": "gang", "task_count": 40, "cpus": 4.0}, True),
         ("guest", {"cpus": 9.0}, False),
-        ("red", {"kind": "gang", "tasks": 7, "cpus": 4.0}, False),
-        ("red", {"kind": "gang", "tasks": 6, "cpus": 4.0}, True),
+        ("red", {"kind": "gang", "task_count": 7, "cpus": 4.0}, False),
+        ("red", {"kind": "gang", "task_count": 6, "cpus": 4.0}, True),
     ],
 )
 def test_a_limit_of_zero_is_no_limit(team: str, changes: dict[str, object], accepted: bool) -> None:
     """Found by the incidents inc-40fe and inc-0582: every job of such a team was refused."""
     job = spec(1, team=team, **changes)
-    reason = refusal(job, {t.name: t for t in (OWNER, GUEST)}, TYPES)
+    reason = rejection_reason(job, {t.name: t for t in (OWNER, GUEST)}, TYPES)
     assert (reason is None) is accepted
 
 
 def test_each_part_may_use_its_share_of_no_limit() -> None:
-    split = first(3, [OWNER, GUEST])
-    assert sum(p.shares["red"][0] for p in split.parts) == 24_000_000
-    assert all(p.shares["guest"][0] * 4 > UNLIMITED * 1_000_000 for p in split.parts)
+    split = initial_shard_map(3, [OWNER, GUEST])
+    assert sum(p.quotas["red"][0] for p in split.shards) == 24_000_000
+    assert all(p.quotas["guest"][0] * 4 > UNLIMITED * 1_000_000 for p in split.shards)
 
 
 def test_the_work_of_a_guest_is_done_when_nobody_else_asks() -> None:
     world = deployment(401)
     jobs = [
-        world.submit(spec(1, team="guest", priority="low", tasks=40, estimate_s=6.0)),
-        world.submit(spec(2, team="guest", kind="gang", tasks=2, cpus=3.0, estimate_s=6.0)),
+        world.submit(spec(1, team="guest", priority="low", task_count=40, estimated_run_s=6.0)),
+        world.submit(
+            spec(2, team="guest", kind="gang", task_count=2, cpus=3.0, estimated_run_s=6.0)
+        ),
     ]
     assert all(world.finish(job, 120.0) for job in jobs)
     assert not world.broken
@@ -64,13 +66,20 @@
     world = deployment(402)
     world.capacity = 6
     filling = world.submit(
-        spec(1, team="guest", priority="low", tasks=200, estimate_s=400.0, checkpoint_s=5.0)
+        spec(
+            1,
+            team="guest",
+            priority="low",
+            task_count=200,
+            estimated_run_s=400.0,
+            checkpoint_interval_s=5.0,
+        )
     )
     world.run(40.0)
     full = [m for m in world.workers.values() if m.up and not m.deleted]
     assert len(full) == 6
     assert sum(len(m.live) for m in full) >= 24
-    urgent = world.submit(spec(2, tasks=8, estimate_s=30.0))
+    urgent = world.submit(spec(2, task_count=8, estimated_run_s=30.0))
     moment = world.now
     assert world.until(lambda: sum(job == urgent for _, job, *_ in world.starts) == 8, 12.0)
     assert world.now - moment < 12.0
@@ -83,11 +92,13 @@
 def test_work_beyond_a_guarantee_does_not_stop_guests() -> None:
     world = deployment(403)
     world.capacity = 6
-    filling = world.submit(spec(1, team="guest", priority="low", tasks=200, estimate_s=400.0))
+    filling = world.submit(
+        spec(1, team="guest", priority="low", task_count=200, estimated_run_s=400.0)
+    )
     world.run(40.0)
     before = sum(job == filling for _, job, *_ in world.starts)
     # Its team's guarantee is smaller than the job.
-    world.submit(spec(2, tasks=20, estimate_s=30.0))
+    world.submit(spec(2, task_count=20, estimated_run_s=30.0))
     world.run(10.0)
     live = [task.job for m in world.workers.values() for task in m.live.values()]
     assert live.count(filling) == before
@@ -99,7 +110,7 @@
     low = spec(2, priority="low")
     guest = spec(3, team="guest", priority="high")
     keys = [
-        order_key(job, False, False, 1000.0, 1.0, False, job.team == "guest")
+        priority_key(job, False, False, 1000.0, 1.0, False, job.team == "guest")
         for job in (low, late, guest)
     ]
     assert keys == sorted(keys)
@@ -113,9 +124,11 @@
     world = World(404, 3, teams=teams)
     world.capacity = 6
     world.run(4.0)
-    filling = world.submit(spec(1, team="guest", priority="low", tasks=200, estimate_s=400.0))
+    filling = world.submit(
+        spec(1, team="guest", priority="low", task_count=200, estimated_run_s=400.0)
+    )
     world.run(40.0)
-    world.submit(spec(2, tasks=60, estimate_s=60.0))
+    world.submit(spec(2, task_count=60, estimated_run_s=60.0))
     world.run(20.0)
     live = [task.job for m in world.workers.values() for task in m.live.values()]
     assert 1 <= live.count(filling) <= len(live) // 4
@@ -131,13 +144,19 @@
     for name in ("almost-empty", "half-empty"):
         machine = Machine(name, "t8", "a", False, 0.0)
         part.add_machine(machine)
-        machine.set_type(TYPES[1])
-        machine.session, machine.settled, machine.seen = 1, True, 200.0
-    job = spec(1, cpus=4.0, estimate_s=300.0, checkpoint_s=checkpoint_s, save_s=3.0)
+        machine.set_machine_type(TYPES[1])
+        machine.agent_incarnation, machine.is_reconciled, machine.last_heartbeat_at = 1, True, 200.0
+    job = spec(
+        1,
+        cpus=4.0,
+        estimated_run_s=300.0,
+        checkpoint_interval_s=checkpoint_s,
+        checkpoint_save_s=3.0,
+    )
     part.slices[job.id] = JobSlice(job)
     for index, name in enumerate(["almost-empty", "half-empty"]):
         part.launch(part.machines[name], part.slices[job.id], index, index + 1, 60.0)
-        task = part.machines[name].placed[(job.id, index)]
-        task.state, task.run_since = "running", 60.0
-    found = nearly_empty(part, {"almost-empty"}, 200.0)
+        task = part.machines[name].tasks[(job.id, index)]
+        task.state, task.running_since = "running", 60.0
+    found = nearly_empty_machines(part, {"almost-empty"}, 200.0)
     assert [machine.name for machine in found] == (["almost-empty"] if emptied else [])
--- a/tests/test_lookups.py
+++ b/tests/test_lookups.py
@@ -21,7 +21,7 @@
 
 def test_a_poll_of_the_manager_costs_no_call() -> None:
     world = warm(410)
-    job = world.submit(spec(1, tasks=12, estimate_s=60.0))
+    job = world.submit(spec(1, task_count=12, estimated_run_s=60.0))
     world.run(2.0)
     node = manager_of(world, job)
     recorder = Recorder(world, node)
@@ -32,7 +32,7 @@
 
 def test_polls_of_one_job_share_one_call_to_its_manager() -> None:
     world = warm(411)
-    job = world.submit(spec(1, tasks=12, estimate_s=60.0))
+    job = world.submit(spec(1, task_count=12, estimated_run_s=60.0))
     world.run(2.0)
     other = next(name for name in world.node_names if name != manager_of(world, job))
     recorder = Recorder(world, other)
@@ -57,12 +57,12 @@
     world = warm(413)
     core = world.cores["n0"]
     assert core is not None
-    most = core.answers.lookups.most_reads
+    most = core.answers.lookups.max_reads
     recorder = Recorder(world, "n0")
     answers = [world.ask("n0", "query", f"job-{number:06d}") for number in range(900_000, 900_200)]
     refused = [answer[0] for answer in answers if answer]
     assert len(refused) == 200 - most
-    assert all(reply.status == 503 and reply.retry_after >= 1 for reply in refused)
+    assert all(reply.status == 503 and reply.retry_after_s >= 1 for reply in refused)
     world.run(0.5)
     assert all(answer for answer in answers)
     assert recorder.count(Get) == 2 * most
@@ -82,7 +82,7 @@
     # Begun before the job is submitted, this one may be answered either way.
     node = world.cores["n0"]
     assert node is not None
-    node.spawn(node.requests.query(1 << 40, job))
+    node.spawn(node.user_requests.query(1 << 40, job))
     world.flush("n0")
     missing = [reader for reader in recorder.held if reader[2].key == keys.JOBS + job]
     assert missing
@@ -106,7 +106,7 @@
     part's jobs filled it, and the workers' leases ran out before the part was ready.
     """
     world = warm(415)
-    job = world.submit(spec(1, tasks=12, estimate_s=60.0))
+    job = world.submit(spec(1, task_count=12, estimated_run_s=60.0))
     world.run(2.0)
     recorders = [Recorder(world, name) for name in world.node_names]
     world.kill(manager_of(world, job), back_after=60.0)
@@ -126,7 +126,9 @@
     cost = {}
     for jobs in (3, 60):
         world = warm(416)
-        ids = [world.submit(spec(n, tasks=4, estimate_s=200.0)) for n in range(1, jobs + 1)]
+        ids = [
+            world.submit(spec(n, task_count=4, estimated_run_s=200.0)) for n in range(1, jobs + 1)
+        ]
         world.run(2.0)
         node = manager_of(world, ids[0])
         core = world.cores[node]
@@ -134,7 +136,7 @@
 
         def poll(core: Any = core, job: str = ids[0]) -> None:
             for number in range(100):
-                core.spawn(core.requests.query((1 << 40) + number, job))
+                core.spawn(core.user_requests.query((1 << 40) + number, job))
 
         cost[jobs] = steps(poll) / 100
     assert cost[3] < 40
@@ -145,7 +147,7 @@
     # While the end of a job is on its way the manager cannot answer from memory. However many
     # ask, one search is under way at a time, and none is held back for the commit.
     world = warm(31)
-    job = world.submit(spec(1, tasks=2, estimate_s=3.0))
+    job = world.submit(spec(1, task_count=2, estimated_run_s=3.0))
     manager = manager_of(world, job)
     world.watch_lag[manager] = 1.0
 
--- a/tests/test_lost_workers.py
+++ b/tests/test_lost_workers.py
@@ -10,9 +10,9 @@
 
 def parts_of(world: World, node: str) -> list[int]:
     """Parts that the latest split record gives to a node."""
-    views = [core.view.split for core in world.cores.values() if core is not None]
-    newest = max((view for view in views if view is not None), key=lambda view: view.counter)
-    return [number for number, part in enumerate(newest.parts) if part.owner == node]
+    views = [core.view.shard_map for core in world.cores.values() if core is not None]
+    newest = max((view for view in views if view is not None), key=lambda view: view.last_term)
+    return [number for number, part in enumerate(newest.shards) if part.leader == node]
 
 
 @pytest.mark.parametrize("seed", [440, 441, 442])
@@ -22,7 +22,7 @@
     """
     world = World(seed, 3, teams=[{"name": "red", "cpus": 40.0, "cpus_max": 80.0}])
     world.run(4.0)
-    jobs = [world.submit(spec(n, tasks=10, cpus=4.0, estimate_s=120.0)) for n in (1, 2)]
+    jobs = [world.submit(spec(n, task_count=10, cpus=4.0, estimated_run_s=120.0)) for n in (1, 2)]
     world.run(15.0)
     running = {name: m.session for name, m in world.workers.items() if m.live and not m.deleted}
     assert running
@@ -46,13 +46,13 @@
     """Found on the same day: it turned every submission away for as long as it had no part."""
     world = World(443, 3, teams=[{"name": "red", "cpus": 40.0, "cpus_max": 80.0}])
     world.run(4.0)
-    keeping = world.submit(spec(1, tasks=10, cpus=4.0, estimate_s=60.0))
+    keeping = world.submit(spec(1, task_count=10, cpus=4.0, estimated_run_s=60.0))
     world.run(15.0)
     node = next(n for n in world.node_names if parts_of(world, n))
     world.isolate(node, *world.workers)
     assert world.until(lambda: parts_of(world, node) == [], 10.0)
     for number in range(2, 8):
-        job = spec(number, tasks=2, estimate_s=3.0)
+        job = spec(number, task_count=2, estimated_run_s=3.0)
         world.specs[job.id] = job
         answer = world.ask(node, "submit", job)
         world.run(0.3)
