--- a/tests/test_overlapping_troubles.py
+++ b/tests/test_overlapping_troubles.py
@@ -75,8 +75,8 @@
     for seed in range(2):
         w = warm(4000 + seed)
         rng = random.Random(f"{managed} {after} {trouble} {seed}")
-        kept = w.submit(spec(1, team="blue", tasks=6, estimate_s=70.0))
-        job = w.submit(spec(2, tasks=9, estimate_s=300.0))
+        kept = w.submit(spec(1, team="blue", task_count=6, estimated_run_s=70.0))
+        job = w.submit(spec(2, task_count=9, estimated_run_s=300.0))
         w.run(16.0)
         # The refused controller has machines with the job, and manages it or does not.
         home = manager(w, job)
@@ -120,8 +120,8 @@
 
 def test_the_gap_leaves_other_running_work_where_it_is() -> None:
     w = warm(4010)
-    kept = w.submit(spec(1, team="blue", tasks=9, estimate_s=60.0))
-    gone = w.submit(spec(2, tasks=9, estimate_s=300.0))
+    kept = w.submit(spec(1, team="blue", task_count=9, estimated_run_s=60.0))
+    gone = w.submit(spec(2, task_count=9, estimated_run_s=300.0))
     w.run(16.0)
     name = leader(w, gone)
     running = {(j, i): (m, a) for _, j, i, m, a in w.starts if j == kept}
@@ -154,7 +154,7 @@
     then acts on, promises, brings the entry.
     """
     w = warm(4021)
-    job = w.submit(spec(1, tasks=12, estimate_s=300.0))
+    job = w.submit(spec(1, task_count=12, estimated_run_s=300.0))
     w.run(16.0)
     name = min(part_owners(w, job) - {manager(w, job)})
     others = [x for x in w.node_names if x != name]
@@ -178,7 +178,7 @@
     # While it acts on, it does so with the entry, though nobody asks it to apply it.
     w.lost = {"apply", "confirmed", "entries"}
     w.run(1.2 * w.cancel_s)
-    assert core.acting() and not holders(w, job)
+    assert core.led_shards() and not holders(w, job)
     assert not w.broken
     w.state.outage(False, w.now)
     w.state.refused_nodes.clear()
@@ -192,7 +192,7 @@
     n = 0
     while True:
         n += 1
-        job = w.submit(spec(n, kind="gang", tasks=2, estimate_s=300.0))
+        job = w.submit(spec(n, kind="gang", task_count=2, estimated_run_s=300.0))
         assert w.until(lambda j=job: bool(holders(w, j)), 40.0)
         name = manager(w, job)
         if name not in part_owners(w, job):
@@ -217,42 +217,48 @@
 def test_what_is_known_ahead_of_the_view_holds_and_is_not_told() -> None:
     """An entry heard of by message: the view is older, and slices may come by older records."""
     w = warm(4040)
-    job = w.submit(spec(1, tasks=9, estimate_s=300.0))
+    job = w.submit(spec(1, task_count=9, estimated_run_s=300.0))
     w.run(16.0)
     core = running(w, manager(w, job))
-    part = next(p for p in core.acting() if job in p.slices)
+    part = next(p for p in core.led_shards() if job in p.slices)
     rec = core.view.jobs[job]
-    rev = core.view.rev + 5
-    core.cancels.learn(job, rev)
-    assert part.slices[job].cancelled and not part.slices[job].pending
+    rev = core.view.revision + 5
+    core.cancellations.record(job, rev)
+    assert part.slices[job].is_cancelled and not part.slices[job].pending
     # Owners may have changed before the entry was committed, and this view would not show it.
     for number in rec.slices:
-        core.cancels._entries[job].applied[int(number)] = core.view.split.parts[int(number)].term
-    assert core.cancels.missing(job) is None and not core.cancels.confirmed(job)
-    assert core.answers.local(job) is None
+        core.cancellations._entries[job].applied_terms[int(number)] = core.view.shard_map.shards[
+            int(number)
+        ].term
+    assert core.cancellations.shards_without_entry(
+        job
+    ) is None and not core.cancellations.is_confirmed(job)
+    assert core.answers.status_from_memory(job) is None
     # The slice leaves, and comes again by a record that is older than the entry.
     del part.slices[job]
     core.sync_slice(part, job)
-    assert part.slices[job].cancelled and not part.slices[job].pending
+    assert part.slices[job].is_cancelled and not part.slices[job].pending
 
 
 def test_a_job_is_not_over_on_reports_from_before_its_cancel() -> None:
     w = warm(4041)
-    job = w.submit(spec(1, tasks=9, estimate_s=300.0))
+    job = w.submit(spec(1, task_count=9, estimated_run_s=300.0))
     w.run(16.0)
     core = running(w, manager(w, job))
-    assert core.view.split is not None
-    mj, rec = core.jobs.managed[job], core.view.jobs[job]
+    assert core.view.shard_map is not None
+    mj, rec = core.job_managers.managed[job], core.view.jobs[job]
     for over in (False, True):
         for number in rec.slices:
-            term = core.view.split.parts[int(number)].term
-            mj.reports[int(number)] = SliceProgress(job, int(number), term, 0, 0, 0, 9, over)
-        assert core.jobs._is_empty(mj, rec, core.view.split) == over
+            term = core.view.shard_map.shards[int(number)].term
+            mj.progress_by_shard[int(number)] = SliceProgress(
+                job, int(number), term, 0, 0, 0, 9, over
+            )
+        assert core.job_managers._is_empty(mj, rec, core.view.shard_map) == over
 
 
 def test_after_a_takeover_a_cancels_time_counts_from_before_it() -> None:
     w = warm(4042)
-    job = w.submit(spec(1, tasks=9, estimate_s=300.0))
+    job = w.submit(spec(1, task_count=9, estimated_run_s=300.0))
     w.run(16.0)
     name = min(part_owners(w, job))
     for m in holders(w, job):
@@ -264,7 +270,7 @@
     assert w.until(lambda: owner(w, part) != name, 20.0)
     w.run(1.0)
     core = running(w, owner(w, part))
-    s = core.parts[part].slices.get(job)
+    s = core.shards[part].slices.get(job)
     here = (core.now - w.now * w.drift[core.node]) + told * w.drift[core.node]
     assert s is not None and s.cancelled_at <= here + 0.5
     w.run(w.cancel_s)
@@ -278,7 +284,7 @@
 def test_a_late_try_for_a_nodes_key_does_not_tie_it_to_an_older_lease(late: float) -> None:
     """The key would go with the older lease, and others take parts that their owner acts for."""
     w = warm(4100)
-    job = w.submit(spec(1, tasks=12, estimate_s=60.0))
+    job = w.submit(spec(1, task_count=12, estimated_run_s=60.0))
     w.run(12.0)
     left = [2]
 
@@ -298,11 +304,11 @@
         core = w.cores["n0"]
         if core is not None:
             w.set_time(core)
-            if core.acting():
+            if core.led_shards():
                 acted = True
                 held = w.state.data[keys.NODES + "n0"]
                 # What it counts on ends no later than the lease that its key goes with.
-                until = core.authority.until / w.drift["n0"]
+                until = core.leadership.lease_expires_at / w.drift["n0"]
                 assert until <= w.state.leases[held[2]][1]
     assert acted and not left[0]
     assert w.finish(job, 200.0)
@@ -332,9 +338,9 @@
             base: dict[str, Any] = dict(
                 kind=kind,
                 team=self.rng.choice(["red", "blue"]),
-                tasks=self.rng.randint(1, 5 if kind == "gang" else 10),
-                estimate_s=self.rng.uniform(4.0, 30.0),
-                spot=self.rng.random() < 0.5,
+                task_count=self.rng.randint(1, 5 if kind == "gang" else 10),
+                estimated_run_s=self.rng.uniform(4.0, 30.0),
+                allows_spot=self.rng.random() < 0.5,
             )
             base.update(changes)
             out.append(self.w.submit(spec(len(self.jobs) + 1, **base)))
@@ -377,8 +383,8 @@
 
 
 def zone_bound(p: Play) -> None:
-    p.submit(3, one_zone=True, kind="array", tasks=6, estimate_s=25.0)
-    p.submit(1, one_zone=True, kind="gang", tasks=4)
+    p.submit(3, single_zone=True, kind="array", task_count=6, estimated_run_s=25.0)
+    p.submit(1, single_zone=True, kind="gang", task_count=4)
     p.wait(8.0, 14.0)
     for _ in range(2):
         for m in p.some(0.5):
@@ -410,7 +416,7 @@
 def more_work_than_room(p: Play) -> None:
     p.w.capacity, p.w.fetch_s = 3, 4.0
     for priority in ("low", "normal", "production", "high"):
-        p.submit(2, priority=priority, kind="array", tasks=10, estimate_s=10.0)
+        p.submit(2, priority=priority, kind="array", task_count=10, estimated_run_s=10.0)
         p.wait(0.5, 3.0)
     p.w.kill(p.node(), back_after=p.rng.choice([0.2, 6.0]))
     p.cancel_now(2)
@@ -419,8 +425,8 @@
 
 
 def at_the_limit(p: Play) -> None:
-    gone = p.submit(1, team="blue", kind="array", tasks=16, estimate_s=80.0)[0]
-    p.submit(2, team="blue", kind="array", tasks=14, estimate_s=12.0)
+    gone = p.submit(1, team="blue", kind="array", task_count=16, estimated_run_s=80.0)[0]
+    p.submit(2, team="blue", kind="array", task_count=14, estimated_run_s=12.0)
     p.wait(8.0, 14.0)
     for m in p.some():
         p.rng.choice(
@@ -438,11 +444,11 @@
 
 
 def ends(p: Play) -> None:
-    jobs = p.submit(6, kind="array", tasks=2, estimate_s=4.0)
+    jobs = p.submit(6, kind="array", task_count=2, estimated_run_s=4.0)
     for _ in range(150):
         p.w.run(0.2)
         for job in jobs:
-            left = p.w.specs[job].tasks - sum(j == job for j, _ in p.w.results)
+            left = p.w.specs[job].task_count - sum(j == job for j, _ in p.w.results)
             if left <= 1 and p.rng.random() < 0.3:
                 what = p.rng.choice(["query", "submit", "cancel", "query"])
                 if what == "cancel" and p.rng.random() < 0.3:
@@ -474,7 +480,7 @@
 
 def tasks_far_apart(p: Play) -> None:
     for n in (2, 3, 2, 3):
-        job = p.submit(1, kind="array", tasks=n)[0]
+        job = p.submit(1, kind="array", task_count=n)[0]
         for i in range(n):
             p.w.durations[(job, i)] = 3.0 + 14.0 * i
     for _ in range(3):
@@ -550,7 +556,7 @@
 
 
 def leader_ends_while_machines_are_away(p: Play) -> None:
-    p.submit(2, kind="array", tasks=8, estimate_s=60.0)
+    p.submit(2, kind="array", task_count=8, estimated_run_s=60.0)
     p.wait(8.0, 12.0)
     for m in p.some(0.5):
         if p.rng.random() < 0.5:
@@ -582,19 +588,19 @@
 
 def odd_requests(p: Play) -> None:
     w = p.w
-    done = p.submit(1, kind="array", tasks=1, estimate_s=1.0)[0]
+    done = p.submit(1, kind="array", task_count=1, estimated_run_s=1.0)[0]
     assert w.finish(done, 60.0)
     # Longer than anything here goes on, so that its state is "queued" or "running".
-    live = p.submit(1, kind="array", team="red", tasks=3, estimate_s=200.0)[0]
-    changed = spec(2, tasks=5, estimate_s=1.0)
+    live = p.submit(1, kind="array", team="red", task_count=3, estimated_run_s=200.0)[0]
+    changed = spec(2, task_count=5, estimated_run_s=1.0)
     bad = [
-        spec(90, types=["none"]),
+        spec(90, machine_types=["none"]),
         spec(91, cpus=9.0),
         spec(92, team="green"),
-        spec(93, team="blue", kind="gang", tasks=13),
+        spec(93, team="blue", kind="gang", task_count=13),
         spec(94, zone="z"),
-        spec(95, kind="gang", spread=True, one_zone=True, tasks=4),
-        spec(96, kind="gang", spread=True, zone="a", tasks=4),
+        spec(95, kind="gang", spread_zones=True, single_zone=True, task_count=4),
+        spec(96, kind="gang", spread_zones=True, zone="a", task_count=4),
     ]
     for s in bad:
         w.specs[s.id] = s
@@ -607,14 +613,14 @@
     for _ in range(14):
         for x in w.node_names:
             asked = [(s.id, w.ask(x, "submit", s)) for s in bad]
-            asked.append(("live", w.ask(x, "submit", msgspec.structs.replace(mine, tasks=5))))
+            asked.append(("live", w.ask(x, "submit", msgspec.structs.replace(mine, task_count=5))))
             w.cancel_asked.add(done)
             asked.append(("done", w.ask(x, "cancel", done)))
             w.run(0.3)
             for name, out in asked:
                 for r in out:
                     told.setdefault(name, set()).add(r.status)
-                    assert r.status != 503 or r.retry_after
+                    assert r.status != 503 or r.retry_after_s
                     if r.status == 200:
                         assert r.state == "done" if name == "done" else r.state != "done"
     for s in bad:
@@ -682,15 +688,15 @@
     w = World(4200, 1)
     w.run(4.0)
     w.capacity = 3
-    w.submit(spec(1, tasks=36, estimate_s=8.0))
+    w.submit(spec(1, task_count=36, estimated_run_s=8.0))
     assert w.until(lambda: len(busy(w)) == 3, 60.0)
     machines = busy(w)
     for m in machines:
         m.deaf = True
     # What is launched now is not heard, and shows in no report.
-    job = w.submit(spec(2, tasks=24, estimate_s=4.0))
-    part = running(w, "n0").parts[0]
-    assert w.until(lambda: all(m.unheeded >= 2 for m in part.machines.values()), 60.0)
+    job = w.submit(spec(2, task_count=24, estimated_run_s=4.0))
+    part = running(w, "n0").shards[0]
+    assert w.until(lambda: all(m.ignored_commands >= 2 for m in part.machines.values()), 60.0)
     for m in machines:
         m.deaf = False
     w.quiet_since = w.now
@@ -702,14 +708,16 @@
     aims = [{"kind": "wait", "class": "g", "within_s": 6.0, "share": 0.9}]
     w = warm(4210, objectives=aims)
     w.capacity = 1
-    gang = w.submit(spec(1, kind="gang", cls="g", tasks=1, cpus=4.0, estimate_s=3.0))
+    gang = w.submit(
+        spec(1, kind="gang", job_class="g", task_count=1, cpus=4.0, estimated_run_s=3.0)
+    )
     assert w.finish(gang, 60.0)
     w.quiet_since = w.now
     # The class may come again, and once the first array is done the only machine is kept for it.
-    w.submit(spec(2, tasks=4, estimate_s=8.0, deadline_s=1000.0))
-    job = w.submit(spec(3, tasks=4, estimate_s=3.0, deadline_s=1000.0))
+    w.submit(spec(2, task_count=4, estimated_run_s=8.0, deadline_s=1000.0))
+    job = w.submit(spec(3, task_count=4, estimated_run_s=3.0, deadline_s=1000.0))
     assert w.finish("job-000002", 30.0)
-    assert all("" in c.fleet.reserved.values() for c in w.cores.values() if c is not None)
+    assert all("" in c.fleet.reserved_machines.values() for c in w.cores.values() if c is not None)
     # It goes on a task at a time, so that most of the machine stays the gang's.
     assert w.until(lambda: any(j == job for _, j, *_ in w.starts), 75.0)
     w.run(60.0)
@@ -720,51 +728,56 @@
 
 def test_an_answer_to_a_machine_that_is_not_settled_stops_what_is_over() -> None:
     w = warm(4220)
-    job = w.submit(spec(1, tasks=12, estimate_s=60.0))
+    job = w.submit(spec(1, task_count=12, estimated_run_s=60.0))
     w.run(14.0)
     m = busy(w)[0]
     part = Shard(0, 99, w.settings[0].cluster, w.now)
     known = Machine(m.name, m.type.name, m.zone, m.spot, w.now)
-    known.set_type(m.type)
+    known.set_machine_type(m.type)
     part.add_machine(known)
     s = part.slices[job] = JobSlice(w.specs[job])
     s.ranges, s.size = [[0, 12]], 12
-    assert part.report(m.body(), w.now) == []
-    s.cancelled = True
-    orders = part.report(m.body(), w.now)
-    assert orders and {(o.op, o.index) for o in orders} == {("stop", i) for _, i in m.live}
+    assert part.receive_heartbeat(m.body(), w.now) == []
+    s.is_cancelled = True
+    orders = part.receive_heartbeat(m.body(), w.now)
+    assert orders and {(o.verb, o.index) for o in orders} == {("stop", i) for _, i in m.live}
     # Settled at last, what it lists of jobs that are not known counts against every team.
     del part.slices[job]
-    stopped = part.report(msgspec.structs.replace(m.body(), token=99), w.now)
-    assert stopped and all(o.op == "stop" for o in stopped)
-    assert part.usage("red")[0] == part.usage("blue")[0] == m.type.size[0]
-    assert part.report(msgspec.structs.replace(m.body(), token=99, tasks=[]), w.now) == []
+    stopped = part.receive_heartbeat(msgspec.structs.replace(m.body(), fencing_token=99), w.now)
+    assert stopped and all(o.verb == "stop" for o in stopped)
+    assert part.usage("red")[0] == part.usage("blue")[0] == m.type.capacity[0]
+    assert (
+        part.receive_heartbeat(msgspec.structs.replace(m.body(), fencing_token=99, tasks=[]), w.now)
+        == []
+    )
     assert part.usage("red")[0] == 0
 
 
 def test_work_bound_to_a_zone_gets_machines_there_though_others_stand_elsewhere() -> None:
     kind = {t.name: t for t in TYPES}
     have = [AvailableMachine(f"a{i}", kind["t8"], "a", False, False, 5.0, 100.0) for i in range(5)]
-    have.append(AvailableMachine("b0", kind["t4"], "b", False, False, -1.0, 100.0, used=4_000_000))
-    load = JobLoad(spec(1, tasks=40, zone="b", estimate_s=10.0), 36, 4, 20.0, 10.0, 36)
+    have.append(
+        AvailableMachine("b0", kind["t4"], "b", False, False, -1.0, 100.0, used_cpus=4_000_000)
+    )
+    load = JobLoad(spec(1, task_count=40, zone="b", estimated_run_s=10.0), 36, 4, 20.0, 10.0, 36)
     out = plan([load], have, kind, lambda k: False, 0.0, {}, Tuning())
-    assert sum(kind[x.type].cpus * x.count for x in out.rent if x.zone == "b") >= 8
-    assert all(x.zone == "b" for x in out.rent)
+    assert sum(kind[x.machine_type].cpus * x.count for x in out.rentals if x.zone == "b") >= 8
+    assert all(x.zone == "b" for x in out.rentals)
 
 
 def test_a_result_is_forgotten_only_once_a_page_holds_it() -> None:
     """Else it would be with this process alone, which may end."""
     w = warm(4230)
-    job = w.submit(spec(1, tasks=12, estimate_s=60.0))
+    job = w.submit(spec(1, task_count=12, estimated_run_s=60.0))
     w.run(14.0)
     m = busy(w)[0]
-    part = running(w, owner(w, w.state.data[keys.MACHINES + m.name][0][0])).acting()[0]
+    part = running(w, owner(w, w.state.data[keys.MACHINES + m.name][0][0])).led_shards()[0]
     index = next(i for _, i in m.live)
     m.tasks[(job, index)].state, m.tasks[(job, index)].why = "exited", "done"
     forgotten: list[bool] = []
     for durable in (0, 1 << index):
-        part.slices[job].durable = durable
-        orders = part.report(m.body(), part.machines[m.name].seen + 1.0)
+        part.slices[job].durable_bits = durable
+        orders = part.receive_heartbeat(m.body(), part.machines[m.name].last_heartbeat_at + 1.0)
         assert orders is not None
-        forgotten.append(any(o.op == "forget" and o.index == index for o in orders))
+        forgotten.append(any(o.verb == "forget" and o.index == index for o in orders))
     assert forgotten == [False, True]
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -30,7 +30,7 @@
 
 def is_acceptance(what: str, value: Any) -> bool:
     return is_commit(what, value) and any(
-        k.startswith(keys.JOBS) and not v for k, v in value.guards
+        k.startswith(keys.JOBS) and not v for k, v in value.preconditions
     )
 
 
@@ -39,7 +39,7 @@
 
 
 def is_launch(what: str, value: Any) -> bool:
-    return is_answer(what, value) and any(o.op == "start" for o in value[2])
+    return is_answer(what, value) and any(o.verb == "start" for o in value[2])
 
 
 def is_promise(what: str, value: Any) -> bool:
@@ -78,8 +78,8 @@
                     hit.append(node)
                     w.freeze(node, leases * w.lease_s)
 
-        jobs = [w.submit(spec(n, tasks=8, estimate_s=8.0)) for n in range(1, 4)]
-        gone = w.submit(spec(4, tasks=8, estimate_s=60.0))
+        jobs = [w.submit(spec(n, task_count=8, estimated_run_s=8.0)) for n in range(1, 4)]
+        gone = w.submit(spec(4, task_count=8, estimated_run_s=60.0))
         w.run(4.0)
         w.on_point = pause
         if point == "takeover":
@@ -88,7 +88,7 @@
             w.state.down = True
             w.at(0.7 * w.lease_s, lambda w=w: setattr(w.state, "down", False))
         elif point == "acceptance":
-            jobs += [w.submit(spec(n, tasks=4, estimate_s=5.0)) for n in range(10, 15)]
+            jobs += [w.submit(spec(n, task_count=4, estimated_run_s=5.0)) for n in range(10, 15)]
         w.run(1.5)
         if point != "promise":
             assert w.cancel(gone) == "cancelled"
@@ -107,16 +107,16 @@
 
 def test_a_node_that_wakes_owns_nothing_until_it_has_read_afresh() -> None:
     w = warm(3100)
-    job = w.submit(spec(1, tasks=12, estimate_s=60.0))
+    job = w.submit(spec(1, task_count=12, estimated_run_s=60.0))
     w.run(6.0)
     name = owner(w, 0)
     core = w.cores[name]
-    assert core is not None and core.acts(0)
+    assert core is not None and core.is_leader(0)
     w.freeze(name, 1.5 * w.lease_s)
     w.run(1.5 * w.lease_s - 0.01)
     # Others have taken the part over. On waking, before anything is read, nothing is held.
     w.set_time(core)
-    assert not core.acting() and not core.acts(0) and owner(w, 0) != name
+    assert not core.led_shards() and not core.is_leader(0) and owner(w, 0) != name
     w.run(20.0)
     assert not w.broken
     assert w.finish(job, 200.0)
@@ -131,11 +131,11 @@
         if node == name and isinstance(value, CompareAndSwap):
             own = [p.key for p in value.puts] + value.deletes
             # A node's own key and the machine types belong to no part.
-            if not any(k.startswith((keys.NODES, keys.TYPES)) or k == keys.SPLIT for k in own):
+            if not any(k.startswith((keys.NODES, keys.TYPES)) or k == keys.SHARD_MAP for k in own):
                 sent.append(value)
 
     w.on_point = seen
-    jobs = [w.submit(spec(n, tasks=8, estimate_s=3.0), node=name) for n in range(1, 7)]
+    jobs = [w.submit(spec(n, task_count=8, estimated_run_s=3.0), node=name) for n in range(1, 7)]
     assert all(w.finish(j, 60.0) for j in jobs)
     w.run(30.0)
     w.on_point = None
@@ -160,7 +160,11 @@
     rng = random.Random(seed)
     w = warm(3200 + seed)
     w.copies = 0.05
-    gang = w.submit(spec(1, kind="gang", tasks=4, cpus=4.0, estimate_s=12.0, checkpoint_s=4.0))
+    gang = w.submit(
+        spec(
+            1, kind="gang", task_count=4, cpus=4.0, estimated_run_s=12.0, checkpoint_interval_s=4.0
+        )
+    )
     assert w.until(lambda: any(j == gang for _, j, *_ in w.starts), 60.0)
     w.run(rng.uniform(0.0, 14.0))
     for m in [m for m in w.workers.values() if m.live and not m.deleted]:
@@ -200,14 +204,14 @@
     held = [t for m in w.workers.values() if not m.hung for t in m.live.values() if t.job == gang]
     assert not held and not w.broken
     # What it held serves others.
-    assert w.finish(w.submit(spec(2, tasks=12, estimate_s=3.0)), 120.0)
+    assert w.finish(w.submit(spec(2, task_count=12, estimated_run_s=3.0)), 120.0)
 
 
 @pytest.mark.parametrize("leases", [0.3, 0.8, 2.5])
 def test_waking_does_not_burst_into_the_state_service_or_the_cloud(leases: float) -> None:
     """All timers of a frozen node fall due together when it goes on."""
     world = warm(480, teams=[{"name": "red", "cpus": 40.0, "cpus_max": 60.0}])
-    job = world.submit(spec(1, tasks=30, estimate_s=120.0))
+    job = world.submit(spec(1, task_count=30, estimated_run_s=120.0))
     world.run(20.0)
     node = manager_of(world, job)
     recorder = Recorder(world, node)
--- a/tests/test_pipeline_search.py
+++ b/tests/test_pipeline_search.py
@@ -46,9 +46,9 @@
                 spec(
                     n,
                     kind=self.rng.choice(["array", "array", "gang"]),
-                    tasks=self.rng.choice([1, 2, 3, 6]),
-                    estimate_s=self.rng.choice([1.0, 3.0, 10.0, 40.0]),
-                    awaits=awaits,
+                    task_count=self.rng.choice([1, 2, 3, 6]),
+                    estimated_run_s=self.rng.choice([1.0, 3.0, 10.0, 40.0]),
+                    depends_on=awaits,
                 )
             )
         return jobs
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -20,15 +20,21 @@
 
 def submit_pipeline(w: World, first: int = 1, **last: Any) -> list[JobSpec]:
     """Submit four stages, the second of three jobs that share a parent."""
-    split = spec(first, tasks=2, estimate_s=2.0)
+    split = spec(first, task_count=2, estimated_run_s=2.0)
     stage = [
-        spec(first + k, tasks=3, estimate_s=3.0, priority="low", awaits=[split.id])
+        spec(first + k, task_count=3, estimated_run_s=3.0, priority="low", depends_on=[split.id])
         for k in (1, 2, 3)
     ]
     bind = spec(
-        first + 4, kind="gang", tasks=2, estimate_s=2.0, awaits=[split.id, *(s.id for s in stage)]
+        first + 4,
+        kind="gang",
+        task_count=2,
+        estimated_run_s=2.0,
+        depends_on=[split.id, *(s.id for s in stage)],
+    )
+    final = spec(
+        first + 5, task_count=2, estimated_run_s=1.0, depends_on=[bind.id], priority="high", **last
     )
-    final = spec(first + 5, tasks=2, estimate_s=1.0, awaits=[bind.id], priority="high", **last)
     jobs = [split, *stage, bind, final]
     for job in jobs:
         w.submit(job)
@@ -54,7 +60,7 @@
     assert all_done(w, jobs)
     for job in jobs[1:]:
         began = first_start(w, job.id)
-        ended = max(w.done_at[parent] for parent in job.awaits)
+        ended = max(w.done_at[parent] for parent in job.depends_on)
         # A release, a watch and a report lie between the two.
         assert 0.0 <= began - ended < 6.0, (job.id, began - ended)
     assert w.broken == []
@@ -62,17 +68,21 @@
 
 def test_a_waiting_job_holds_no_part_of_its_team_s_limit_and_guarantee() -> None:
     w = warm()
-    parent = w.submit(spec(1, tasks=1, estimate_s=40.0))
-    child = w.submit(spec(2, tasks=6, awaits=[parent]))
-    beside = w.submit(spec(3, tasks=7, estimate_s=3.0))
+    parent = w.submit(spec(1, task_count=1, estimated_run_s=40.0))
+    child = w.submit(spec(2, task_count=6, depends_on=[parent]))
+    beside = w.submit(spec(3, task_count=7, estimated_run_s=3.0))
     w.run(2.0)
     core = running(w, "n0")
     # The guarantee is for eight tasks.
-    assert core.guaranteed >= {parent, beside} and child not in core.guaranteed
-    assert all(s.spec.id != child for p in core.parts.values() for s in core.dispatch.ordered(p))
+    assert core.guaranteed_jobs >= {parent, beside} and child not in core.guaranteed_jobs
+    assert all(
+        s.spec.id != child
+        for p in core.shards.values()
+        for s in core.dispatcher.pending_in_order(p)
+    )
     assert w.finish(beside, 60.0)
     # The whole of the team's limit is left for others.
-    other = w.submit(spec(4, tasks=23, estimate_s=3.0))
+    other = w.submit(spec(4, task_count=23, estimated_run_s=3.0))
     assert w.finish(other, 60.0)
     assert first_start(w, child) == -1.0
     assert w.finish(child, 90.0)
@@ -82,18 +92,18 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_cancel_takes_all_descendants_with_it_also_those_submitted_later(seed: int) -> None:
     w = warm(seed)
-    parent = spec(1, tasks=2, estimate_s=60.0)
+    parent = spec(1, task_count=2, estimated_run_s=60.0)
     w.submit(parent)
     # Through depth and width: a chain of six, and twelve beside it.
     chain: list[JobSpec] = []
     for n in range(2, 8):
-        chain.append(spec(n, awaits=[chain[-1].id if chain else parent.id]))
-    wide = [spec(n, awaits=[parent.id, chain[0].id]) for n in range(10, 22)]
+        chain.append(spec(n, depends_on=[chain[-1].id if chain else parent.id]))
+    wide = [spec(n, depends_on=[parent.id, chain[0].id]) for n in range(10, 22)]
     for job in [*chain, *wide]:
         w.submit(job)
     w.until(lambda: first_start(w, parent.id) > 0, 20.0)
     assert w.cancel(parent.id) == "cancelled"
-    late = [spec(30, awaits=[parent.id]), spec(31, awaits=[chain[-1].id])]
+    late = [spec(30, depends_on=[parent.id]), spec(31, depends_on=[chain[-1].id])]
     for job in late:
         w.submit(job)
     assert all_cancelled(w, [*chain, *wide, *late], 0.8 * w.cancel_s)
@@ -106,8 +116,8 @@
 
 def test_a_cancel_answered_with_done_changes_nothing_for_those_after_it() -> None:
     w = warm()
-    parent = spec(1, tasks=1, estimate_s=1.0)
-    child = spec(2, tasks=1, estimate_s=1.0, awaits=[parent.id])
+    parent = spec(1, task_count=1, estimated_run_s=1.0)
+    child = spec(2, task_count=1, estimated_run_s=1.0, depends_on=[parent.id])
     w.submit(parent)
     w.submit(child)
     assert w.finish(parent.id, 40.0)
@@ -118,10 +128,10 @@
 
 def test_a_diamond_with_one_side_done_and_the_other_cancelled_ends() -> None:
     w = warm()
-    top = spec(1, tasks=1, estimate_s=1.0)
-    left = spec(2, tasks=1, estimate_s=1.0, awaits=[top.id])
-    right = spec(3, tasks=1, estimate_s=100.0, awaits=[top.id])
-    bottom = spec(4, tasks=1, estimate_s=1.0, awaits=[left.id, right.id])
+    top = spec(1, task_count=1, estimated_run_s=1.0)
+    left = spec(2, task_count=1, estimated_run_s=1.0, depends_on=[top.id])
+    right = spec(3, task_count=1, estimated_run_s=100.0, depends_on=[top.id])
+    bottom = spec(4, task_count=1, estimated_run_s=1.0, depends_on=[left.id, right.id])
     for job in (top, left, right, bottom):
         w.submit(job)
     assert w.finish(left.id, 60.0)
@@ -133,9 +143,9 @@
 
 def test_a_chain_whose_middle_is_cancelled_keeps_what_came_before() -> None:
     w = warm()
-    jobs = [spec(1, tasks=1, estimate_s=15.0)]
+    jobs = [spec(1, task_count=1, estimated_run_s=15.0)]
     for n in range(2, 6):
-        jobs.append(spec(n, tasks=1, estimate_s=1.0, awaits=[jobs[-1].id]))
+        jobs.append(spec(n, task_count=1, estimated_run_s=1.0, depends_on=[jobs[-1].id]))
     for job in jobs:
         w.submit(job)
     assert w.cancel(jobs[2].id) == "cancelled"
@@ -157,10 +167,10 @@
 def test_an_awaited_job_that_was_never_accepted_is_refused_and_so_is_the_job_itself() -> None:
     w = warm()
     known = w.submit(spec(1))
-    assert answer(w, "n0", spec(2, awaits=[known, "job-999999"]))[0] == 422
-    assert answer(w, "n1", spec(3, awaits=["job-000003"]))[0] == 422
+    assert answer(w, "n0", spec(2, depends_on=[known, "job-999999"]))[0] == 422
+    assert answer(w, "n1", spec(3, depends_on=["job-000003"]))[0] == 422
     # A repeated submission gets its state, whatever it names.
-    assert answer(w, "n2", spec(1, awaits=["job-999999"]))[0] == 200
+    assert answer(w, "n2", spec(1, depends_on=["job-999999"]))[0] == 200
     assert w.broken == []
 
 
@@ -176,7 +186,7 @@
     assert answer(w, "n0", parent)[0] == 201
     w.run(0.1)
     assert (parent.id in running(w, "n1").view.jobs) == is_told
-    assert answer(w, "n1", spec(2, tasks=1, awaits=[parent.id]))[0] == 201
+    assert answer(w, "n1", spec(2, task_count=1, depends_on=[parent.id]))[0] == 201
     assert (recorder.reads(parent.id) == 0) == is_told
     assert w.broken == []
 
@@ -184,7 +194,7 @@
 @pytest.mark.parametrize("end", ["done", "cancelled"])
 def test_a_parent_that_was_over_long_ago_is_known_by_its_final_state(end: str) -> None:
     w = warm()
-    parent = spec(1, tasks=1, estimate_s=1.0 if end == "done" else 60.0)
+    parent = spec(1, task_count=1, estimated_run_s=1.0 if end == "done" else 60.0)
     w.submit(parent)
     if end == "done":
         assert w.finish(parent.id, 40.0)
@@ -194,7 +204,7 @@
     for name in w.node_names:
         w.kill(name, 0.5)
     w.run(15.0)
-    child = spec(2, tasks=1, estimate_s=1.0, awaits=[parent.id])
+    child = spec(2, task_count=1, estimated_run_s=1.0, depends_on=[parent.id])
     code, state = answer(w, "n1", child)
     assert (code, state) == (201, "queued" if end == "done" else "cancelled")
     if end == "done":
@@ -208,10 +218,10 @@
     is_carried_out: bool,
 ) -> None:
     w = warm()
-    parent = spec(1, tasks=1, estimate_s=60.0)
+    parent = spec(1, task_count=1, estimated_run_s=60.0)
     w.submit(parent)
     w.cancel(parent.id)
-    child = spec(2, awaits=[parent.id])
+    child = spec(2, depends_on=[parent.id])
     final = keys.FINALS + child.id
 
     def is_acceptance(call: Any) -> bool:
@@ -234,9 +244,9 @@
 
 def test_a_job_released_after_a_takeover_does_not_wait_for_silent_machines() -> None:
     w = warm()
-    parent = spec(1, tasks=1, estimate_s=16.0)
-    child = spec(2, tasks=2, estimate_s=1.0, awaits=[parent.id])
-    holding = [spec(n, tasks=8, estimate_s=60.0) for n in (3, 4)]
+    parent = spec(1, task_count=1, estimated_run_s=16.0)
+    child = spec(2, task_count=2, estimated_run_s=1.0, depends_on=[parent.id])
+    holding = [spec(n, task_count=8, estimated_run_s=60.0) for n in (3, 4)]
     for job in [parent, child, *holding]:
         w.submit(job)
     w.until(lambda: first_start(w, parent.id) > 0 and len(w.starts) >= 12, 30.0)
@@ -247,15 +257,18 @@
     for name in w.node_names:
         w.kill(name, 0.5)
     w.run(2.0)
-    assert w.until(lambda: any(p.suspects for c in w.cores.values() if c for p in c.acting()), 8.0)
+    assert w.until(
+        lambda: any(p.unreconciled_machines for c in w.cores.values() if c for p in c.led_shards()),
+        8.0,
+    )
     waiting = [
         p.slices[child.id]
         for c in w.cores.values()
         if c
-        for p in c.acting()
-        if p.suspects and child.id in p.slices
+        for p in c.led_shards()
+        if p.unreconciled_machines and child.id in p.slices
     ]
-    assert all(not s.suspect for s in waiting)
+    assert all(not s.is_unreconciled for s in waiting)
     silent.hung = False
     assert w.finish(child.id, 60.0)
     assert w.broken == []
@@ -264,10 +277,10 @@
 def test_what_cannot_be_decided_now_is_refused_for_now() -> None:
     w = warm()
     w.state.outage(True, w.now)
-    w.specs["job-000002"] = spec(2, awaits=["job-000001"])
+    w.specs["job-000002"] = spec(2, depends_on=["job-000001"])
     out = w.ask("n0", "submit", w.specs["job-000002"])
     assert w.until(lambda: bool(out), 5.0)
-    assert out[0].status == 503 and out[0].retry_after >= 1
+    assert out[0].status == 503 and out[0].retry_after_s >= 1
 
 
 def test_ids_that_nobody_submitted_do_not_use_up_the_rate_of_the_state_service() -> None:
@@ -275,13 +288,13 @@
     recorder = Recorder(w, "n0")
     many = [f"job-{n}" for n in range(900_000, 901_000)]
     for n in range(40):
-        w.ask("n0", "submit", spec(100 + n, awaits=many))
+        w.ask("n0", "submit", spec(100 + n, depends_on=many))
     w.run(5.0)
     # The first unknown id decides, by three reads, and two more show that the job itself is not
     # known; only so many are under way at once.
-    most = running(w, "n0").answers.lookups.most_reads
+    most = running(w, "n0").answers.lookups.max_reads
     assert most < 20 and recorder.count(Get) <= 5 * most
-    assert w.finish(w.submit(spec(1, tasks=1, estimate_s=1.0)), 40.0)
+    assert w.finish(w.submit(spec(1, task_count=1, estimated_run_s=1.0)), 40.0)
 
 
 def test_many_finished_parents_are_looked_up_over_several_tries() -> None:
@@ -290,9 +303,9 @@
     for parent in parents:
         w.state.data[keys.FINALS + parent] = ("done", 1, None)
         w.specs[parent] = spec(int(parent[4:]))
-        w.results |= {(parent, i) for i in range(w.specs[parent].tasks)}
+        w.results |= {(parent, i) for i in range(w.specs[parent].task_count)}
     w.state_slow = 0.05
-    child = spec(1, tasks=1, estimate_s=1.0, awaits=parents)
+    child = spec(1, task_count=1, estimated_run_s=1.0, depends_on=parents)
     w.submit(child, "n0")
     assert w.finish(child.id, 40.0)
     assert w.broken == []
@@ -303,14 +316,14 @@
 
 def test_a_child_accepted_by_a_node_whose_view_lags_is_cancelled_too() -> None:
     w = warm()
-    parent = spec(1, tasks=1, estimate_s=60.0)
+    parent = spec(1, task_count=1, estimated_run_s=60.0)
     w.submit(parent, "n0")
     w.run(2.0)
     w.watch_lag["n1"] = 4.0
     w.lost.add("record")
     w.run(5.0)
     assert w.cancel(parent.id) == "cancelled"
-    child = spec(2, awaits=[parent.id])
+    child = spec(2, depends_on=[parent.id])
     w.submit(child, "n1")
     w.watch_lag.clear()
     assert all_cancelled(w, [child], w.cancel_s)
@@ -322,11 +335,11 @@
     seed: int,
 ) -> None:
     w = warm(seed)
-    parent = spec(1, tasks=1, estimate_s=60.0)
+    parent = spec(1, task_count=1, estimated_run_s=60.0)
     w.submit(parent)
-    chain = [spec(2, awaits=[parent.id])]
+    chain = [spec(2, depends_on=[parent.id])]
     for n in range(3, 9):
-        chain.append(spec(n, awaits=[chain[-1].id]))
+        chain.append(spec(n, depends_on=[chain[-1].id]))
     for job in chain:
         w.submit(job)
     w.run(3.0)
@@ -369,11 +382,11 @@
     restart: bool, lost: set[str]
 ) -> None:
     w = warm()
-    parent = spec(1, tasks=1, estimate_s=100.0)
-    chain = [spec(2, awaits=[parent.id])]
-    chain.append(spec(3, awaits=[chain[0].id]))
+    parent = spec(1, task_count=1, estimated_run_s=100.0)
+    chain = [spec(2, depends_on=[parent.id])]
+    chain.append(spec(3, depends_on=[chain[0].id]))
     # More than those whose ends are being written at once.
-    chain += [spec(n, awaits=[parent.id]) for n in range(10, 40)]
+    chain += [spec(n, depends_on=[parent.id]) for n in range(10, 40)]
     for job in [parent, *chain]:
         w.submit(job)
     hold_ends_back(w)
@@ -396,7 +409,7 @@
     """Its parent's cancel is known to nobody any more as an entry, so no promise carries it."""
     w = warm()
     for n in range(1, 40):
-        parent = spec(10 * n, tasks=1, estimate_s=100.0)
+        parent = spec(10 * n, task_count=1, estimated_run_s=100.0)
         w.submit(parent, "n0")
         record = w.state.data[keys.JOBS + parent.id][0]
         if {owner(w, part) for part in (record[1], *map(int, record[2]))} == {"n0"}:
@@ -409,7 +422,7 @@
     assert w.cancel(parent.id) == "cancelled"
     w.until(lambda: keys.FINALS + parent.id in w.state.data, 20.0)
     w.run(1.0)
-    child = spec(1, awaits=[parent.id])
+    child = spec(1, depends_on=[parent.id])
     w.submit(child, "n1")
     assert keys.JOBS + child.id in w.state.data
     w.state.outage(True, w.now)
@@ -426,16 +439,16 @@
     w = warm()
     core = running(w, "n0")
     records = {
-        "job-000002": [list_of(spec(2, awaits=["job-000001"])), 0, {"0": [[0, 6]]}, []],
-        "job-000003": [list_of(spec(3, awaits=["job-000002"])), 0, {"0": [[0, 6]]}, []],
+        "job-000002": [list_of(spec(2, depends_on=["job-000001"])), 0, {"0": [[0, 6]]}, []],
+        "job-000003": [list_of(spec(3, depends_on=["job-000002"])), 0, {"0": [[0, 6]]}, []],
     }
     for job, record in records.items():
-        core.view.take_in(keys.JOBS + job, record, core.view.rev + 1)
+        core.view.record_read(keys.JOBS + job, record, core.view.revision + 1)
     core.sync()
-    core.view.rev += 2
-    assert not core.pipelines.knows_ancestors("job-000003")
-    core.answers.final("job-000001", JobState.CANCELLED)
-    assert core.pipelines.has_cancelled_ancestor("job-000003")
+    core.view.revision += 2
+    assert not core.dependencies.knows_ancestors("job-000003")
+    core.answers.record_final("job-000001", JobState.CANCELLED)
+    assert core.dependencies.has_cancelled_ancestor("job-000003")
 
 
 def test_a_cancel_is_confirmed_only_after_the_managers_of_descendants_have_it() -> None:
@@ -443,8 +456,8 @@
     w = warm()
     for n in range(1, 40):
         # A parent whose manager and slices are elsewhere, and a child managed at n2.
-        parent = spec(10 * n, tasks=1, estimate_s=90.0)
-        child = spec(10 * n + 1, tasks=1, awaits=[parent.id])
+        parent = spec(10 * n, task_count=1, estimated_run_s=90.0)
+        child = spec(10 * n + 1, task_count=1, depends_on=[parent.id])
         w.submit(parent, "n0")
         w.submit(child, "n2")
         record = w.state.data[keys.JOBS + parent.id][0]
@@ -473,8 +486,8 @@
 @pytest.mark.parametrize("back", [0.2, 6.0])
 def test_a_takeover_between_the_parent_s_end_and_the_release(back: float) -> None:
     w = warm()
-    parent = spec(1, tasks=1, estimate_s=3.0)
-    child = spec(2, tasks=2, estimate_s=1.0, awaits=[parent.id])
+    parent = spec(1, task_count=1, estimated_run_s=3.0)
+    child = spec(2, task_count=2, estimated_run_s=1.0, depends_on=[parent.id])
     w.submit(parent)
     w.submit(child)
     w.lost.add("ended")
@@ -489,9 +502,9 @@
 def test_a_node_falls_with_each_commit_of_a_pipeline(number: int, is_cancelled: bool) -> None:
     """Its commit is carried out; who takes over finds what it left."""
     w = warm(number)
-    chain = [spec(1, tasks=1, estimate_s=4.0)]
+    chain = [spec(1, task_count=1, estimated_run_s=4.0)]
     for n in (2, 3):
-        chain.append(spec(n, tasks=2, estimate_s=1.0, awaits=[chain[-1].id]))
+        chain.append(spec(n, task_count=2, estimated_run_s=1.0, depends_on=[chain[-1].id]))
     for job in chain:
         w.submit(job)
     left = iter(range(number - 1, -1, -1))
@@ -519,8 +532,8 @@
     ends = set()
     for tenths in range(0, 40, 2):
         w = warm()
-        parent = spec(1, tasks=1, estimate_s=3.0)
-        child = spec(2, tasks=1, estimate_s=1.0, awaits=[parent.id])
+        parent = spec(1, task_count=1, estimated_run_s=3.0)
+        child = spec(2, task_count=1, estimated_run_s=1.0, depends_on=[parent.id])
         w.submit(parent)
         w.submit(child)
         w.until(lambda w=w: ("job-000001", 0) in w.results, 30.0)
@@ -542,8 +555,8 @@
 
 def test_a_release_whose_answer_is_lost_or_that_comes_late_is_not_repeated() -> None:
     w = warm()
-    parent = spec(1, tasks=1, estimate_s=2.0)
-    child = spec(2, tasks=2, estimate_s=1.0, awaits=[parent.id])
+    parent = spec(1, task_count=1, estimated_run_s=2.0)
+    child = spec(2, task_count=2, estimated_run_s=1.0, depends_on=[parent.id])
     w.submit(parent)
     w.submit(child)
     late = iter([2.0])
@@ -611,11 +624,11 @@
     w = warm()
     jobs = submit_pipeline(w, deadline_s=100.0)
     w.run(2.0)
-    urgency = running(w, "n0").urgency
+    urgency = running(w, "n0").inherited_urgency
     view = running(w, "n0").view
     scheduled = [urgency.scheduling_spec(view.jobs[job.id]) for job in jobs]
     assert {s.priority for s in scheduled} == {"high"}
-    due = [s.at + (s.deadline_s or 0.0) for s in scheduled]
+    due = [s.accepted_at + (s.deadline_s or 0.0) for s in scheduled]
     assert due[0] < due[1] < due[4] < due[5]
     w.cancel(jobs[-1].id)
     w.run(3.0)
@@ -624,12 +637,12 @@
 
 def test_machines_are_rented_for_an_array_while_its_parents_run() -> None:
     w = warm()
-    parent = w.submit(spec(1, tasks=2, estimate_s=8.0))
-    far = w.submit(spec(2, tasks=2, estimate_s=1000.0))
-    soon = w.submit(spec(3, tasks=4, awaits=[parent]))
-    w.submit(spec(4, tasks=4, awaits=[soon]))
-    w.submit(spec(5, tasks=4, awaits=[parent, far]))
-    w.submit(spec(6, kind="gang", tasks=2, awaits=[parent]))
+    parent = w.submit(spec(1, task_count=2, estimated_run_s=8.0))
+    far = w.submit(spec(2, task_count=2, estimated_run_s=1000.0))
+    soon = w.submit(spec(3, task_count=4, depends_on=[parent]))
+    w.submit(spec(4, task_count=4, depends_on=[soon]))
+    w.submit(spec(5, task_count=4, depends_on=[parent, far]))
+    w.submit(spec(6, kind="gang", task_count=2, depends_on=[parent]))
 
     def planned() -> dict[str, int]:
         core = running(w, "n0")
@@ -650,8 +663,8 @@
 
 def test_operators_see_what_a_waiting_job_waits_for() -> None:
     w = warm()
-    parent = w.submit(spec(1, tasks=1, estimate_s=60.0))
-    child = w.submit(spec(2, awaits=[parent]))
+    parent = w.submit(spec(1, task_count=1, estimated_run_s=60.0))
+    child = w.submit(spec(2, depends_on=[parent]))
     w.run(1.0)
     shown = status(running(w, manager_of(w, child)))["waiting"]
     assert shown == [
@@ -663,16 +676,18 @@
     """A long chain and a wide stage: no recursion, and no walk over all waiting jobs."""
     w = warm()
     core = running(w, "n0")
-    top = spec(1, tasks=1)
-    specs = [top, spec(2, awaits=[top.id])]
+    top = spec(1, task_count=1)
+    specs = [top, spec(2, depends_on=[top.id])]
     for n in range(3, 3000):
-        specs.append(spec(n, awaits=[specs[-1].id]))
+        specs.append(spec(n, depends_on=[specs[-1].id]))
     for n, job in enumerate(specs):
-        core.view.take_in(keys.JOBS + job.id, [list_of(job), 0, {"0": [[0, 6]]}, []], 10_000 + n)
+        core.view.record_read(
+            keys.JOBS + job.id, [list_of(job), 0, {"0": [[0, 6]]}, []], 10_000 + n
+        )
     core.sync()
-    assert sum(1 for _ in core.pipelines.descendants(top.id)) == 2998
-    core.cancels.learn(top.id, 20_000)
-    assert all(core.pipelines.has_cancelled_ancestor(job.id) for job in specs[1:])
+    assert sum(1 for _ in core.dependencies.descendants(top.id)) == 2998
+    core.cancellations.record(top.id, 20_000)
+    assert all(core.dependencies.has_cancelled_ancestor(job.id) for job in specs[1:])
 
 
 def list_of(job: JobSpec) -> list[Any]:
@@ -685,7 +700,9 @@
     numbers = iter(range(100, 400))
     for name in w.node_names:
         for n in numbers:
-            job = spec(n, tasks=1, estimate_s=100.0, awaits=[x.id for x in chain[-1:]])
+            job = spec(
+                n, task_count=1, estimated_run_s=100.0, depends_on=[x.id for x in chain[-1:]]
+            )
             w.submit(job, name)
             record = w.state.data[keys.JOBS + job.id][0]
             parts = {record[1]} if chain else {record[1], *map(int, record[2])}
@@ -729,8 +746,8 @@
 
 def cancelled_with_ends_held_back(w: World, cancels: float = 1.2) -> tuple[JobSpec, str]:
     """A child whose end cannot be written for some cancel_s, and a node not its manager."""
-    parent = spec(1, tasks=1, estimate_s=100.0)
-    child = spec(2, awaits=[parent.id])
+    parent = spec(1, task_count=1, estimated_run_s=100.0)
+    child = spec(2, depends_on=[parent.id])
     w.submit(parent)
     w.submit(child)
     w.run(1.0)
@@ -779,8 +796,8 @@
 def test_it_is_not_told_so_while_another_node_may_still_call_it_queued() -> None:
     """By a fresh read, with a view that is younger than a worker's lease."""
     w = warm()
-    parent = spec(1, tasks=1, estimate_s=100.0)
-    child = spec(2, awaits=[parent.id])
+    parent = spec(1, task_count=1, estimated_run_s=100.0)
+    child = spec(2, depends_on=[parent.id])
     w.submit(parent)
     w.submit(child)
     w.run(1.0)
@@ -824,13 +841,13 @@
     child, other = cancelled_with_ends_held_back(w, 0.1)
     core = running(w, other)
     queued = ProvenStatus(JobStatus(JobState.QUEUED, 0, 0), Proof.PEER)
-    assert core.answers.may_tell(child.id, queued) is None
+    assert core.answers.answerable_status(child.id, queued) is None
 
 
 def test_who_reads_a_waiting_job_looks_for_the_ends_of_all_its_ancestors() -> None:
     """The parent is found alive by a read, and its own parent is over and was cancelled."""
     w = warm()
-    first, second, third = (spec(n, awaits=[f"job-{n - 1:06d}"][: n - 1]) for n in (1, 2, 3))
+    first, second, third = (spec(n, depends_on=[f"job-{n - 1:06d}"][: n - 1]) for n in (1, 2, 3))
     version = w.state.rev + 1000
     w.state.data[keys.FINALS + first.id] = ("cancelled", version, None)
     for job in (second, third):
--- a/tests/test_rental_intents.py
+++ b/tests/test_rental_intents.py
@@ -33,21 +33,21 @@
 ) -> None:
     world = World(450, 1)
     world.run(4.0)
-    world.submit(spec(1, tasks=4, estimate_s=300.0))
+    world.submit(spec(1, task_count=4, estimated_run_s=300.0))
     world.run(15.0)
     core = world.cores["n0"]
     assert core is not None
-    part = core.acting()[0]
+    part = core.led_shards()[0]
     for number in range(20):
         world.state.rev += 1
-        key = keys.hire(part.number, f"r-0-{number}")
-        world.state.data[key] = (["t4", "a", False, 2, core.wall], world.state.rev, None)
+        key = keys.rental_intent(part.shard_id, f"r-0-{number}")
+        world.state.data[key] = (["t4", "a", False, 2, core.wall_time], world.state.rev, None)
         part.obsolete_keys[key] = world.state.rev
     slices = list(part.slices.values())
     # There is always progress to write.
     monkeypatch.setattr(progress, "_dirty", lambda part, now: [(slices[0], 0)])
     world.run(60.0)
-    assert not [key for key in world.state.data if key.startswith(f"{keys.HIRES}0/r-0-")]
+    assert not [key for key in world.state.data if key.startswith(f"{keys.RENTAL_INTENTS}0/r-0-")]
     assert not world.broken
 
 
@@ -62,9 +62,9 @@
     core = world.cores["n0"]
     assert core is not None
     for number in range(20):
-        intent = ["t4", "a", False, 2, core.wall - age_s]
+        intent = ["t4", "a", False, 2, core.wall_time - age_s]
         world.state.rev += 1
-        key = keys.hire(0, f"r-1-{900 + number}")
+        key = keys.rental_intent(0, f"r-1-{900 + number}")
         world.state.data[key] = (intent, world.state.rev, None)
     rentals = Rentals(world)
     world.kill(owner(world, 0), back_after=60.0)
@@ -73,7 +73,7 @@
     assert bool(again) is sent
     assert len(world.workers) == (40 if sent else 0)
     # None is left behind.
-    assert not [key for key in world.state.data if key.startswith(f"{keys.HIRES}0/r-1-9")]
+    assert not [key for key in world.state.data if key.startswith(f"{keys.RENTAL_INTENTS}0/r-1-9")]
     assert not world.broken
 
 
@@ -94,7 +94,7 @@
         return result
 
     world.cloud = unanswered  # type: ignore[method-assign]
-    world.submit(spec(1, tasks=4, estimate_s=5.0))
+    world.submit(spec(1, task_count=4, estimated_run_s=5.0))
     assert world.until(lambda: bool(lost), 20.0)
     world.cloud = plain  # type: ignore[method-assign]
     first = set(world.hires[lost[0]])
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -25,7 +25,7 @@
 
 def test_killed_owner_runs_no_task_twice() -> None:
     w = warm(2)
-    jobs = [w.submit(spec(i, tasks=9, estimate_s=12.0)) for i in range(1, 4)]
+    jobs = [w.submit(spec(i, task_count=9, estimated_run_s=12.0)) for i in range(1, 4)]
     w.run(12.0)
     assert w.starts
     w.kill("n1", back_after=8.0)
@@ -38,7 +38,7 @@
 
 def test_all_nodes_killed_nothing_forgotten() -> None:
     w = warm(3)
-    jobs = [w.submit(spec(i, tasks=5, estimate_s=10.0)) for i in range(1, 5)]
+    jobs = [w.submit(spec(i, task_count=5, estimated_run_s=10.0)) for i in range(1, 5)]
     w.run(9.0)
     for x in w.node_names:
         w.kill(x, back_after=5.0)
@@ -50,7 +50,7 @@
 
 def test_restart_within_a_fraction_of_a_second() -> None:
     w = warm(4)
-    jobs = [w.submit(spec(i, tasks=8, estimate_s=10.0)) for i in range(1, 4)]
+    jobs = [w.submit(spec(i, task_count=8, estimated_run_s=10.0)) for i in range(1, 4)]
     w.run(9.0)
     running = len(w.starts)
     for x in w.node_names:
@@ -65,7 +65,7 @@
 
 def test_late_report_and_late_command_of_an_earlier_owner() -> None:
     w = warm(5)
-    jobs = [w.submit(spec(i, tasks=9, estimate_s=15.0)) for i in range(1, 4)]
+    jobs = [w.submit(spec(i, task_count=9, estimated_run_s=15.0)) for i in range(1, 4)]
     w.run(10.0)
     # Everything to and from n0 is held back, while another node takes its part.
     w.isolate("n0", hold=True)
@@ -77,14 +77,14 @@
 
 def test_cut_node_with_an_old_token_does_not_act() -> None:
     w = warm(6)
-    jobs = [w.submit(spec(i, tasks=9, estimate_s=15.0)) for i in range(1, 4)]
+    jobs = [w.submit(spec(i, task_count=9, estimated_run_s=15.0)) for i in range(1, 4)]
     w.run(8.0)
     # n2 still reaches its workers, but not the state service: its authority must end.
     w.isolate("n2", "state", "n0", "n1")
     w.run(9.0)
     core = w.cores["n2"]
     assert core is not None
-    assert core.acting() == []
+    assert core.led_shards() == []
     assert owner(w, 2) != "n2"
     w.heal()
     assert all(w.finish(j, 300.0) for j in jobs)
@@ -93,7 +93,7 @@
 
 def test_cancel_racing_launches_and_a_takeover() -> None:
     w = warm(7)
-    jobs = [w.submit(spec(i, tasks=12, estimate_s=20.0)) for i in range(1, 4)]
+    jobs = [w.submit(spec(i, task_count=12, estimated_run_s=20.0)) for i in range(1, 4)]
     w.run(6.0)
     w.kill("n0", back_after=6.0)
     states = [w.cancel(j) for j in jobs[:2]]
@@ -108,7 +108,7 @@
 
 def test_quota_holds_across_handovers() -> None:
     w = warm(8)
-    jobs = [w.submit(spec(i, team="blue", tasks=20, estimate_s=8.0)) for i in range(1, 3)]
+    jobs = [w.submit(spec(i, team="blue", task_count=20, estimated_run_s=8.0)) for i in range(1, 3)]
     for n in range(6):
         w.run(7.0)
         w.kill(w.node_names[n % 3], back_after=2.0)
@@ -119,7 +119,7 @@
 def test_a_gang_larger_than_a_parts_share_gets_the_room_of_the_others() -> None:
     w = warm(9)
     # 12 CPUs is the whole limit of the team, of which each part has a third.
-    job = w.submit(spec(1, kind="gang", team="blue", tasks=12, estimate_s=5.0))
+    job = w.submit(spec(1, kind="gang", team="blue", task_count=12, estimated_run_s=5.0))
     assert w.finish(job, 120.0)
     at = [t for t, *_ in w.starts]
     assert len(at) == 12 and max(at) - min(at) < 3.0
@@ -128,9 +128,9 @@
 
 def test_together_and_scatter() -> None:
     w = warm(10)
-    a = w.submit(spec(1, tasks=8, one_zone=True))
-    b = w.submit(spec(2, tasks=5, spread=True, kind="gang", zone=None))
-    c = w.submit(spec(3, tasks=3, zone="b"))
+    a = w.submit(spec(1, task_count=8, single_zone=True))
+    b = w.submit(spec(2, task_count=5, spread_zones=True, kind="gang", zone=None))
+    c = w.submit(spec(3, task_count=3, zone="b"))
     assert w.finish(a, 120.0) and w.finish(c, 120.0) and w.finish(b, 200.0)
     assert not w.broken
     # Five tasks apart: three at most in one zone, so two zones were used.
@@ -139,7 +139,7 @@
 
 def test_done_only_after_the_last_task() -> None:
     w = warm(11)
-    job = w.submit(spec(1, tasks=7, estimate_s=10.0))
+    job = w.submit(spec(1, task_count=7, estimated_run_s=10.0))
     seen = set()
     for _ in range(300):
         seen.add(w.state_of(job))
@@ -154,7 +154,7 @@
     w = warm(12)
     w.lose_answers = 0.2
     w.late_commits = 0.05
-    jobs = [w.submit(spec(i, tasks=4, estimate_s=4.0)) for i in range(1, 6)]
+    jobs = [w.submit(spec(i, task_count=4, estimated_run_s=4.0)) for i in range(1, 6)]
     w.cancel(jobs[0])
     assert all(w.finish(j, 300.0) for j in jobs[1:])
     assert w.state_of(jobs[0]) in ("cancelled", "")
@@ -163,7 +163,7 @@
 
 def test_repeats_of_a_submission_make_one_job() -> None:
     w = warm(13)
-    s = spec(1, tasks=3)
+    s = spec(1, task_count=3)
     w.specs[s.id] = s
     outs = [w.ask(x, "submit", s) for x in w.node_names for _ in range(2)]
     w.run(2.0)
@@ -184,8 +184,8 @@
     for s in (
         spec(1, team="nobody"),
         spec(2, cpus=9.0),
-        spec(3, kind="gang", tasks=25),
-        spec(4, types=["t4"], cpus=5.0),
+        spec(3, kind="gang", task_count=25),
+        spec(4, machine_types=["t4"], cpus=5.0),
         spec(5, zone="nowhere"),
     ):
         w.specs[s.id] = s
@@ -196,7 +196,7 @@
 
 def test_state_outage_refuses_at_once_and_loses_nothing() -> None:
     w = warm(15)
-    jobs = [w.submit(spec(i, tasks=6, estimate_s=8.0)) for i in range(1, 4)]
+    jobs = [w.submit(spec(i, task_count=6, estimated_run_s=8.0)) for i in range(1, 4)]
     w.run(8.0)
     w.state.outage(True, w.now)
     w.run(6.0)
@@ -204,7 +204,7 @@
     w.specs[s.id] = s
     out = w.ask("n0", "submit", s)
     w.run(3.0)
-    assert out[0].status == 503 and out[0].retry_after >= 1
+    assert out[0].status == 503 and out[0].retry_after_s >= 1
     w.run(12.0)
     w.state.outage(False, w.now)
     assert all(w.finish(j, 200.0) for j in jobs)
@@ -226,7 +226,7 @@
 
 def test_hanging_and_failing_machines_are_routed_around() -> None:
     w = warm(17)
-    jobs = [w.submit(spec(i, tasks=8, estimate_s=6.0)) for i in range(1, 4)]
+    jobs = [w.submit(spec(i, task_count=8, estimated_run_s=6.0)) for i in range(1, 4)]
     w.run(10.0)
     up = [m for m in w.workers.values() if m.up and not m.deleted]
     up[0].hung = True
@@ -239,8 +239,8 @@
 
 def test_a_job_that_fails_everywhere_does_not_block_others() -> None:
     w = warm(18)
-    bad = w.submit(spec(1, cls="bad", tasks=4))
-    good = w.submit(spec(2, tasks=4))
+    bad = w.submit(spec(1, job_class="bad", task_count=4))
+    good = w.submit(spec(2, task_count=4))
     assert w.finish(good, 120.0)
     assert w.cancel(bad) == "cancelled"
     assert not w.broken
@@ -249,7 +249,7 @@
 def test_a_rental_in_doubt_is_finished_by_the_next_owner() -> None:
     w = warm(19)
     w.cloud_down = True
-    w.submit(spec(1, tasks=6, estimate_s=30.0))
+    w.submit(spec(1, task_count=6, estimated_run_s=30.0))
     # Kill every node after the intents were written and before the cloud answered.
     assert w.until(lambda: any("/h/" in k for k in w.state.data), 10.0)
     for x in w.node_names:
@@ -268,11 +268,11 @@
 
 def test_an_outage_longer_than_a_lease_loses_no_task_while_all_talk() -> None:
     w = warm(30)
-    job = w.submit(spec(1, tasks=12, estimate_s=60.0))
+    job = w.submit(spec(1, task_count=12, estimated_run_s=60.0))
     w.run(14.0)
     w.state.outage(True, w.now)
     w.run(35.0)
-    assert all(c is not None and c.acting() for c in w.cores.values())
+    assert all(c is not None and c.led_shards() for c in w.cores.values())
     w.state.outage(False, w.now)
     assert w.finish(job, 200.0)
     assert set(sessions(w)) == {1}
@@ -282,12 +282,12 @@
 
 def test_a_node_refused_alone_gets_no_promise_and_is_relieved() -> None:
     w = warm(31)
-    w.submit(spec(1, tasks=12, estimate_s=60.0))
+    w.submit(spec(1, task_count=12, estimated_run_s=60.0))
     w.run(10.0)
     w.state.refused_nodes.add("n1")
     w.run(8.0)
     core = w.cores["n1"]
-    assert core is not None and not core.acting()
+    assert core is not None and not core.led_shards()
     assert owner(w, 1) != "n1"
     w.state.refused_nodes.clear()
     assert w.finish("job-000001", 300.0)
@@ -298,7 +298,7 @@
 def test_no_promises_when_a_peer_is_cut_or_restarted_in_the_outage() -> None:
     for cut in (True, False):
         w = warm(32)
-        w.submit(spec(1, tasks=6, estimate_s=30.0))
+        w.submit(spec(1, task_count=6, estimated_run_s=30.0))
         w.run(10.0)
         w.state.outage(True, w.now)
         if cut:
@@ -306,7 +306,7 @@
         else:
             w.kill("n2", back_after=0.5)
         w.run(9.0)
-        assert all(c is not None and not c.acting() for c in w.cores.values())
+        assert all(c is not None and not c.led_shards() for c in w.cores.values())
         w.heal()
         w.state.outage(False, w.now)
         assert w.finish("job-000001", 300.0)
@@ -315,11 +315,13 @@
 
 def test_a_promise_is_kept_after_the_outage_and_by_a_node_that_restarts() -> None:
     w = warm(33)
-    w.submit(spec(1, tasks=12, estimate_s=40.0))
+    w.submit(spec(1, task_count=12, estimated_run_s=40.0))
     w.run(10.0)
     w.state.outage(True, w.now)
     assert w.until(
-        lambda: all(c is not None and c.authority.promises.hold(c.now) for c in w.cores.values()),
+        lambda: all(
+            c is not None and c.leadership.promises.are_held(c.now) for c in w.cores.values()
+        ),
         10.0,
     )
     # n0 goes on acting on its promises; the others get the state service back, and one of them
@@ -332,7 +334,7 @@
         core = w.cores["n0"]
         assert core is not None
         if owner(w, 0) != "n0":
-            assert not core.acts(0)
+            assert not core.is_leader(0)
     assert owner(w, 0) != "n0"
     w.state.refused_nodes.clear()
     assert w.finish("job-000001", 300.0)
@@ -341,13 +343,13 @@
 
 def test_a_node_cut_from_all_but_the_state_service_gives_its_part_away() -> None:
     w = warm(36)
-    w.submit(spec(1, tasks=12, estimate_s=60.0))
+    w.submit(spec(1, task_count=12, estimated_run_s=60.0))
     w.run(12.0)
     w.isolate("n0", "n1", "n2", "users", *w.workers)
     w.run(9.0)
     assert owner(w, 0) != "n0"
     core = w.cores["n0"]
-    assert core is not None and not core.acting()
+    assert core is not None and not core.led_shards()
     w.heal()
     assert w.finish("job-000001", 300.0)
     # The machines' leases were kept: nothing was started twice, not even one after the other.
@@ -359,13 +361,13 @@
 def test_parts_stay_where_they_are_when_all_machines_fall_silent() -> None:
     """Found in an incident: with all machines hanging, nodes passed parts around in vain."""
     w = warm(37)
-    w.submit(spec(1, tasks=12, estimate_s=60.0))
+    w.submit(spec(1, task_count=12, estimated_run_s=60.0))
     w.run(12.0)
     for m in w.workers.values():
         m.hung = True
     w.run(8.0)
     assert [owner(w, i) for i in range(3)] == ["n0", "n1", "n2"]
-    assert w.state.data[keys.SPLIT][0][0] == 3
+    assert w.state.data[keys.SHARD_MAP][0][0] == 3
     for m in w.workers.values():
         m.hung = False
     assert w.finish("job-000001", 300.0)
@@ -376,21 +378,23 @@
     aims = [{"kind": "wait", "class": "g", "within_s": 4.0, "share": 0.9}]
     w = warm(38, objectives=aims)
     w.capacity = 1
-    low = w.submit(spec(1, tasks=16, estimate_s=60.0, types=["t8"]))
+    low = w.submit(spec(1, task_count=16, estimated_run_s=60.0, machine_types=["t8"]))
     assert w.until(lambda: len(w.starts) >= 8, 30.0)
     w.run(3.0)
     asked = w.now
-    gang = w.submit(spec(2, kind="gang", tasks=2, cpus=4.0, cls="g", priority="high"))
+    gang = w.submit(spec(2, kind="gang", task_count=2, cpus=4.0, job_class="g", priority="high"))
     assert w.finish(gang, 60.0)
     at = [t for t, job, *_ in w.starts if job == gang]
     assert len(at) == 2 and max(at) - asked < 8.0
     assert w.finish(low, 400.0)
     # Work of the same priority is not stopped.
     n = len(w.starts)
-    low = w.submit(spec(3, tasks=8, estimate_s=40.0, types=["t8"], priority="high"))
+    low = w.submit(
+        spec(3, task_count=8, estimated_run_s=40.0, machine_types=["t8"], priority="high")
+    )
     assert w.until(lambda: len(w.starts) >= n + 8, 30.0)
     asked = w.now
-    gang = w.submit(spec(4, kind="gang", tasks=2, cpus=4.0, cls="g", priority="high"))
+    gang = w.submit(spec(4, kind="gang", task_count=2, cpus=4.0, job_class="g", priority="high"))
     assert w.finish(gang, 200.0)
     assert min(t for t, job, *_ in w.starts if job == gang) - asked > 15.0
     assert sum(job == low for _, job, *_ in w.starts) == 8
@@ -400,9 +404,17 @@
 def test_a_spot_notice_saves_what_can_be_saved_and_settles_the_rest_early() -> None:
     w = warm(39)
     saves = w.submit(
-        spec(1, kind="gang", tasks=2, cpus=4.0, estimate_s=90.0, checkpoint_s=20.0, save_s=2.0)
+        spec(
+            1,
+            kind="gang",
+            task_count=2,
+            cpus=4.0,
+            estimated_run_s=90.0,
+            checkpoint_interval_s=20.0,
+            checkpoint_save_s=2.0,
+        )
     )
-    plain = w.submit(spec(2, tasks=4, estimate_s=90.0))
+    plain = w.submit(spec(2, task_count=4, estimated_run_s=90.0))
     w.run(20.0)
     assert {j for _, j, *_ in w.starts} == {saves, plain}
     began = len(w.starts)
@@ -413,7 +425,7 @@
         m.obey = lambda o, obey=obey: (orders.extend(o), obey(o))[1]  # type: ignore[method-assign]
         w.at(10.0, lambda m=m: (setattr(m, "deleted", True), m.tasks.clear()))
     w.run(9.9)
-    stops = [o for o in orders if o.op == "stop"]
+    stops = [o for o in orders if o.verb == "stop"]
     assert {(o.job, o.grace_s) for o in stops} == {(saves, 2.0)}
     assert len({o.index for o in stops}) == 2
     gone = w.now
@@ -427,18 +439,18 @@
 
 def test_a_flood_is_refused_at_once_while_reports_go_on() -> None:
     w = warm(41)
-    job = w.submit(spec(1, tasks=12, estimate_s=30.0))
+    job = w.submit(spec(1, task_count=12, estimated_run_s=30.0))
     w.run(12.0)
     asked = w.now
     outs = []
     for n in range(100, 400):
-        s = spec(n, tasks=2)
+        s = spec(n, task_count=2)
         w.specs[s.id] = s
         outs.append(w.ask(w.node_names[n % 3], "submit", s))
     refused = [o[0] for o in outs if o and o[0].status == 429]
     # Refused in the same instant, each with the time after which to come back.
     assert w.now == asked and len(refused) > 200
-    assert all(1 <= r.retry_after <= 30 for r in refused)
+    assert all(1 <= r.retry_after_s <= 30 for r in refused)
     w.run(3.0)
     assert all(o and o[0].status in (201, 429) for o in outs)
     # Workers are answered all the while, and what was accepted is done.
@@ -451,20 +463,20 @@
 
 def test_the_status_view_shows_parts_terms_shares_and_backlog() -> None:
     w = warm(35)
-    w.submit(spec(1, tasks=9, estimate_s=30.0))
+    w.submit(spec(1, task_count=9, estimated_run_s=30.0))
     w.run(3.0)
     core = w.cores["n1"]
     assert core is not None
     out: list[Any] = []
     w._waiters[999_999] = out.append
-    core.peer_request(999_999, "operator", "status", [])
+    core.receive_request(999_999, "operator", "status", [])
     w.flush("n1")
     s = out[0]
     assert s["node"] == "n1" and s["acts_for"] == [1] and s["live_jobs"] == 1
     assert [p["owner"] for p in s["parts"]] == ["n0", "n1", "n2"]
     assert sum(p["shares_cpus"]["red"] for p in s["parts"]) == 24.0
     assert all(p["term"] > 0 and p["backlog_cpus"] is not None for p in s["parts"])
-    assert "operator" not in core.heard
+    assert "operator" not in core.last_received_at
 
 
 def test_a_part_lost_and_given_back_is_rebuilt_even_if_only_the_split_is_read() -> None:
@@ -472,24 +484,24 @@
     that was given back to it for the one it had lost, and started what ran elsewhere.
     """
     w = warm(34)
-    w.submit(spec(1, tasks=9, estimate_s=30.0))
+    w.submit(spec(1, task_count=9, estimated_run_s=30.0))
     w.run(8.0)
     core = w.cores["n0"]
-    assert core is not None and core.view.split is not None
-    before = core.parts[0]
-    assert before.ready
-    other = shard_map.take(core.view.split, [0], "n1", 7)
-    back = shard_map.take(other, [0], *core.me)
-    version = core.view.version(keys.SPLIT)
-    core.view.take_in(keys.SPLIT, msgspec.to_builtins(back), version + 2)
+    assert core is not None and core.view.shard_map is not None
+    before = core.shards[0]
+    assert before.is_ready
+    other = shard_map.assign_shards(core.view.shard_map, [0], "n1", 7)
+    back = shard_map.assign_shards(other, [0], *core.identity)
+    version = core.view.version(keys.SHARD_MAP)
+    core.view.record_read(keys.SHARD_MAP, msgspec.to_builtins(back), version + 2)
     core.sync()
-    assert core.parts[0] is not before and not core.acts(0)
+    assert core.shards[0] is not before and not core.is_leader(0)
     # A raise of the term alone keeps what is known.
-    kept = core.parts[1] if 1 in core.parts else core.parts[0]
-    raised = shard_map.raise_term(back, kept.number)
-    core.view.take_in(keys.SPLIT, msgspec.to_builtins(raised), version + 3)
+    kept = core.shards[1] if 1 in core.shards else core.shards[0]
+    raised = shard_map.raise_term(back, kept.shard_id)
+    core.view.record_read(keys.SHARD_MAP, msgspec.to_builtins(raised), version + 3)
     core.sync()
-    assert core.parts[kept.number] is kept and kept.term == raised.counter
+    assert core.shards[kept.shard_id] is kept and kept.term == raised.last_term
 
 
 @pytest.mark.parametrize("seed", range(100, 108))
@@ -505,10 +517,10 @@
             n,
             kind=kind,
             team=rng.choice(["red", "blue"]),
-            tasks=rng.randint(1, 6 if kind == "gang" else 14),
-            estimate_s=rng.uniform(2.0, 15.0),
-            spot=rng.random() < 0.5,
-            one_zone=rng.random() < 0.2,
+            task_count=rng.randint(1, 6 if kind == "gang" else 14),
+            estimated_run_s=rng.uniform(2.0, 15.0),
+            allows_spot=rng.random() < 0.5,
+            single_zone=rng.random() < 0.2,
         )
         jobs.append(w.submit(s))
         fault = rng.randrange(9)
@@ -561,25 +573,27 @@
     """
     w = warm(20)
     w.capacity = 1
-    job = w.submit(spec(1, tasks=30, team="red", estimate_s=30.0))
+    job = w.submit(spec(1, task_count=30, team="red", estimated_run_s=30.0))
     w.run(3.0)
     core, part, s = next(
         (c, p, p.slices[job])
         for c in w.cores.values()
         if c is not None
-        for p in c.acting()
+        for p in c.led_shards()
         if len(p.slices[job].pending) > 4
     )
-    target = next(i for i in range(3) if i != part.number)
-    assert core.migrations.start(part, s, s.pending.tail(2), target)
+    target = next(i for i in range(3) if i != part.shard_id)
+    assert core.slice_migrations.start(part, s, s.pending.tail(2), target)
     w.set_time(core)
-    first = s.leaving_by
+    first = s.migration_holder
     w.flush(core.node)
-    assert w.until(lambda: not s.leaving, 5.0)
+    assert w.until(lambda: not s.migrating_ranges, 5.0)
     second = s.pending.tail(2)
-    assert core.migrations.start(part, s, second, target)
-    core.migrations._restore(part, s, first)
-    assert s.leaving == second and not any(i in s.pending for a, b in second for i in range(a, b))
+    assert core.slice_migrations.start(part, s, second, target)
+    core.slice_migrations._restore(part, s, first)
+    assert s.migrating_ranges == second and not any(
+        i in s.pending for a, b in second for i in range(a, b)
+    )
     w.flush(core.node)
     w.capacity = 12
     assert w.finish(job, 300.0)
@@ -595,7 +609,9 @@
     jobs = []
     for n in range(1, 9):
         team = rng.choice(["red", "blue"])
-        jobs.append(w.submit(spec(n, team=team, tasks=rng.randint(8, 40), estimate_s=4.0)))
+        jobs.append(
+            w.submit(spec(n, team=team, task_count=rng.randint(8, 40), estimated_run_s=4.0))
+        )
         fault = rng.randrange(4)
         if fault == 0:
             w.kill(rng.choice(w.node_names), back_after=rng.choice([0.2, 4.0]))
@@ -621,11 +637,13 @@
         {"kind": "wait", "class": "g", "within_s": 60.0, "share": 0.97},
     ]
     w = warm(42, objectives=aims)
-    low = w.submit(spec(1, team="blue", tasks=40, estimate_s=60.0))
+    low = w.submit(spec(1, team="blue", task_count=40, estimated_run_s=60.0))
     assert w.until(lambda: len(w.starts) >= 12, 40.0)
     w.run(3.0)
     asked = w.now
-    gang = w.submit(spec(2, kind="gang", team="blue", tasks=1, cpus=4.0, cls="g", priority="high"))
+    gang = w.submit(
+        spec(2, kind="gang", team="blue", task_count=1, cpus=4.0, job_class="g", priority="high")
+    )
     assert w.until(lambda: any(j == gang for _, j, *_ in w.starts), 12.0)
     assert w.now - asked < 12.0
     assert w.finish(gang, 60.0) and w.finish(low, 500.0)
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -81,12 +81,15 @@
     w.run(4.0)
     w.at(rng.uniform(0.0, 30.0), lambda: w.limit_state(LATER))
     types = ["t4", "t8", *(f"type-{n}-{'x' * 20}" for n in range(25))]
-    many = [spec(n, tasks=1, estimate_s=1.0) for n in range(100, 130)]
-    wide = [spec(1, tasks=400, estimate_s=1.5), spec(2, tasks=300, estimate_s=1.0, types=types)]
+    many = [spec(n, task_count=1, estimated_run_s=1.0) for n in range(100, 130)]
+    wide = [
+        spec(1, task_count=400, estimated_run_s=1.5),
+        spec(2, task_count=300, estimated_run_s=1.0, machine_types=types),
+    ]
     jobs = many + wide
     for job in jobs:
         w.submit(job)
-    jobs.append(spec(3, tasks=1, awaits=[job.id for job in jobs]))
+    jobs.append(spec(3, task_count=1, depends_on=[job.id for job in jobs]))
     w.submit(jobs[-1])
     for job in jobs:
         assert w.finish(job.id, 400.0), job.id
@@ -101,18 +104,18 @@
     w.run(4.0)
     core = w.cores["n0"]
     assert core is not None
-    core.note_refused_commit(CompareAndSwap([], [Put("main/w/node/n0", 1, lease=5)]))
+    core.record_rejected_write(CompareAndSwap([], [Put("main/w/node/n0", 1, lease_id=5)]))
     assert status(core)["refused_commits"] == 0
-    core.note_refused_commit(CompareAndSwap([], [Put("main/w/job/job-1", "x" * 100)]))
+    core.record_rejected_write(CompareAndSwap([], [Put("main/w/job/job-1", "x" * 100)]))
     assert status(core)["refused_commits"] == 1
-    assert [level for level, text in core.lines if "main/w/job/job-1" in text] == ["error"]
-    core.lines.clear()
+    assert [level for level, text in core.log_lines if "main/w/job/job-1" in text] == ["error"]
+    core.log_lines.clear()
 
 
 def test_a_refused_change_of_a_record_is_not_repeated_at_once() -> None:
     w = World(1)
     w.run(4.0)
-    job = w.submit(spec(1, tasks=1, estimate_s=60.0))
+    job = w.submit(spec(1, task_count=1, estimated_run_s=60.0))
     w.limit_state(dict(value_kb=0.1))
     w.cancel_asked.add(job)
     w.ask(manager(w, job), "cancel", job)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -43,10 +43,16 @@
 def submit_mixed(w: World, first: int) -> list[JobSpec]:
     """An array over all parts, a gang, and some small jobs."""
     jobs = [
-        spec(first, tasks=30, estimate_s=4.0),
-        spec(first + 1, kind="gang", tasks=3, estimate_s=8.0, team="blue"),
-        spec(first + 2, tasks=2, estimate_s=25.0, checkpoint_s=5.0, save_s=1.0),
-        spec(first + 3, tasks=1, estimate_s=1.0),
+        spec(first, task_count=30, estimated_run_s=4.0),
+        spec(first + 1, kind="gang", task_count=3, estimated_run_s=8.0, team="blue"),
+        spec(
+            first + 2,
+            task_count=2,
+            estimated_run_s=25.0,
+            checkpoint_interval_s=5.0,
+            checkpoint_save_s=1.0,
+        ),
+        spec(first + 3, task_count=1, estimated_run_s=1.0),
     ]
     for job in jobs:
         w.submit(job)
@@ -61,7 +67,7 @@
 
 
 def example_spec(kind: Any, **changes: Any) -> Any:
-    job = spec(7, at=12.5, types=["t4"], zone="a", deadline_s=30.0, **changes)
+    job = spec(7, accepted_at=12.5, machine_types=["t4"], zone="a", deadline_s=30.0, **changes)
     values = [getattr(job, field) for field in job.__struct_fields__]
     return kind(*values[: len(kind.__struct_fields__)])
 
@@ -154,11 +160,13 @@
 
 def test_what_production_rewrites_of_a_released_job_can_start() -> None:
     """It drops the awaited jobs, which no rule may depend on once the job is released."""
-    record = JobRecord(spec(1, awaits=["job-000009"]), 0, {"0": [[0, 6]]}, [["release", 1, 5.0]])
+    record = JobRecord(
+        spec(1, depends_on=["job-000009"]), 0, {"0": [[0, 6]]}, [["release", 1, 5.0]]
+    )
     old_kind = old("core.model", "JobRecord")
     read = msgspec.convert(msgspec.to_builtins(record), old_kind)
     again = msgspec.convert(msgspec.to_builtins(read), JobRecord)
-    assert not again.is_waiting and again.ready_at == 5.0
+    assert not again.is_blocked and again.startable_since == 5.0
     assert not read.cancelled
 
 
@@ -168,10 +176,10 @@
     core = w.cores["n0"]
     assert core is not None
     before = dict(core.view.jobs)
-    core.note("n1", "ended", ["job-000001", "done"])
-    core.note("n1", "record", ["job-000001", [], 5])
+    core.receive_message("n1", "ended", ["job-000001", "done"])
+    core.receive_message("n1", "record", ["job-000001", [], 5])
     assert core.view.jobs == before
-    assert not [text for level, text in core.lines if level == "error"]
+    assert not [text for level, text in core.log_lines if level == "error"]
 
 
 def test_the_version_in_production_is_another_than_the_present_one() -> None:
@@ -179,7 +187,7 @@
     core = w.cores["n0"]
     assert isinstance(core, production.ProductionController)
     assert type(core.core) is not Controller
-    assert not hasattr(core.core, "pipelines")
+    assert not hasattr(core.core, "dependencies")
 
 
 def test_a_history_without_the_version_in_production_is_an_error(
@@ -286,7 +294,7 @@
 @pytest.mark.parametrize("asked", ["n0", "n1"])
 def test_a_cancel_confirmed_by_one_version_for_tasks_that_the_other_runs(asked: str) -> None:
     w = mixed_world()
-    job = w.submit(spec(1, tasks=24, estimate_s=60.0))
+    job = w.submit(spec(1, task_count=24, estimated_run_s=60.0))
     w.run(12.0)
     slices = w.state.data[keys.JOBS + job][0][2]
     assert {owner(w, int(part)) for part in slices} == {"n0", "n1", "n2"}
@@ -301,7 +309,7 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_promises_between_versions_carry_tasks_through_an_outage(seed: int) -> None:
     w = mixed_world(seed)
-    jobs = [spec(n, tasks=6, estimate_s=40.0) for n in (1, 2)]
+    jobs = [spec(n, task_count=6, estimated_run_s=40.0) for n in (1, 2)]
     for job in jobs:
         w.submit(job)
     w.run(12.0)
@@ -309,7 +317,7 @@
     w.state.outage(True, w.now)
     w.run(1.5 * w.lease_s)
     # The lease of a worker is over by now, had nobody acted on promises.
-    acting = [name for name in w.node_names if w.cores[name].acting()]  # type: ignore[union-attr]
+    acting = [name for name in w.node_names if w.cores[name].led_shards()]  # type: ignore[union-attr]
     assert acting == w.node_names
     w.state.outage(False, w.now)
     assert all_done(w, jobs, 150.0)
@@ -320,10 +328,10 @@
 
 def test_slices_migrate_between_versions() -> None:
     w = mixed_world()
-    job = w.submit(spec(1, tasks=60, estimate_s=6.0))
+    job = w.submit(spec(1, task_count=60, estimated_run_s=6.0))
     done = 0
-    w.until(lambda: sum(c.migrations.done for c in w.cores.values()) > 2, 60.0)  # type: ignore[union-attr]
-    done = sum(c.migrations.done for c in w.cores.values())  # type: ignore[union-attr]
+    w.until(lambda: sum(c.slice_migrations.completed_count for c in w.cores.values()) > 2, 60.0)  # type: ignore[union-attr]
+    done = sum(c.slice_migrations.completed_count for c in w.cores.values())  # type: ignore[union-attr]
     assert done > 0
     assert w.finish(job, 200.0)
     assert w.broken == []
@@ -332,10 +340,10 @@
 def test_cancels_of_pipelines_on_records_that_production_wrote() -> None:
     """Parents accepted by production, children by the present version."""
     w = old_world()
-    parent = spec(1, tasks=2, estimate_s=120.0)
+    parent = spec(1, task_count=2, estimated_run_s=120.0)
     w.submit(parent)
     upgrade_all(w, w.node_names)
-    child = spec(2, awaits=[parent.id])
+    child = spec(2, depends_on=[parent.id])
     w.submit(child)
     assert manager(w, child.id)
     assert w.cancel(parent.id) == "cancelled"
@@ -346,7 +354,7 @@
 def test_what_was_kept_under_larger_limits_is_read_and_rewritten_smaller() -> None:
     w = old_world()
     types = ["t4", "t8", *(f"type-{n}-{'x' * 30}" for n in range(52))]
-    jobs = [spec(n, tasks=3, estimate_s=25.0, types=types) for n in (1, 2)]
+    jobs = [spec(n, task_count=3, estimated_run_s=25.0, machine_types=types) for n in (1, 2)]
     for job in jobs:
         w.submit(job)
     upgrade_all(w, w.node_names)
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -62,16 +62,16 @@
         rev = self.history.rev
         own = CompareAndSwap([], [] if delete else [Put(key, rev)], [key] if delete else [])
         if self.rng.random() < 0.5:
-            self.on_their_way.append(lambda: self.view.committed(own, rev))
+            self.on_their_way.append(lambda: self.view.record_commit(own, rev))
 
     def read(self) -> None:
         """A key is read; the answer comes later."""
         key = self.rng.choice(NODES)
         version, rev = self.history.version(key), self.history.rev
         if version:
-            self.on_their_way.append(lambda: self.view.take_in(key, version, version))
+            self.on_their_way.append(lambda: self.view.record_read(key, version, version))
         else:
-            self.on_their_way.append(lambda: self.view.take_absence(key, rev))
+            self.on_their_way.append(lambda: self.view.record_absence(key, rev))
 
     def arrive(self) -> None:
         """Something that was on its way arrives, in any order."""
@@ -80,21 +80,21 @@
 
     def watch(self) -> None:
         """The one watch is answered; other things may arrive before its answer does."""
-        events, rev = self.history.events(self.view.rev), self.history.rev
+        events, rev = self.history.events(self.view.revision), self.history.rev
         for _ in range(self.rng.randrange(4)):
             self.rng.choice([self.commit, self.read, self.arrive])()
             self.check()
-        self.view.apply(events, rev)
+        self.view.apply_changes(events, rev)
 
     def load(self) -> None:
         """The log was too short: all is listed, page by page, with changes in between."""
         pages = [self.page("")]
-        while pages[-1].more:
+        while pages[-1].has_more:
             for _ in range(self.rng.randrange(4)):
                 self.rng.choice([self.commit, self.read, self.arrive])()
                 self.check()
             pages.append(self.page(pages[-1].items[-1].key))
-        self.view.load(pages)
+        self.view.load_listing(pages)
 
     def page(self, after: str) -> StoreResponse:
         """One page of a listing, of one key."""
@@ -102,16 +102,18 @@
         items = [
             StoredKey(key, self.history.version(key), self.history.version(key)) for key in found
         ]
-        return StoreResponse(200, items=items[:1], more=len(found) > 1, rev=self.history.rev)
+        return StoreResponse(
+            200, items=items[:1], has_more=len(found) > 1, revision=self.history.rev
+        )
 
     def check(self) -> None:
         """No key may fall back behind what was known of it, nor behind the view's revision."""
         for key, states in self.history.states.items():
-            known = [i for i, (rev, _) in enumerate(states) if rev <= self.view.rev]
+            known = [i for i, (rev, _) in enumerate(states) if rev <= self.view.revision]
             least = max(self.least[key], known[-1] if known else 0)
             shown = self.view.version(key)
             places = [i for i in range(least, len(states)) if states[i][1] == shown]
-            assert places, (key, states, shown, self.view.rev)
+            assert places, (key, states, shown, self.view.revision)
             self.least[key] = places[0]
 
 
@@ -129,7 +131,7 @@
         while late.on_their_way:
             late.arrive()
             late.check()
-        late.view.apply(late.history.events(late.view.rev), late.history.rev)
+        late.view.apply_changes(late.history.events(late.view.revision), late.history.rev)
         now = {key: late.history.version(key) for key in NODES}
         assert {key: late.view.version(key) for key in NODES} == now
 
@@ -139,21 +141,21 @@
     key = keys.MACHINES + "host-000001"
     member = [0, "t8", "a", False, 0.0]
     view = StoreView()
-    view.apply([KeyChange(key, member, 3), KeyChange(key, None, 5)], 5)
-    view.committed(CompareAndSwap([], [Put(key, member)]), 3)
-    view.take_in(key, member, 4)
+    view.apply_changes([KeyChange(key, member, 3), KeyChange(key, None, 5)], 5)
+    view.record_commit(CompareAndSwap([], [Put(key, member)]), 3)
+    view.record_read(key, member, 4)
     assert not view.machines
-    assert list(view.gone) == ["host-000001"]
+    assert list(view.gone_machines) == ["host-000001"]
 
 
 def test_what_is_known_beyond_the_watch_is_forgotten_once_it_is_there() -> None:
     view = StoreView()
     followed = [f"{keys.NODES}{number}" for number in range(1000)]
-    view.apply([KeyChange(key, 1, 1) for key in followed], 1)
+    view.apply_changes([KeyChange(key, 1, 1) for key in followed], 1)
     for key in followed:
-        view.take_absence(key, 2)
+        view.record_absence(key, 2)
         # Nothing is kept of keys that the view never held, however many users ask for.
-        view.take_absence(key + "/unknown", 2)
+        view.record_absence(key + "/unknown", 2)
     assert len(view._absent_at) == 1000
-    view.apply([KeyChange(key, None, 2) for key in followed], 2)
+    view.apply_changes([KeyChange(key, None, 2) for key in followed], 2)
     assert not view._absent_at
