--- a/marblestair/core/capacity/arrivals.py
+++ b/marblestair/core/capacity/arrivals.py
@@ -77,7 +77,10 @@
     def _guarantee_s(self) -> float:
         """Time within which work within a guarantee is to start."""
         objectives = self._controller.settings.cluster.objectives
-        return min((o.within_s for o in objectives if o.kind == "guarantee"), default=NO_AIM_S)
+        return min(
+            (objective.within_s for objective in objectives if objective.kind == "guarantee"),
+            default=NO_AIM_S,
+        )
 
     def _record_gang(self, record: JobRecord, start_aims: dict[str, float]) -> None:
         controller, spec = self._controller, record.spec
--- a/marblestair/core/capacity/boot_times.py
+++ b/marblestair/core/capacity/boot_times.py
@@ -32,25 +32,25 @@
         #: type -> when a machine came up, and its boot time against the usual one
         self._seen: dict[str, deque[tuple[float, float]]] = {}
 
-    def record(self, kind: MachineType, took_s: float, now: float) -> None:
+    def record(self, machine_type: MachineType, took_s: float, now: float) -> None:
         """A machine has reported for the first time."""
-        seen = self._seen.setdefault(kind.name, deque(maxlen=REMEMBERED_BOOTS))
-        seen.append((now, took_s / max(kind.boot_s, 1e-6)))
+        seen = self._seen.setdefault(machine_type.name, deque(maxlen=REMEMBERED_BOOTS))
+        seen.append((now, took_s / max(machine_type.boot_s, 1e-6)))
 
-    def expected_ratio(self, kind: MachineType, now: float) -> float:
+    def expected_ratio(self, machine_type: MachineType, now: float) -> float:
         """How long a boot takes by now, against the usual time."""
-        memory_s = MEMORY_BOOTS * kind.boot_s
-        ratios = sorted(r for at, r in self._seen.get(kind.name, ()) if now - at < memory_s)
+        memory_s = MEMORY_BOOTS * machine_type.boot_s
+        ratios = sorted(r for at, r in self._seen.get(machine_type.name, ()) if now - at < memory_s)
         if not ratios:
             return LEAST_RATIO
         ratio = ratios[int(EXPECTED_SHARE * (len(ratios) - 1))]
         return min(MOST_RATIO, max(LEAST_RATIO, ratio))
 
-    def is_overdue(self, kind: MachineType, age_s: float, now: float) -> bool:
+    def is_overdue(self, machine_type: MachineType, age_s: float, now: float) -> bool:
         """Whether a machine that has not reported is not to be counted on."""
-        return age_s > OVERDUE_BOOTS * self.expected_ratio(kind, now) * kind.boot_s
+        return age_s > OVERDUE_BOOTS * self.expected_ratio(machine_type, now) * machine_type.boot_s
 
-    def give_up_after_s(self, kind: MachineType, now: float) -> float:
+    def give_up_after_s(self, machine_type: MachineType, now: float) -> float:
         """Age at which a machine that has not reported is given up."""
-        boots = max(LEAST_GIVE_UP_BOOTS, GIVE_UP_BOOTS * self.expected_ratio(kind, now))
-        return boots * kind.boot_s
+        boots = max(LEAST_GIVE_UP_BOOTS, GIVE_UP_BOOTS * self.expected_ratio(machine_type, now))
+        return boots * machine_type.boot_s
--- a/marblestair/core/capacity/demand.py
+++ b/marblestair/core/capacity/demand.py
@@ -33,48 +33,50 @@
     starved_teams: dict[str, Amounts]
 
 
-def demanded_tasks(controller: Controller, s: JobSlice) -> int:
+def demanded_tasks(controller: Controller, job_slice: JobSlice) -> int:
     """Count the tasks of a slice that room is wanted for.
 
     A job that probably fails on every machine wants room for one task at a time; such a gang
     wants none and tries where there is room.
     """
-    n = len(s.pending)
-    if n and controller.failures.is_quarantined(s.spec.id):
-        return int(s.spec.kind != GANG and not s.placed_on)
+    n = len(job_slice.pending)
+    if n and controller.failures.is_quarantined(job_slice.spec.id):
+        return int(job_slice.spec.kind != GANG and not job_slice.placed_on)
     return n
 
 
-def measure_demand(controller: Controller, part: Shard) -> Demand:
+def measure_demand(controller: Controller, shard: Shard) -> Demand:
     """Go through a part's waiting slices."""
     demand = Demand(0, {}, {})
-    for s in part.slices.values():
-        n = demanded_tasks(controller, s)
-        if not n or s.is_cancelled:
+    for job_slice in shard.slices.values():
+        n = demanded_tasks(controller, job_slice)
+        if not n or job_slice.is_cancelled:
             continue
-        demand.backlog_cpus += n * s.resources[0]
-        _add(demand.lacking_quota, s, n)
-        unit = n if s.spec.kind == GANG else 1
-        share = controller.quota(part, s.spec.team)
-        if unit * s.resources[0] > share[0] or unit * s.resources[1] > share[1]:
+        demand.backlog_cpus += n * job_slice.resources[0]
+        _add(demand.lacking_quota, job_slice, n)
+        unit = n if job_slice.spec.kind == GANG else 1
+        share = controller.quota(shard, job_slice.spec.team)
+        if unit * job_slice.resources[0] > share[0] or unit * job_slice.resources[1] > share[1]:
             demand.starved_teams.setdefault(
-                s.spec.team, [unit * s.resources[0], unit * s.resources[1]]
+                job_slice.spec.team, [unit * job_slice.resources[0], unit * job_slice.resources[1]]
             )
-    demand.lacking_quota = _lacking(controller, part, demand.lacking_quota)
+    demand.lacking_quota = _lacking(controller, shard, demand.lacking_quota)
     return demand
 
 
-def _add(totals: dict[str, Amounts], s: JobSlice, tasks: int) -> None:
-    total = totals.setdefault(s.spec.team, [0, 0])
-    total[0] += tasks * s.resources[0]
-    total[1] += tasks * s.resources[1]
+def _add(totals: dict[str, Amounts], job_slice: JobSlice, tasks: int) -> None:
+    total = totals.setdefault(job_slice.spec.team, [0, 0])
+    total[0] += tasks * job_slice.resources[0]
+    total[1] += tasks * job_slice.resources[1]
 
 
-def _lacking(controller: Controller, part: Shard, totals: dict[str, Amounts]) -> dict[str, Amounts]:
+def _lacking(
+    controller: Controller, shard: Shard, totals: dict[str, Amounts]
+) -> dict[str, Amounts]:
     """What of the teams' totals is more than their shares leave free here."""
     out = {}
     for team, total in totals.items():
-        used, share = part.usage(team), controller.quota(part, team)
+        used, share = shard.usage(team), controller.quota(shard, team)
         lack = [max(0, total[i] - max(0, share[i] - used[i])) for i in range(2)]
         if any(lack):
             out[team] = lack
--- a/marblestair/core/capacity/failures.py
+++ b/marblestair/core/capacity/failures.py
@@ -111,10 +111,10 @@
             evidence.is_quarantined = False
 
     def receive_failing_jobs(
-        self, part: int, failing: Iterable[tuple[str, int]], now: float
+        self, shard_id: int, failing: Iterable[tuple[str, int]], now: float
     ) -> None:
         """What the owner of another part knows of failing jobs (see :meth:`failing`)."""
-        self._reported[part] = now + self._report_lifetime_s, dict(failing)
+        self._reported[shard_id] = now + self._report_lifetime_s, dict(failing)
         self._reported = {p: told for p, told in self._reported.items() if told[0] > now}
         before = self._reported_machines
         self._reported_machines = {}
--- a/marblestair/core/capacity/fleet.py
+++ b/marblestair/core/capacity/fleet.py
@@ -109,9 +109,9 @@
         controller = self.controller
         stored: dict[str, Any] = {}
         while True:
-            r: StoreResponse = yield ListKeys(keys.TYPES, "", 1000)
-            if r.status == 200:
-                stored = {i.key[len(keys.TYPES) :]: i.value for i in r.items}
+            response: StoreResponse = yield ListKeys(keys.TYPES, "", 1000)
+            if response.status == 200:
+                stored = {item.key[len(keys.TYPES) :]: item.value for item in response.items}
                 if stored:
                     controller.set_machine_types(
                         [msgspec.convert(v, MachineType) for v in stored.values()]
@@ -119,22 +119,30 @@
                 break
             yield Sleep(0.3 + 0.3 * controller.rng.random())
         while True:
-            got: CloudResponse = yield ListMachineTypes()
-            if got.status == 200 and got.machine_types:
-                controller.set_machine_types(got.machine_types)
-                fresh = [t for t in got.machine_types if t.name not in stored]
+            answer: CloudResponse = yield ListMachineTypes()
+            if answer.status == 200 and answer.machine_types:
+                controller.set_machine_types(answer.machine_types)
+                fresh = [
+                    machine_type
+                    for machine_type in answer.machine_types
+                    if machine_type.name not in stored
+                ]
                 if fresh:
                     batch = fresh[: controller.settings.cluster.state.txn_ops]
-                    puts = [Put(keys.TYPES + t.name, t) for t in batch]
+                    puts = [
+                        Put(keys.TYPES + machine_type.name, machine_type) for machine_type in batch
+                    ]
                     # Each is written once, by whoever is first.
-                    guards = [(p.key, 0) for p in puts]
+                    guards = [(put.key, 0) for put in puts]
                     done: StoreResponse = yield CompareAndSwap(guards, puts, [], SPLIT)
                     if done.status == 409:
                         have: StoreResponse = yield ListKeys(keys.TYPES, "", 1000)
                         if have.status == 200:
-                            stored = {i.key[len(keys.TYPES) :]: i.value for i in have.items}
+                            stored = {
+                                item.key[len(keys.TYPES) :]: item.value for item in have.items
+                            }
                     if done.status == 200:
-                        stored.update((t.name, t) for t in batch)
+                        stored.update((machine_type.name, machine_type) for machine_type in batch)
                     yield Sleep(1.0)
                     continue
                 yield Sleep(60.0 + 30.0 * controller.rng.random())
@@ -147,67 +155,74 @@
     # --- strangers -------------------------------------------------------------------------
 
     def receive_unregistered(
-        self, rep: Heartbeat
+        self, heartbeat: Heartbeat
     ) -> tuple[int, int, list[TaskCommand], str | None]:
         """A report of a machine that belongs to no part."""
         controller = self.controller
-        if rep.machine in controller.view.gone_machines or rep.machine in self._returning:
+        if (
+            heartbeat.machine in controller.view.gone_machines
+            or heartbeat.machine in self._returning
+        ):
             return 503, 0, [], None
-        acting = controller.led_shards()
-        s = controller.view.shard_map
-        if not acting or s is None:
+        led_shards = controller.led_shards()
+        shard_map = controller.view.shard_map
+        if not led_shards or shard_map is None:
             return 503, 0, [], None
-        if rep.tasks:
+        if heartbeat.tasks:
             # Dropped from the split earlier, yet alive with tasks: it may not go on.
-            self._returning.add(rep.machine)
-            controller.spawn(self._release_unregistered([rep.machine]))
+            self._returning.add(heartbeat.machine)
+            controller.spawn(self._release_unregistered([heartbeat.machine]))
             return 503, 0, [], None
-        count = [0] * len(s.shards)
+        count = [0] * len(shard_map.shards)
         for record in controller.view.machines.values():
             count[record.shard_id] += 1
-        best = min(acting, key=lambda p: (count[p.shard_id], p.shard_id))
+        best = min(led_shards, key=lambda shard: (count[shard.shard_id], shard.shard_id))
         low = min(range(len(count)), key=lambda i: (count[i], i))
         if count[best.shard_id] > count[low] + 1:
             return 421, 0, [], controller.leader_of(low)
-        if rep.machine not in self._adopting:
-            self._adopting.add(rep.machine)
-            controller.spawn(self._register_inspected(rep, best))
+        if heartbeat.machine not in self._adopting:
+            self._adopting.add(heartbeat.machine)
+            controller.spawn(self._register_inspected(heartbeat, best))
         return 503, 0, [], None
 
-    def _register_inspected(self, rep: Heartbeat, part: Shard) -> Coroutine:
+    def _register_inspected(self, heartbeat: Heartbeat, shard: Shard) -> Coroutine:
         """Take in a machine that reports and belongs to nobody, if it is there.
 
         The report may be a late copy from a machine that was returned or taken.
         """
-        got: Heartbeat | None = yield InspectAgent(rep.address)
-        if got is None or got.machine != rep.machine:
+        got: Heartbeat | None = yield InspectAgent(heartbeat.address)
+        if got is None or got.machine != heartbeat.machine:
             yield Sleep(1.0)
-            self._adopting.discard(rep.machine)
+            self._adopting.discard(heartbeat.machine)
         else:
-            yield from self._adopt(rep.machine, rep.machine_type, rep.zone, rep.spot, part)
+            yield from self._adopt(
+                heartbeat.machine, heartbeat.machine_type, heartbeat.zone, heartbeat.spot, shard
+            )
 
-    def adopt(self, name: str, type_name: str, zone: str, spot: bool, part: Shard) -> None:
+    def adopt(self, name: str, type_name: str, zone: str, spot: bool, shard: Shard) -> None:
         """Take a machine that nobody has into a part."""
         if name not in self._adopting:
             self._adopting.add(name)
-            self.controller.spawn(self._adopt(name, type_name, zone, spot, part))
+            self.controller.spawn(self._adopt(name, type_name, zone, spot, shard))
 
-    def _adopt(self, name: str, type_name: str, zone: str, spot: bool, part: Shard) -> Coroutine:
+    def _adopt(self, name: str, type_name: str, zone: str, spot: bool, shard: Shard) -> Coroutine:
         controller = self.controller
         key = keys.MACHINES + name
-        record = MachineRecord(part.shard_id, type_name, zone, spot, round(controller.wall_time, 1))
+        record = MachineRecord(
+            shard.shard_id, type_name, zone, spot, round(controller.wall_time, 1)
+        )
         commit = CompareAndSwap(
-            [(key, 0), controller.fence_precondition(part.shard_id)], [Put(key, record)], [], SPLIT
+            [(key, 0), controller.fence_precondition(shard.shard_id)], [Put(key, record)], [], SPLIT
         )
-        r: StoreResponse = yield commit
-        if r.status == 200:
-            controller.view.record_commit(commit, r.revision)
+        response: StoreResponse = yield commit
+        if response.status == 200:
+            controller.view.record_commit(commit, response.revision)
             controller.sync()
         self._adopting.discard(name)
 
     def _release_unregistered(self, names: list[str]) -> Coroutine:
-        r: CloudResponse = yield ReleaseMachines(names)
-        if r.status != 200:
+        response: CloudResponse = yield ReleaseMachines(names)
+        if response.status != 200:
             yield Sleep(1.0)
         self._returning.difference_update(names)
 
@@ -219,7 +234,11 @@
         pause = max(2.0, 1.2 * lag)
         while True:
             yield Sleep(pause * (0.8 + 0.4 * controller.rng.random()))
-            silent = any(m.is_silent for p in controller.led_shards() for m in p.machines.values())
+            silent = any(
+                machine.is_silent
+                for p in controller.led_shards()
+                for machine in p.machines.values()
+            )
             if not controller.is_leader(0) and not silent:
                 continue
             listed = yield from self._list()
@@ -248,91 +267,96 @@
 
     def _mark_failed(self, listed: list[ListedMachine]) -> None:
         """What has stopped by itself will not be back."""
-        failed = {m.name for m in listed if m.state == "failed"}
+        failed = {
+            listed_machine.name for listed_machine in listed if listed_machine.state == "failed"
+        }
         if failed:
-            for p in self.controller.led_shards():
-                for m in p.machines.values():
+            for shard in self.controller.led_shards():
+                for machine in shard.machines.values():
                     # A machine that still reports is judged by that.
-                    m.has_failed = m.has_failed or (m.is_silent and m.name in failed)
+                    machine.has_failed = machine.has_failed or (
+                        machine.is_silent and machine.name in failed
+                    )
 
     def _list(self) -> Step:
         out: list[ListedMachine] = []
         after = ""
         while True:
-            r: CloudResponse = yield ListMachines(after)
-            if r.status != 200:
+            response: CloudResponse = yield ListMachines(after)
+            if response.status != 200:
                 return None
-            out += r.listed
-            if not r.has_more or not r.listed:
+            out += response.listed
+            if not response.has_more or not response.listed:
                 return out
-            after = r.listed[-1].name
+            after = response.listed[-1].name
 
     # --- a part's fleet --------------------------------------------------------------------
 
-    def manage_shard(self, part: Shard) -> Coroutine:
+    def manage_shard(self, shard: Shard) -> Coroutine:
         """Rent for the backlog, return what is idle or broken."""
         controller = self.controller
-        controller.spawn(self._finish_rentals(part))
+        controller.spawn(self._finish_rentals(shard))
         pause = 1.0
-        while controller.shards.get(part.shard_id) is part:
+        while controller.shards.get(shard.shard_id) is shard:
             yield Sleep(pause * (0.8 + 0.4 * controller.rng.random()))
             pause = 1.0
-            if not controller.is_leader(part.shard_id) or not controller.machine_types:
+            if not controller.is_leader(shard.shard_id) or not controller.machine_types:
                 continue
             now = controller.now
-            self._spending.account(part)
+            self._spending.account(shard)
             lease_s = controller.settings.cluster.workers.lease_s
-            for name in absent_machines(part, lease_s, now):
-                part.machines[name].is_awaited = True
-            gone = machines_to_release(part, lease_s, now)
-            plan = self._plan() if not part.unreconciled_machines else Plan([], [])
-            gone += [n for n in plan.releases if n in part.machines and n not in gone]
+            for name in absent_machines(shard, lease_s, now):
+                shard.machines[name].is_awaited = True
+            gone = machines_to_release(shard, lease_s, now)
+            plan = self._plan() if not shard.unreconciled_machines else Plan([], [])
+            gone += [n for n in plan.releases if n in shard.machines and n not in gone]
             self._surplus_since = {
                 n: self._surplus_since.get(n, now) for n in plan.surplus_machines
             }
             long = {
                 n
                 for n, since in self._surplus_since.items()
-                if (m := part.machines.get(n)) is not None
-                and m.machine_type is not None
-                and now - since > EMPTY_BOOTS * m.machine_type.boot_s
+                if (machine := shard.machines.get(n)) is not None
+                and machine.machine_type is not None
+                and now - since > EMPTY_BOOTS * machine.machine_type.boot_s
             }
-            for m in nearly_empty_machines(part, long, now)[:1]:
-                m.is_draining = m.is_returning = True
-                part.stop_tasks(list(m.tasks.values()), "returned")
+            for machine in nearly_empty_machines(shard, long, now)[:1]:
+                machine.is_draining = machine.is_returning = True
+                shard.stop_tasks(list(machine.tasks.values()), "returned")
                 controller.log(
-                    "info", f"emptying {m.name}: {len(m.tasks)} tasks run again elsewhere"
+                    "info",
+                    f"emptying {machine.name}: {len(machine.tasks)} tasks run again elsewhere",
                 )
-            leaving = [m for n in gone if not (m := part.machines[n]).is_releasing]
+            leaving = [machine for n in gone if not (machine := shard.machines[n]).is_releasing]
             if leaving:
-                yield from self._release(part, leaving[:MAX_RELEASE])
+                yield from self._release(shard, leaving[:MAX_RELEASE])
                 continue
             # All that is this part's to rent goes out in one turn, in as few requests as can be;
             # where a kind is refused, the next best is asked for at once if much is lacking.
             much = plan.target_cpus > plan.capacity_cpus * (1 + HASTY)
             full = True
-            for want in plan.rentals:
-                count = min(self._rental_portion(part, want), MAX_RENT)
-                if count and controller.is_leader(part.shard_id):
+            for rental in plan.rentals:
+                count = min(self._rental_portion(shard, rental), MAX_RENT)
+                if count and controller.is_leader(shard.shard_id):
                     got = yield from self._record_and_rent(
-                        part, msgspec.structs.replace(want, count=count)
+                        shard, msgspec.structs.replace(rental, count=count)
                     )
                     full = full and got == count
             pause = 0.1 if much and not full else 1.0
 
-    def _rental_portion(self, part: Shard, want: RentalRequest) -> int:
+    def _rental_portion(self, shard: Shard, rental: RentalRequest) -> int:
         """Count the machines of a rental that this part rents.
 
         That is its even share, the parts with fewest machines first, or all where a gang
         waits here.
         """
         controller = self.controller
-        if want.shard_id >= 0:
-            return want.count if want.shard_id == part.shard_id else 0
-        s = controller.view.shard_map
-        if s is None:
+        if rental.shard_id >= 0:
+            return rental.count if rental.shard_id == shard.shard_id else 0
+        shard_map = controller.view.shard_map
+        if shard_map is None:
             return 0
-        count = {n: 0 for n in range(len(s.shards)) if n in controller.shard_summaries}
+        count = {n: 0 for n in range(len(shard_map.shards)) if n in controller.shard_summaries}
         for record in controller.view.machines.values():
             if record.shard_id in count:
                 count[record.shard_id] += 1
@@ -340,14 +364,17 @@
             (n for n in count if controller.now - controller.shard_summaries[n][0] < 3.0),
             key=lambda n: (count[n], n),
         )
-        if part.shard_id not in live:
+        if shard.shard_id not in live:
             return 0
-        return split_evenly(want.count, len(live))[live.index(part.shard_id)]
+        return split_evenly(rental.count, len(live))[live.index(shard.shard_id)]
 
     def _plan(self) -> Plan:
         controller = self.controller
         told = plan_inputs.ReportedState(controller)
-        live = sorted(controller.view.jobs.values(), key=lambda r: (r.startable_since, r.spec.id))
+        live = sorted(
+            controller.view.jobs.values(),
+            key=lambda record: (record.startable_since, record.spec.id),
+        )
         loads = plan_inputs.loads(controller, told, live, self.tuning.patience)
         machines = plan_inputs.machines(controller, told)
         self.arrivals.record_jobs(live)
@@ -377,23 +404,23 @@
         controller.log(
             "info",
             f"plan: arrays need {out.target_cpus:.0f} cpus of {out.capacity_cpus:.0f},"
-            f" run on {sum(x.running * x.spec.cpus for x in loads):.0f}, wait for"
-            f" {sum(x.allowed_tasks * x.spec.cpus for x in loads):.0f} of"
-            f" {sum(x.pending * x.spec.cpus for x in loads):.0f};"
+            f" run on {sum(load.running * load.spec.cpus for load in loads):.0f}, wait for"
+            f" {sum(load.allowed_tasks * load.spec.cpus for load in loads):.0f} of"
+            f" {sum(load.pending * load.spec.cpus for load in loads):.0f};"
             f" {len(out.reserved_machines)} machines for gangs, rent {out.rentals}",
         )
 
     def _find_infeasible(self, loads: list[JobLoad]) -> set[str]:
         by_team: dict[str, list[tuple[float, float, str]]] = {}
         taken: dict[str, float] = {}
-        for x in loads:
-            team = x.spec.team
-            if x.spec.deadline_s is None or x.spec.kind == GANG:
+        for load in loads:
+            team = load.spec.team
+            if load.spec.deadline_s is None or load.spec.kind == GANG:
                 # Gangs and undated work go first and leave the rest of the limit.
-                taken[team] = taken.get(team, 0.0) + x.running * x.spec.cpus
+                taken[team] = taken.get(team, 0.0) + load.running * load.spec.cpus
             else:
-                left = (x.pending + 0.5 * x.running) * x.spec.cpus * x.run_s
-                by_team.setdefault(team, []).append((x.due_in_s, left, x.spec.id))
+                left = (load.pending + 0.5 * load.running) * load.spec.cpus * load.run_s
+                by_team.setdefault(team, []).append((load.due_in_s, left, load.spec.id))
         out: set[str] = set()
         for team, work in by_team.items():
             limit = max(1.0, self.controller.teams[team].cpu_limit - taken.get(team, 0.0))
@@ -402,7 +429,10 @@
 
     def _smooth_target(self, target: float) -> float:
         now = self.controller.now
-        boot = min((t.boot_s for t in self.controller.machine_types.values()), default=30.0)
+        boot = min(
+            (machine_type.boot_s for machine_type in self.controller.machine_types.values()),
+            default=30.0,
+        )
         then, old = self._average
         if old is None:
             value = target
@@ -412,9 +442,9 @@
         self._average = (now, value)
         return value
 
-    def _is_refused(self, k: MachineKind) -> bool:
+    def _is_refused(self, kind: MachineKind) -> bool:
         return self.controller.now < self.refused_until.get(
-            (k.machine_type.name, k.zone, k.spot), -1e9
+            (kind.machine_type.name, kind.zone, kind.spot), -1e9
         )
 
     def capacity_refusals(self) -> list[tuple[str, str, bool, float]]:
@@ -433,57 +463,63 @@
             until = self.controller.now + min(float(left), 300.0)
             self.refused_until[kind] = max(until, self.refused_until.get(kind, -1e9))
 
-    def _record_and_rent(self, part: Shard, want: RentalRequest) -> Step:
+    def _record_and_rent(self, shard: Shard, rental: RentalRequest) -> Step:
         """Rent machines; how many the cloud gave, all of them where that is not known."""
         controller = self.controller
         self._rental_count += 1
-        name = f"r-{part.term}-{self._rental_count}"
-        key = keys.rental_intent(part.shard_id, name)
+        name = f"r-{shard.term}-{self._rental_count}"
+        key = keys.rental_intent(shard.shard_id, name)
         intent = RentalIntent(
-            want.machine_type, want.zone, want.spot, want.count, round(controller.wall_time, 1)
+            rental.machine_type,
+            rental.zone,
+            rental.spot,
+            rental.count,
+            round(controller.wall_time, 1),
         )
-        r: StoreResponse = yield CompareAndSwap(
-            [(key, 0), controller.fence_precondition(part.shard_id)], [Put(key, intent)], [], SPLIT
+        response: StoreResponse = yield CompareAndSwap(
+            [(key, 0), controller.fence_precondition(shard.shard_id)], [Put(key, intent)], [], SPLIT
         )
-        if r.status != 200:
-            if r.status == 0:
-                part.obsolete_keys[key] = None
-            return want.count
-        return (yield from self._rent_recorded(part, name, want, r.revision))
+        if response.status != 200:
+            if response.status == 0:
+                shard.obsolete_keys[key] = None
+            return rental.count
+        return (yield from self._rent_recorded(shard, name, rental, response.revision))
 
-    def _rent_recorded(self, part: Shard, name: str, want: RentalRequest, intent: int) -> Step:
+    def _rent_recorded(self, shard: Shard, name: str, rental: RentalRequest, intent: int) -> Step:
         """Rent under a recorded name, for as long as it takes to know the answer; how many."""
         controller = self.controller
-        key = keys.rental_intent(part.shard_id, name)
+        key = keys.rental_intent(shard.shard_id, name)
         pause = 0.5
         while True:
-            got: CloudResponse = yield RentMachines(
-                name, want.machine_type, want.zone, want.spot, want.count
+            answer: CloudResponse = yield RentMachines(
+                name, rental.machine_type, rental.zone, rental.spot, rental.count
             )
-            if got.status == 200:
+            if answer.status == 200:
                 break
-            if got.status in (400, 503) and (got.no_capacity or got.status == 400):
-                t = controller.machine_types.get(want.machine_type)
-                boot = t.boot_s if t is not None else 30.0
-                self.refused_until[(want.machine_type, want.zone, want.spot)] = (
+            if answer.status in (400, 503) and (answer.no_capacity or answer.status == 400):
+                machine_type = controller.machine_types.get(rental.machine_type)
+                boot = machine_type.boot_s if machine_type is not None else 30.0
+                self.refused_until[(rental.machine_type, rental.zone, rental.spot)] = (
                     controller.now + max(5.0, 0.5 * boot)
                 )
-                part.obsolete_keys[key] = intent
+                shard.obsolete_keys[key] = intent
                 return 0
-            if controller.shards.get(part.shard_id) is not part:
+            if controller.shards.get(shard.shard_id) is not shard:
                 return 0
             yield Sleep(pause * (0.8 + 0.4 * controller.rng.random()))
             pause = min(4.0, pause * 1.6)
         controller.log(
-            "info", f"rented {got.machines} as {name}: {want.machine_type} {want.zone} {want.spot}"
+            "info",
+            f"rented {answer.machines} as {name}:"
+            f" {rental.machine_type} {rental.zone} {rental.spot}",
         )
-        names = list(got.machines)
+        names = list(answer.machines)
         count = len(names)
         ops = max(1, controller.max_batch_changes - 1)
-        if len(names) < want.count:
-            t = controller.machine_types.get(want.machine_type)
-            self.refused_until[(want.machine_type, want.zone, want.spot)] = controller.now + 0.5 * (
-                t.boot_s if t is not None else 30.0
+        if len(names) < rental.count:
+            machine_type = controller.machine_types.get(rental.machine_type)
+            self.refused_until[(rental.machine_type, rental.zone, rental.spot)] = (
+                controller.now + 0.5 * (machine_type.boot_s if machine_type is not None else 30.0)
             )
         while names:
             batch, rest = names[:ops], names[ops:]
@@ -491,10 +527,10 @@
                 Put(
                     keys.MACHINES + n,
                     MachineRecord(
-                        part.shard_id,
-                        want.machine_type,
-                        want.zone,
-                        want.spot,
+                        shard.shard_id,
+                        rental.machine_type,
+                        rental.zone,
+                        rental.spot,
                         round(controller.wall_time, 1),
                     ),
                 )
@@ -502,18 +538,18 @@
             ]
             # A try that is carried out only after the machine was given back again leaves a
             # record of a machine that never reports: it is dropped like one that fell.
-            guards = [(p.key, 0) for p in puts]
-            guards += [controller.fence_precondition(part.shard_id), (key, intent)]
+            guards = [(put.key, 0) for put in puts]
+            guards += [controller.fence_precondition(shard.shard_id), (key, intent)]
             commit = CompareAndSwap(guards, puts, [] if rest else [key], SPLIT)
-            r: StoreResponse = yield commit
-            if r.status == 200:
-                controller.view.record_commit(commit, r.revision)
+            response: StoreResponse = yield commit
+            if response.status == 200:
+                controller.view.record_commit(commit, response.revision)
                 controller.sync()
                 names = rest
                 continue
-            if controller.shards.get(part.shard_id) is not part:
+            if controller.shards.get(shard.shard_id) is not shard:
                 return count
-            if r.status == 409:
+            if response.status == 409:
                 # Recorded by an earlier try, or adopted by somebody in between.
                 names = [
                     n
@@ -521,12 +557,12 @@
                     if n not in controller.view.machines and n not in controller.view.gone_machines
                 ]
                 if not names:
-                    part.obsolete_keys[key] = None
+                    shard.obsolete_keys[key] = None
                     return count
             yield Sleep(0.2 + 0.2 * controller.rng.random())
         return count
 
-    def _finish_rentals(self, part: Shard) -> Coroutine:
+    def _finish_rentals(self, shard: Shard) -> Coroutine:
         """Carry out the rentals that an earlier owner recorded just before its end.
 
         The same name gives the same machines, so none is left unused and paid for. Older
@@ -534,82 +570,82 @@
         sending them again would rent machines that nobody needs any more.
         """
         controller = self.controller
-        prefix = f"{keys.RENTAL_INTENTS}{part.shard_id}/"
+        prefix = f"{keys.RENTAL_INTENTS}{shard.shard_id}/"
         after = ""
-        while controller.shards.get(part.shard_id) is part:
-            r: StoreResponse = yield ListKeys(prefix, after, 200)
-            if r.status != 200:
+        while controller.shards.get(shard.shard_id) is shard:
+            response: StoreResponse = yield ListKeys(prefix, after, 200)
+            if response.status != 200:
                 yield Sleep(0.5)
                 continue
-            for item in r.items:
-                if controller.shards.get(part.shard_id) is not part:
+            for item in response.items:
+                if controller.shards.get(shard.shard_id) is not shard:
                     return
                 name = item.key[len(prefix) :]
-                if not name.startswith(f"r-{part.term}-"):
-                    yield from self._finish_rental(part, name, item)
-            if not r.has_more or not r.items:
+                if not name.startswith(f"r-{shard.term}-"):
+                    yield from self._finish_rental(shard, name, item)
+            if not response.has_more or not response.items:
                 return
-            after = r.items[-1].key
+            after = response.items[-1].key
 
-    def _finish_rental(self, part: Shard, name: str, item: StoredKey) -> Step:
+    def _finish_rental(self, shard: Shard, name: str, item: StoredKey) -> Step:
         intent = msgspec.convert(item.value, RentalIntent)
         lease_s = self.controller.settings.cluster.workers.lease_s
         if (
             intent.recorded_at is not None
             and self.controller.wall_time - intent.recorded_at > RECENT_LEASES * lease_s
         ):
-            part.obsolete_keys[item.key] = item.version
+            shard.obsolete_keys[item.key] = item.version
             return
-        want = RentalRequest(intent.machine_type, intent.zone, intent.spot, intent.count)
-        yield from self._rent_recorded(part, name, want, item.version)
+        rental = RentalRequest(intent.machine_type, intent.zone, intent.spot, intent.count)
+        yield from self._rent_recorded(shard, name, rental, item.version)
 
-    def _release(self, part: Shard, machines: list[Machine]) -> Step:
+    def _release(self, shard: Shard, machines: list[Machine]) -> Step:
         """Give machines back. Their tasks are gone once the cloud has said so, not before."""
         controller = self.controller
-        for m in machines:
-            m.is_releasing = True
-        names = [m.name for m in machines]
+        for machine in machines:
+            machine.is_releasing = True
+        names = [machine.name for machine in machines]
         controller.log("info", f"releasing {names}")
-        r: CloudResponse = yield ReleaseMachines(names)
-        if r.status != 200:
-            for m in machines:
+        response: CloudResponse = yield ReleaseMachines(names)
+        if response.status != 200:
+            for machine in machines:
                 # A late copy of the request may still take the machine; it is asked for again.
-                m.is_releasing = m.is_given_up
-                m.idle_since = m.idle_since if m.tasks else controller.now
+                machine.is_releasing = machine.is_given_up
+                machine.idle_since = machine.idle_since if machine.tasks else controller.now
             yield Sleep(0.5)
             return
-        controller.spawn(self._remove_released(part, names))
+        controller.spawn(self._remove_released(shard, names))
 
-    def _remove_released(self, part: Shard, names: list[str]) -> Coroutine:
+    def _remove_released(self, shard: Shard, names: list[str]) -> Coroutine:
         controller = self.controller
         now = controller.now
         for n in names:
-            m = part.machines.get(n)
-            if m is not None:
-                part.forget_tasks(m, now)
+            machine = shard.machines.get(n)
+            if machine is not None:
+                shard.forget_tasks(machine, now)
             controller.view.gone_machines[n] = None
         ops = controller.max_batch_changes
-        while names and controller.shards.get(part.shard_id) is part:
+        while names and controller.shards.get(shard.shard_id) is shard:
             names = [n for n in names if n in controller.view.machines]
             drop = [keys.MACHINES + n for n in names[:ops]]
             guards = [(k, controller.view.version(k)) for k in drop]
             commit = CompareAndSwap(
-                [controller.fence_precondition(part.shard_id), *guards], [], drop, FINAL
+                [controller.fence_precondition(shard.shard_id), *guards], [], drop, FINAL
             )
-            r: StoreResponse = yield commit
-            if r.status == 200:
-                controller.view.record_commit(commit, r.revision)
+            response: StoreResponse = yield commit
+            if response.status == 200:
+                controller.view.record_commit(commit, response.revision)
                 controller.sync()
                 names = names[ops:]
             else:
-                if r.status in (0, 409):
+                if response.status in (0, 409):
                     for key in drop:
                         yield from controller.leadership.refresh_machine(key)
                 yield Sleep(0.3 + 0.3 * controller.rng.random())
 
     # --- cancels ---------------------------------------------------------------------------
 
-    def enforce_cancel_deadline(self, part: Shard) -> None:
+    def enforce_cancel_deadline(self, shard: Shard) -> None:
         """Stop answering machines that hold a cancelled task for too long.
 
         Without 200 answers the worker's lease ends, and the machine is released, so that
@@ -617,9 +653,15 @@
         """
         now = self.controller.now
         half = self.controller.settings.cluster.workers.cancel_s / 2
-        for s in part.slices.values():
-            if s.is_cancelled and s.placed_on and now - s.cancelled_at > half:
-                for m in s.placed_on.values():
-                    if not m.is_given_up:
-                        m.is_given_up = True
-                        self.controller.log("info", f"{m.name} does not stop a cancelled task")
+        for job_slice in shard.slices.values():
+            if (
+                job_slice.is_cancelled
+                and job_slice.placed_on
+                and now - job_slice.cancelled_at > half
+            ):
+                for machine in job_slice.placed_on.values():
+                    if not machine.is_given_up:
+                        machine.is_given_up = True
+                        self.controller.log(
+                            "info", f"{machine.name} does not stop a cancelled task"
+                        )
--- a/marblestair/core/capacity/plan_inputs.py
+++ b/marblestair/core/capacity/plan_inputs.py
@@ -35,19 +35,19 @@
         self.used_cpus: dict[str, int] = {}
         limit = HEARD_LEASES * controller.settings.cluster.workers.lease_s
         self.recent_shards = {
-            part
-            for part, (told_at, _) in controller.shard_summaries.items()
+            shard_id
+            for shard_id, (told_at, _) in controller.shard_summaries.items()
             if controller.now - told_at <= limit
         }
-        for part in sorted(self.recent_shards):
-            self._take_in(controller, part)
+        for shard_id in sorted(self.recent_shards):
+            self._take_in(controller, shard_id)
 
-    def _take_in(self, controller: Controller, part: int) -> None:
-        told_at, summary = controller.shard_summaries[part]
+    def _take_in(self, controller: Controller, shard_id: int) -> None:
+        told_at, summary = controller.shard_summaries[shard_id]
         for job, waiting, running in summary.pending_jobs:
             before = self.tasks.get(job, (0, 0))
             self.tasks[job] = (before[0] + waiting, before[1] + running)
-            self.shard_of_job[job] = part
+            self.shard_of_job[job] = shard_id
         self.gang_machines.update(summary.gang_machines)
         self.used_cpus.update(summary.busy_machines)
         for name, since in summary.idle_machines:
@@ -104,8 +104,8 @@
         if spec.deadline_s is not None:
             due_at = spec.accepted_at + spec.deadline_s
         due = due_at - controller.wall_time
-        part = told.shard_of_job.get(spec.id, -1)
-        found.append(JobLoad(spec, waiting, running, due, run_s, allowed, part))
+        shard_id = told.shard_of_job.get(spec.id, -1)
+        found.append(JobLoad(spec, waiting, running, due, run_s, allowed, shard_id))
     return found + _coming_loads(controller, told, live, room, patience)
 
 
@@ -135,7 +135,9 @@
 
 def _ends_soon(controller: Controller, told: ReportedState, child: JobRecord) -> bool:
     """Whether all that a job awaits runs, with all its tasks, and not for long any more."""
-    boot_s = min((kind.boot_s for kind in controller.machine_types.values()), default=0.0)
+    boot_s = min(
+        (machine_type.boot_s for machine_type in controller.machine_types.values()), default=0.0
+    )
     for parent in controller.dependencies.unfinished_parents(child.spec.id):
         record = controller.view.jobs.get(parent)
         if record is None or record.is_blocked or record.is_cancelled:
@@ -153,9 +155,9 @@
     """The machines at hand, up or booting, of parts that were heard."""
     found = []
     for name, known in controller.view.machines.items():
-        kind = controller.machine_types.get(known.machine_type)
+        machine_type = controller.machine_types.get(known.machine_type)
         if (
-            kind is None
+            machine_type is None
             or name in told.leaving_machines
             or known.shard_id not in told.recent_shards
         ):
@@ -163,7 +165,7 @@
         found.append(
             AvailableMachine(
                 name=name,
-                machine_type=kind,
+                machine_type=machine_type,
                 zone=known.zone,
                 spot=known.spot,
                 runs_gang=name in told.gang_machines,
--- a/marblestair/core/capacity/planning.py
+++ b/marblestair/core/capacity/planning.py
@@ -94,10 +94,12 @@
         self._tuning = tuning
         self._gangs = [load for load in loads if load.spec.kind == GANG]
         self._arrays = [load for load in loads if load.spec.kind != GANG]
-        self._boot_s = SLOW_BOOTS * min((t.boot_s for t in types.values()), default=30.0)
+        self._boot_s = SLOW_BOOTS * min(
+            (machine_type.boot_s for machine_type in types.values()), default=30.0
+        )
         self._plan = Plan([], [])
         #: machines that run gangs or are set aside for them
-        self._taken = {m.name for m in machines if m.runs_gang}
+        self._taken = {machine.name for machine in machines if machine.runs_gang}
         self._wanted: dict[RankedKind, int] = {}
         #: types that only some classes' large tasks need: left to them where possible
         self._scarce: set[str] = set()
@@ -144,72 +146,79 @@
         self._plan.reserved_machines[machine] = job
 
     def _set_aside(
-        self, spec: JobSpec, tasks: int, part: int, aside: Callable[[str], None]
+        self, spec: JobSpec, tasks: int, shard_id: int, aside: Callable[[str], None]
     ) -> None:
         """Set machines aside for tasks of a gang's kind, and rent what is missing.
 
         Those that are soonest empty go first, and of these the ones in the gang's own part.
         """
         options = [kind for kind in kinds_for_job(spec, self._types) if not self._refused(kind)]
-        fitting, room = self._fitting(spec, part)
+        fitting, room = self._fitting(spec, shard_id)
         most_in_zone = tasks
         if spec.single_zone:
             zones = {kind.zone for kind in options} | set(room)
             if not zones:
                 return
             zone = min(zones, key=lambda z: (-room.get(z, 0), z))
-            fitting = [m for m in fitting if m.zone == zone]
+            fitting = [machine for machine in fitting if machine.zone == zone]
             options = [kind for kind in options if kind.zone == zone]
         elif spec.spread_zones:
             most_in_zone = (tasks + 1) // 2
         in_zone: dict[str, int] = {}
-        for m in fitting:
+        for machine in fitting:
             if tasks <= 0:
                 return
             count = min(
                 tasks,
-                per_machine(m.machine_type, spec.resources),
-                most_in_zone - in_zone.get(m.zone, 0),
+                per_machine(machine.machine_type, spec.resources),
+                most_in_zone - in_zone.get(machine.zone, 0),
             )
             if count > 0:
-                self._taken.add(m.name)
-                aside(m.name)
-                in_zone[m.zone] = in_zone.get(m.zone, 0) + count
+                self._taken.add(machine.name)
+                aside(machine.name)
+                in_zone[machine.zone] = in_zone.get(machine.zone, 0) + count
                 tasks -= count
-        self._rent_for_gang(spec, tasks, part, options, in_zone, most_in_zone)
+        self._rent_for_gang(spec, tasks, shard_id, options, in_zone, most_in_zone)
 
-    def _fitting(self, spec: JobSpec, part: int) -> tuple[list[AvailableMachine], dict[str, int]]:
+    def _fitting(
+        self, spec: JobSpec, shard_id: int
+    ) -> tuple[list[AvailableMachine], dict[str, int]]:
         """Return machines that may be set aside for a gang's tasks, and their room by zone."""
         #: tasks that a machine of a kind holds, counted once per kind
         holds: dict[tuple[str, str, bool], int] = {}
         fitting: list[AvailableMachine] = []
         room: dict[str, int] = {}
-        for m in self._soonest_empty(part):
-            if m.name in self._taken or m.is_absent:
+        for machine in self._soonest_empty(shard_id):
+            if machine.name in self._taken or machine.is_absent:
                 continue
-            kind = (m.machine_type.name, m.zone, m.spot)
+            kind = (machine.machine_type.name, machine.zone, machine.spot)
             if kind not in holds:
                 fits = spec.may_run_on(*kind)
-                holds[kind] = per_machine(m.machine_type, spec.resources) if fits else 0
+                holds[kind] = per_machine(machine.machine_type, spec.resources) if fits else 0
             if holds[kind]:
-                fitting.append(m)
-                room[m.zone] = room.get(m.zone, 0) + holds[kind]
+                fitting.append(machine)
+                room[machine.zone] = room.get(machine.zone, 0) + holds[kind]
         return fitting, room
 
-    def _soonest_empty(self, part: int) -> list[AvailableMachine]:
+    def _soonest_empty(self, shard_id: int) -> list[AvailableMachine]:
         """Return the machines in the order in which they fall empty, put in order once per part."""
-        if part not in self._by_part:
-            self._by_part[part] = sorted(
+        if shard_id not in self._by_part:
+            self._by_part[shard_id] = sorted(
                 self._machines,
-                key=lambda m: (m.ready_s(self._boot_s), m.shard_id != part, m.spot, m.name),
+                key=lambda machine: (
+                    machine.ready_s(self._boot_s),
+                    machine.shard_id != shard_id,
+                    machine.spot,
+                    machine.name,
+                ),
             )
-        return self._by_part[part]
+        return self._by_part[shard_id]
 
     def _rent_for_gang(
         self,
         spec: JobSpec,
         tasks: int,
-        part: int,
+        shard_id: int,
         options: list[MachineKind],
         in_zone: dict[str, int],
         most_in_zone: int,
@@ -224,7 +233,7 @@
                 per_machine(best.machine_type, spec.resources),
                 most_in_zone - in_zone.get(best.zone, 0),
             )
-            self._want(best, 1, part)
+            self._want(best, 1, shard_id)
             in_zone[best.zone] = in_zone.get(best.zone, 0) + count
             tasks -= count
 
@@ -239,13 +248,15 @@
         if self._arrays or usual:
             target += self._tuning.reserve * usual
         self._plan.target_cpus = smooth(target)
-        self._plan.capacity_cpus = sum(m.machine_type.cpus for m in self._for_arrays())
+        self._plan.capacity_cpus = sum(machine.machine_type.cpus for machine in self._for_arrays())
 
     def rent_for_arrays(self) -> None:
         """Rent the cheapest kind for what lacks, beyond machines that spot ones would replace."""
         dearest = self._cheapest_spot_cpu() / CHEAPER
         capacity = sum(
-            m.machine_type.cpus for m in self._for_arrays() if not self._is_dearer(m, dearest)
+            machine.machine_type.cpus
+            for machine in self._for_arrays()
+            if not self._is_dearer(machine, dearest)
         )
         target = self._plan.target_cpus
         if not self._arrays or target <= capacity:
@@ -281,9 +292,9 @@
             if not options:
                 continue
             here = sum(
-                m.machine_type.cpus
-                for m in self._for_arrays()
-                if m.zone == zone and not m.is_absent
+                machine.machine_type.cpus
+                for machine in self._for_arrays()
+                if machine.zone == zone and not machine.is_absent
             )
             asked = sum(
                 count * self._types[kind[0]].cpus
@@ -306,10 +317,10 @@
 
     def _is_served(self, spec: JobSpec) -> bool:
         return any(
-            spec.may_run_on(m.machine_type.name, m.zone, m.spot)
-            and per_machine(m.machine_type, spec.resources)
-            for m in self._machines
-            if m.name not in self._plan.reserved_machines
+            spec.may_run_on(machine.machine_type.name, machine.zone, machine.spot)
+            and per_machine(machine.machine_type, spec.resources)
+            for machine in self._machines
+            if machine.name not in self._plan.reserved_machines
         )
 
     def _cheapest_spot_cpu(self) -> float:
@@ -325,44 +336,60 @@
         ]
         return min(prices, default=NO_PRICE)
 
-    def _is_dearer(self, m: AvailableMachine, price_per_cpu: float) -> bool:
+    def _is_dearer(self, machine: AvailableMachine, price_per_cpu: float) -> bool:
         """Whether an ordinary machine costs more than a price for a cpu."""
-        if m.spot or not self._arrays:
+        if machine.spot or not self._arrays:
             return False
-        return m.machine_type.price / max(m.machine_type.cpus, 1.0) > price_per_cpu
+        return machine.machine_type.price / max(machine.machine_type.cpus, 1.0) > price_per_cpu
 
     # --- surplus ---------------------------------------------------------------------------
 
     def drain_surplus(self) -> None:
         """Let whole machines beyond the target fall idle: dear ones first, then the emptiest."""
         surplus = self._plan.capacity_cpus - self._plan.target_cpus
-        for m in sorted(
+        for machine in sorted(
             self._machines,
-            key=lambda m: (m.spot, m.used_cpus / max(1, m.machine_type.capacity[0]), m.name),
+            key=lambda machine: (
+                machine.spot,
+                machine.used_cpus / max(1, machine.machine_type.capacity[0]),
+                machine.name,
+            ),
         ):
-            if m.name not in self._taken and not m.is_absent and surplus >= m.machine_type.cpus:
-                surplus -= m.machine_type.cpus
-                self._plan.draining_machines.add(m.name)
-                self._plan.surplus_machines.add(m.name)
+            if (
+                machine.name not in self._taken
+                and not machine.is_absent
+                and surplus >= machine.machine_type.cpus
+            ):
+                surplus -= machine.machine_type.cpus
+                self._plan.draining_machines.add(machine.name)
+                self._plan.surplus_machines.add(machine.name)
 
     def release_idle(self) -> None:
         """Give back idle machines that neither arrays nor a waiting gang need, dearest first."""
         surplus = self._plan.capacity_cpus - self._plan.target_cpus
-        idle = [m for m in self._for_arrays() if m.idle_s >= 0]
+        idle = [machine for machine in self._for_arrays() if machine.idle_s >= 0]
         idle.sort(
-            key=lambda m: (m.spot, -(m.machine_type.price / max(m.machine_type.cpus, 1.0)), m.name)
+            key=lambda machine: (
+                machine.spot,
+                -(machine.machine_type.price / max(machine.machine_type.cpus, 1.0)),
+                machine.name,
+            )
         )
-        for m in idle:
-            if m.age_s < LEAST_AGE_S or m.idle_s < self._tuning.idle_boots * m.machine_type.boot_s:
+        for machine in idle:
+            if (
+                machine.age_s < LEAST_AGE_S
+                or machine.idle_s < self._tuning.idle_boots * machine.machine_type.boot_s
+            ):
                 continue
-            if surplus >= m.machine_type.cpus * self._tuning.keep or not self._arrays:
-                surplus -= m.machine_type.cpus
-                self._plan.releases.append(m.name)
+            if surplus >= machine.machine_type.cpus * self._tuning.keep or not self._arrays:
+                surplus -= machine.machine_type.cpus
+                self._plan.releases.append(machine.name)
 
     def finish(self) -> Plan:
         """Return the plan with its rentals."""
         self._plan.rentals = [
-            RentalRequest(*kind, count, part) for (kind, part), count in self._wanted.items()
+            RentalRequest(*kind, count, shard_id)
+            for (kind, shard_id), count in self._wanted.items()
         ]
         return self._plan
 
@@ -370,11 +397,11 @@
 
     def _for_arrays(self) -> list[AvailableMachine]:
         """Return the machines that no gang runs on or waits for."""
-        return [m for m in self._machines if m.name not in self._taken]
+        return [machine for machine in self._machines if machine.name not in self._taken]
 
-    def _want(self, kind: MachineKind, count: int, part: int) -> None:
+    def _want(self, kind: MachineKind, count: int, shard_id: int) -> None:
         if count > 0:
-            wanted = (kind.key, part)
+            wanted = (kind.key, shard_id)
             self._wanted[wanted] = self._wanted.get(wanted, 0) + count
 
     def _kinds_of(self, spec: JobSpec) -> list[MachineKind]:
@@ -394,7 +421,7 @@
         self, options: list[MachineKind], spec: JobSpec, scarce: set[str]
     ) -> list[MachineKind]:
         return sorted(
-            options, key=lambda k: (price_per_task(k, spec, self._tuning, scarce), k.zone)
+            options, key=lambda kind: (price_per_task(kind, spec, self._tuning, scarce), kind.zone)
         )
 
 
@@ -408,14 +435,18 @@
     They need not be done earlier than ``lead`` run times ahead of that.
     """
     target = 0.0
-    for x in loads:
-        c = x.spec.cpus
-        target += x.running * c
-        if x.pending:
+    for load in loads:
+        c = load.spec.cpus
+        target += load.running * c
+        if load.pending:
             # What can no longer be done in time is served last; it need not be hurried.
-            lost = x.due_in_s < 0.3 * x.run_s
-            time = 3.0 * (boot_s + x.run_s) if lost else max(tuning.haste * x.due_in_s, x.run_s)
+            lost = load.due_in_s < 0.3 * load.run_s
+            time = (
+                3.0 * (boot_s + load.run_s)
+                if lost
+                else max(tuning.haste * load.due_in_s, load.run_s)
+            )
             if not lost:
-                time = max(time, x.due_in_s - lead * x.run_s)
-            target += min(x.pending * x.run_s / time, x.allowed_tasks) * c
+                time = max(time, load.due_in_s - lead * load.run_s)
+            target += min(load.pending * load.run_s / time, load.allowed_tasks) * c
     return target * (1 + tuning.margin)
--- a/marblestair/core/capacity/provisioning.py
+++ b/marblestair/core/capacity/provisioning.py
@@ -105,32 +105,36 @@
     shard_id: int = -1
 
 
-def per_machine(t: MachineType, need: tuple[int, int, int]) -> int:
+def per_machine(machine_type: MachineType, need: tuple[int, int, int]) -> int:
     """How many such tasks an empty machine holds."""
     return max(
-        0, min((s // n for s, n in zip(t.capacity, need, strict=True) if n > 0), default=1 << 20)
+        0,
+        min(
+            (s // n for s, n in zip(machine_type.capacity, need, strict=True) if n > 0),
+            default=1 << 20,
+        ),
     )
 
 
 def kinds_for_job(spec: JobSpec, types: dict[str, MachineType]) -> list[MachineKind]:
     """Every kind of machine a job may run on."""
     out = []
-    for t in types.values():
-        if per_machine(t, spec.resources) < 1:
+    for machine_type in types.values():
+        if per_machine(machine_type, spec.resources) < 1:
             continue
-        for z in t.zones:
+        for z in machine_type.zones:
             for spot in (True, False):
-                if spec.may_run_on(t.name, z, spot):
-                    out.append(MachineKind(t, z, spot))
+                if spec.may_run_on(machine_type.name, z, spot):
+                    out.append(MachineKind(machine_type, z, spot))
     return out
 
 
-def price_per_task(k: MachineKind, spec: JobSpec, tuning: Tuning, scarce: set[str]) -> float:
+def price_per_task(kind: MachineKind, spec: JobSpec, tuning: Tuning, scarce: set[str]) -> float:
     """Price of the share of the machine that one task takes, with what weighs against it."""
-    price = k.price / max(1, per_machine(k.machine_type, spec.resources))
-    if k.spot:
+    price = kind.price / max(1, per_machine(kind.machine_type, spec.resources))
+    if kind.spot:
         price *= 1.0 + tuning.spot_risk
-    if k.machine_type.name in scarce:
+    if kind.machine_type.name in scarce:
         price *= 1.5
     return price
 
@@ -144,17 +148,17 @@
     arrivals_per_s: float = 0.0
 
 
-def spare_gang_count(k: ExpectedGangs, types: dict[str, MachineType], least: int) -> int:
+def spare_gang_count(gangs: ExpectedGangs, types: dict[str, MachineType], least: int) -> int:
     """Count the gangs of a class to keep machines ready for.
 
     As many as come while a machine is rented for one, and a standard deviation more.
     """
     leads = [
-        1.2 * t.boot_s + k.spec.image_gb / max(t.fetch_gb_per_s, 1e-6)
-        for t in types.values()
-        if per_machine(t, k.spec.resources)
+        1.2 * machine_type.boot_s + gangs.spec.image_gb / max(machine_type.fetch_gb_per_s, 1e-6)
+        for machine_type in types.values()
+        if per_machine(machine_type, gangs.spec.resources)
     ]
-    mean = k.arrivals_per_s * min(leads, default=0.0)
+    mean = gangs.arrivals_per_s * min(leads, default=0.0)
     return max(least, math.ceil(mean + math.sqrt(mean)))
 
 
--- a/marblestair/core/capacity/shard_summary.py
+++ b/marblestair/core/capacity/shard_summary.py
@@ -30,101 +30,126 @@
     leaving_machines: list[str] = []
 
 
-def summarize_shard(controller: Controller, part: Shard) -> ShardSummary:
+def summarize_shard(controller: Controller, shard: Shard) -> ShardSummary:
     """What the others should know about a part."""
-    demand = measure_demand(controller, part)
-    away = absent_machines(part, controller.settings.cluster.workers.lease_s, controller.now)
-    use = _machine_use(controller, part, away)
-    ordered = controller.dispatcher.pending_in_order(part)
+    demand = measure_demand(controller, shard)
+    away = absent_machines(shard, controller.settings.cluster.workers.lease_s, controller.now)
+    use = _machine_use(controller, shard, away)
+    ordered = controller.dispatcher.pending_in_order(shard)
     return ShardSummary(
-        shard_id=part.shard_id,
-        term=part.term,
-        free_capacity=_free_rooms(controller, part),
-        preemptible_capacity=controller.preemption.preemptible_capacity(part),
+        shard_id=shard.shard_id,
+        term=shard.term,
+        free_capacity=_free_rooms(controller, shard),
+        preemptible_capacity=controller.preemption.preemptible_capacity(shard),
         backlog_cpus=demand.backlog_cpus,
-        free_quota=_shares_left(controller, part),
+        free_quota=_shares_left(controller, shard),
         lacking_quota=demand.lacking_quota,
-        pending_jobs=_waiting(controller, part),
+        pending_jobs=_waiting(controller, shard),
         busy_machines=use.busy_machines,
         idle_machines=use.idle_machines,
         jobs_lacking_capacity=[
-            s.spec.id for s in ordered if controller.machine_transfers.lacks_capacity(part, s)
+            job_slice.spec.id
+            for job_slice in ordered
+            if controller.machine_transfers.lacks_capacity(shard, job_slice)
         ],
         gang_machines=use.gang_machines,
         leaving_machines=use.leaving_machines,
         absent_machines=sorted(away),
         starved_teams=demand.starved_teams,
-        failing_jobs=[x for x in controller.failures.failing_jobs() if x[0] in part.slices],
+        failing_jobs=[x for x in controller.failures.failing_jobs() if x[0] in shard.slices],
     )
 
 
-def _free_rooms(controller: Controller, part: Shard) -> list[tuple[str, str, bool, int, int, int]]:
+def _free_rooms(controller: Controller, shard: Shard) -> list[tuple[str, str, bool, int, int, int]]:
     return [
-        (m.type_name, m.zone, m.spot, m.free[0], m.free[1], m.free[2])
-        for m in part.machines.values()
-        if m.free[0] > 0 and m.is_usable(controller.now) and not controller.preemption.is_claimed(m)
+        (
+            machine.type_name,
+            machine.zone,
+            machine.spot,
+            machine.free[0],
+            machine.free[1],
+            machine.free[2],
+        )
+        for machine in shard.machines.values()
+        if machine.free[0] > 0
+        and machine.is_usable(controller.now)
+        and not controller.preemption.is_claimed(machine)
     ]
 
 
-def _shares_left(controller: Controller, part: Shard) -> dict[str, list[int]]:
+def _shares_left(controller: Controller, shard: Shard) -> dict[str, list[int]]:
     left = {}
     for team in controller.teams:
-        used, share = part.usage(team), controller.quota(part, team)
+        used, share = shard.usage(team), controller.quota(shard, team)
         left[team] = [max(0, share[i] - used[i]) for i in range(2)]
     return left
 
 
-def _waiting(controller: Controller, part: Shard) -> list[tuple[str, int, int]]:
+def _waiting(controller: Controller, shard: Shard) -> list[tuple[str, int, int]]:
     waiting = []
-    for job, s in part.slices.items():
-        if s.is_cancelled or not (len(s.pending) or s.placed_on or s.migrating_ranges):
+    for job, job_slice in shard.slices.items():
+        if job_slice.is_cancelled or not (
+            len(job_slice.pending) or job_slice.placed_on or job_slice.migrating_ranges
+        ):
             continue
-        moving = sum(end - start for start, end in s.migrating_ranges)
-        waiting.append((job, demanded_tasks(controller, s) + moving, len(s.placed_on)))
+        moving = sum(end - start for start, end in job_slice.migrating_ranges)
+        waiting.append(
+            (job, demanded_tasks(controller, job_slice) + moving, len(job_slice.placed_on))
+        )
     return waiting
 
 
-def _machine_use(controller: Controller, part: Shard, away: set[str]) -> MachineUse:
+def _machine_use(controller: Controller, shard: Shard, away: set[str]) -> MachineUse:
     """Sort a part's machines; those that fell silent together with many are left out."""
     use = MachineUse()
     with_gangs = {
-        m.name for s in part.slices.values() if s.spec.kind == GANG for m in s.placed_on.values()
+        machine.name
+        for job_slice in shard.slices.values()
+        if job_slice.spec.kind == GANG
+        for machine in job_slice.placed_on.values()
     }
-    for m in part.machines.values():
-        is_given_up = m.is_releasing or m.is_given_up or m.is_returning
-        if m.name in away and not is_given_up:
+    for machine in shard.machines.values():
+        is_given_up = machine.is_releasing or machine.is_given_up or machine.is_returning
+        if machine.name in away and not is_given_up:
             continue
-        if is_given_up or _is_leaving(controller, m):
-            use.leaving_machines.append(m.name)
-        elif m.is_draining:
+        if is_given_up or _is_leaving(controller, machine):
+            use.leaving_machines.append(machine.name)
+        elif machine.is_draining:
             # On its way to a gang's part: neither idle nor lost to the plan, which would rent
             # once more what is there already.
             continue
-        elif m.is_reconciled and m.idle_since is not None and not m.tasks and not m.unknown_tasks:
-            use.idle_machines.append((m.name, round(controller.now - m.idle_since, 2)))
-        elif m.name in with_gangs:
-            use.gang_machines.append(m.name)
-        elif m.machine_type is not None and m.tasks:
-            use.busy_machines.append((m.name, m.machine_type.capacity[0] - m.free[0]))
+        elif (
+            machine.is_reconciled
+            and machine.idle_since is not None
+            and not machine.tasks
+            and not machine.unknown_tasks
+        ):
+            use.idle_machines.append((machine.name, round(controller.now - machine.idle_since, 2)))
+        elif machine.name in with_gangs:
+            use.gang_machines.append(machine.name)
+        elif machine.machine_type is not None and machine.tasks:
+            use.busy_machines.append(
+                (machine.name, machine.machine_type.capacity[0] - machine.free[0])
+            )
     return use
 
 
-def _is_leaving(controller: Controller, m: Machine) -> bool:
+def _is_leaving(controller: Controller, machine: Machine) -> bool:
     """Whether a machine is not to be counted on."""
-    if m.is_silent or m.is_unresponsive or m.reclaim_at is not None:
+    if machine.is_silent or machine.is_unresponsive or machine.reclaim_at is not None:
         return True
-    return _is_overdue(controller, m)
+    return _is_overdue(controller, machine)
 
 
-def _is_overdue(controller: Controller, m: Machine) -> bool:
+def _is_overdue(controller: Controller, machine: Machine) -> bool:
     """Whether a machine that was rented should have reported by now.
 
     The time counts from its arrival in the part: after a takeover, or a move from another part,
     it may have reported elsewhere. Were it left out until it reports here, the others would rent
     machines in place of the whole part.
     """
-    if m.agent_incarnation or m.machine_type is None:
+    if machine.agent_incarnation or machine.machine_type is None:
         return False
     return controller.boot_times.is_overdue(
-        m.machine_type, controller.now - m.added_at, controller.now
+        machine.machine_type, controller.now - machine.added_at, controller.now
     )
--- a/marblestair/core/capacity/spending.py
+++ b/marblestair/core/capacity/spending.py
@@ -26,29 +26,29 @@
         self._accounted_at: dict[int, float] = {}
         self._logged_at: dict[int, float] = {}
 
-    def account(self, part: Shard) -> None:
+    def account(self, shard: Shard) -> None:
         """Count what a part's machines cost since the last call; about once a minute, log it."""
         now = self._controller.now
-        pause_s = min(LONGEST_PAUSE_S, now - self._accounted_at.get(part.shard_id, now))
-        self._accounted_at[part.shard_id] = now
-        spent = self._spent.setdefault(part.shard_id, {})
-        for machine in part.machines.values():
+        pause_s = min(LONGEST_PAUSE_S, now - self._accounted_at.get(shard.shard_id, now))
+        self._accounted_at[shard.shard_id] = now
+        spent = self._spent.setdefault(shard.shard_id, {})
+        for machine in shard.machines.values():
             _add(spent, machine, pause_s)
         if (
-            now - self._logged_at.setdefault(part.shard_id, now) >= LOG_S
+            now - self._logged_at.setdefault(shard.shard_id, now) >= LOG_S
             and sum(spent.values()) > 0
         ):
-            self._logged_at[part.shard_id] = now
-            self._log(part, spent)
+            self._logged_at[shard.shard_id] = now
+            self._log(shard, spent)
             spent.clear()
 
-    def _log(self, part: Shard, spent: dict[str, float]) -> None:
+    def _log(self, shard: Shard, spent: dict[str, float]) -> None:
         total = sum(spent.values())
         uses = ", ".join(f"{use} {money / total:.2f}" for use, money in sorted(spent.items()))
-        waiting = sum(len(s.pending) for s in part.slices.values())
+        waiting = sum(len(job_slice.pending) for job_slice in shard.slices.values())
         self._controller.log(
             "info",
-            f"part {part.shard_id}: {len(part.machines)} machines,"
+            f"part {shard.shard_id}: {len(shard.machines)} machines,"
             f" {waiting} tasks waiting, spent {total:.3f}: {uses}",
         )
 
@@ -62,8 +62,12 @@
     if not machine.agent_incarnation or machine.is_silent:
         spent["boot"] = spent.get("boot", 0.0) + money
         return
-    running = sum(p.resources[0] for p in machine.tasks.values() if p.running_since is not None)
-    starting = sum(p.resources[0] for p in machine.tasks.values() if p.running_since is None)
+    running = sum(
+        task.resources[0] for task in machine.tasks.values() if task.running_since is not None
+    )
+    starting = sum(
+        task.resources[0] for task in machine.tasks.values() if task.running_since is None
+    )
     size = max(1, machine.machine_type.capacity[0])
     left = "spare" if machine.tasks else "idle"
     uses = (("run", running), ("start", starting), (left, max(0, size - running - starting)))
--- a/marblestair/core/controller.py
+++ b/marblestair/core/controller.py
@@ -62,7 +62,7 @@
         self.now = now
         self.wall_time = wall
         self.started_at = now
-        self.teams: dict[str, Team] = {t.name: t for t in settings.cluster.teams}
+        self.teams: dict[str, Team] = {team.name: team for team in settings.cluster.teams}
         self.coroutines = CoroutineRunner()
         self.coroutines.on_error = self._coroutine_failed
         self.replies: list[UserReply] = []
@@ -153,22 +153,22 @@
         sizes = {put.key: len(msgspec.msgpack.encode(put.value)) for put in commit.puts}
         self.log("error", f"commit refused: {commit.change_count} changes, bytes by key {sizes}")
 
-    def home_node(self, part: int) -> str:
+    def home_node(self, shard_id: int) -> str:
         """The node that a part belongs to when all are well."""
         nodes = self.settings.nodes
-        return nodes[part % len(nodes)]
+        return nodes[shard_id % len(nodes)]
 
-    def fence_precondition(self, part: int) -> tuple[str, int]:
+    def fence_precondition(self, shard_id: int) -> tuple[str, int]:
         """Guard that fails once the part has another owner."""
-        key = f"{keys.FENCES}{part}"
+        key = f"{keys.FENCES}{shard_id}"
         return key, self.view.version(key)
 
-    def leader_of(self, part: int) -> str | None:
+    def leader_of(self, shard_id: int) -> str | None:
         """Node that owns a part, as far as the view tells."""
-        s = self.view.shard_map
-        if s is None or not 0 <= part < len(s.shards):
+        shard_map = self.view.shard_map
+        if shard_map is None or not 0 <= shard_id < len(shard_map.shards):
             return None
-        return s.shards[part].leader or None
+        return shard_map.shards[shard_id].leader or None
 
     @property
     def max_batch_changes(self) -> int:
@@ -183,7 +183,7 @@
 
     def led_shards(self) -> list[Shard]:
         """Parts this node may act for now."""
-        return [p for i, p in sorted(self.shards.items()) if self.is_leader(i)]
+        return [shard for i, shard in sorted(self.shards.items()) if self.is_leader(i)]
 
     def is_healthy(self) -> bool:
         """Whether this node can take requests."""
@@ -204,7 +204,8 @@
         ):
             return False
         return all(
-            self.now - self.last_received_at.get(p.node, -1e9) > limit for p in self.settings.others
+            self.now - self.last_received_at.get(peer.node, -1e9) > limit
+            for peer in self.settings.others
         )
 
     def is_isolated(self, now: float) -> bool:
@@ -218,11 +219,13 @@
             2.5 * self.settings.cluster.workers.report_s,
         )
         heard = [
-            max(m.last_heartbeat_at, p.acquired_at)
-            for p in self.shards.values()
-            if p.is_ready
-            for m in p.machines.values()
-            if self._should_send_heartbeats(p, m) and not m.is_given_up and not m.is_releasing
+            max(machine.last_heartbeat_at, shard.acquired_at)
+            for shard in self.shards.values()
+            if shard.is_ready
+            for machine in shard.machines.values()
+            if self._should_send_heartbeats(shard, machine)
+            and not machine.is_given_up
+            and not machine.is_releasing
         ]
         if not heard or now - max(heard) < limit:
             return False
@@ -230,18 +233,22 @@
         deaf = all(now - self.last_received_at.get(n, self.started_at) > limit for n in peers)
         return bool(peers) and (deaf or len(heard) > 1)
 
-    def _should_send_heartbeats(self, part: Shard, m: Machine) -> bool:
+    def _should_send_heartbeats(self, shard: Shard, machine: Machine) -> bool:
         """Whether a machine is up as far as is known.
 
         It has reported under this part's term, or it was there at the takeover and has had
         time to boot.
         """
-        if m.is_reconciled:
+        if machine.is_reconciled:
             return True
-        record = self.view.machines.get(m.name)
-        if m.name not in part.unreconciled_machines or record is None or m.machine_type is None:
+        record = self.view.machines.get(machine.name)
+        if (
+            machine.name not in shard.unreconciled_machines
+            or record is None
+            or machine.machine_type is None
+        ):
             return False
-        return self.wall_time - record.added_at > BOOTED * m.machine_type.boot_s
+        return self.wall_time - record.added_at > BOOTED * machine.machine_type.boot_s
 
     def reaches_agents(self) -> bool:
         """Whether this node can be given parts, as far as it can tell."""
@@ -251,63 +258,63 @@
 
     def sync(self) -> None:
         """Bring parts, machines and jobs in line with the view."""
-        v = self.view
-        if v.shard_map_changed:
-            v.shard_map_changed = False
+        view = self.view
+        if view.shard_map_changed:
+            view.shard_map_changed = False
             self._sync_shards()
-        if v.changed_machines:
-            names, v.changed_machines = v.changed_machines, set()
+        if view.changed_machines:
+            names, view.changed_machines = view.changed_machines, set()
             for name in sorted(names):
                 self.sync_machine(name)
-        jobs_changed = bool(v.changed_jobs)
+        jobs_changed = bool(view.changed_jobs)
         if jobs_changed:
-            ids, v.changed_jobs = v.changed_jobs, set()
+            ids, view.changed_jobs = view.changed_jobs, set()
             for job in sorted(ids):
                 self._sync_job(job)
             self._sync_urgency()
         if jobs_changed or self.failures.quarantine_changed:
             self.failures.quarantine_changed = False
             self.guaranteed_jobs = jobs_within_guarantee(
-                v.jobs, self.teams, self.failures.is_quarantined
+                view.jobs, self.teams, self.failures.is_quarantined
             )
 
     def _sync_job(self, job: str) -> None:
         self.cancellations.record_changed(job)
         if job not in self.view.jobs:
             self.inherited_urgency.job_ended(job)
-        for p in self.shards.values():
-            if p.is_ready:
-                self.sync_slice(p, job)
+        for shard in self.shards.values():
+            if shard.is_ready:
+                self.sync_slice(shard, job)
         self.job_managers.record_changed(job)
         self.dependencies.record_changed(job)
 
     def _sync_urgency(self) -> None:
         """Schedule by what jobs inherit from those that need them."""
         for job in self.inherited_urgency.pop_changed():
-            for p in self.shards.values():
-                if job in p.slices:
-                    self.sync_slice(p, job)
+            for shard in self.shards.values():
+                if job in shard.slices:
+                    self.sync_slice(shard, job)
 
     def _sync_shards(self) -> None:
-        s = self.view.shard_map
-        if s is None:
+        shard_map = self.view.shard_map
+        if shard_map is None:
             return
-        for i, record in enumerate(s.shards):
-            part = self.shards.get(i)
+        for i, record in enumerate(shard_map.shards):
+            shard = self.shards.get(i)
             if (record.leader, record.incarnation) == self.identity:
-                if part is not None and part.acquired_term == record.acquired_term:
+                if shard is not None and shard.acquired_term == record.acquired_term:
                     # The same ownership; another owner may have raised the term, to move a
                     # machine into this part. What tells is in the record itself: the split may
                     # be read ahead of the rest of the view, and an ownership that ended and
                     # began again must not look like one.
-                    part.term = record.term
+                    shard.term = record.term
                 else:
-                    part = self._new_shard(i, record.term)
-                    part.acquired_term = record.acquired_term
-                    self.shards[i] = part
+                    shard = self._new_shard(i, record.term)
+                    shard.acquired_term = record.acquired_term
+                    self.shards[i] = shard
                     rev = self.view.version(keys.SHARD_MAP)
-                    self.coroutines.supervise(partial(recover_shard, self, part, rev))
-            elif part is not None:
+                    self.coroutines.supervise(partial(recover_shard, self, shard, rev))
+            elif shard is not None:
                 del self.shards[i]
                 self.log("info", f"part {i} is now with {record.leader}, term {record.term}")
         self.job_managers.shards_changed()
@@ -318,104 +325,106 @@
     def sync_machine(self, name: str, populating: Shard | None = None) -> None:
         """Bring a machine of the parts here in line with the view, also of one being rebuilt."""
         record = self.view.machines.get(name)
-        for p in self.shards.values():
-            if not p.is_ready and p is not populating:
+        for shard in self.shards.values():
+            if not shard.is_ready and shard is not populating:
                 continue
-            m = p.machines.get(name)
-            if record is None or record.shard_id != p.shard_id:
-                if m is not None:
-                    p.remove_machine(name, self.now)
-            elif m is None:
-                m = Machine(name, record.machine_type, record.zone, record.spot, self.now)
-                m.set_machine_type(self.machine_types.get(record.machine_type))
-                p.add_machine(m)
-
-    def sync_slice(self, p: Shard, job: str) -> None:
+            machine = shard.machines.get(name)
+            if record is None or record.shard_id != shard.shard_id:
+                if machine is not None:
+                    shard.remove_machine(name, self.now)
+            elif machine is None:
+                machine = Machine(name, record.machine_type, record.zone, record.spot, self.now)
+                machine.set_machine_type(self.machine_types.get(record.machine_type))
+                shard.add_machine(machine)
+
+    def sync_slice(self, shard: Shard, job: str) -> None:
         """Bring a part's slice of a job in line with the view."""
-        s = p.slices.get(job)
+        s = shard.slices.get(job)
         was_waiting = s is None or s.is_blocked
         record = self.view.jobs.get(job)
         if record is None and s is not None:
             for page, version in s.page_versions.items():
-                p.obsolete_keys[keys.progress_page(p.shard_id, job, page)] = version
-        p.sync_job(record, job, self.view.version(keys.JOBS + job), self.now)
-        if job in p.slices and self.cancellations.is_known(job):
+                shard.obsolete_keys[keys.progress_page(shard.shard_id, job, page)] = version
+        shard.sync_job(record, job, self.view.version(keys.JOBS + job), self.now)
+        if job in shard.slices and self.cancellations.is_known(job):
             # Known ahead of the view: a slice that comes by an older record is over too.
-            p.cancel(job, self.now)
-        held = p.slices.get(job)
+            shard.cancel(job, self.now)
+        held = shard.slices.get(job)
         if held is None or record is None:
             return
         held.spec = self.inherited_urgency.scheduling_spec(record)
         if was_waiting and not held.is_blocked:
-            self.dispatcher.shards_with_new_work.add(p.shard_id)
+            self.dispatcher.shards_with_new_work.add(shard.shard_id)
 
     def set_machine_types(self, types: list[MachineType]) -> None:
         """Learn the machine types."""
-        self.machine_types = {t.name: t for t in types}
-        for p in self.shards.values():
-            for m in p.machines.values():
-                m.set_machine_type(self.machine_types.get(m.type_name))
+        self.machine_types = {machine_type.name: machine_type for machine_type in types}
+        for shard in self.shards.values():
+            for machine in shard.machines.values():
+                machine.set_machine_type(self.machine_types.get(machine.type_name))
 
     # --- shares ----------------------------------------------------------------------------
 
-    def quota(self, part: Shard, team: str) -> tuple[int, int]:
+    def quota(self, shard: Shard, team: str) -> tuple[int, int]:
         """What the team's tasks may use in this part."""
-        s = self.view.shard_map
-        if s is None:
+        shard_map = self.view.shard_map
+        if shard_map is None:
             return 0, 0
-        c, g = s.shards[part.shard_id].quotas.get(team, [0, 0])
-        low = self.pending_quota_releases.get((part.shard_id, team), [0, 0])
+        c, g = shard_map.shards[shard.shard_id].quotas.get(team, [0, 0])
+        low = self.pending_quota_releases.get((shard.shard_id, team), [0, 0])
         return c - low[0], g - low[1]
 
     # --- workers ---------------------------------------------------------------------------
 
-    def receive_heartbeat(self, rep: Heartbeat) -> tuple[int, int, list[TaskCommand], str | None]:
+    def receive_heartbeat(
+        self, heartbeat: Heartbeat
+    ) -> tuple[int, int, list[TaskCommand], str | None]:
         """A worker's report: status, token, orders, and the node to report to."""
         now = self.now
         self.leadership.heartbeat_received()
-        record = self.view.machines.get(rep.machine)
+        record = self.view.machines.get(heartbeat.machine)
         if record is None:
-            return self.fleet.receive_unregistered(rep)
+            return self.fleet.receive_unregistered(heartbeat)
         owner = self.leader_of(record.shard_id)
         if owner != self.node:
             return 421, 0, [], owner
-        part = self.shards.get(record.shard_id)
-        if part is None or not self.is_leader(record.shard_id):
+        shard = self.shards.get(record.shard_id)
+        if shard is None or not self.is_leader(record.shard_id):
             return 503, 0, [], None
-        m = part.machines.get(rep.machine)
-        if m is not None and m.machine_type is None:
-            m.set_machine_type(self.machine_types.get(m.type_name))
-        before = m.is_reconciled if m is not None else False
-        free = list(m.free) if m is not None else []
-        if rep.fencing_token > part.term:
+        machine = shard.machines.get(heartbeat.machine)
+        if machine is not None and machine.machine_type is None:
+            machine.set_machine_type(self.machine_types.get(machine.type_name))
+        before = machine.is_reconciled if machine is not None else False
+        free = list(machine.free) if machine is not None else []
+        if heartbeat.fencing_token > shard.term:
             return 421, 0, [], None
-        orders = part.receive_heartbeat(rep, now)
+        orders = shard.receive_heartbeat(heartbeat, now)
         if orders is None:
             return 503, 0, [], None
-        if part.finished_tasks:
-            self._record_run_times(part)
-        if part.shard_id in self.dispatcher.shards_with_new_work:
-            self.dispatcher.place_all(part)
-        elif m is not None and (m.is_reconciled != before or m.free != free):
+        if shard.finished_tasks:
+            self._record_run_times(shard)
+        if shard.shard_id in self.dispatcher.shards_with_new_work:
+            self.dispatcher.place_all(shard)
+        elif machine is not None and (machine.is_reconciled != before or machine.free != free):
             # Room has come up: fill it with this very answer rather than the next one.
-            self.dispatcher.fill_machine(part, m)
-        if m is not None:
-            launches = part.launch_commands(m, now)
+            self.dispatcher.fill_machine(shard, machine)
+        if machine is not None:
+            launches = shard.launch_commands(machine, now)
             self.decisions.count(
-                Decision.STOP, "in an answer", sum(o.verb == "stop" for o in orders)
+                Decision.STOP, "in an answer", sum(command.verb == "stop" for command in orders)
             )
             self.decisions.count(Decision.LAUNCH, "in an answer", len(launches))
             orders += launches
-        return 200, part.term, orders, None
+        return 200, shard.term, orders, None
 
-    def _record_run_times(self, part: Shard) -> None:
-        for spec, ran in part.finished_tasks:
+    def _record_run_times(self, shard: Shard) -> None:
+        for spec, ran in shard.finished_tasks:
             if spec.estimated_run_s > 0:
                 old = self.run_time_ratios.get(spec.job_class, 1.0)
                 self.run_time_ratios[spec.job_class] = old + 0.02 * (
                     min(5.0, ran / spec.estimated_run_s) - old
                 )
-        part.finished_tasks.clear()
+        shard.finished_tasks.clear()
 
     # --- time ------------------------------------------------------------------------------
 
@@ -425,35 +434,35 @@
         self.coroutines.wake(now)
         self.sync()
         self.leadership.tick(now)
-        acting = self.led_shards()
+        led_shards = self.led_shards()
         self.preemption.tick()
-        for p in acting:
-            p.tick(now)
-            self.dispatcher.place_all(p)
-            for m, orders in p.overdue_stops(now):
-                self.decisions.count(Decision.STOP, "direct", len(orders))
+        for shard in led_shards:
+            shard.tick(now)
+            self.dispatcher.place_all(shard)
+            for machine, commands in shard.overdue_stops(now):
+                self.decisions.count(Decision.STOP, "direct", len(commands))
                 self.direct_commands.append(
-                    DirectCommand(m.address, p.term, m.agent_incarnation, orders)
+                    DirectCommand(machine.address, shard.term, machine.agent_incarnation, commands)
                 )
-            self.fleet.enforce_cancel_deadline(p)
+            self.fleet.enforce_cancel_deadline(shard)
         self.job_managers.tick()
         self.migration_locks.tick()
         if now >= self._next_transfer_at:
             self._next_transfer_at = now + 0.4
-            self._publish_summaries(acting)
-            for p in acting:
-                self.slice_migrations.migrate_pending(p)
-                self.machine_transfers.transfer_idle_machines(p)
+            self._publish_summaries(led_shards)
+            for shard in led_shards:
+                self.slice_migrations.migrate_pending(shard)
+                self.machine_transfers.transfer_idle_machines(shard)
         if now >= self._next_rebalance_at:
             self._next_rebalance_at = now + 1.0
             self.cancellations.prune()
-            self.quota_transfers.rebalance(acting)
+            self.quota_transfers.rebalance(led_shards)
 
-    def _publish_summaries(self, acting: list[Shard]) -> None:
+    def _publish_summaries(self, led_shards: list[Shard]) -> None:
         told = []
-        for p in acting:
-            summary = summarize_shard(self, p)
-            self.shard_summaries[p.shard_id] = (self.now, summary)
+        for shard in led_shards:
+            summary = summarize_shard(self, shard)
+            self.shard_summaries[shard.shard_id] = (self.now, summary)
             told.append(msgspec.to_builtins(summary))
         args = [self.incarnation, told, self.reaches_agents(), self.fleet.capacity_refusals()]
         for peer in self.settings.others:
@@ -470,9 +479,11 @@
                     # A late message of an earlier process, or one of a process not seen yet.
                     return
                 for raw in args[1]:
-                    g = msgspec.convert(raw, ShardSummary)
-                    self.shard_summaries[g.shard_id] = (self.now, g)
-                    self.failures.receive_failing_jobs(g.shard_id, g.failing_jobs, self.now)
+                    summary = msgspec.convert(raw, ShardSummary)
+                    self.shard_summaries[summary.shard_id] = (self.now, summary)
+                    self.failures.receive_failing_jobs(
+                        summary.shard_id, summary.failing_jobs, self.now
+                    )
                 self.peer_reaches_agents[node] = bool(args[2])
                 self.fleet.receive_refusals(args[3])
             elif tag == "progress":
--- a/marblestair/core/jobs/acceptance.py
+++ b/marblestair/core/jobs/acceptance.py
@@ -145,13 +145,13 @@
         """
         controller = self._controller
         record = controller.view.shard_map
-        numbers = [part.shard_id for part in controller.led_shards()]
+        numbers = [shard.shard_id for shard in controller.led_shards()]
         if (
             not numbers
             and controller.leadership.is_authorized(controller.now)
             and record is not None
         ):
-            numbers = [i for i, part in enumerate(record.shards) if self._is_heard(i, part.term)]
+            numbers = [i for i, shard in enumerate(record.shards) if self._is_heard(i, shard.term)]
         return numbers[controller.rng.randrange(len(numbers))] if numbers else None
 
     def _is_heard(self, number: int, term: int) -> bool:
@@ -170,16 +170,16 @@
                 return Outcome(503, UNKNOWN, "no authority", RETRY_S)
             guards = [(key, 0), (keys.FINALS + spec.id, 0), controller.fence_precondition(manager)]
             commit = CompareAndSwap(guards, [Put(key, record)], [], ACCEPT)
-            result: StoreResponse = yield commit
-            if result.status == 200:
-                controller.view.record_commit(commit, result.revision)
+            response: StoreResponse = yield commit
+            if response.status == 200:
+                controller.view.record_commit(commit, response.revision)
                 controller.sync()
                 controller.job_managers.announce_record(spec.id)
                 self._log_accepted(spec, record)
                 return Outcome(201, JobStatus(JobState.QUEUED, 0, 0))
-            if result.status == 400:
+            if response.status == 400:
                 return Outcome(503, UNKNOWN, "not accepted", REFUSED_RETRY_S)
-            if result.status not in (0, 409):
+            if response.status not in (0, 409):
                 break
             # Perhaps an earlier try of ours, or of the user by way of another node.
             status: JobStatus | None = yield from controller.answers.read_status(spec.id)
@@ -197,12 +197,12 @@
         final_key = keys.FINALS + spec.id
         guards = [(keys.JOBS + spec.id, 0), (final_key, 0)]
         commit = CompareAndSwap(guards, [Put(final_key, JobState.CANCELLED)], [], ACCEPT)
-        result: StoreResponse = yield commit
-        if result.status == 200:
+        response: StoreResponse = yield commit
+        if response.status == 200:
             controller.answers.record_final(spec.id, JobState.CANCELLED)
             controller.log("info", f"accepted {spec.id} as cancelled, like {parent} before it")
             return Outcome(201, JobStatus(JobState.CANCELLED))
-        if result.status in (0, 409):
+        if response.status in (0, 409):
             # Perhaps an earlier try of ours, or of the user by way of another node.
             status: JobStatus | None = yield from controller.answers.read_status(spec.id)
             if status is not None and status != UNKNOWN:
@@ -229,19 +229,19 @@
         able = self._parts_with_share(spec, load) or [manager]
         whole = spec.kind == GANG or spec.single_zone or spec.spread_zones
         if whole or spec.task_count < 2 * len(able):
-            part = self._part_for_whole(spec, able, load, manager)
-            return {str(part): [[0, spec.task_count]]}
+            shard_id = self._part_for_whole(spec, able, load, manager)
+            return {str(shard_id): [[0, spec.task_count]]}
         slices: dict[str, list[list[int]]] = {}
         start = 0
-        for part, size in zip(
+        for shard_id, size in zip(
             sorted(able), shard_map.split_evenly(spec.task_count, len(able)), strict=True
         ):
-            slices[str(part)] = [[start, start + size]]
+            slices[str(shard_id)] = [[start, start + size]]
             start += size
         return slices
 
-    def _summary(self, part: int) -> ShardSummary | None:
-        told = self._controller.shard_summaries.get(part)
+    def _summary(self, shard_id: int) -> ShardSummary | None:
+        told = self._controller.shard_summaries.get(shard_id)
         return told[1] if told is not None else None
 
     def _load_by_part(self, manager: int) -> dict[int, float]:
@@ -249,8 +249,8 @@
         record = self._controller.view.shard_map
         assert record is not None
         load: dict[int, float] = {}
-        for number, part in enumerate(record.shards):
-            if number != manager and not self._is_heard(number, part.term):
+        for number, shard in enumerate(record.shards):
+            if number != manager and not self._is_heard(number, shard.term):
                 continue
             summary = self._summary(number)
             load[number] = 0.0
@@ -277,19 +277,30 @@
         controller = self._controller
         whole = spec.kind == GANG or spec.single_zone or spec.spread_zones
         count = spec.task_count if whole else 1
-        told = {part: g for part in able if (g := self._summary(part)) is not None}
+        told = {
+            shard_id: summary
+            for shard_id in able
+            if (summary := self._summary(shard_id)) is not None
+        }
         fitting = [
-            p for p, g in told.items() if gang_fits(spec, spec.resources, g.free_capacity, count)
+            p
+            for p, summary in told.items()
+            if gang_fits(spec, spec.resources, summary.free_capacity, count)
         ]
         if not fitting and controller.fleet.arrivals.is_latency_sensitive(spec):
             # Else where it may stop what runs there.
             fitting = [
-                part
-                for part, g in told.items()
-                if gang_fits(spec, spec.resources, g.free_capacity + g.preemptible_capacity, count)
+                shard_id
+                for shard_id, summary in told.items()
+                if gang_fits(
+                    spec,
+                    spec.resources,
+                    summary.free_capacity + summary.preemptible_capacity,
+                    count,
+                )
             ]
         candidates = fitting or able
-        best = min(candidates, key=lambda part: (load[part], part != manager, part))
+        best = min(candidates, key=lambda shard_id: (load[shard_id], shard_id != manager, shard_id))
         if best in told and spec.kind == GANG:
             # Several that come at once are not all sent to the same machine.
             reserve_capacity(told[best], spec, count)
--- a/marblestair/core/jobs/answers.py
+++ b/marblestair/core/jobs/answers.py
@@ -222,15 +222,15 @@
         controller = self.controller
         if controller.is_cut_off():
             return None
-        r: StoreResponse = yield Get(keys.JOBS + job, lane)
-        if r.status == 200:
-            controller.view.record_read(keys.JOBS + job, r.value, r.version)
+        response: StoreResponse = yield Get(keys.JOBS + job, lane)
+        if response.status == 200:
+            controller.view.record_read(keys.JOBS + job, response.value, response.version)
             controller.sync()
-            record = msgspec.convert(r.value, JobRecord)
+            record = msgspec.convert(response.value, JobRecord)
             return JobStatus(JobState.CANCELLED if record.is_cancelled else JobState.QUEUED)
-        if r.status != 404:
+        if response.status != 404:
             return None
-        controller.view.record_absence(keys.JOBS + job, r.revision)
+        controller.view.record_absence(keys.JOBS + job, response.revision)
         controller.sync()
         # In this order: a job that ends between the two reads moves from the first key to the
         # second.
@@ -238,11 +238,11 @@
 
     def _read_final(self, job: str, lane: int) -> Step:
         """Read a job's final state; UNKNOWN if it has none, None when it could not be read."""
-        got: StoreResponse = yield Get(keys.FINALS + job, lane)
-        if got.status == 200 and got.value in FINAL_STATES:
-            self.record_final(job, JobState(got.value))
-            return JobStatus(JobState(got.value))
-        return UNKNOWN if got.status == 404 else None
+        read: StoreResponse = yield Get(keys.FINALS + job, lane)
+        if read.status == 200 and read.value in FINAL_STATES:
+            self.record_final(job, JobState(read.value))
+            return JobStatus(JobState(read.value))
+        return UNKNOWN if read.status == 404 else None
 
     def read_final_first(self, job: str, lane: int) -> Step:
         """Look first for a job's final state, then for its record, by fresh reads.
--- a/marblestair/core/jobs/cancellations.py
+++ b/marblestair/core/jobs/cancellations.py
@@ -95,8 +95,8 @@
         if entry is None:
             entry = self._entries[job] = CancelEntry(rev, controller.now)
             self._note("known", job, rev=rev, view_rev=controller.view.revision)
-            for part in controller.shards.values():
-                part.cancel(job, controller.now)
+            for shard in controller.shards.values():
+                shard.cancel(job, controller.now)
             controller.dependencies.parent_cancelled(job)
         return entry
 
@@ -162,10 +162,10 @@
                 numbers.add(live.manager_shard)
         return numbers
 
-    def _has_entry(self, number: int, part: ShardRecord, entry: CancelEntry) -> bool:
+    def _has_entry(self, number: int, shard: ShardRecord, entry: CancelEntry) -> bool:
         """Whether a part's present owner is known to have applied an entry."""
-        is_here = (part.leader, part.incarnation) == self.controller.identity
-        return is_here or entry.applied_terms.get(number) == part.term
+        is_here = (shard.leader, shard.incarnation) == self.controller.identity
+        return is_here or entry.applied_terms.get(number) == shard.term
 
     def _is_known_everywhere(self, entry: CancelEntry) -> bool:
         """Whether whoever has not applied an entry by now can act no more."""
@@ -218,7 +218,7 @@
     def apply_entry(self, job: str, rev: int) -> list[list[int]]:
         """Another node asks to apply an entry: the parts and terms for which that is done."""
         self.record(job, rev)
-        return [[p.shard_id, p.term] for p in self.controller.led_shards()]
+        return [[shard.shard_id, shard.term] for shard in self.controller.led_shards()]
 
     def propagate(self, job: str, heard_s: float = 1e9) -> Step:
         """Ask every owner that may lack the entry to apply it, the latest heard first.
@@ -227,11 +227,11 @@
         cancel is confirmed.
         """
         controller = self.controller
-        s, entry = controller.view.shard_map, self._entries.get(job)
+        shard_map, entry = controller.view.shard_map, self._entries.get(job)
         nodes: dict[str, None] = {}
         for p in self.shards_without_entry(job) or ():
-            if s is not None:
-                nodes[s.shards[p].leader] = None
+            if shard_map is not None:
+                nodes[shard_map.shards[p].leader] = None
         for node in sorted(nodes, key=lambda n: (-controller.last_received_at.get(n, -1e9), n)):
             if (
                 entry is None
@@ -299,9 +299,9 @@
         key = keys.JOBS + job
         new = with_cancel(record, controller.settings.cluster.state.value_kb)
         commit = CompareAndSwap([(key, controller.view.version(key))], [Put(key, new)], [], ACCEPT)
-        r: StoreResponse = yield commit
-        if r.status == 200:
-            controller.view.record_commit(commit, r.revision)
+        response: StoreResponse = yield commit
+        if response.status == 200:
+            controller.view.record_commit(commit, response.revision)
             controller.sync()
         # In doubt or outrun: the next request reads the record afresh.
 
--- a/marblestair/core/jobs/completion_records.py
+++ b/marblestair/core/jobs/completion_records.py
@@ -31,19 +31,28 @@
         self.controller = controller
         self._writing: set[int] = set()
 
-    def tick(self, acting: list[Shard]) -> None:
+    def tick(self, led_shards: list[Shard]) -> None:
         """Record complete slices whose managers hear nothing."""
         controller = self.controller
         limit = UNHEARD_REPORTS * controller.settings.cluster.workers.report_s
-        for p in acting:
-            if p.shard_id in self._writing:
+        for shard in led_shards:
+            if shard.shard_id in self._writing:
                 continue
             jobs = []
-            for job, s in p.slices.items():
-                if not s.size or s.done_count != s.size or s.is_cancelled or s.migrating_ranges:
+            for job, job_slice in shard.slices.items():
+                if (
+                    not job_slice.size
+                    or job_slice.done_count != job_slice.size
+                    or job_slice.is_cancelled
+                    or job_slice.migrating_ranges
+                ):
                     continue
                 record = controller.view.jobs.get(job)
-                if record is None or record.is_cancelled or p.shard_id in record.complete_shards:
+                if (
+                    record is None
+                    or record.is_cancelled
+                    or shard.shard_id in record.complete_shards
+                ):
                     continue
                 owner = controller.leader_of(record.manager_shard)
                 if owner is None or owner == controller.node:
@@ -54,26 +63,30 @@
                 ):
                     jobs.append(job)
             if jobs:
-                self._writing.add(p.shard_id)
-                controller.spawn(self._record(p, jobs[: controller.max_batch_changes]))
+                self._writing.add(shard.shard_id)
+                controller.spawn(self._record(shard, jobs[: controller.max_batch_changes]))
 
-    def _record(self, p: Shard, jobs: list[str]) -> Coroutine:
+    def _record(self, shard: Shard, jobs: list[str]) -> Coroutine:
         controller = self.controller
         try:
-            guards, puts = [controller.fence_precondition(p.shard_id)], []
+            guards, puts = [controller.fence_precondition(shard.shard_id)], []
             for job in jobs:
-                record, s = controller.view.jobs.get(job), p.slices.get(job)
-                if record is None or s is None or s.ranges != record.slices.get(str(p.shard_id)):
+                record, job_slice = controller.view.jobs.get(job), shard.slices.get(job)
+                if (
+                    record is None
+                    or job_slice is None
+                    or job_slice.ranges != record.slices.get(str(shard.shard_id))
+                ):
                     continue
                 key = keys.JOBS + job
                 guards.append((key, controller.view.version(key)))
-                complete = sorted({*record.complete_shards, p.shard_id})
+                complete = sorted({*record.complete_shards, shard.shard_id})
                 puts.append(Put(key, msgspec.structs.replace(record, complete_shards=complete)))
             if puts:
                 commit = CompareAndSwap(guards, puts, [], FINAL)
-                r: StoreResponse = yield commit
-                if r.status == 200:
-                    controller.view.record_commit(commit, r.revision)
+                response: StoreResponse = yield commit
+                if response.status == 200:
+                    controller.view.record_commit(commit, response.revision)
                     controller.sync()
                 else:
                     # One record that has moved on must not hold up the others.
@@ -81,4 +94,4 @@
                         yield from controller.answers.read_record(put.key[len(keys.JOBS) :])
                     yield Sleep(0.3)
         finally:
-            self._writing.discard(p.shard_id)
+            self._writing.discard(shard.shard_id)
--- a/marblestair/core/jobs/job_managers.py
+++ b/marblestair/core/jobs/job_managers.py
@@ -89,7 +89,9 @@
         controller = self._controller
         for job, record in controller.view.jobs.items():
             self._manage(job, record)
-        for job in [j for j, m in self.managed.items() if m.shard_id not in controller.shards]:
+        for job in [
+            j for j, managed in self.managed.items() if managed.shard_id not in controller.shards
+        ]:
             del self.managed[job]
         self._reported.clear()
 
@@ -102,8 +104,8 @@
         self._manage(job, record)
 
     def _manage(self, job: str, record: JobRecord) -> None:
-        part = self._controller.shards.get(record.manager_shard)
-        if part is not None and part.is_ready and job not in self.managed:
+        shard = self._controller.shards.get(record.manager_shard)
+        if shard is not None and shard.is_ready and job not in self.managed:
             self.managed[job] = ManagedJob(job, record)
 
     # --- what parts report --------------------------------------------------------------------
@@ -123,46 +125,50 @@
         if record.shards[report.shard_id].term == report.term:
             managed.progress_by_shard[report.shard_id] = report
 
-    def _slice_progress(self, part: Shard, owned: JobSlice) -> SliceProgress:
+    def _slice_progress(self, shard: Shard, job_slice: JobSlice) -> SliceProgress:
         """What is to be told of a slice here."""
-        placed = -1 if owned.is_unreconciled or part.unreconciled_machines else len(owned.placed_on)
+        placed = (
+            -1
+            if job_slice.is_unreconciled or shard.unreconciled_machines
+            else len(job_slice.placed_on)
+        )
         return SliceProgress(
-            owned.spec.id,
-            part.shard_id,
-            part.term,
-            owned.done_count,
-            owned.running_count,
+            job_slice.spec.id,
+            shard.shard_id,
+            shard.term,
+            job_slice.done_count,
+            job_slice.running_count,
             placed,
-            owned.size,
-            owned.is_cancelled,
+            job_slice.size,
+            job_slice.is_cancelled,
         )
 
-    def _report_progress(self, acting: list[Shard]) -> None:
+    def _report_progress(self, led_shards: list[Shard]) -> None:
         """Report the slices of the parts here, each to its job's manager, when they changed."""
         controller = self._controller
         reports: dict[str, list[Any]] = {}
-        for part in acting:
-            for job, owned in part.slices.items():
+        for shard in led_shards:
+            for job, job_slice in shard.slices.items():
                 record = controller.view.jobs.get(job)
                 if record is None:
                     continue
-                report = self._slice_progress(part, owned)
+                report = self._slice_progress(shard, job_slice)
                 owner = controller.leader_of(record.manager_shard)
                 if owner == controller.node:
                     managed = self.managed.get(job)
-                    if managed is None or managed.progress_by_shard.get(part.shard_id) != report:
+                    if managed is None or managed.progress_by_shard.get(shard.shard_id) != report:
                         self._record_progress(report)
-                elif owner is not None and self._is_due(part, job, report):
-                    self._reported[(part.shard_id, job)] = (controller.now, report)
+                elif owner is not None and self._is_due(shard, job, report):
+                    self._reported[(shard.shard_id, job)] = (controller.now, report)
                     reports.setdefault(owner, []).append(msgspec.to_builtins(report))
         for node, told in reports.items():
             controller.send(node, "progress", told)
         if len(self._reported) > 4 * len(controller.view.jobs) + MOST_SENT:
             self._reported.clear()
 
-    def _is_due(self, part: Shard, job: str, report: SliceProgress) -> bool:
+    def _is_due(self, shard: Shard, job: str, report: SliceProgress) -> bool:
         """Whether a manager elsewhere has to be told of a slice now."""
-        sent = self._reported.get((part.shard_id, job))
+        sent = self._reported.get((shard.shard_id, job))
         if sent is None:
             return True
         sent_at, before = sent
@@ -175,9 +181,9 @@
         controller = self._controller
         if controller.view.shard_map is None:
             return
-        acting = controller.led_shards()
-        controller.completion_records.tick(acting)
-        self._report_progress(acting)
+        led_shards = controller.led_shards()
+        controller.completion_records.tick(led_shards)
+        self._report_progress(led_shards)
         for job in list(self.managed):
             self.advance(job)
 
@@ -191,28 +197,28 @@
         if record is not None and self._next_step(managed, record) is not None:
             controller.spawn(self._advance(managed))
 
-    def _is_complete(self, managed: ManagedJob, record: JobRecord, split: ShardMap) -> bool:
+    def _is_complete(self, managed: ManagedJob, record: JobRecord, shard_map: ShardMap) -> bool:
         """Whether every slice of the record is reported done by its part's present owner."""
         total = 0
         for name, ranges in record.slices.items():
-            part = int(name)
+            shard_id = int(name)
             size = sum(end - start for start, end in ranges)
-            report = managed.progress_by_shard.get(part)
+            report = managed.progress_by_shard.get(shard_id)
             is_done = (
                 report is not None
-                and report.term == split.shards[part].term
+                and report.term == shard_map.shards[shard_id].term
                 and report.done == report.size == size
             )
-            if part not in record.complete_shards and not is_done:
+            if shard_id not in record.complete_shards and not is_done:
                 return False
             total += size
         return total == record.spec.task_count
 
-    def _is_empty(self, managed: ManagedJob, record: JobRecord, split: ShardMap) -> bool:
+    def _is_empty(self, managed: ManagedJob, record: JobRecord, shard_map: ShardMap) -> bool:
         """Whether no part has a task of the job on a machine any more."""
         for name in record.slices:
             report = managed.progress_by_shard.get(int(name))
-            if report is None or report.term != split.shards[int(name)].term:
+            if report is None or report.term != shard_map.shards[int(name)].term:
                 return False
             # What was told before the cancel was applied says nothing of what started since.
             if report.placed_tasks != 0 or not report.is_cancelled:
@@ -221,8 +227,8 @@
 
     def _next_step(self, managed: ManagedJob, record: JobRecord) -> ManagerStep | None:
         """What is to be done for a job now, if anything."""
-        split = self._controller.view.shard_map
-        if split is None:
+        shard_map = self._controller.view.shard_map
+        if shard_map is None:
             return None
         if managed.is_uncertain and not managed.is_migrating:
             # A change is in doubt that nobody follows up.
@@ -230,10 +236,10 @@
         if record.is_cancelled:
             if not self._controller.cancellations.is_confirmed(managed.job):
                 return ManagerStep.APPLY
-            return ManagerStep.BURY if self._is_empty(managed, record, split) else None
+            return ManagerStep.BURY if self._is_empty(managed, record, shard_map) else None
         if record.is_blocked:
             return self._next_blocked_step(managed)
-        if self._is_complete(managed, record, split):
+        if self._is_complete(managed, record, shard_map):
             return ManagerStep.FINISH
         return ManagerStep.CANCEL if managed.is_cancel_requested else None
 
@@ -288,14 +294,14 @@
         """Send the change of the record that a step asks for, and take in what became of it."""
         controller = self._controller
         commit = self._commit_for(managed, record, step)
-        result: StoreResponse = yield from managed.commit_change(commit)
-        if result.status == 200:
+        response: StoreResponse = yield from managed.commit_change(commit)
+        if response.status == 200:
             controller.decisions.note(
                 controller.now,
                 Decision.RECORD,
                 step.name.lower(),
                 job=managed.job,
-                rev=result.revision,
+                rev=response.revision,
                 read_rev=controller.view.version(keys.JOBS + managed.job),
                 fence_rev=controller.fence_precondition(managed.shard_id)[1],
                 awaits=len(record.spec.depends_on),
@@ -303,18 +309,18 @@
             if step in FINAL_STATE:
                 controller.dependencies.announce_end(managed.job, FINAL_STATE[step])
                 controller.answers.record_final(managed.job, FINAL_STATE[step])
-            controller.view.record_commit(commit, result.revision)
+            controller.view.record_commit(commit, response.revision)
             controller.sync()
             if step is ManagerStep.RELEASE:
                 controller.log("info", f"released {managed.job}: all that it awaits is done")
                 self.announce_record(managed.job)
-        elif result.status == 409:
+        elif response.status == 409:
             # The record moved on: by an earlier try of ours, or the part has a new owner.
             # Whatever was in doubt is settled by reading it.
             if (yield from controller.answers.refresh_record(managed.job)):
                 managed.is_uncertain = False
             yield Sleep(0.05)
-        elif result.status == 400:
+        elif response.status == 400:
             yield Sleep(REFUSED_PAUSE_S)
         else:
             yield Sleep(0.1 + 0.2 * controller.rng.random())
--- a/marblestair/core/jobs/managed_job.py
+++ b/marblestair/core/jobs/managed_job.py
@@ -68,12 +68,12 @@
         """
         self._changes_under_way += 1
         try:
-            result: StoreResponse = yield commit
+            response: StoreResponse = yield commit
         finally:
             self._changes_under_way -= 1
-        if result.status == 200:
+        if response.status == 200:
             # Guarded on the same version, no earlier try can be carried out any more.
             self.is_uncertain = False
-        elif result.status == 0:
+        elif response.status == 0:
             self.is_uncertain = True
-        return result
+        return response
--- a/marblestair/core/jobs/migration_locks.py
+++ b/marblestair/core/jobs/migration_locks.py
@@ -95,11 +95,11 @@
     def _updated(self, managed: ManagedJob, update: SliceUpdate) -> JobRecord | None:
         """The record with the slices as they are to be; None when the update is not valid."""
         controller = self._controller
-        split = controller.view.shard_map
+        shard_map = controller.view.shard_map
         record = controller.view.jobs[managed.job]
-        if managed.locks.short != update.holder or split is None:
+        if managed.locks.short != update.holder or shard_map is None:
             return None
-        if split.shards[update.source].term != update.term:
+        if shard_map.shards[update.source].term != update.term:
             return None
         if update.source == update.target or not update.ranges:
             return None
@@ -131,19 +131,19 @@
             managed.shard_id
         ):
             tries += 1
-            result: StoreResponse = yield from managed.commit_change(commit)
-            if result.status == 200:
-                controller.view.record_commit(commit, result.revision)
+            response: StoreResponse = yield from managed.commit_change(commit)
+            if response.status == 200:
+                controller.view.record_commit(commit, response.revision)
                 managed.locks.update(update.holder, update.source, update.option, update.target)
                 managed.progress_by_shard.pop(update.source, None)
                 managed.progress_by_shard.pop(update.target, None)
                 controller.sync()
-                return [result.revision]
-            if result.status == 409:
+                return [response.revision]
+            if response.status == 409:
                 if (yield from controller.answers.refresh_record(managed.job)):
                     managed.is_uncertain = False
                     return self._found(managed, update, record)
-            elif result.status == 0:
+            elif response.status == 0:
                 outcome = None
             elif not managed.is_uncertain and tries > MOST_TRIES:
                 return False
--- a/marblestair/core/jobs/progress.py
+++ b/marblestair/core/jobs/progress.py
@@ -39,79 +39,79 @@
 LEAST_PAUSE_S = 0.7
 
 
-def load_progress(controller: Controller, part: Shard) -> Step:
+def load_progress(controller: Controller, shard: Shard) -> Step:
     """All pages of a part: job -> page -> (bits, version); None when the part was lost."""
     out: dict[str, dict[int, tuple[int, int]]] = {}
-    prefix = f"{keys.PROGRESS}{part.shard_id}/"
+    prefix = f"{keys.PROGRESS}{shard.shard_id}/"
     after = ""
-    while controller.shards.get(part.shard_id) is part:
+    while controller.shards.get(shard.shard_id) is shard:
         # Until it is read no worker of the part gets an answer: it must not wait behind users.
-        r: StoreResponse = yield ListKeys(prefix, after, 500, LEASE)
-        if r.status != 200:
+        response: StoreResponse = yield ListKeys(prefix, after, 500, LEASE)
+        if response.status != 200:
             yield Sleep(0.1 + 0.2 * controller.rng.random())
             continue
-        for i in r.items:
-            job, _, page = i.key[len(prefix) :].rpartition("/")
-            out.setdefault(job, {})[int(page)] = (decode_bits(i.value), i.version)
-        if not r.has_more or not r.items:
+        for item in response.items:
+            job, _, page = item.key[len(prefix) :].rpartition("/")
+            out.setdefault(job, {})[int(page)] = (decode_bits(item.value), item.version)
+        if not response.has_more or not response.items:
             return out
-        after = r.items[-1].key
+        after = response.items[-1].key
     return None
 
 
-def _dirty(part: Shard, now: float) -> list[tuple[JobSlice, int]]:
+def _dirty(shard: Shard, now: float) -> list[tuple[JobSlice, int]]:
     out = []
-    for s in part.slices.values():
-        if s.dirty_since is None or s.is_cancelled:
+    for job_slice in shard.slices.values():
+        if job_slice.dirty_since is None or job_slice.is_cancelled:
             continue
         # A slice that is complete is about to be recorded with its job's end.
-        wait = 1.5 if s.done_count == s.size else 0.5
-        if now - s.dirty_since < wait:
+        wait = 1.5 if job_slice.done_count == job_slice.size else 0.5
+        if now - job_slice.dirty_since < wait:
             continue
-        fresh = s.done_bits & ~s.durable_bits
+        fresh = job_slice.done_bits & ~job_slice.durable_bits
         mask = (1 << PAGE) - 1
         page = 0
         while fresh:
             if fresh & mask:
-                out.append((s, page))
+                out.append((job_slice, page))
             fresh >>= PAGE
             page += 1
     out.sort(key=lambda x: x[0].dirty_since or 0.0)
     return out
 
 
-def _sweep(controller: Controller, part: Shard, ops: int) -> Step:
+def _sweep(controller: Controller, shard: Shard, ops: int) -> Step:
     """Delete keys that are of no use; returns the number of changes sent.
 
     Each is guarded on its version: a deletion that is carried out late must not take what has
     been written under the key since.
     """
-    for key in [k for k, v in part.obsolete_keys.items() if v is None][:ops]:
-        got: StoreResponse = yield Get(key, PROGRESS)
-        if got.status == 404:
-            part.obsolete_keys.pop(key, None)
-        elif got.status == 200:
-            part.obsolete_keys[key] = got.version
+    for key in [k for k, v in shard.obsolete_keys.items() if v is None][:ops]:
+        read: StoreResponse = yield Get(key, PROGRESS)
+        if read.status == 404:
+            shard.obsolete_keys.pop(key, None)
+        elif read.status == 200:
+            shard.obsolete_keys[key] = read.version
     used = {
-        keys.progress_page(part.shard_id, job, page)
-        for job, s in part.slices.items()
-        for page in s.page_versions
+        keys.progress_page(shard.shard_id, job, page)
+        for job, job_slice in shard.slices.items()
+        for page in job_slice.page_versions
     }
-    for key in used & part.obsolete_keys.keys():
+    for key in used & shard.obsolete_keys.keys():
         # The slice has come back, and its page is in use again.
-        del part.obsolete_keys[key]
-    drop = {k: v for k, v in part.obsolete_keys.items() if v is not None}
+        del shard.obsolete_keys[key]
+    drop = {k: v for k, v in shard.obsolete_keys.items() if v is not None}
     drop = dict(list(drop.items())[:ops])
     if not drop:
         return 0
-    r: StoreResponse = yield CompareAndSwap(
-        [controller.fence_precondition(part.shard_id), *drop.items()], [], list(drop), PROGRESS
+    response: StoreResponse = yield CompareAndSwap(
+        [controller.fence_precondition(shard.shard_id), *drop.items()], [], list(drop), PROGRESS
     )
     for key in drop:
-        if r.status == 200:
-            part.obsolete_keys.pop(key, None)
-        elif r.status in (0, 409):
-            part.obsolete_keys[key] = None
+        if response.status == 200:
+            shard.obsolete_keys.pop(key, None)
+        elif response.status in (0, 409):
+            shard.obsolete_keys[key] = None
     return len(drop)
 
 
@@ -149,40 +149,43 @@
             yield from _write(controller, part, batch)
 
 
-def _write(controller: Controller, part: Shard, batch: list[tuple[JobSlice, int]]) -> Step:
+def _write(controller: Controller, shard: Shard, batch: list[tuple[JobSlice, int]]) -> Step:
     """Write pages in one commit, and take in what became of it."""
     mask = (1 << PAGE) - 1
-    written = [WrittenPage(s, page, (s.done_bits >> (page * PAGE)) & mask) for s, page in batch]
-    guards = [controller.fence_precondition(part.shard_id)]
+    written = [
+        WrittenPage(job_slice, page, (job_slice.done_bits >> (page * PAGE)) & mask)
+        for job_slice, page in batch
+    ]
+    guards = [controller.fence_precondition(shard.shard_id)]
     puts = []
     for w in written:
-        key = keys.progress_page(part.shard_id, w.owned.spec.id, w.page)
+        key = keys.progress_page(shard.shard_id, w.owned.spec.id, w.page)
         guards.append((key, w.owned.page_versions.get(w.page, 0)))
         puts.append(Put(key, encode_bits(w.bits)))
-    result: StoreResponse = yield CompareAndSwap(guards, puts, [], PROGRESS)
-    if result.status == 200:
+    response: StoreResponse = yield CompareAndSwap(guards, puts, [], PROGRESS)
+    if response.status == 200:
         for w in written:
-            w.owned.page_versions[w.page] = result.revision
+            w.owned.page_versions[w.page] = response.revision
             w.owned.durable_bits |= w.bits << (w.page * PAGE)
             is_dirty = bool(w.owned.done_bits & ~w.owned.durable_bits)
             w.owned.dirty_since = controller.now if is_dirty else None
-    elif result.status in (0, 409):
+    elif response.status in (0, 409):
         # No answer, or an earlier try was applied after all.
-        yield from _read_back(part, written)
+        yield from _read_back(shard, written)
     # A slice that ended meanwhile leaves pages behind.
     for w in written:
-        if part.slices.get(w.owned.spec.id) is not w.owned:
-            part.obsolete_keys[keys.progress_page(part.shard_id, w.owned.spec.id, w.page)] = None
+        if shard.slices.get(w.owned.spec.id) is not w.owned:
+            shard.obsolete_keys[keys.progress_page(shard.shard_id, w.owned.spec.id, w.page)] = None
 
 
-def _read_back(part: Shard, written: list[WrittenPage]) -> Step:
+def _read_back(shard: Shard, written: list[WrittenPage]) -> Step:
     """Read the versions of pages; one that is read late fails the next guard, and is read again."""
     for w in written:
-        got: StoreResponse = yield Get(
-            keys.progress_page(part.shard_id, w.owned.spec.id, w.page), PROGRESS
+        read: StoreResponse = yield Get(
+            keys.progress_page(shard.shard_id, w.owned.spec.id, w.page), PROGRESS
         )
-        if got.status == 200:
-            w.owned.page_versions[w.page] = got.version
-            w.owned.durable_bits |= decode_bits(got.value) << (w.page * PAGE)
-        elif got.status == 404:
+        if read.status == 200:
+            w.owned.page_versions[w.page] = read.version
+            w.owned.durable_bits |= decode_bits(read.value) << (w.page * PAGE)
+        elif read.status == 404:
             w.owned.page_versions[w.page] = 0
--- a/marblestair/core/leadership/leadership.py
+++ b/marblestair/core/leadership/leadership.py
@@ -132,13 +132,16 @@
             promises_left_s=round(self.promises.valid_until - now, 2),
             view_age_s=round(now - view.fresh_as_of, 2),
             view_rev=view.revision,
-            parts={number: part.term for number, part in self.controller.shards.items()},
+            parts={number: shard.term for number, shard in self.controller.shards.items()},
         )
 
-    def may_lead(self, part: Shard | None, now: float) -> bool:
+    def may_lead(self, shard: Shard | None, now: float) -> bool:
         """Whether this node may act for a part."""
         return (
-            part is not None and part.is_ready and not part.is_closing and self.is_authorized(now)
+            shard is not None
+            and shard.is_ready
+            and not shard.is_closing
+            and self.is_authorized(now)
         )
 
     def is_in_cooldown(self, now: float) -> bool:
@@ -194,13 +197,13 @@
         pause = min(self.lease_ttl_s / 8, max(0.15, 1.0 / (WATCH_SHARE * rps)))
         while True:
             sent = controller.now
-            r: StoreResponse = yield Watch(keys.VIEW, controller.view.revision, wait_ms)
-            if r.status == 200:
-                controller.view.apply_changes(r.events, r.revision)
+            response: StoreResponse = yield Watch(keys.VIEW, controller.view.revision, wait_ms)
+            if response.status == 200:
+                controller.view.apply_changes(response.events, response.revision)
                 controller.view.fresh_as_of = max(controller.view.fresh_as_of, sent)
                 controller.sync()
                 yield Sleep(max(0.0, sent + pause - controller.now))
-            elif r.status == 410:
+            elif response.status == 410:
                 yield from self._load_view()
             else:
                 yield Sleep(0.2 + 0.3 * controller.rng.random())
@@ -223,22 +226,22 @@
     def _renew(self, lease: int) -> Step:
         """Renew the node's lease: the status, or None when there is none any more."""
         sent = self.controller.now
-        result: StoreResponse = yield RenewLease(lease)
-        if result.status == 200:
+        response: StoreResponse = yield RenewLease(lease)
+        if response.status == 200:
             self._extend(sent)
-        elif result.status == 404:
+        elif response.status == 404:
             self.lease_id = None
             return None
-        return result.status
+        return response.status
 
     def _grant(self) -> Step:
         """Ask for a lease: the status, or None when there is one to tie the node's key to."""
         sent = self.controller.now
-        result: StoreResponse = yield GrantLease(int(self.lease_ttl_s * 1000))
-        if result.status == 200:
-            self._granted_lease = GrantedLease(result.lease_id, sent)
+        response: StoreResponse = yield GrantLease(int(self.lease_ttl_s * 1000))
+        if response.status == 200:
+            self._granted_lease = GrantedLease(response.lease_id, sent)
             return None
-        return result.status
+        return response.status
 
     def _attach_node_key(self, granted: GrantedLease) -> Step:
         """Put the node's key under a granted lease: the status, or None when that has ended.
@@ -253,21 +256,21 @@
         put = CompareAndSwap(
             guards, [Put(key, controller.incarnation, granted.lease_id)], lane=LEASE
         )
-        result: StoreResponse = yield put
-        if result.status == 200:
+        response: StoreResponse = yield put
+        if response.status == 200:
             self.lease_id, self._granted_lease = granted.lease_id, None
             # Authority counts only once the view includes this commit: while the key was
             # missing, another node may have taken the parts.
-            self.node_key_revision = result.revision
-            controller.view.record_commit(put, result.revision)
+            self.node_key_revision = response.revision
+            controller.view.record_commit(put, response.revision)
             self._extend(granted.requested_at)
             controller.sync()
-            return result.status
-        if result.status == 400:
+            return response.status
+        if response.status == 400:
             # The lease has ended meanwhile.
             self._granted_lease = None
             return None
-        if result.status == 409:
+        if response.status == 409:
             yield from self._refresh_key(key)
         # Tried again while it holds: what may still come is tied to it too.
         asked_at = controller.now
@@ -276,16 +279,16 @@
             self._granted_lease = GrantedLease(granted.lease_id, asked_at)
         elif kept.status == 404:
             self._granted_lease = None
-        return result.status
+        return response.status
 
     def _refresh_key(self, key: str) -> Step:
         """Read one followed key afresh; whether that succeeded."""
         controller = self.controller
-        got: StoreResponse = yield Get(key, LEASE)
-        if got.status == 200:
-            controller.view.record_read(key, got.value, got.version)
-        elif got.status == 404:
-            controller.view.record_absence(key, got.revision)
+        read: StoreResponse = yield Get(key, LEASE)
+        if read.status == 200:
+            controller.view.record_read(key, read.value, read.version)
+        elif read.status == 404:
+            controller.view.record_absence(key, read.revision)
         else:
             return False
         controller.sync()
@@ -331,14 +334,14 @@
             return
         mine = [
             number
-            for number, part in enumerate(record.shards)
-            if (part.leader, part.incarnation) == controller.identity
+            for number, shard in enumerate(record.shards)
+            if (shard.leader, shard.incarnation) == controller.identity
         ]
         take: list[int] = []
-        for number, part in enumerate(record.shards):
+        for number, shard in enumerate(record.shards):
             if number in mine:
                 self._absent_since.pop(number, None)
-            elif self._should_take_over(number, part, len(mine) + len(take), now):
+            elif self._should_take_over(number, shard, len(mine) + len(take), now):
                 take.append(number)
         # Each part taken is a change of its fence besides that of the split.
         take = take[: controller.settings.cluster.state.txn_ops - 1]
@@ -349,24 +352,24 @@
             self._transfer_surplus(now, mine)
 
     def _should_take_over(
-        self, number: int, part: shard_map.ShardRecord, held: int, now: float
+        self, number: int, shard: shard_map.ShardRecord, held: int, now: float
     ) -> bool:
         """Whether to take a part now, by a node that holds some number of parts already."""
         controller = self.controller
-        if part.leader == controller.node:
+        if shard.leader == controller.node:
             # This node's earlier process held it, and that process is dead.
             return True
-        if part.leader and controller.view.nodes.get(part.leader) == part.incarnation:
+        if shard.leader and controller.view.nodes.get(shard.leader) == shard.incarnation:
             self._absent_since.pop(number, None)
             return False
-        if part.leader and self.promises.may_be_relied_on(part.leader, now):
+        if shard.leader and self.promises.may_be_relied_on(shard.leader, now):
             return False
         since = self._absent_since.setdefault(number, now)
         wait = 0.35 * held + 0.15 * controller.rng.random()
-        if not part.leader:
+        if not shard.leader:
             # A new deployment: leave each node time to take its own.
             wait += 0.0 if controller.home_node(number) == controller.node else self.lease_ttl_s
-        elif controller.view.nodes.get(part.leader) is not None:
+        elif controller.view.nodes.get(shard.leader) is not None:
             # Its node is back as a new process, which takes the part itself.
             wait += self.lease_ttl_s / 2
         return now - since >= wait
@@ -389,28 +392,28 @@
             controller.settings.cluster.size, controller.settings.cluster.teams
         )
         put = CompareAndSwap([(keys.SHARD_MAP, 0)], [Put(keys.SHARD_MAP, first)], lane=LEASE)
-        r: StoreResponse = yield put
-        if r.status == 200:
-            controller.view.record_commit(put, r.revision)
+        response: StoreResponse = yield put
+        if response.status == 200:
+            controller.view.record_commit(put, response.revision)
         else:
             yield Sleep(0.3)
         self._failover_in_progress = False
 
-    def _take_over(self, parts: list[int], guards: list[tuple[str, int]]) -> Coroutine:
+    def _take_over(self, shard_ids: list[int], guards: list[tuple[str, int]]) -> Coroutine:
         controller = self.controller
         s = controller.view.shard_map
         if s is not None:
-            new = shard_map.assign_shards(s, parts, controller.node, controller.incarnation)
+            new = shard_map.assign_shards(s, shard_ids, controller.node, controller.incarnation)
             own = keys.NODES + controller.node
             ok = yield from self.commit_shard_map(
                 new,
-                parts,
+                shard_ids,
                 [*guards, (own, controller.view.version(own))],
                 controller.view.version(keys.SHARD_MAP),
             )
             if ok is None:
                 self._uncertain_failover_version = controller.view.version(keys.SHARD_MAP)
-            controller.log("info", f"took parts {parts}: {ok}")
+            controller.log("info", f"took parts {shard_ids}: {ok}")
         self._failover_in_progress = False
 
     def commit_shard_map(
@@ -429,15 +432,15 @@
         puts = [Put(keys.SHARD_MAP, new)]
         puts += [Put(f"{keys.FENCES}{i}", new.shards[i].term) for i in fenced]
         commit = CompareAndSwap([(keys.SHARD_MAP, version), *guards], puts, lane=LEASE)
-        r: StoreResponse = yield commit
-        if r.status == 200:
-            controller.view.record_commit(commit, r.revision)
+        response: StoreResponse = yield commit
+        if response.status == 200:
+            controller.view.record_commit(commit, response.revision)
             controller.sync()
             return True
-        if r.status == 409:
+        if response.status == 409:
             yield from self.refresh_shard_map()
             return False
-        return None if r.status == 0 else False
+        return None if response.status == 0 else False
 
     def refresh_shard_map(self) -> Step:
         """Read the split record afresh."""
@@ -451,13 +454,13 @@
     def _transfer_surplus(self, now: float, mine: list[int]) -> None:
         """Hand parts back to nodes that have none, or away when the machines are out of reach."""
         controller = self.controller
-        s = controller.view.shard_map
-        if s is None or now - self._last_transfer_at < self._transfer_pause_s:
+        shard_map = controller.view.shard_map
+        if shard_map is None or now - self._last_transfer_at < self._transfer_pause_s:
             return
         owned = {n: 0 for n in controller.view.nodes}
-        for p in s.shards:
-            if p.leader in owned:
-                owned[p.leader] += 1
+        for shard in shard_map.shards:
+            if shard.leader in owned:
+                owned[shard.leader] += 1
         heard = [
             n
             for n in owned
@@ -494,11 +497,11 @@
                 and now - since > SETTLE * self.lease_ttl_s
             )
             if owned[n] == 0 and fit:
-                part = next((i for i in movable if controller.home_node(i) == n), movable[-1])
-                self._begin_transfer(part, n, now)
+                shard_id = next((i for i in movable if controller.home_node(i) == n), movable[-1])
+                self._begin_transfer(shard_id, n, now)
                 return
 
-    def _begin_transfer(self, part: int, target: str, now: float) -> None:
+    def _begin_transfer(self, shard_id: int, target: str, now: float) -> None:
         # Each hand-over doubles the pause before the next, so that a flapping node does not
         # move parts every time.
         quiet = now - self._last_transfer_at > 20 * self.lease_ttl_s
@@ -506,25 +509,25 @@
             1.0 if quiet else min(2 * self._transfer_pause_s, 10 * self.lease_ttl_s)
         )
         self._last_transfer_at = now
-        self.controller.spawn(self._transfer(part, target))
+        self.controller.spawn(self._transfer(shard_id, target))
 
     def _transfer(self, number: int, target: str) -> Coroutine:
         controller = self.controller
-        part = controller.shards.get(number)
-        if part is None or part.is_closing:
+        shard = controller.shards.get(number)
+        if shard is None or shard.is_closing:
             return
         # From here on this node does not act for the part: the commit may be applied any time.
-        part.is_closing = True
+        shard.is_closing = True
         doubt = -1
         tries = 0
-        while controller.shards.get(number) is part and controller.view.shard_map is not None:
+        while controller.shards.get(number) is shard and controller.view.shard_map is not None:
             version = controller.view.version(keys.SHARD_MAP)
             inc = controller.view.nodes.get(target)
             tries += 1
             if inc is None or tries > 20:
                 if doubt != version:
                     # Nothing that was sent can be applied any more: the split has moved on.
-                    part.is_closing = False
+                    shard.is_closing = False
                     return
                 # Take the part anew, so that the commit in doubt cannot be applied late.
                 target = controller.node
--- a/marblestair/core/leadership/shard_map.py
+++ b/marblestair/core/leadership/shard_map.py
@@ -49,38 +49,40 @@
 def initial_shard_map(parts: int, teams: list[Team]) -> ShardMap:
     """The record of a new deployment: no owners, limits split evenly."""
     records = [ShardRecord("", 0, 0, {}) for _ in range(parts)]
-    for t in teams:
-        cpus = split_evenly(fixed_point_down(t.cpu_limit), parts)
-        gpus = split_evenly(fixed_point_down(t.gpu_limit), parts)
-        for p, c, g in zip(records, cpus, gpus, strict=True):
-            p.quotas[t.name] = [c, g]
+    for team in teams:
+        cpus = split_evenly(fixed_point_down(team.cpu_limit), parts)
+        gpus = split_evenly(fixed_point_down(team.gpu_limit), parts)
+        for shard, c, g in zip(records, cpus, gpus, strict=True):
+            shard.quotas[team.name] = [c, g]
     return ShardMap(0, records)
 
 
-def copy_shard_map(split: ShardMap) -> ShardMap:
+def copy_shard_map(shard_map: ShardMap) -> ShardMap:
     """A copy that can be changed."""
     return ShardMap(
-        split.last_term,
+        shard_map.last_term,
         [
             ShardRecord(
-                p.leader,
-                p.incarnation,
-                p.term,
-                {t: list(s) for t, s in p.quotas.items()},
-                p.acquired_term,
+                shard.leader,
+                shard.incarnation,
+                shard.term,
+                {t: list(s) for t, s in shard.quotas.items()},
+                shard.acquired_term,
             )
-            for p in split.shards
+            for shard in shard_map.shards
         ],
     )
 
 
-def assign_shards(split: ShardMap, parts: list[int], owner: str, incarnation: int) -> ShardMap:
+def assign_shards(
+    shard_map: ShardMap, shard_ids: list[int], owner: str, incarnation: int
+) -> ShardMap:
     """Give parts to a node, each under a fresh term."""
-    out = copy_shard_map(split)
-    for i in parts:
+    out = copy_shard_map(shard_map)
+    for i in shard_ids:
         out.last_term += 1
-        p = out.shards[i]
-        p.leader, p.incarnation, p.term, p.acquired_term = (
+        shard = out.shards[i]
+        shard.leader, shard.incarnation, shard.term, shard.acquired_term = (
             owner,
             incarnation,
             out.last_term,
@@ -89,19 +91,19 @@
     return out
 
 
-def raise_term(split: ShardMap, part: int) -> ShardMap:
+def raise_term(shard_map: ShardMap, shard_id: int) -> ShardMap:
     """Give a part a fresh term under the same owner."""
-    out = copy_shard_map(split)
+    out = copy_shard_map(shard_map)
     out.last_term += 1
-    out.shards[part].term = out.last_term
+    out.shards[shard_id].term = out.last_term
     return out
 
 
 def shift_quota(
-    split: ShardMap, source: int, target: int, team: str, cpus: int, gpus: int
+    shard_map: ShardMap, source: int, target: int, team: str, cpus: int, gpus: int
 ) -> ShardMap:
     """Move room under a team's limit from one part to another; the sum stays the same."""
-    out = copy_shard_map(split)
+    out = copy_shard_map(shard_map)
     a, b = out.shards[source].quotas[team], out.shards[target].quotas[team]
     if not (0 <= cpus <= a[0] and 0 <= gpus <= a[1]):
         raise ValueError("more than the source's share")
--- a/marblestair/core/leadership/shard_recovery.py
+++ b/marblestair/core/leadership/shard_recovery.py
@@ -22,52 +22,52 @@
 LOOK_S = 0.02
 
 
-def recover_shard(controller: Controller, part: Shard, taken_at: int) -> Coroutine:
+def recover_shard(controller: Controller, shard: Shard, taken_at: int) -> Coroutine:
     """Rebuild a part that was taken by a commit of the split at a revision."""
     # Everything committed before the takeover must be in the view first: jobs, cancels, machines.
     while controller.view.revision < taken_at:
         yield Sleep(LOOK_S)
-        if controller.shards.get(part.shard_id) is not part:
+        if controller.shards.get(shard.shard_id) is not shard:
             return
-    pages = yield from load_progress(controller, part)
+    pages = yield from load_progress(controller, shard)
     if pages is None:
         return
-    _take_machines(controller, part)
+    _take_machines(controller, shard)
     for job in controller.view.jobs:
-        controller.sync_slice(part, job)
-    _take_progress(part, pages)
-    for s in part.slices.values():
+        controller.sync_slice(shard, job)
+    _take_progress(shard, pages)
+    for job_slice in shard.slices.values():
         # What awaits other jobs never had a task: it may start as soon as it is released.
-        s.is_unreconciled = bool(part.unreconciled_machines) and not s.is_blocked
-        if s.is_cancelled:
+        job_slice.is_unreconciled = bool(shard.unreconciled_machines) and not job_slice.is_blocked
+        if job_slice.is_cancelled:
             # Users may have been told before the earlier owner fell.
-            s.cancelled_at = controller.now - controller.leadership.failover_s
-    part.is_ready = True
+            job_slice.cancelled_at = controller.now - controller.leadership.failover_s
+    shard.is_ready = True
     controller.log(
         "info",
-        f"part {part.shard_id} ready, term {part.term}: {len(part.machines)} machines,"
-        f" {len(part.slices)} jobs, {controller.now - part.acquired_at:.2f} s after the takeover",
+        f"part {shard.shard_id} ready, term {shard.term}: {len(shard.machines)} machines,"
+        f" {len(shard.slices)} jobs, {controller.now - shard.acquired_at:.2f} s after the takeover",
     )
     controller.job_managers.shards_changed()
-    controller.coroutines.supervise(partial(persist_progress, controller, part))
-    controller.coroutines.supervise(partial(controller.fleet.manage_shard, part))
+    controller.coroutines.supervise(partial(persist_progress, controller, shard))
+    controller.coroutines.supervise(partial(controller.fleet.manage_shard, shard))
 
 
-def _take_machines(controller: Controller, part: Shard) -> None:
+def _take_machines(controller: Controller, shard: Shard) -> None:
     """Every machine of the part is suspect: what runs there is not known."""
     for name, member in controller.view.machines.items():
-        if member.shard_id == part.shard_id:
-            controller.sync_machine(name, part)
-            part.unreconciled_machines.add(name)
+        if member.shard_id == shard.shard_id:
+            controller.sync_machine(name, shard)
+            shard.unreconciled_machines.add(name)
 
 
-def _take_progress(part: Shard, pages: dict[str, dict[int, tuple[int, int]]]) -> None:
+def _take_progress(shard: Shard, pages: dict[str, dict[int, tuple[int, int]]]) -> None:
     """What was recorded as done is done; pages of jobs that are over are of no use."""
     for job, numbered in pages.items():
-        s = part.slices.get(job)
+        job_slice = shard.slices.get(job)
         for page, (bits, version) in numbered.items():
-            if s is None:
-                part.obsolete_keys[keys.progress_page(part.shard_id, job, page)] = version
+            if job_slice is None:
+                shard.obsolete_keys[keys.progress_page(shard.shard_id, job, page)] = version
                 continue
-            s.page_versions[page] = version
-            s.load_done_page(page, bits)
+            job_slice.page_versions[page] = version
+            job_slice.load_done_page(page, bits)
--- a/marblestair/core/scheduling/best_effort.py
+++ b/marblestair/core/scheduling/best_effort.py
@@ -24,8 +24,8 @@
 class BestEffortTasks:
     """The guests' tasks in a part, as one look through all that waits finds them."""
 
-    def __init__(self, controller: Controller, part: Shard) -> None:
-        self._part = part
+    def __init__(self, controller: Controller, shard: Shard) -> None:
+        self._part = shard
         self._running: list[tuple[float, PlacedTask, Machine]] = []
         #: room that comes up by stops under way and that nobody counts on yet
         self._coming = 0
@@ -34,26 +34,28 @@
         if not guests:
             return
         capacity = 0
-        for m in part.machines.values():
-            if not m.is_usable(controller.now) or m.machine_type is None:
+        for machine in shard.machines.values():
+            if not machine.is_usable(controller.now) or machine.machine_type is None:
                 continue
-            capacity += m.machine_type.capacity[0]
-            for p in m.tasks.values():
-                if p.team in guests:
-                    self._add(p, m, controller.now)
-        self._spare = sum(p.resources[0] for _, p, _ in self._running) - int(GUEST_FLOOR * capacity)
+            capacity += machine.machine_type.capacity[0]
+            for task in machine.tasks.values():
+                if task.team in guests:
+                    self._add(task, machine, controller.now)
+        self._spare = sum(task.resources[0] for _, task, _ in self._running) - int(
+            GUEST_FLOOR * capacity
+        )
         self._running.sort(key=lambda found: found[0])
 
-    def _add(self, p: PlacedTask, m: Machine, now: float) -> None:
-        if p.stop_grace_s is not None:
-            self._coming += p.resources[0]
+    def _add(self, task: PlacedTask, machine: Machine, now: float) -> None:
+        if task.stop_grace_s is not None:
+            self._coming += task.resources[0]
             return
-        s = self._part.slices.get(p.job)
-        saves = s is not None and s.spec.checkpoint_interval_s > 0
-        lost_s = 0.0 if saves or p.running_since is None else now - p.running_since
-        self._running.append((lost_s, p, m))
+        job_slice = self._part.slices.get(task.job)
+        saves = job_slice is not None and job_slice.spec.checkpoint_interval_s > 0
+        lost_s = 0.0 if saves or task.running_since is None else now - task.running_since
+        self._running.append((lost_s, task, machine))
 
-    def preempt_for(self, s: JobSlice, lack: int) -> None:
+    def preempt_for(self, job_slice: JobSlice, lack: int) -> None:
         """Stop tasks of guests so that as many cpus come free for a slice's waiting tasks."""
         counted = min(lack, self._coming)
         self._coming -= counted
@@ -61,11 +63,11 @@
         chosen = []
         left = []
         for found in self._running:
-            _, p, m = found
-            if lack > 0 and may_run_on_machine(s.spec, m):
-                chosen.append(p)
-                lack -= p.resources[0]
-                self._spare -= p.resources[0]
+            _, task, machine = found
+            if lack > 0 and may_run_on_machine(job_slice.spec, machine):
+                chosen.append(task)
+                lack -= task.resources[0]
+                self._spare -= task.resources[0]
             else:
                 left.append(found)
         if chosen:
--- a/marblestair/core/scheduling/placement.py
+++ b/marblestair/core/scheduling/placement.py
@@ -19,14 +19,14 @@
 SAMPLE = 6
 
 
-def may_run_on_machine(spec: JobSpec, m: Machine) -> bool:
+def may_run_on_machine(spec: JobSpec, machine: Machine) -> bool:
     """Whether the job may run on this machine at all."""
-    return spec.may_run_on(m.type_name, m.zone, m.spot)
+    return spec.may_run_on(machine.type_name, machine.zone, machine.spot)
 
 
-def tasks_that_fit(m: Machine, need: tuple[int, int, int]) -> int:
+def tasks_that_fit(machine: Machine, need: tuple[int, int, int]) -> int:
     """How many such tasks fit into what is free on the machine."""
-    free = m.free
+    free = machine.free
     n = 1 << 30
     for i in (0, 1, 2):
         x = need[i]
@@ -42,22 +42,26 @@
 
 
 def _score(
-    spec: JobSpec, m: Machine, need: tuple[int, int, int], hurry: float = 1.0
+    spec: JobSpec, machine: Machine, need: tuple[int, int, int], hurry: float = 1.0
 ) -> tuple[float, str]:
     """Smaller is better: the wait for the image, what is left free, and the price.
 
     Full machines are filled first and dear ones last, so that whole machines fall idle and can
     be given back.
     """
-    t = m.machine_type
-    if t is None:
-        return 1e9, m.name
+    machine_type = machine.machine_type
+    if machine_type is None:
+        return 1e9, machine.name
     fetch = 0.0
-    if spec.image not in m.cached_images:
-        fetch = spec.image_gb / max(t.fetch_gb_per_s, 1e-6)
-    left = (m.free[0] - need[0]) / max(t.capacity[0], 1)
-    price = (t.spot_price / t.price) if m.spot and t.price > 0 else 1.0
-    return hurry * fetch + LEFT_S * left + PRICE_S * price, m.name
+    if spec.image not in machine.cached_images:
+        fetch = spec.image_gb / max(machine_type.fetch_gb_per_s, 1e-6)
+    left = (machine.free[0] - need[0]) / max(machine_type.capacity[0], 1)
+    price = (
+        (machine_type.spot_price / machine_type.price)
+        if machine.spot and machine_type.price > 0
+        else 1.0
+    )
+    return hurry * fetch + LEFT_S * left + PRICE_S * price, machine.name
 
 
 def choose_machine(
@@ -75,9 +79,9 @@
     if len(fitting) < 2:
         return fitting[0] if fitting else None
     sample = candidates if len(candidates) <= SAMPLE else rng.sample(candidates, SAMPLE)
-    found = [m for m in sample if tasks_that_fit(m, need)]
+    found = [machine for machine in sample if tasks_that_fit(machine, need)]
     if found:
-        return min(found, key=lambda m: _score(spec, m, need, hurry))
+        return min(found, key=lambda machine: _score(spec, machine, need, hurry))
     return fitting[0]
 
 
@@ -86,11 +90,11 @@
     return (spec.task_count + 1) // 2 if spec.spread_zones else spec.task_count
 
 
-def tasks_within_quota(part: Shard, s: JobSlice, share: tuple[int, int]) -> int:
+def tasks_within_quota(shard: Shard, job_slice: JobSlice, share: tuple[int, int]) -> int:
     """How many more of the slice's tasks the team's share in this part allows."""
-    used = part.usage(s.spec.team)
+    used = shard.usage(job_slice.spec.team)
     n = 1 << 30
-    for u, limit, x in zip(used, share, s.resources, strict=False):
+    for u, limit, x in zip(used, share, job_slice.resources, strict=False):
         if x > 0:
             n = min(n, (limit - u) // x)
     return max(n, 0)
@@ -99,33 +103,37 @@
 class ZoneRule:
     """How a job's tasks must lie in one zone, or apart, given those that are placed."""
 
-    def __init__(self, s: JobSlice) -> None:
-        self._spec = s.spec
-        self.binds = s.spec.single_zone or s.spec.spread_zones
-        self._limit = zone_limit(s.spec)
+    def __init__(self, job_slice: JobSlice) -> None:
+        self._spec = job_slice.spec
+        self.binds = job_slice.spec.single_zone or job_slice.spec.spread_zones
+        self._limit = zone_limit(job_slice.spec)
         self._zones: Counter[str] = Counter()
         if self.binds:
-            self._zones.update(m.zone for m in s.placed_on.values())
+            self._zones.update(machine.zone for machine in job_slice.placed_on.values())
 
-    def is_open(self, m: Machine) -> bool:
+    def is_open(self, machine: Machine) -> bool:
         """Whether one more task may lie in a machine's zone."""
-        if self._spec.single_zone and self._zones and not self._zones[m.zone]:
+        if self._spec.single_zone and self._zones and not self._zones[machine.zone]:
             return False
-        return not self._spec.spread_zones or self._zones[m.zone] < self._limit
+        return not self._spec.spread_zones or self._zones[machine.zone] < self._limit
 
-    def most(self, m: Machine, tasks: int) -> int:
+    def most(self, machine: Machine, tasks: int) -> int:
         """How many of some tasks may lie in a machine's zone."""
-        return min(tasks, self._limit - self._zones[m.zone]) if self._spec.spread_zones else tasks
+        return (
+            min(tasks, self._limit - self._zones[machine.zone])
+            if self._spec.spread_zones
+            else tasks
+        )
 
-    def add(self, m: Machine, tasks: int) -> None:
+    def add(self, machine: Machine, tasks: int) -> None:
         """Tasks were placed on a machine."""
         if self.binds:
-            self._zones[m.zone] += tasks
+            self._zones[machine.zone] += tasks
 
 
 def place_array(
-    part: Shard,
-    s: JobSlice,
+    shard: Shard,
+    job_slice: JobSlice,
     share: tuple[int, int],
     usable: list[Machine],
     free: list[Machine],
@@ -141,28 +149,34 @@
     ``free`` are those of the ``usable`` machines that may have room. Machines in ``keep`` are left
     to gangs; those in ``drain`` are used only when no other has room.
     """
-    spec, need = s.spec, s.resources
-    budget = min(tasks_within_quota(part, s, share), len(s.pending), most)
+    spec, need = job_slice.spec, job_slice.resources
+    budget = min(tasks_within_quota(shard, job_slice, share), len(job_slice.pending), most)
     if budget <= 0:
         return 0
     fitting = [
-        m
-        for m in free
-        if m.name not in keep and may_run_on_machine(spec, m) and tasks_that_fit(m, need)
+        machine
+        for machine in free
+        if machine.name not in keep
+        and may_run_on_machine(spec, machine)
+        and tasks_that_fit(machine, need)
     ]
     if not fitting:
         return 0
     # Sampled are all that may be used, also those that are full; a single one needs no sample.
     machines = fitting
     if usable is not free:
-        machines = [m for m in usable if m.name not in keep and may_run_on_machine(spec, m)]
+        machines = [
+            machine
+            for machine in usable
+            if machine.name not in keep and may_run_on_machine(spec, machine)
+        ]
     # Those that are to fall idle are used only when no other has room.
     late: list[Machine] = []
     if drain:
-        late = [m for m in fitting if m.name in drain]
-        fitting = [m for m in fitting if m.name not in drain]
-        machines = [m for m in machines if m.name not in drain]
-    zones = ZoneRule(s)
+        late = [machine for machine in fitting if machine.name in drain]
+        fitting = [machine for machine in fitting if machine.name not in drain]
+        machines = [machine for machine in machines if machine.name not in drain]
+    zones = ZoneRule(job_slice)
     started = 0
     while budget > 0 and (fitting or late):
         if not fitting:
@@ -170,20 +184,20 @@
             late = []
         options, fits = machines, fitting
         if zones.binds:
-            options = [m for m in machines if zones.is_open(m)]
-            fits = [m for m in fitting if zones.is_open(m)]
-        m = choose_machine(spec, need, options, fits, rng, hurry)
-        if m is None:
+            options = [machine for machine in machines if zones.is_open(machine)]
+            fits = [machine for machine in fitting if zones.is_open(machine)]
+        machine = choose_machine(spec, need, options, fits, rng, hurry)
+        if machine is None:
             fitting = []
             continue
-        n = zones.most(m, min(tasks_that_fit(m, need), budget))
+        n = zones.most(machine, min(tasks_that_fit(machine, need), budget))
         for _ in range(n):
-            part.launch(m, s, s.pending.pop(), part.new_attempt(), now)
-        zones.add(m, n)
+            shard.launch(machine, job_slice, job_slice.pending.pop(), shard.new_attempt(), now)
+        zones.add(machine, n)
         budget -= n
         started += n
-        if budget > 0 and not tasks_that_fit(m, need):
-            fitting = [x for x in fitting if x is not m]
+        if budget > 0 and not tasks_that_fit(machine, need):
+            fitting = [x for x in fitting if x is not machine]
     return started
 
 
@@ -191,34 +205,34 @@
     spec: JobSpec, need: tuple[int, int, int], machines: list[Machine], n: int
 ) -> list[Machine] | None:
     """Machines for n tasks of a gang, all at once, or None; tightest and cached first."""
-    rooms = [(m, tasks_that_fit(m, need)) for m in machines]
-    rooms = [(m, r) for m, r in rooms if r]
+    rooms = [(machine, tasks_that_fit(machine, need)) for machine in machines]
+    rooms = [(machine, r) for machine, r in rooms if r]
     rooms.sort(key=lambda x: _score(spec, x[0], need))
     zones: list[str | None] = [None]
     if spec.single_zone:
-        zones = sorted({m.zone for m, _ in rooms})  # type: ignore[assignment]
+        zones = sorted({machine.zone for machine, _ in rooms})  # type: ignore[assignment]
     limit = zone_limit(spec)
     for zone in zones:
         out: list[Machine] = []
         count: Counter[str] = Counter()
-        for m, r in rooms:
-            if zone is not None and m.zone != zone:
+        for machine, r in rooms:
+            if zone is not None and machine.zone != zone:
                 continue
-            k = min(r, n - len(out), limit - count[m.zone])
+            k = min(r, n - len(out), limit - count[machine.zone])
             if k > 0:
-                out += [m] * k
-                count[m.zone] += k
+                out += [machine] * k
+                count[machine.zone] += k
             if len(out) == n:
                 return out
     return None
 
 
-def placeable_tasks(part: Shard, spec: JobSpec, now: float) -> int:
+def placeable_tasks(shard: Shard, spec: JobSpec, now: float) -> int:
     """How many of a job's tasks this part's machines have room for now."""
     return sum(
-        tasks_that_fit(m, spec.resources)
-        for m in part.machines.values()
-        if m.is_usable(now) and may_run_on_machine(spec, m)
+        tasks_that_fit(machine, spec.resources)
+        for machine in shard.machines.values()
+        if machine.is_usable(now) and may_run_on_machine(spec, machine)
     )
 
 
@@ -248,27 +262,34 @@
 
 
 def place_gang(
-    part: Shard,
-    s: JobSlice,
+    shard: Shard,
+    job_slice: JobSlice,
     share: tuple[int, int],
     now: float,
     options: Iterable[Machine],
     claimed: Callable[[Machine, str], bool],
 ) -> int:
     """Launch a whole gang or nothing; machines ``claimed`` for another job are left to it."""
-    n = s.size - s.done_count
-    if n <= 0 or s.placed_on or len(s.pending) != n or tasks_within_quota(part, s, share) < n:
+    n = job_slice.size - job_slice.done_count
+    if (
+        n <= 0
+        or job_slice.placed_on
+        or len(job_slice.pending) != n
+        or tasks_within_quota(shard, job_slice, share) < n
+    ):
         return 0
-    spec = s.spec
+    spec = job_slice.spec
     machines = [
-        m
-        for m in options
-        if m.is_usable(now) and may_run_on_machine(spec, m) and not claimed(m, spec.id)
+        machine
+        for machine in options
+        if machine.is_usable(now)
+        and may_run_on_machine(spec, machine)
+        and not claimed(machine, spec.id)
     ]
-    chosen = assign_gang(spec, s.resources, machines, n)
+    chosen = assign_gang(spec, job_slice.resources, machines, n)
     if chosen is None:
         return 0
-    attempt = part.new_attempt()
-    for m in chosen:
-        part.launch(m, s, s.pending.pop(), attempt, now)
+    attempt = shard.new_attempt()
+    for machine in chosen:
+        shard.launch(machine, job_slice, job_slice.pending.pop(), attempt, now)
     return n
--- a/marblestair/core/scheduling/preemption.py
+++ b/marblestair/core/scheduling/preemption.py
@@ -28,8 +28,8 @@
 class PreemptionSurvey:
     """What work of a part could be stopped for a priority, counted once for all that ask."""
 
-    def __init__(self, part: Shard, preemption: Preemption) -> None:
-        self.part = part
+    def __init__(self, shard: Shard, preemption: Preemption) -> None:
+        self.part = shard
         self.preemption = preemption
         self._machines: dict[int, list[tuple[Machine, float, list[int]]]] = {}
         self._teams: dict[tuple[str, int], list[tuple[float, PlacedTask]]] = {}
@@ -41,16 +41,16 @@
         if out is None:
             out = self._machines[level] = []
             now = self.preemption.controller.now
-            for m in self.part.machines.values():
-                if not m.is_usable(now):
+            for machine in self.part.machines.values():
+                if not machine.is_usable(now):
                     continue
-                free, lost = list(m.free), 0.0
-                for p in self.preemption._victims(self.part, m, level):
+                free, lost = list(machine.free), 0.0
+                for task in self.preemption._victims(self.part, machine, level):
                     for i in (0, 1, 2):
-                        free[i] += p.resources[i]
-                    if p.running_since is not None:
-                        lost += p.resources[0] * (now - p.running_since)
-                out.append((m, lost, free))
+                        free[i] += task.resources[i]
+                    if task.running_since is not None:
+                        lost += task.resources[0] * (now - task.running_since)
+                out.append((machine, lost, free))
         return out
 
     def _tasks(self, team: str, level: int) -> list[tuple[float, PlacedTask]]:
@@ -61,14 +61,14 @@
             for other in self.part.slices.values():
                 if other.spec.team != team or PRIORITIES[other.spec.priority] >= level:
                     continue
-                for i, m in other.placed_on.items():
-                    p = m.tasks.get((other.spec.id, i))
-                    if p is not None:
-                        ran = now - p.running_since if p.running_since is not None else 0.0
-                        found.append((ran if p.stop_grace_s is None else -1.0, p))
+                for i, machine in other.placed_on.items():
+                    task = machine.tasks.get((other.spec.id, i))
+                    if task is not None:
+                        ran = now - task.running_since if task.running_since is not None else 0.0
+                        found.append((ran if task.stop_grace_s is None else -1.0, task))
             found.sort(key=lambda x: x[0])
             self._teams[(team, level)] = found
-            self._sums[(team, level)] = sum(p.resources[0] for _, p in found)
+            self._sums[(team, level)] = sum(task.resources[0] for _, task in found)
         return found
 
     def stoppable(self, team: str, level: int) -> int:
@@ -88,12 +88,12 @@
         if lack <= 0:
             return out
         left = set(map(id, besides))
-        for _, p in self._tasks(team, level):
+        for _, task in self._tasks(team, level):
             if lack <= 0:
                 break
-            if id(p) not in left:
-                out.append(p)
-                lack -= p.resources[0]
+            if id(task) not in left:
+                out.append(task)
+                lack -= task.resources[0]
         return None if lack > 0 else out
 
     def stopped(self, team: str) -> None:
@@ -110,12 +110,12 @@
         #: machine -> job that it is cleared for, and until when
         self.claims: dict[str, tuple[str, float]] = {}
 
-    def is_claimed(self, m: Machine, job: str = "") -> bool:
+    def is_claimed(self, machine: Machine, job: str = "") -> bool:
         """Whether a machine is being cleared, or set aside by the plan, for another job."""
-        claim = self.claims.get(m.name)
+        claim = self.claims.get(machine.name)
         if claim is not None:
             return claim[0] != job
-        kept = self.controller.fleet.reserved_machines.get(m.name, "")
+        kept = self.controller.fleet.reserved_machines.get(machine.name, "")
         return kept not in ("", job) and kept in self.controller.view.jobs
 
     def tick(self) -> None:
@@ -123,40 +123,49 @@
         controller = self.controller
         for name, (job, until) in list(self.claims.items()):
             waits = any(
-                name in p.machines and (s := p.slices.get(job)) is not None and not s.placed_on
-                for p in controller.shards.values()
+                name in shard.machines
+                and (job_slice := shard.slices.get(job)) is not None
+                and not job_slice.placed_on
+                for shard in controller.shards.values()
             )
             if not waits or controller.now > until:
                 del self.claims[name]
 
-    def _victims(self, part: Shard, m: Machine, level: int) -> list[PlacedTask]:
+    def _victims(self, shard: Shard, machine: Machine, level: int) -> list[PlacedTask]:
         """What may be stopped on a machine for work of a priority."""
         out = []
-        for p in m.tasks.values():
-            s = part.slices.get(p.job)
-            if s is None or PRIORITIES[s.spec.priority] < level:
-                out.append(p)
+        for task in machine.tasks.values():
+            job_slice = shard.slices.get(task.job)
+            if job_slice is None or PRIORITIES[job_slice.spec.priority] < level:
+                out.append(task)
         return out
 
-    def _without(self, m: Machine, victims: list[PlacedTask], need: tuple[int, int, int]) -> int:
+    def _without(
+        self, machine: Machine, victims: list[PlacedTask], need: tuple[int, int, int]
+    ) -> int:
         """How many tasks fit once the victims are gone."""
-        free = list(m.free)
-        for p in victims:
+        free = list(machine.free)
+        for task in victims:
             for i in (0, 1, 2):
-                free[i] += p.resources[i]
+                free[i] += task.resources[i]
         return _holds(free, need)
 
-    def survey(self, part: Shard) -> PreemptionSurvey:
+    def survey(self, shard: Shard) -> PreemptionSurvey:
         """What could be stopped in a part; to be kept for one look through all that waits."""
-        return PreemptionSurvey(part, self)
+        return PreemptionSurvey(shard, self)
 
-    def machines_claimed_for(self, part: Shard, job: str) -> list[Machine]:
+    def machines_claimed_for(self, shard: Shard, job: str) -> list[Machine]:
         """Machines of a part that are being cleared for a job."""
         names = [name for name, (claimer, _) in self.claims.items() if claimer == job]
-        return [part.machines[n] for n in names if n in part.machines]
+        return [shard.machines[n] for n in names if n in shard.machines]
 
     def make_room(
-        self, part: Shard, s: JobSlice, share: tuple[int, int], act: bool, survey: PreemptionSurvey
+        self,
+        shard: Shard,
+        job_slice: JobSlice,
+        share: tuple[int, int],
+        act: bool,
+        survey: PreemptionSurvey,
     ) -> bool:
         """Whether a gang can have its machines here by stopping work of lower priority.
 
@@ -164,100 +173,108 @@
         team's share is what it lacks. With ``act`` the machines are claimed and the work is
         stopped.
         """
-        job, spec = s.spec.id, s.spec
+        job, spec = job_slice.spec.id, job_slice.spec
         if any(claim[0] == job for claim in self.claims.values()):
             return True
         level = PRIORITIES[spec.priority]
-        used, wanted = part.usage(spec.team)[0], len(s.pending) * s.resources[0]
+        used, wanted = shard.usage(spec.team)[0], len(job_slice.pending) * job_slice.resources[0]
         # What the share lacks at least, whatever is stopped for its room.
         if share[0] + survey.stoppable(spec.team, level) < used + wanted:
             return False
-        chosen = self._cheapest(part, s, level, survey)
+        chosen = self._cheapest(shard, job_slice, level, survey)
         if chosen is None:
             return False
-        stopped = [p for _, victims in chosen for p in victims]
+        stopped = [task for _, victims in chosen for task in victims]
         # What the share lacks, less what the victims free of it.
         lack = wanted - (share[0] - used)
-        lack -= sum(p.resources[0] for p in stopped if p.team == spec.team)
+        lack -= sum(task.resources[0] for task in stopped if task.team == spec.team)
         own = survey.of_team(spec.team, level, lack, stopped)
         if own is None:
             return False
         if act:
-            part.stop_tasks(own, "preempted")
-            self._claim(part, job, chosen)
+            shard.stop_tasks(own, "preempted")
+            self._claim(shard, job, chosen)
             survey.stopped(spec.team)
         return True
 
     def _cheapest(
-        self, part: Shard, s: JobSlice, level: int, survey: PreemptionSurvey
+        self, shard: Shard, job_slice: JobSlice, level: int, survey: PreemptionSurvey
     ) -> list[tuple[str, list[PlacedTask]]] | None:
         """Choose machines for a gang, with what is to be stopped there; None if too few."""
-        lacking = len(s.pending)
+        lacking = len(job_slice.pending)
         chosen: list[tuple[str, list[PlacedTask]]] = []
-        for _, name, m in sorted(self._options(s, level, survey), key=lambda x: x[:2]):
+        for _, name, machine in sorted(
+            self._options(job_slice, level, survey), key=lambda x: x[:2]
+        ):
             if lacking <= 0:
                 break
             # Counted afresh: something may have been placed or stopped since the survey.
             victims: list[PlacedTask] = []
-            fits = tasks_that_fit(m, s.resources)
+            fits = tasks_that_fit(machine, job_slice.resources)
             if not fits:
-                if any(p.stop_grace_s is not None for p in m.tasks.values()):
+                if any(task.stop_grace_s is not None for task in machine.tasks.values()):
                     continue
-                victims = self._victims(part, m, level)
-                fits = self._without(m, victims, s.resources)
+                victims = self._victims(shard, machine, level)
+                fits = self._without(machine, victims, job_slice.resources)
             if fits:
                 chosen.append((name, victims))
                 lacking -= fits
         return chosen if lacking <= 0 else None
 
     def _options(
-        self, s: JobSlice, level: int, survey: PreemptionSurvey
+        self, job_slice: JobSlice, level: int, survey: PreemptionSurvey
     ) -> list[tuple[float, str, Machine]]:
         """Machines that a gang could have, with the work lost for each of its tasks there."""
         options: list[tuple[float, str, Machine]] = []
-        for m, lost, after in survey.machines(level):
+        for machine, lost, after in survey.machines(level):
             if (
-                after[0] < s.resources[0]
-                or self.is_claimed(m, s.spec.id)
-                or not may_run_on_machine(s.spec, m)
+                after[0] < job_slice.resources[0]
+                or self.is_claimed(machine, job_slice.spec.id)
+                or not may_run_on_machine(job_slice.spec, machine)
             ):
                 continue
-            if tasks_that_fit(m, s.resources):
-                options.append((0.0, m.name, m))
-            elif fits := _holds(after, s.resources):
-                options.append((lost / fits, m.name, m))
+            if tasks_that_fit(machine, job_slice.resources):
+                options.append((0.0, machine.name, machine))
+            elif fits := _holds(after, job_slice.resources):
+                options.append((lost / fits, machine.name, machine))
         return options
 
-    def _claim(self, part: Shard, job: str, chosen: list[tuple[str, list[PlacedTask]]]) -> None:
+    def _claim(self, shard: Shard, job: str, chosen: list[tuple[str, list[PlacedTask]]]) -> None:
         """Clear machines for a job."""
         controller = self.controller
         report_s = controller.settings.cluster.workers.report_s
         until = controller.now + CLAIM_REPORTS * report_s
         for name, victims in chosen:
             self.claims[name] = (job, until)
-            part.stop_tasks(victims, "preempted")
+            shard.stop_tasks(victims, "preempted")
 
-    def preemptible_capacity(self, part: Shard) -> list[FreeCapacity]:
+    def preemptible_capacity(self, shard: Shard) -> list[FreeCapacity]:
         """Room that a hurried class could have here by stopping lower-priority work."""
         controller = self.controller
         coming: list[JobSpec] = [
-            k.spec
-            for k in controller.fleet.arrivals.expected_gangs.values()
-            if k.is_latency_sensitive
+            gangs.spec
+            for gangs in controller.fleet.arrivals.expected_gangs.values()
+            if gangs.is_latency_sensitive
         ]
         if not coming:
             return []
         level = max(PRIORITIES[x.priority] for x in coming)
         out: list[FreeCapacity] = []
-        for m in part.machines.values():
-            if not m.tasks or not m.is_usable(controller.now) or self.is_claimed(m):
+        for machine in shard.machines.values():
+            if (
+                not machine.tasks
+                or not machine.is_usable(controller.now)
+                or self.is_claimed(machine)
+            ):
                 continue
-            if not any(may_run_on_machine(x, m) for x in coming):
+            if not any(may_run_on_machine(x, machine) for x in coming):
                 continue
-            victims = self._victims(part, m, level)
-            if not victims or any(p.stop_grace_s is not None for p in m.tasks.values()):
+            victims = self._victims(shard, machine, level)
+            if not victims or any(task.stop_grace_s is not None for task in machine.tasks.values()):
                 continue
-            free = [m.free[i] + sum(p.resources[i] for p in victims) for i in range(3)]
+            free = [machine.free[i] + sum(task.resources[i] for task in victims) for i in range(3)]
             if any(all(f >= x for f, x in zip(free, k.resources, strict=True)) for k in coming):
-                out.append((m.type_name, m.zone, m.spot, free[0], free[1], free[2]))
+                out.append(
+                    (machine.type_name, machine.zone, machine.spot, free[0], free[1], free[2])
+                )
         return out
--- a/marblestair/core/scheduling/quota.py
+++ b/marblestair/core/scheduling/quota.py
@@ -23,15 +23,15 @@
         return "unknown team"
     need = spec.resources
     options = [
-        t
-        for t in types
-        if (spec.machine_types is None or t.name in spec.machine_types)
-        and (spec.zone is None or spec.zone in t.zones)
+        machine_type
+        for machine_type in types
+        if (spec.machine_types is None or machine_type.name in spec.machine_types)
+        and (spec.zone is None or spec.zone in machine_type.zones)
     ]
-    options = [t for t in options if t.can_hold(need)]
+    options = [machine_type for machine_type in options if machine_type.can_hold(need)]
     if not options:
         return "a task fits no allowed machine type"
-    zones = {z for t in options for z in t.zones if spec.zone in (None, z)}
+    zones = {z for machine_type in options for z in machine_type.zones if spec.zone in (None, z)}
     if spec.kind == GANG and spec.spread_zones and spec.task_count > 1:
         # At most half of the tasks may lie in one zone, and all run at the same time.
         if spec.single_zone or len(zones) < 2:
