--- a/marblestair/core/scheduling/slice_migration.py
+++ b/marblestair/core/scheduling/slice_migration.py
@@ -33,13 +33,13 @@
 LEAST_WAIT_S = 0.3
 
 
-def reserve_capacity(g: ShardSummary, spec: JobSpec, n: int) -> None:
+def reserve_capacity(summary: ShardSummary, spec: JobSpec, n: int) -> None:
     """What is on its way to a part is not free there any more."""
     need = spec.resources
-    share = g.free_quota.get(spec.team, [0, 0])
+    share = summary.free_quota.get(spec.team, [0, 0])
     for i in range(2):
         share[i] -= n * need[i]
-    for rooms in (g.free_capacity, g.preemptible_capacity):
+    for rooms in (summary.free_capacity, summary.preemptible_capacity):
         for k, told in enumerate(rooms):
             if n <= 0:
                 return
@@ -63,20 +63,26 @@
         """Something is on its way there: count anew."""
         self._known.clear()
 
-    def fitting(self, summary: ShardSummary, s: JobSlice) -> int:
+    def fitting(self, summary: ShardSummary, job_slice: JobSlice) -> int:
         """How many tasks fit into a part's told rooms."""
-        shape = (summary.shard_id, _kinds(s.spec), s.resources)
+        shape = (summary.shard_id, _kinds(job_slice.spec), job_slice.resources)
         count = self._known.get(shape)
         if count is None:
-            count = sum(capacity_by_zone(s.spec, s.resources, summary.free_capacity).values())
+            count = sum(
+                capacity_by_zone(
+                    job_slice.spec, job_slice.resources, summary.free_capacity
+                ).values()
+            )
             self._known[shape] = count
         return count
 
-    def fits_whole(self, summary: ShardSummary, s: JobSlice, count: int, with_held: bool) -> bool:
+    def fits_whole(
+        self, summary: ShardSummary, job_slice: JobSlice, count: int, with_held: bool
+    ) -> bool:
         """Whether so many tasks fit together, also by what may be stopped if ``with_held``."""
-        spec = s.spec
+        spec = job_slice.spec
         how = (spec.single_zone, spec.spread_zones, spec.task_count, with_held)
-        shape = (summary.shard_id, _kinds(spec), s.resources, count, how)
+        shape = (summary.shard_id, _kinds(spec), job_slice.resources, count, how)
         fits = self._known.get(shape)
         if fits is None:
             rooms = (
@@ -84,7 +90,7 @@
                 if with_held
                 else summary.free_capacity
             )
-            fits = self._known[shape] = int(gang_fits(spec, s.resources, rooms, count))
+            fits = self._known[shape] = int(gang_fits(spec, job_slice.resources, rooms, count))
         return bool(fits)
 
 
@@ -119,123 +125,139 @@
 
     # --- source ----------------------------------------------------------------------------
 
-    def start(self, part: Shard, s: JobSlice, ranges: list[list[int]], target: int) -> bool:
+    def start(
+        self, shard: Shard, job_slice: JobSlice, ranges: list[list[int]], target: int
+    ) -> bool:
         """Begin to migrate pending tasks of a slice, unless too much is under way."""
-        if self.active_count >= MOST or s.migrating_ranges or s.is_cancelled or s.is_unreconciled:
+        if (
+            self.active_count >= MOST
+            or job_slice.migrating_ranges
+            or job_slice.is_cancelled
+            or job_slice.is_unreconciled
+        ):
             return False
         for a, b in ranges:
             for i in range(a, b):
-                if not s.pending.discard(i):
+                if not job_slice.pending.discard(i):
                     raise ValueError("only pending tasks migrate")
         self.active_count += 1
         self._count += 1
         holder = f"{self.controller.node}-{self.controller.incarnation}-{self._count}"
-        s.migrating_ranges = [list(r) for r in ranges]
-        s.migration_holder = holder
-        self.controller.spawn(self._migrate(part, s, target, holder))
+        job_slice.migrating_ranges = [list(r) for r in ranges]
+        job_slice.migration_holder = holder
+        self.controller.spawn(self._migrate(shard, job_slice, target, holder))
         return True
 
-    def migrate_pending(self, part: Shard) -> None:
+    def migrate_pending(self, shard: Shard) -> None:
         """Find room elsewhere for what cannot start here."""
         controller = self.controller
-        others = [] if part.unreconciled_machines else self._recent_summaries(part)
+        others = [] if shard.unreconciled_machines else self._recent_summaries(shard)
         if not others:
             return
         rooms = ReportedCapacity()
-        survey = controller.preemption.survey(part)
+        survey = controller.preemption.survey(shard)
         #: team -> whether its share here is not all in use
         spare: dict[str, bool] = {}
         left = _most_share_left(others)
-        for s in controller.dispatcher.pending_in_order(part):
+        for job_slice in controller.dispatcher.pending_in_order(shard):
             if self.active_count >= MOST:
                 return
-            if not self._may_leave(s):
+            if not self._may_leave(job_slice):
                 continue
-            hurried = s.spec.kind == GANG and controller.fleet.arrivals.is_latency_sensitive(s.spec)
+            hurried = (
+                job_slice.spec.kind == GANG
+                and controller.fleet.arrivals.is_latency_sensitive(job_slice.spec)
+            )
             if hurried:
-                share = controller.quota(part, s.spec.team)
-                if controller.preemption.make_room(part, s, share, False, survey):
+                share = controller.quota(shard, job_slice.spec.team)
+                if controller.preemption.make_room(shard, job_slice, share, False, survey):
                     continue
             best, count = None, 0
-            if left.get(s.spec.team, 0) >= s.resources[0]:
-                best, count = self._best_target(s, others, rooms, hurried)
+            if left.get(job_slice.spec.team, 0) >= job_slice.resources[0]:
+                best, count = self._best_target(job_slice, others, rooms, hurried)
             if best is None:
-                self._offer_quota(part, s, others, rooms, spare)
-            elif self.start(part, s, s.pending.tail(count), best.shard_id):
-                reserve_capacity(best, s.spec, count)
+                self._offer_quota(shard, job_slice, others, rooms, spare)
+            elif self.start(shard, job_slice, job_slice.pending.tail(count), best.shard_id):
+                reserve_capacity(best, job_slice.spec, count)
                 rooms.forget()
 
-    def _recent_summaries(self, part: Shard) -> list[ShardSummary]:
+    def _recent_summaries(self, shard: Shard) -> list[ShardSummary]:
         """What the owners of the other parts told just now."""
         controller = self.controller
-        split = controller.view.shard_map
-        if split is None:
+        shard_map = controller.view.shard_map
+        if shard_map is None:
             return []
         return [
             summary
             for number, (told_at, summary) in sorted(controller.shard_summaries.items())
-            if number != part.shard_id
+            if number != shard.shard_id
             and controller.now - told_at < SUMMARY_FRESH_S
-            and number < len(split.shards)
-            and summary.term == split.shards[number].term
+            and number < len(shard_map.shards)
+            and summary.term == shard_map.shards[number].term
         ]
 
-    def _may_leave(self, s: JobSlice) -> bool:
+    def _may_leave(self, job_slice: JobSlice) -> bool:
         """Whether tasks of a slice may look for room in another part."""
         controller = self.controller
-        if s.is_unreconciled or s.migrating_ranges or s.is_stopping_gang:
+        if job_slice.is_unreconciled or job_slice.migrating_ranges or job_slice.is_stopping_gang:
             return False
-        if controller.failures.is_quarantined(s.spec.id):
+        if controller.failures.is_quarantined(job_slice.spec.id):
             return False
-        if controller.now - s.pending_since < LEAST_WAIT_S:
+        if controller.now - job_slice.pending_since < LEAST_WAIT_S:
             return False
-        return not (_is_whole(s.spec) and (s.placed_on or s.done_count))
+        return not (_is_whole(job_slice.spec) and (job_slice.placed_on or job_slice.done_count))
 
     def _best_target(
-        self, s: JobSlice, others: list[ShardSummary], rooms: ReportedCapacity, hurried: bool
+        self,
+        job_slice: JobSlice,
+        others: list[ShardSummary],
+        rooms: ReportedCapacity,
+        hurried: bool,
     ) -> tuple[ShardSummary | None, int]:
         """Choose the part that takes most of a slice's waiting tasks, and how many."""
         best, most = None, 0
         for summary in others:
-            count = self._most_accepted(s, summary, rooms, hurried)
+            count = self._most_accepted(job_slice, summary, rooms, hurried)
             if count > most:
                 best, most = summary, count
         return best, most
 
     def _most_accepted(
-        self, s: JobSlice, summary: ShardSummary, rooms: ReportedCapacity, hurried: bool
+        self, job_slice: JobSlice, summary: ShardSummary, rooms: ReportedCapacity, hurried: bool
     ) -> int:
         """How many of a slice's waiting tasks a part has room and share for."""
-        spec = s.spec
-        count = len(s.pending)
+        spec = job_slice.spec
+        count = len(job_slice.pending)
         share = summary.free_quota.get(spec.team, [0, 0])
-        for have, amount in zip(share, s.resources, strict=False):
+        for have, amount in zip(share, job_slice.resources, strict=False):
             if amount > 0:
                 count = min(count, have // amount)
         if _is_whole(spec):
-            whole = count == len(s.pending) and rooms.fits_whole(summary, s, count, hurried)
+            whole = count == len(job_slice.pending) and rooms.fits_whole(
+                summary, job_slice, count, hurried
+            )
             return count if whole else 0
-        return min(count, rooms.fitting(summary, s)) if count > 0 else 0
+        return min(count, rooms.fitting(summary, job_slice)) if count > 0 else 0
 
     def _offer_quota(
         self,
-        part: Shard,
-        s: JobSlice,
+        shard: Shard,
+        job_slice: JobSlice,
         others: list[ShardSummary],
         rooms: ReportedCapacity,
         spare: dict[str, bool],
     ) -> None:
         """Send share to a part with room for a slice's tasks, if some of it is not in use."""
         controller = self.controller
-        team = s.spec.team
+        team = job_slice.spec.team
         if team not in spare:
-            used, share = part.usage(team), controller.quota(part, team)
+            used, share = shard.usage(team), controller.quota(shard, team)
             spare[team] = any(u < x for u, x in zip(used, share, strict=True))
         if spare[team] and not controller.pending_quota_releases:
-            self._send_quota(part, s, others, rooms)
+            self._send_quota(shard, job_slice, others, rooms)
 
     def _send_quota(
-        self, part: Shard, s: JobSlice, others: list[ShardSummary], rooms: ReportedCapacity
+        self, shard: Shard, job_slice: JobSlice, others: list[ShardSummary], rooms: ReportedCapacity
     ) -> None:
         """Send share to a part whose machines have room for the team's tasks.
 
@@ -243,28 +265,30 @@
         would else be lost to the team.
         """
         controller = self.controller
-        team, need = s.spec.team, s.resources
-        used, share = part.usage(team), controller.quota(part, team)
-        if s.spec.kind != GANG:
-            share = (share[0] - controller.quota_transfers.largest_gang(part, team), share[1])
+        team, need = job_slice.spec.team, job_slice.resources
+        used, share = shard.usage(team), controller.quota(shard, team)
+        if job_slice.spec.kind != GANG:
+            share = (share[0] - controller.quota_transfers.largest_gang(shard, team), share[1])
             if share[0] <= used[0]:
                 return
         here = -1
         for summary in others:
-            fitting = rooms.fitting(summary, s)
+            fitting = rooms.fitting(summary, job_slice)
             if fitting <= 0:
                 continue
             if here < 0:
-                here = placeable_tasks(part, s.spec, controller.now)
-            if _is_whole(s.spec) and not rooms.fits_whole(summary, s, len(s.pending), False):
+                here = placeable_tasks(shard, job_slice.spec, controller.now)
+            if _is_whole(job_slice.spec) and not rooms.fits_whole(
+                summary, job_slice, len(job_slice.pending), False
+            ):
                 continue
-            count = min(fitting, len(s.pending) - here)
+            count = min(fitting, len(job_slice.pending) - here)
             there = summary.free_quota.get(team, [0, 0])
             give = [max(0, min(share[i] - used[i], count * need[i] - there[i])) for i in range(2)]
             if count > 0 and any(give):
-                controller.pending_quota_releases[(part.shard_id, team)] = give
+                controller.pending_quota_releases[(shard.shard_id, team)] = give
                 controller.spawn(
-                    controller.quota_transfers.transfer(part, summary.shard_id, team, give)
+                    controller.quota_transfers.transfer(shard, summary.shard_id, team, give)
                 )
                 return
 
@@ -279,38 +303,46 @@
             return None
         return (yield PeerRequest(owner, tag, args, 1.5))
 
-    def _migrate(self, part: Shard, s: JobSlice, target: int, holder: str) -> Coroutine:
-        job = s.spec.id
+    def _migrate(self, shard: Shard, job_slice: JobSlice, target: int, holder: str) -> Coroutine:
+        job = job_slice.spec.id
         try:
             locked = False
             for _ in range(8):
                 locked = (yield from self._ask_manager(job, "lock", [job, holder])) is True
-                if locked or s.is_cancelled or part.slices.get(job) is not s:
+                if locked or job_slice.is_cancelled or shard.slices.get(job) is not job_slice:
                     break
                 yield Sleep(0.1)
             if not locked:
-                self._restore(part, s, holder)
+                self._restore(shard, job_slice, holder)
                 yield from self._ask_manager(job, "release", [job, holder])
                 return
-            if not s.migrating_ranges or s.migration_holder != holder:
+            if not job_slice.migrating_ranges or job_slice.migration_holder != holder:
                 # The record no longer gives them to this part.
                 yield from self._ask_manager(job, "release", [job, holder])
                 return
-            left = Ranges(s.ranges)
-            for a, b in s.migrating_ranges:
+            left = Ranges(job_slice.ranges)
+            for a, b in job_slice.migrating_ranges:
                 for i in range(a, b):
                     left.discard(i)
             option = STAY if len(left) else LOG_OFF
-            args = [job, holder, part.shard_id, part.term, option, target, s.migrating_ranges]
+            args = [
+                job,
+                holder,
+                shard.shard_id,
+                shard.term,
+                option,
+                target,
+                job_slice.migrating_ranges,
+            ]
             got = yield from self._ask_manager(job, "update", args)
             if got is False:
-                self._restore(part, s, holder)
+                self._restore(shard, job_slice, holder)
                 yield from self._ask_manager(job, "release", [job, holder])
                 return
             if isinstance(got, list):
                 self.completed_count += 1
                 yield from self._notify_target(job, target, int(got[0]))
-            yield from self._await_outcome(part, s, holder)
+            yield from self._await_outcome(shard, job_slice, holder)
         finally:
             self.active_count -= 1
 
@@ -335,7 +367,7 @@
             ]
             yield PeerRequest(owner, "entries", later, 0.5)
 
-    def _await_outcome(self, part: Shard, s: JobSlice, holder: str) -> Step:
+    def _await_outcome(self, shard: Shard, job_slice: JobSlice, holder: str) -> Step:
         """Wait until the record shows what became of the task numbers that were dropped.
 
         They may be pending here again only once the manager has given the holder's locks up, so
@@ -343,31 +375,38 @@
         been read afresh.
         """
         controller = self.controller
-        job = s.spec.id
+        job = job_slice.spec.id
         released = False
         while True:
             released = (yield from self._ask_manager(job, "release", [job, holder])) is True
-            here = controller.shards.get(part.shard_id) is part and part.slices.get(job) is s
+            here = (
+                controller.shards.get(shard.shard_id) is shard
+                and shard.slices.get(job) is job_slice
+            )
             # Once this migration is settled, the slice may be in the middle of the next one,
             # whose dropped numbers are not this one's to restore.
-            if not here or not s.migrating_ranges or s.migration_holder != holder:
+            if not here or not job_slice.migrating_ranges or job_slice.migration_holder != holder:
                 if released or not here:
                     return
             elif released and (yield from controller.answers.refresh_record(job)):
-                self._restore(part, s, holder)
+                self._restore(shard, job_slice, holder)
                 return
             if job not in controller.view.jobs:
                 return
             yield Sleep(0.2)
 
-    def _restore(self, part: Shard, s: JobSlice, holder: str) -> None:
+    def _restore(self, shard: Shard, job_slice: JobSlice, holder: str) -> None:
         """The task numbers that were dropped and are still this part's are pending again."""
-        if s.migration_holder != holder:
+        if job_slice.migration_holder != holder:
             return
-        leaving, s.migrating_ranges = s.migrating_ranges, []
-        if s.is_cancelled or part.slices.get(s.spec.id) is not s:
+        leaving, job_slice.migrating_ranges = job_slice.migrating_ranges, []
+        if job_slice.is_cancelled or shard.slices.get(job_slice.spec.id) is not job_slice:
             return
         for a, b in leaving:
             for i in range(a, b):
-                if s.contains(i) and i not in s.placed_on and not (s.done_bits >> i) & 1:
-                    s.pending.add(i, i + 1)
+                if (
+                    job_slice.contains(i)
+                    and i not in job_slice.placed_on
+                    and not (job_slice.done_bits >> i) & 1
+                ):
+                    job_slice.pending.add(i, i + 1)
--- a/marblestair/core/shard/machine.py
+++ b/marblestair/core/shard/machine.py
@@ -108,29 +108,29 @@
         self.idle_since: float | None = now
         self.cached_images: OrderedDict[str, float] = OrderedDict()
 
-    def set_machine_type(self, t: MachineType | None) -> None:
+    def set_machine_type(self, machine_type: MachineType | None) -> None:
         """Learn the machine's capacity."""
-        if self.machine_type is None and t is not None:
-            self.machine_type = t
-            self.free = list(t.capacity)
-            for p in self.tasks.values():
-                self._reserve(p.resources, 1)
+        if self.machine_type is None and machine_type is not None:
+            self.machine_type = machine_type
+            self.free = list(machine_type.capacity)
+            for task in self.tasks.values():
+                self._reserve(task.resources, 1)
 
     def _reserve(self, need: tuple[int, int, int], sign: int) -> None:
         if self.machine_type is not None:
             for i in range(3):
                 self.free[i] -= sign * need[i]
 
-    def add_task(self, p: PlacedTask) -> None:
+    def add_task(self, task: PlacedTask) -> None:
         """Account for a task."""
-        self.tasks[(p.job, p.index)] = p
-        self._reserve(p.resources, 1)
+        self.tasks[(task.job, task.index)] = task
+        self._reserve(task.resources, 1)
         self.idle_since = None
 
-    def remove_task(self, p: PlacedTask, now: float) -> None:
+    def remove_task(self, task: PlacedTask, now: float) -> None:
         """Stop accounting for a task."""
-        if self.tasks.pop((p.job, p.index), None) is not None:
-            self._reserve(p.resources, -1)
+        if self.tasks.pop((task.job, task.index), None) is not None:
+            self._reserve(task.resources, -1)
             if not self.tasks:
                 self.idle_since = now
 
--- a/marblestair/core/shard/shard.py
+++ b/marblestair/core/shard/shard.py
@@ -102,300 +102,327 @@
             if self.machines_with_unknown_tasks
             else self.unreconciled_machines
         ):
-            m = self.machines.get(name)
-            if m is None or m.machine_type is None:
+            machine = self.machines.get(name)
+            if machine is None or machine.machine_type is None:
                 return 1 << 62, 1 << 62
-            c += m.machine_type.capacity[0]
-            g += m.machine_type.capacity[1]
+            c += machine.machine_type.capacity[0]
+            g += machine.machine_type.capacity[1]
         return c, g
 
     @property
     def pending_stop_count(self) -> int:
         """Tasks that are to stop and are not known to have ended."""
         return sum(
-            p.stop_grace_s is not None for m in self.machines.values() for p in m.tasks.values()
+            task.stop_grace_s is not None
+            for machine in self.machines.values()
+            for task in machine.tasks.values()
         )
 
-    def _count_usage(self, p: PlacedTask, sign: int) -> None:
-        u = self.team_usage.setdefault(p.team, [0, 0])
-        u[0] += sign * p.resources[0]
-        u[1] += sign * p.resources[1]
+    def _count_usage(self, task: PlacedTask, sign: int) -> None:
+        u = self.team_usage.setdefault(task.team, [0, 0])
+        u[0] += sign * task.resources[0]
+        u[1] += sign * task.resources[1]
 
-    def launch(self, m: Machine, s: JobSlice, index: int, attempt: int, now: float) -> None:
+    def launch(
+        self, machine: Machine, job_slice: JobSlice, index: int, attempt: int, now: float
+    ) -> None:
         """Decide to launch a task; the order goes in the answer to the machine's next report."""
-        p = PlacedTask(s.spec.id, index, attempt, s.resources, s.spec.team, now)
-        m.add_task(p)
-        m.record_image(s.spec)
-        s.placed_on[index] = m
-        self._count_usage(p, 1)
-
-    def _adopt(self, m: Machine, s: JobSlice, t: TaskStatus, now: float) -> None:
-        p = PlacedTask(t.job, t.index, t.attempt, s.resources, s.spec.team, now)
-        p.state = t.state
-        if t.state in ("running", "saving"):
-            p.running_since = now
-            s.running_count += 1
-        if s.is_cancelled or (s.done_bits >> t.index) & 1:
-            p.stop_grace_s, p.stop_reason = 0.0, "over"
-        m.add_task(p)
-        m.record_image(s.spec)
-        s.placed_on[t.index] = m
-        s.pending.discard(t.index)
-        s.last_attempt = max(s.last_attempt, t.attempt)
-        self._count_usage(p, 1)
-
-    def _remove_task(self, m: Machine, p: PlacedTask, now: float) -> None:
+        task = PlacedTask(
+            job_slice.spec.id, index, attempt, job_slice.resources, job_slice.spec.team, now
+        )
+        machine.add_task(task)
+        machine.record_image(job_slice.spec)
+        job_slice.placed_on[index] = machine
+        self._count_usage(task, 1)
+
+    def _adopt(self, machine: Machine, job_slice: JobSlice, status: TaskStatus, now: float) -> None:
+        task = PlacedTask(
+            status.job, status.index, status.attempt, job_slice.resources, job_slice.spec.team, now
+        )
+        task.state = status.state
+        if status.state in ("running", "saving"):
+            task.running_since = now
+            job_slice.running_count += 1
+        if job_slice.is_cancelled or (job_slice.done_bits >> status.index) & 1:
+            task.stop_grace_s, task.stop_reason = 0.0, "over"
+        machine.add_task(task)
+        machine.record_image(job_slice.spec)
+        job_slice.placed_on[status.index] = machine
+        job_slice.pending.discard(status.index)
+        job_slice.last_attempt = max(job_slice.last_attempt, status.attempt)
+        self._count_usage(task, 1)
+
+    def _remove_task(self, machine: Machine, task: PlacedTask, now: float) -> None:
         """A task is settled as not on its machine; run it again unless it is done."""
-        m.remove_task(p, now)
-        self._count_usage(p, -1)
-        s = self.slices.get(p.job)
-        if s is None:
+        machine.remove_task(task, now)
+        self._count_usage(task, -1)
+        job_slice = self.slices.get(task.job)
+        if job_slice is None:
             return
-        if s.placed_on.get(p.index) is m:
-            del s.placed_on[p.index]
-            if not s.placed_on:
-                s.pending_since = now
-            if p.running_since is not None:
-                s.running_count -= 1
-        if s.contains(p.index) and not (s.done_bits >> p.index) & 1:
-            s.pending.add(p.index, p.index + 1)
-        if s.spec.kind == GANG:
-            self._gang_lost(s)
-
-    def _gang_lost(self, s: JobSlice) -> None:
+        if job_slice.placed_on.get(task.index) is machine:
+            del job_slice.placed_on[task.index]
+            if not job_slice.placed_on:
+                job_slice.pending_since = now
+            if task.running_since is not None:
+                job_slice.running_count -= 1
+        if job_slice.contains(task.index) and not (job_slice.done_bits >> task.index) & 1:
+            job_slice.pending.add(task.index, task.index + 1)
+        if job_slice.spec.kind == GANG:
+            self._gang_lost(job_slice)
+
+    def _gang_lost(self, job_slice: JobSlice) -> None:
         """A gang lost a member: the rest is stopped, and it starts again once all are gone."""
-        if s.done_count == s.size:
+        if job_slice.done_count == job_slice.size:
             return
-        if not s.placed_on:
-            s.is_stopping_gang = False
+        if not job_slice.placed_on:
+            job_slice.is_stopping_gang = False
             return
-        s.is_stopping_gang = True
-        for i, m in s.placed_on.items():
-            p = m.tasks.get((s.spec.id, i))
-            if p is not None and p.stop_grace_s is None:
-                p.stop_grace_s, p.stop_reason = 0.0, "gang"
-
-    def _mark_done(self, s: JobSlice, index: int, now: float) -> None:
-        if (s.done_bits >> index) & 1 or not s.contains(index) or s.spec.kind == SERVICE:
+        job_slice.is_stopping_gang = True
+        for i, machine in job_slice.placed_on.items():
+            task = machine.tasks.get((job_slice.spec.id, i))
+            if task is not None and task.stop_grace_s is None:
+                task.stop_grace_s, task.stop_reason = 0.0, "gang"
+
+    def _mark_done(self, job_slice: JobSlice, index: int, now: float) -> None:
+        if (
+            (job_slice.done_bits >> index) & 1
+            or not job_slice.contains(index)
+            or job_slice.spec.kind == SERVICE
+        ):
             return
         # The members of a gang complete together: when one is done, all are.
-        for i in Ranges(s.ranges) if s.spec.kind == GANG else (index,):
-            if not (s.done_bits >> i) & 1:
-                s.done_bits |= 1 << i
-                s.done_count += 1
-            s.pending.discard(i)
-        if s.dirty_since is None:
-            s.dirty_since = now
+        for i in Ranges(job_slice.ranges) if job_slice.spec.kind == GANG else (index,):
+            if not (job_slice.done_bits >> i) & 1:
+                job_slice.done_bits |= 1 << i
+                job_slice.done_count += 1
+            job_slice.pending.discard(i)
+        if job_slice.dirty_since is None:
+            job_slice.dirty_since = now
 
     # --- jobs ------------------------------------------------------------------------------
 
     def sync_job(self, record: JobRecord | None, job: str, version: int, now: float) -> None:
         """Follow a job's record: slices gained or lost, cancels, and its end."""
-        s = self.slices.get(job)
+        job_slice = self.slices.get(job)
         if record is None:
-            if s is not None:
-                self._end_slice(s)
+            if job_slice is not None:
+                self._end_slice(job_slice)
             return
         ranges = record.slices.get(str(self.shard_id), [])
-        if not ranges and s is None:
+        if not ranges and job_slice is None:
             return
-        if s is None:
-            s = self.slices[job] = JobSlice(record.spec)
-            s.pending_since = now
-        s.startable_since = record.startable_since
+        if job_slice is None:
+            job_slice = self.slices[job] = JobSlice(record.spec)
+            job_slice.pending_since = now
+        job_slice.startable_since = record.startable_since
         if record.is_blocked:
-            s.block(ranges)
-        elif s.is_blocked:
-            s.unblock(now)
-        if ranges != s.ranges:
-            had_tasks = s.size > 0
-            s.set_ranges(ranges)
-            if had_tasks and not s.ranges and not s.placed_on and not s.is_cancelled:
+            job_slice.block(ranges)
+        elif job_slice.is_blocked:
+            job_slice.unblock(now)
+        if ranges != job_slice.ranges:
+            had_tasks = job_slice.size > 0
+            job_slice.set_ranges(ranges)
+            if (
+                had_tasks
+                and not job_slice.ranges
+                and not job_slice.placed_on
+                and not job_slice.is_cancelled
+            ):
                 del self.slices[job]
                 return
-        s.record_version = version
+        job_slice.record_version = version
         if record.is_cancelled:
             self.cancel(job, now)
 
-    def _end_slice(self, s: JobSlice) -> None:
+    def _end_slice(self, job_slice: JobSlice) -> None:
         """The job is over: what is still on machines is stopped."""
-        for index, m in list(s.placed_on.items()):
-            p = m.tasks.get((s.spec.id, index))
-            if p is not None and p.stop_grace_s is None:
-                p.stop_grace_s, p.stop_reason = 0.0, "over"
-        del self.slices[s.spec.id]
+        for index, machine in list(job_slice.placed_on.items()):
+            task = machine.tasks.get((job_slice.spec.id, index))
+            if task is not None and task.stop_grace_s is None:
+                task.stop_grace_s, task.stop_reason = 0.0, "over"
+        del self.slices[job_slice.spec.id]
 
     def cancel(self, job: str, now: float) -> None:
         """Apply a cancel: nothing starts any more, and what is there is stopped at once."""
-        s = self.slices.get(job)
-        if s is None or s.is_cancelled:
+        job_slice = self.slices.get(job)
+        if job_slice is None or job_slice.is_cancelled:
             return
-        s.is_cancelled = True
-        s.cancelled_at = now
-        s.pending = Ranges()
-        for i, m in list(s.placed_on.items()):
-            p = m.tasks.get((job, i))
-            if p is None:
+        job_slice.is_cancelled = True
+        job_slice.cancelled_at = now
+        job_slice.pending = Ranges()
+        for i, machine in list(job_slice.placed_on.items()):
+            task = machine.tasks.get((job, i))
+            if task is None:
                 continue
-            if p.state == "planned":
-                self._remove_task(m, p, now)
+            if task.state == "planned":
+                self._remove_task(machine, task, now)
             else:
-                p.stop_grace_s, p.stop_reason = 0.0, "cancel"
-                p.stop_sent_at = -1e9
-        s.pending = Ranges()
+                task.stop_grace_s, task.stop_reason = 0.0, "cancel"
+                task.stop_sent_at = -1e9
+        job_slice.pending = Ranges()
 
     def release_reconciled_slices(self) -> None:
         """Once every machine of the takeover is settled, what is not on one may start."""
         if self.unreconciled_machines:
             return
-        for s in self.slices.values():
-            s.is_unreconciled = False
-            if s.spec.kind == GANG and s.placed_on and len(s.pending):
+        for job_slice in self.slices.values():
+            job_slice.is_unreconciled = False
+            if job_slice.spec.kind == GANG and job_slice.placed_on and len(job_slice.pending):
                 # Only some of the gang survived the takeover.
-                self._gang_lost(s)
+                self._gang_lost(job_slice)
 
     # --- machines --------------------------------------------------------------------------
 
-    def add_machine(self, m: Machine) -> None:
+    def add_machine(self, machine: Machine) -> None:
         """A machine joins the part."""
-        m.join_term = self.term
-        m.silence_limit_s = QUIET_REPORTS * self.cluster.workers.report_s
-        self.machines[m.name] = m
+        machine.join_term = self.term
+        machine.silence_limit_s = QUIET_REPORTS * self.cluster.workers.report_s
+        self.machines[machine.name] = machine
 
     def remove_machine(self, name: str, now: float) -> None:
         """A machine is gone for certain (released), or left the part idle and settled."""
-        m = self.machines.pop(name, None)
-        if m is None:
+        machine = self.machines.pop(name, None)
+        if machine is None:
             return
-        for p in list(m.tasks.values()):
-            self._remove_task(m, p, now)
+        for task in list(machine.tasks.values()):
+            self._remove_task(machine, task, now)
         self.machines_with_unknown_tasks.discard(name)
         self.unreconciled_machines.discard(name)
         self.release_reconciled_slices()
 
-    def forget_tasks(self, m: Machine, now: float) -> None:
+    def forget_tasks(self, machine: Machine, now: float) -> None:
         """All tasks of the machine's session so far are gone."""
-        for p in list(m.tasks.values()):
-            self._remove_task(m, p, now)
-        m.exited_tasks = {}
-        m.unknown_tasks = {}
-        self.machines_with_unknown_tasks.discard(m.name)
+        for task in list(machine.tasks.values()):
+            self._remove_task(machine, task, now)
+        machine.exited_tasks = {}
+        machine.unknown_tasks = {}
+        self.machines_with_unknown_tasks.discard(machine.name)
 
     def _drain_reclaimed_machines(self, now: float) -> None:
         """Save what can be saved on machines that the cloud takes back."""
         report_s = self.cluster.workers.report_s
-        for m in self.machines.values():
-            if m.reclaim_at is None:
+        for machine in self.machines.values():
+            if machine.reclaim_at is None:
                 continue
-            for p in list(m.tasks.values()):
-                s = self.slices.get(p.job)
-                if s is None or s.spec.checkpoint_interval_s <= 0 or p.stop_grace_s is not None:
+            for task in list(machine.tasks.values()):
+                job_slice = self.slices.get(task.job)
+                if (
+                    job_slice is None
+                    or job_slice.spec.checkpoint_interval_s <= 0
+                    or task.stop_grace_s is not None
+                ):
                     continue
-                if m.reclaim_at - now > 2 * s.spec.checkpoint_save_s + 3 * report_s:
+                if machine.reclaim_at - now > 2 * job_slice.spec.checkpoint_save_s + 3 * report_s:
                     continue
                 # A gang saves only if all its tasks are told, and told at nearly the same time.
-                for i, at in s.placed_on.items():
-                    q = at.tasks.get((p.job, i))
-                    if q is not None and q.stop_grace_s is None:
-                        q.stop_grace_s, q.stop_reason = (
-                            max(s.spec.checkpoint_save_s, 0.001),
+                for i, at in job_slice.placed_on.items():
+                    member = at.tasks.get((task.job, i))
+                    if member is not None and member.stop_grace_s is None:
+                        member.stop_grace_s, member.stop_reason = (
+                            max(job_slice.spec.checkpoint_save_s, 0.001),
                             "drain",
                         )
 
     def tick(self, now: float) -> None:
         """Let leases of silent workers run out."""
         self._drain_reclaimed_machines(now)
-        for m in list(self.machines.values()):
-            last = m.answered_at if m.answered_at > self.acquired_at else self.acquired_at
-            if now - m.last_heartbeat_at >= m.silence_limit_s:
+        for machine in list(self.machines.values()):
+            last = (
+                machine.answered_at if machine.answered_at > self.acquired_at else self.acquired_at
+            )
+            if now - machine.last_heartbeat_at >= machine.silence_limit_s:
                 # A launch that is in no answer yet can go elsewhere at once.
-                for p in list(m.tasks.values()):
-                    if p.state == "planned":
-                        self._remove_task(m, p, now)
+                for task in list(machine.tasks.values()):
+                    if task.state == "planned":
+                        self._remove_task(machine, task, now)
             if (
-                m.is_silent
+                machine.is_silent
                 or now < last + self.agent_lease_limit_s
-                or m.name not in self.unreconciled_machines
-                and not (m.agent_incarnation)
+                or machine.name not in self.unreconciled_machines
+                and not (machine.agent_incarnation)
             ):
                 continue
             # No report was answered for longer than the worker's lease: it has killed its
             # tasks. Late copies of its old reports must not bring them back.
-            m.is_silent = True
-            m.ignored_terms = 0
-            self._mark_unresponsive(m, now)
-            m.min_incarnation = m.agent_incarnation + 1 if m.agent_incarnation else 0
-            self.forget_tasks(m, now)
-            self.unreconciled_machines.discard(m.name)
+            machine.is_silent = True
+            machine.ignored_terms = 0
+            self._mark_unresponsive(machine, now)
+            machine.min_incarnation = (
+                machine.agent_incarnation + 1 if machine.agent_incarnation else 0
+            )
+            self.forget_tasks(machine, now)
+            self.unreconciled_machines.discard(machine.name)
             self.release_reconciled_slices()
 
-    def receive_heartbeat(self, rep: Heartbeat, now: float) -> list[TaskCommand] | None:
+    def receive_heartbeat(self, heartbeat: Heartbeat, now: float) -> list[TaskCommand] | None:
         """Take in a report and return the orders of its answer.
 
         None when the report must not be answered with a 200.
         """
-        m = self.machines.get(rep.machine)
-        if m is None or not self._is_newest(m, rep):
+        machine = self.machines.get(heartbeat.machine)
+        if machine is None or not self._is_newest(machine, heartbeat):
             return None
-        self._record_heartbeat(m, rep, now)
-        if rep.fencing_token >= m.join_term:
-            m.is_reconciled = True
-        if not m.is_reconciled:
-            return self._answer_unreconciled(m, rep, now)
-        self._reconcile(m, rep, now)
-        if m.name in self.unreconciled_machines:
-            self.unreconciled_machines.discard(m.name)
+        self._record_heartbeat(machine, heartbeat, now)
+        if heartbeat.fencing_token >= machine.join_term:
+            machine.is_reconciled = True
+        if not machine.is_reconciled:
+            return self._answer_unreconciled(machine, heartbeat, now)
+        self._reconcile(machine, heartbeat, now)
+        if machine.name in self.unreconciled_machines:
+            self.unreconciled_machines.discard(machine.name)
             self.release_reconciled_slices()
-        m.answered_at = now
-        return self._task_commands(m, now)
+        machine.answered_at = now
+        return self._task_commands(machine, now)
 
-    def _is_newest(self, m: Machine, rep: Heartbeat) -> bool:
+    def _is_newest(self, machine: Machine, heartbeat: Heartbeat) -> bool:
         """Whether a report is to be taken in: the newest of a machine that is still wanted."""
-        if m.is_given_up or m.is_releasing or rep.fencing_token > self.term:
+        if machine.is_given_up or machine.is_releasing or heartbeat.fencing_token > self.term:
             return False
         # A late copy: the worker has given such a report up, and its list is old.
-        return rep.agent_incarnation >= m.min_incarnation and (
-            rep.agent_incarnation,
-            rep.sequence,
-        ) > (m.agent_incarnation, m.sequence)
+        return heartbeat.agent_incarnation >= machine.min_incarnation and (
+            heartbeat.agent_incarnation,
+            heartbeat.sequence,
+        ) > (machine.agent_incarnation, machine.sequence)
 
-    def _record_heartbeat(self, m: Machine, rep: Heartbeat, now: float) -> None:
+    def _record_heartbeat(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
         """What a report shows of the machine itself: it lives, hears, or is to be taken back."""
-        m.address = rep.address
-        often = now - m.last_heartbeat_at < HEARD_REPORTS * self.cluster.workers.report_s
-        if rep.agent_incarnation != m.agent_incarnation:
-            self._begin_incarnation(m, rep.agent_incarnation, now)
-        elif often and m.ignored_commands < UNHEEDED:
+        machine.address = heartbeat.address
+        often = now - machine.last_heartbeat_at < HEARD_REPORTS * self.cluster.workers.report_s
+        if heartbeat.agent_incarnation != machine.agent_incarnation:
+            self._begin_incarnation(machine, heartbeat.agent_incarnation, now)
+        elif often and machine.ignored_commands < UNHEEDED:
             # A worker that is not answered within some seconds turns to another controller.
-            m.is_unresponsive = False
+            machine.is_unresponsive = False
         if not often:
-            m.frequent_since = now
-        elif now - m.frequent_since > HEARS_AGAIN * self.cluster.workers.lease_s:
+            machine.frequent_since = now
+        elif now - machine.frequent_since > HEARS_AGAIN * self.cluster.workers.lease_s:
             # Nothing is sent to a deaf machine that could show whether it hears again.
-            m.ignored_commands = 0
-        m.sequence = rep.sequence
-        if m.is_awaited:
+            machine.ignored_commands = 0
+        machine.sequence = heartbeat.sequence
+        if machine.is_awaited:
             # It was away together with many. Whether it hears is told by what follows.
-            m.unresponsive_since, m.is_awaited = now, False
-        m.last_heartbeat_at = now
-        m.is_silent = False
-        m.reclaim_at = None if rep.reclaim_in_s is None else now + rep.reclaim_in_s
+            machine.unresponsive_since, machine.is_awaited = now, False
+        machine.last_heartbeat_at = now
+        machine.is_silent = False
+        machine.reclaim_at = (
+            None if heartbeat.reclaim_in_s is None else now + heartbeat.reclaim_in_s
+        )
 
-    def _begin_incarnation(self, m: Machine, session: int, now: float) -> None:
+    def _begin_incarnation(self, machine: Machine, session: int, now: float) -> None:
         """The worker's first session that is seen, or one after its lease has run out."""
-        if not m.agent_incarnation:
-            if m.machine_type is not None and m.name not in self.unreconciled_machines:
-                self.boot_times.record(m.machine_type, now - m.added_at, now)
+        if not machine.agent_incarnation:
+            if machine.machine_type is not None and machine.name not in self.unreconciled_machines:
+                self.boot_times.record(machine.machine_type, now - machine.added_at, now)
         else:
             # If it reported all the while, what it was answered did not reach it.
-            if now - m.last_heartbeat_at < self.cluster.workers.lease_s / 2:
-                m.ignored_commands += 1
-                self._mark_unresponsive(m, now)
-            self.forget_tasks(m, now)
-        m.agent_incarnation = session
+            if now - machine.last_heartbeat_at < self.cluster.workers.lease_s / 2:
+                machine.ignored_commands += 1
+                self._mark_unresponsive(machine, now)
+            self.forget_tasks(machine, now)
+        machine.agent_incarnation = session
 
     def _answer_unreconciled(
-        self, m: Machine, rep: Heartbeat, now: float
+        self, machine: Machine, heartbeat: Heartbeat, now: float
     ) -> list[TaskCommand] | None:
         """Answer a machine of which no report has carried this term yet; None for no answer.
 
@@ -406,55 +433,55 @@
         end. (A session that moves on would not settle it: the earlier session may be known from
         a late copy only.)
         """
-        if m.ignored_terms > UNHEEDED:
-            self._mark_unresponsive(m, now)
+        if machine.ignored_terms > UNHEEDED:
+            self._mark_unresponsive(machine, now)
             return None
-        m.ignored_terms += 1
-        m.answered_at = now
-        return self._over(rep)
+        machine.ignored_terms += 1
+        machine.answered_at = now
+        return self._over(heartbeat)
 
-    def _over(self, rep: Heartbeat) -> list[TaskCommand]:
+    def _over(self, heartbeat: Heartbeat) -> list[TaskCommand]:
         """Return stops for tasks of jobs that are over on a machine that is not settled.
 
         An answer that renews its lease must not let them go on.
         """
-        orders = []
-        for t in rep.tasks:
-            s = self.slices.get(t.job)
-            if t.state != "exited" and (s is None or s.is_cancelled):
-                orders.append(TaskCommand("stop", t.job, t.index, t.attempt, 0.0))
-        return orders[:MAX_ORDERS]
-
-    def _mark_unresponsive(self, m: Machine, now: float) -> None:
-        if not m.is_unresponsive:
-            m.is_unresponsive, m.unresponsive_since = True, now
-
-    def _reconcile(self, m: Machine, rep: Heartbeat, now: float) -> None:
+        commands = []
+        for status in heartbeat.tasks:
+            job_slice = self.slices.get(status.job)
+            if status.state != "exited" and (job_slice is None or job_slice.is_cancelled):
+                commands.append(TaskCommand("stop", status.job, status.index, status.attempt, 0.0))
+        return commands[:MAX_ORDERS]
+
+    def _mark_unresponsive(self, machine: Machine, now: float) -> None:
+        if not machine.is_unresponsive:
+            machine.is_unresponsive, machine.unresponsive_since = True, now
+
+    def _reconcile(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
         """Compare what a settled machine lists with what was launched there."""
-        listed = self._take_listed_tasks(m, rep, now)
-        if m.unknown_tasks:
-            self.machines_with_unknown_tasks.add(m.name)
+        listed = self._take_listed_tasks(machine, heartbeat, now)
+        if machine.unknown_tasks:
+            self.machines_with_unknown_tasks.add(machine.name)
         else:
-            self.machines_with_unknown_tasks.discard(m.name)
+            self.machines_with_unknown_tasks.discard(machine.name)
         is_launch_lost = is_launch_shown = False
-        for key, p in list(m.tasks.items()):
+        for key, task in list(machine.tasks.items()):
             found = listed.get(key)
-            was_sent = p.state == "sent"
+            was_sent = task.state == "sent"
             is_launch_shown = is_launch_shown or (was_sent and found is not None)
-            if found is not None and found.attempt == p.attempt:
-                self._update_task_state(m, p, found, now)
+            if found is not None and found.attempt == task.attempt:
+                self._update_task_state(machine, task, found, now)
             elif was_sent:
                 is_launch_lost = True
-                self._retract_launch(m, p, now)
-            elif p.state != "planned":
-                self._remove_task(m, p, now)
+                self._retract_launch(machine, task, now)
+            elif task.state != "planned":
+                self._remove_task(machine, task, now)
         if is_launch_shown:
-            m.ignored_commands = 0
+            machine.ignored_commands = 0
         elif is_launch_lost:
-            self._record_ignored_command(m, now)
+            self._record_ignored_command(machine, now)
 
     def _take_listed_tasks(
-        self, m: Machine, rep: Heartbeat, now: float
+        self, machine: Machine, heartbeat: Heartbeat, now: float
     ) -> dict[TaskKey, TaskStatus]:
         """Sort what a machine lists.
 
@@ -462,120 +489,153 @@
         part may hold are taken in, and those that it knows nothing of are to be stopped.
         """
         listed: dict[TaskKey, TaskStatus] = {}
-        m.exited_tasks = {}
-        m.unknown_tasks = {}
-        for t in rep.tasks:
-            key = (t.job, t.index)
-            p = m.tasks.get(key)
-            is_launched = p is not None and p.attempt == t.attempt
-            s = self.slices.get(t.job)
-            is_free = s is not None and s.contains(t.index) and t.index not in s.placed_on
-            if t.state == "exited":
+        machine.exited_tasks = {}
+        machine.unknown_tasks = {}
+        for status in heartbeat.tasks:
+            key = (status.job, status.index)
+            task = machine.tasks.get(key)
+            is_launched = task is not None and task.attempt == status.attempt
+            job_slice = self.slices.get(status.job)
+            is_free = (
+                job_slice is not None
+                and job_slice.contains(status.index)
+                and status.index not in job_slice.placed_on
+            )
+            if status.state == "exited":
                 if is_launched:
-                    listed[key] = t
-                elif t.exit_reason == "done" and s is not None and is_free:
+                    listed[key] = status
+                elif status.exit_reason == "done" and job_slice is not None and is_free:
                     # A result whose owner fell before it was recorded.
-                    self._mark_done(s, t.index, now)
-                if key not in m.exited_tasks or not is_launched:
-                    m.exited_tasks[key] = (t.attempt, t.exit_reason == "done")
+                    self._mark_done(job_slice, status.index, now)
+                if key not in machine.exited_tasks or not is_launched:
+                    machine.exited_tasks[key] = (status.attempt, status.exit_reason == "done")
                 continue
-            listed[key] = t
+            listed[key] = status
             if is_launched:
                 continue
-            if p is None and s is not None and is_free:
-                self._adopt(m, s, t, now)
+            if task is None and job_slice is not None and is_free:
+                self._adopt(machine, job_slice, status, now)
             else:
-                m.unknown_tasks[key] = t.attempt
+                machine.unknown_tasks[key] = status.attempt
         return listed
 
-    def _update_task_state(self, m: Machine, p: PlacedTask, found: TaskStatus, now: float) -> None:
+    def _update_task_state(
+        self, machine: Machine, task: PlacedTask, found: TaskStatus, now: float
+    ) -> None:
         """A task that was launched here is listed."""
         if found.state == "exited":
-            self._task_exited(m, p, found, now)
-        elif found.state != p.state:
-            if found.state == "running" and p.running_since is None:
-                p.running_since = now
-                if (s := self.slices.get(p.job)) is not None:
-                    s.running_count += 1
-            p.state = found.state
-
-    def _retract_launch(self, m: Machine, p: PlacedTask, now: float) -> None:
+            self._task_exited(machine, task, found, now)
+        elif found.state != task.state:
+            if found.state == "running" and task.running_since is None:
+                task.running_since = now
+                if (job_slice := self.slices.get(task.job)) is not None:
+                    job_slice.running_count += 1
+            task.state = found.state
+
+    def _retract_launch(self, machine: Machine, task: PlacedTask, now: float) -> None:
         """No report newer than the answer with a launch lists the task: the answer was dropped.
 
         It may be sent again.
         """
-        p.state = "planned"
-        s = self.slices.get(p.job)
-        if s is None or s.is_cancelled or p.stop_grace_s is not None or m.is_unresponsive:
-            self._remove_task(m, p, now)
+        task.state = "planned"
+        job_slice = self.slices.get(task.job)
+        if (
+            job_slice is None
+            or job_slice.is_cancelled
+            or task.stop_grace_s is not None
+            or machine.is_unresponsive
+        ):
+            self._remove_task(machine, task, now)
 
-    def _record_ignored_command(self, m: Machine, now: float) -> None:
+    def _record_ignored_command(self, machine: Machine, now: float) -> None:
         """A launch did not show; after several in a row the machine counts as deaf."""
-        m.ignored_commands += 1
-        if m.ignored_commands < UNHEEDED or m.is_unresponsive:
+        machine.ignored_commands += 1
+        if machine.ignored_commands < UNHEEDED or machine.is_unresponsive:
             return
-        self._mark_unresponsive(m, now)
-        for p in [p for p in m.tasks.values() if p.state == "planned"]:
-            self._remove_task(m, p, now)
-
-    def _task_exited(self, m: Machine, p: PlacedTask, t: TaskStatus, now: float) -> None:
-        s = self.slices.get(p.job)
-        if t.exit_reason == "done":
-            if s is not None:
-                if p.running_since is not None:
-                    self.finished_tasks.append((s.spec, now - p.running_since))
-                self.failures.record_success(p.job, m.name)
-                self._mark_done(s, p.index, now)
-        elif t.exit_reason == "error":
-            self.failures.record_failure(p.job, m.name, s is not None and s.done_count > 0, now)
-            m.usable_from = max(m.usable_from, now + self.failures.machine_backoff_s(m.name))
-        elif t.exit_reason in ("no_room", "unknown", "busy"):
-            m.usable_from = now + 2 * self.cluster.workers.report_s
-        self._remove_task(m, p, now)
-
-    def _task_commands(self, m: Machine, now: float) -> list[TaskCommand]:
-        orders: list[TaskCommand] = []
-        for key, (attempt, done) in m.exited_tasks.items():
-            s = self.slices.get(key[0])
-            kept = done and s is not None and s.contains(key[1]) and s.spec.kind != SERVICE
-            if kept and s is not None and not (s.durable_bits >> key[1]) & 1:
+        self._mark_unresponsive(machine, now)
+        for task in [task for task in machine.tasks.values() if task.state == "planned"]:
+            self._remove_task(machine, task, now)
+
+    def _task_exited(
+        self, machine: Machine, task: PlacedTask, status: TaskStatus, now: float
+    ) -> None:
+        job_slice = self.slices.get(task.job)
+        if status.exit_reason == "done":
+            if job_slice is not None:
+                if task.running_since is not None:
+                    self.finished_tasks.append((job_slice.spec, now - task.running_since))
+                self.failures.record_success(task.job, machine.name)
+                self._mark_done(job_slice, task.index, now)
+        elif status.exit_reason == "error":
+            self.failures.record_failure(
+                task.job, machine.name, job_slice is not None and job_slice.done_count > 0, now
+            )
+            machine.usable_from = max(
+                machine.usable_from, now + self.failures.machine_backoff_s(machine.name)
+            )
+        elif status.exit_reason in ("no_room", "unknown", "busy"):
+            machine.usable_from = now + 2 * self.cluster.workers.report_s
+        self._remove_task(machine, task, now)
+
+    def _task_commands(self, machine: Machine, now: float) -> list[TaskCommand]:
+        commands: list[TaskCommand] = []
+        for key, (attempt, done) in machine.exited_tasks.items():
+            job_slice = self.slices.get(key[0])
+            kept = (
+                done
+                and job_slice is not None
+                and job_slice.contains(key[1])
+                and job_slice.spec.kind != SERVICE
+            )
+            if kept and job_slice is not None and not (job_slice.durable_bits >> key[1]) & 1:
                 continue
-            orders.append(TaskCommand("forget", key[0], key[1], attempt))
-        for key, attempt in m.unknown_tasks.items():
-            orders.append(TaskCommand("stop", key[0], key[1], attempt, 0.0))
-        for p in list(m.tasks.values()):
-            if p.stop_grace_s is not None and p.state != "planned":
-                orders.append(TaskCommand("stop", p.job, p.index, p.attempt, p.stop_grace_s))
-                p.stop_sent_at = now
-        return orders
-
-    def launch_commands(self, m: Machine, now: float) -> list[TaskCommand]:
+            commands.append(TaskCommand("forget", key[0], key[1], attempt))
+        for key, attempt in machine.unknown_tasks.items():
+            commands.append(TaskCommand("stop", key[0], key[1], attempt, 0.0))
+        for task in list(machine.tasks.values()):
+            if task.stop_grace_s is not None and task.state != "planned":
+                commands.append(
+                    TaskCommand("stop", task.job, task.index, task.attempt, task.stop_grace_s)
+                )
+                task.stop_sent_at = now
+        return commands
+
+    def launch_commands(self, machine: Machine, now: float) -> list[TaskCommand]:
         """Launches to carry in the answer to the report just taken in, after its other orders."""
-        orders: list[TaskCommand] = []
-        if not m.is_reconciled or m.is_given_up or m.is_releasing:
-            return orders
-        for p in list(m.tasks.values()):
-            if p.state != "planned":
+        commands: list[TaskCommand] = []
+        if not machine.is_reconciled or machine.is_given_up or machine.is_releasing:
+            return commands
+        for task in list(machine.tasks.values()):
+            if task.state != "planned":
                 continue
-            s = self.slices.get(p.job)
-            may_start = s is not None and not s.is_blocked and not s.is_cancelled
-            if not may_start or m.is_unresponsive or p.stop_grace_s is not None or m.is_draining:
-                self._remove_task(m, p, now)
-            elif len(orders) < MAX_ORDERS:
-                orders.append(TaskCommand("start", p.job, p.index, p.attempt))
-                p.state = "sent"
-                p.sent_sequence = m.sequence
-        return orders
+            job_slice = self.slices.get(task.job)
+            may_start = (
+                job_slice is not None and not job_slice.is_blocked and not job_slice.is_cancelled
+            )
+            if (
+                not may_start
+                or machine.is_unresponsive
+                or task.stop_grace_s is not None
+                or machine.is_draining
+            ):
+                self._remove_task(machine, task, now)
+            elif len(commands) < MAX_ORDERS:
+                commands.append(TaskCommand("start", task.job, task.index, task.attempt))
+                task.state = "sent"
+                task.sent_sequence = machine.sequence
+        return commands
 
     def stop_tasks(self, tasks: list[PlacedTask], why: str) -> None:
         """Stop tasks to make room for others; what can save does so."""
-        for p in tasks:
-            s = self.slices.get(p.job)
-            if p.stop_grace_s is None:
-                saves = s is not None and s.spec.checkpoint_interval_s > 0
-                p.stop_grace_s = s.spec.checkpoint_save_s if s is not None and saves else 0.0
-                p.stop_reason = why
-                p.stop_sent_at = -1e9
+        for task in tasks:
+            job_slice = self.slices.get(task.job)
+            if task.stop_grace_s is None:
+                saves = job_slice is not None and job_slice.spec.checkpoint_interval_s > 0
+                task.stop_grace_s = (
+                    job_slice.spec.checkpoint_save_s if job_slice is not None and saves else 0.0
+                )
+                task.stop_reason = why
+                task.stop_sent_at = -1e9
 
     def overdue_stops(self, now: float) -> list[tuple[Machine, list[TaskCommand]]]:
         """Return stops that should not wait for the machine's next report.
@@ -584,18 +644,20 @@
         """
         out = []
         again = self.cluster.workers.report_s * 2
-        for m in self.machines.values():
-            if not m.address or not m.agent_incarnation or not m.is_reconciled:
+        for machine in self.machines.values():
+            if not machine.address or not machine.agent_incarnation or not machine.is_reconciled:
                 continue
-            orders = []
-            for p in m.tasks.values():
+            commands = []
+            for task in machine.tasks.values():
                 if (
-                    p.stop_grace_s is not None
-                    and p.state != "planned"
-                    and now - p.stop_sent_at > again
+                    task.stop_grace_s is not None
+                    and task.state != "planned"
+                    and now - task.stop_sent_at > again
                 ):
-                    orders.append(TaskCommand("stop", p.job, p.index, p.attempt, p.stop_grace_s))
-                    p.stop_sent_at = now
-            if orders:
-                out.append((m, orders[:MAX_ORDERS]))
+                    commands.append(
+                        TaskCommand("stop", task.job, task.index, task.attempt, task.stop_grace_s)
+                    )
+                    task.stop_sent_at = now
+            if commands:
+                out.append((machine, commands[:MAX_ORDERS]))
         return out
--- a/marblestair/core/state/keys.py
+++ b/marblestair/core/state/keys.py
@@ -24,11 +24,11 @@
 TYPES = f"{TENANT}/t/"
 
 
-def progress_page(part: int, job: str, page: int) -> str:
+def progress_page(shard_id: int, job: str, page: int) -> str:
     """Key of one page of a part's progress on a job."""
-    return f"{PROGRESS}{part}/{job}/{page}"
+    return f"{PROGRESS}{shard_id}/{job}/{page}"
 
 
-def rental_intent(part: int, name: str) -> str:
+def rental_intent(shard_id: int, name: str) -> str:
     """Key of a hire intent."""
-    return f"{RENTAL_INTENTS}{part}/{name}"
+    return f"{RENTAL_INTENTS}{shard_id}/{name}"
--- a/marblestair/core/state/store_view.py
+++ b/marblestair/core/state/store_view.py
@@ -86,9 +86,9 @@
 
     def apply_changes(self, events: list[KeyChange], rev: int) -> None:
         """Take in what a watch returned."""
-        for e in events:
-            if e.version > max(self.version(e.key), self._absent_since(e.key)):
-                self._set(e.key, e.value, e.version)
+        for change in events:
+            if change.version > max(self.version(change.key), self._absent_since(change.key)):
+                self._set(change.key, change.value, change.version)
         self._advance(rev)
 
     def record_read(self, key: str, value: Any, version: int) -> None:
@@ -105,9 +105,9 @@
 
     def record_commit(self, commit: CompareAndSwap, rev: int) -> None:
         """Take in an own commit, ahead of the watch or behind it."""
-        for p in commit.puts:
-            if p.key.startswith(keys.VIEW) and self._is_newer(p.key, rev):
-                self._set(p.key, msgspec.to_builtins(p.value), rev)
+        for put in commit.puts:
+            if put.key.startswith(keys.VIEW) and self._is_newer(put.key, rev):
+                self._set(put.key, msgspec.to_builtins(put.value), rev)
         for k in commit.deletes:
             if k.startswith(keys.VIEW) and rev > self.version(k):
                 self._note_absence(k, rev)
--- a/marblestair/core/status.py
+++ b/marblestair/core/status.py
@@ -29,7 +29,7 @@
     authority = controller.leadership
     return {
         "node": controller.node,
-        "acts_for": [part.shard_id for part in controller.led_shards()],
+        "acts_for": [shard.shard_id for shard in controller.led_shards()],
         "lease_s_left": round(max(0.0, authority.lease_expires_at - now), 1),
         "on_promises": authority.promises.are_held(now),
         "view_s_old": round(min(MOST_AGE_S, now - controller.view.fresh_as_of), 1),
@@ -55,15 +55,17 @@
         "cancels_not_confirmed": controller.cancellations.unconfirmed_count,
         "oldest_not_confirmed_s": round(controller.cancellations.oldest_unconfirmed_s, 1),
         "changes_in_doubt": sum(not job.is_record_known for job in managed),
-        "stops_waiting": sum(part.pending_stop_count for part in parts),
-        "machines_with_unknown_tasks": sum(len(part.machines_with_unknown_tasks) for part in parts),
+        "stops_waiting": sum(shard.pending_stop_count for shard in parts),
+        "machines_with_unknown_tasks": sum(
+            len(shard.machines_with_unknown_tasks) for shard in parts
+        ),
     }
 
 
 def _parts(controller: Controller) -> list[dict[str, Any]]:
-    split = controller.view.shard_map
+    shard_map = controller.view.shard_map
     shown = []
-    for number, record in enumerate(split.shards if split is not None else []):
+    for number, record in enumerate(shard_map.shards if shard_map is not None else []):
         told_at, summary = controller.shard_summaries.get(number, (None, None))
         members = (m.shard_id == number for m in controller.view.machines.values())
         shown.append(
--- a/marblestair/net/http_server.py
+++ b/marblestair/net/http_server.py
@@ -203,7 +203,7 @@
         """Whether what is left of the connections is kept for workers."""
         return len(self.connections) > self.crowded_at
 
-    def admit(self, c: Connection) -> bool:
+    def admit(self, connection: Connection) -> bool:
         """Whether a new connection finds a place; a user's that is idle makes room for it."""
         if len(self.connections) >= self.max_connections:
             users = [x for x in self.connections if x.idle and not x.worker]
@@ -213,20 +213,24 @@
                 self.sweep(self.idle_s / 8)
             if len(self.connections) >= self.max_connections:
                 return False
-        self.connections.add(c)
+        self.connections.add(connection)
         return True
 
-    def _drop(self, c: Connection) -> None:
-        if c.transport is not None:
-            c.transport.close()
-        self.connections.discard(c)
+    def _drop(self, connection: Connection) -> None:
+        if connection.transport is not None:
+            connection.transport.close()
+        self.connections.discard(connection)
 
     def sweep(self, idle_s: float) -> None:
         """Close connections that have been idle."""
         now = self.clock()
-        for c in list(self.connections):
-            if now - c.last > idle_s and c.transport is not None and c.idle:
-                self._drop(c)
+        for connection in list(self.connections):
+            if (
+                now - connection.last > idle_s
+                and connection.transport is not None
+                and connection.idle
+            ):
+                self._drop(connection)
 
     async def listen(self, host: str, port: int) -> None:
         """Start to accept."""
@@ -239,6 +243,6 @@
         """Stop."""
         if self._server is not None:
             self._server.close()
-        for c in list(self.connections):
-            if c.transport is not None:
-                c.transport.abort()
+        for connection in list(self.connections):
+            if connection.transport is not None:
+                connection.transport.abort()
--- a/marblestair/node.py
+++ b/marblestair/node.py
@@ -57,13 +57,13 @@
 
     def __init__(self, settings: Settings, policy: Policy) -> None:
         self.settings = settings
-        c = settings.cluster
+        cluster = settings.cluster
         n = len(settings.nodes)
         seed = int.from_bytes(os.urandom(7), "big")
         self.core = Controller(settings, seed, random.Random(seed), time.monotonic(), time.time())
         self.core.fleet.tuning = policy.tuning
         self.core.deadline_offsets_s = policy.lead_s
-        sockets = int(c.machine_limits.sockets)
+        sockets = int(cluster.machine_limits.sockets)
         few = max(4, int(sockets * OUTGOING))
         self.server = HttpServer(
             self._handle,
@@ -79,9 +79,9 @@
         # long where there are many.
         self.workers = HttpClient(1, few, few)
         # A few per cent stay free: clocks drift and the services count on theirs.
-        self.state_budget = Budget(c.state.rps / n * 0.95, c.state.write_rps / n * 0.95)
-        self.cloud_budget = Budget(c.cloud.rps / n * 0.9, 1.0, 10.0)
-        self.links = {p.node: Link(settings.node, p.address) for p in settings.others}
+        self.state_budget = Budget(cluster.state.rps / n * 0.95, cluster.state.write_rps / n * 0.95)
+        self.cloud_budget = Budget(cluster.cloud.rps / n * 0.9, 1.0, 10.0)
+        self.links = {peer.node: Link(settings.node, peer.address) for peer in settings.others}
         self.peers = PeerServer(self._on_note, self._on_ask)
         self._requests: dict[int, Connection] = {}
         self._asks: dict[int, Any] = {}
@@ -128,30 +128,30 @@
         t.add_done_callback(self._tasks.discard)
 
     def _flush(self) -> None:
-        core = self.core
-        while core.coroutines.requests:
-            calls, core.coroutines.requests = core.coroutines.requests, []
+        controller = self.core
+        while controller.coroutines.requests:
+            calls, controller.coroutines.requests = controller.coroutines.requests, []
             for n, call in calls:
                 self._spawn(self._carry_out(n, call))
-        replies, core.replies = core.replies, []
-        for r in replies:
-            conn = self._requests.pop(r.request_id, None)
-            if conn is not None:
-                self._answer(conn, r)
-        commands, core.direct_commands = core.direct_commands, []
-        for c in commands:
-            self._spawn(self._command(c))
-        notes, core.messages = core.messages, []
-        for note in notes:
-            link = self.links.get(note.node)
+        replies, controller.replies = controller.replies, []
+        for reply in replies:
+            connection = self._requests.pop(reply.request_id, None)
+            if connection is not None:
+                self._answer(connection, reply)
+        commands, controller.direct_commands = controller.direct_commands, []
+        for command in commands:
+            self._spawn(self._command(command))
+        notes, controller.messages = controller.messages, []
+        for message in notes:
+            link = self.links.get(message.node)
             if link is not None:
-                link.note(note.tag, note.args)
-        answers, core.peer_replies = core.peer_replies, []
+                link.note(message.tag, message.args)
+        answers, controller.peer_replies = controller.peer_replies, []
         for n, value in answers:
             send = self._asks.pop(n, None)
             if send is not None:
                 send(value)
-        lines, core.log_lines = core.log_lines, []
+        lines, controller.log_lines = controller.log_lines, []
         for level, text in lines:
             log.log(_LEVELS.get(level, logging.INFO), "%s", text)
 
@@ -211,72 +211,72 @@
                 return None
         raise TypeError(f"unknown call {call!r}")
 
-    async def _command(self, c: DirectCommand) -> None:
-        body = wire.do_body(c.fencing_token, c.agent_incarnation, c.commands)
-        await self.workers.request(c.address, "POST", wire.DO_PATH, body, WORKER_S)
+    async def _command(self, command: DirectCommand) -> None:
+        body = wire.do_body(command.fencing_token, command.agent_incarnation, command.commands)
+        await self.workers.request(command.address, "POST", wire.DO_PATH, body, WORKER_S)
 
     # --- inputs ----------------------------------------------------------------------------
 
-    def _handle(self, conn: Connection, method: str, path: str, body: bytes) -> None:
+    def _handle(self, connection: Connection, method: str, path: str, body: bytes) -> None:
         try:
-            self._route(conn, method, path, body)
+            self._route(connection, method, path, body)
         except Exception:
             log.exception("request failed")
-            conn.respond(503, wire.pack(wire.error_answer("internal")), "Retry-After: 1\r\n")
+            connection.respond(503, wire.pack(wire.error_answer("internal")), "Retry-After: 1\r\n")
 
-    def _route(self, conn: Connection, method: str, path: str, body: bytes) -> None:
+    def _route(self, connection: Connection, method: str, path: str, body: bytes) -> None:
         action, job = wire.route_user(method, path)
         if action == "health":
             ok = self.core.is_healthy()
-            conn.respond(200 if ok else 503, wire.pack({}))
+            connection.respond(200 if ok else 503, wire.pack({}))
         elif action == "none":
-            conn.respond(404, wire.pack(wire.error_answer("no such path")))
+            connection.respond(404, wire.pack(wire.error_answer("no such path")))
         elif action == "method":
-            conn.respond(405, wire.pack(wire.error_answer("method not allowed")))
+            connection.respond(405, wire.pack(wire.error_answer("method not allowed")))
         elif action == "report":
             self._time()
-            self._report(conn, body)
+            self._report(connection, body)
         else:
             self._time()
-            self._user_request(conn, action, job, body)
+            self._user_request(connection, action, job, body)
 
-    def _report(self, conn: Connection, body: bytes) -> None:
+    def _report(self, connection: Connection, body: bytes) -> None:
         """A worker's report."""
-        conn.worker = True
+        connection.worker = True
         try:
-            rep = wire.parse_report(body)
+            heartbeat = wire.parse_report(body)
         except wire.BadRequestError as e:
-            conn.respond(400, wire.pack(wire.error_answer(str(e))))
+            connection.respond(400, wire.pack(wire.error_answer(str(e))))
             return
-        status, token, orders, node = self.core.receive_heartbeat(rep)
+        status, token, commands, node = self.core.receive_heartbeat(heartbeat)
         if status == 200:
-            answer = wire.report_answer(token, orders)
+            answer = wire.report_answer(token, commands)
         else:
             answer = wire.redirect_answer(node)
         if log.isEnabledFor(logging.DEBUG):
-            log.debug("report %s -> %s %s", rep, status, orders or node)
-        conn.respond(status, wire.pack(answer))
+            log.debug("report %s -> %s %s", heartbeat, status, commands or node)
+        connection.respond(status, wire.pack(answer))
         self._flush()
 
-    def _user_request(self, conn: Connection, action: str, job: str, body: bytes) -> None:
+    def _user_request(self, connection: Connection, action: str, job: str, body: bytes) -> None:
         """A submission, a query or a cancel; answered through the core's replies."""
         if self.server.crowded:
             refusal = wire.pack(wire.error_answer("too many connections"))
-            conn.respond(503, refusal, f"Retry-After: {CROWDED_RETRY_S}\r\n", close=True)
+            connection.respond(503, refusal, f"Retry-After: {CROWDED_RETRY_S}\r\n", close=True)
             return
         spec = None
         if action == "submit":
             try:
                 spec = wire.parse_submit(body)
             except wire.BadRequestError as e:
-                conn.respond(400, wire.pack(wire.error_answer(str(e))))
+                connection.respond(400, wire.pack(wire.error_answer(str(e))))
                 return
         elif not wire.valid_job_id(job):
-            conn.respond(404, wire.pack(wire.error_answer("no such job")))
+            connection.respond(404, wire.pack(wire.error_answer("no such job")))
             return
         n = self._next
         self._next += 1
-        self._requests[n] = conn
+        self._requests[n] = connection
         if spec is not None:
             self.core.spawn(self.core.user_requests.submit(n, spec))
         elif action == "query":
@@ -285,13 +285,13 @@
             self.core.spawn(self.core.user_requests.cancel(n, job))
         self._flush()
 
-    def _answer(self, conn: Connection, r: UserReply) -> None:
-        if r.status in (200, 201):
-            body = wire.job_answer(r.job, r.state, r.done, r.running)
+    def _answer(self, connection: Connection, reply: UserReply) -> None:
+        if reply.status in (200, 201):
+            body = wire.job_answer(reply.job, reply.state, reply.done, reply.running)
         else:
-            body = wire.error_answer(r.error)
-        extra = f"Retry-After: {r.retry_after_s}\r\n" if r.retry_after_s else ""
-        conn.respond(r.status, wire.pack(body), extra)
+            body = wire.error_answer(reply.error)
+        extra = f"Retry-After: {reply.retry_after_s}\r\n" if reply.retry_after_s else ""
+        connection.respond(reply.status, wire.pack(body), extra)
 
     def _on_note(self, node: str, tag: str, args: list[Any]) -> None:
         self._time()
--- a/marblestair/policy.py
+++ b/marblestair/policy.py
@@ -108,7 +108,7 @@
     module["cluster"] = {
         "size": settings.cluster.size,
         "zones": list(settings.cluster.zones),
-        "teams": [t.name for t in settings.cluster.teams],
+        "teams": [team.name for team in settings.cluster.teams],
     }
     module.add_callable("tune", script.tune)
     module.add_callable("lead", script.lead)
--- a/marblestair/wire.py
+++ b/marblestair/wire.py
@@ -257,16 +257,20 @@
     )
 
 
-def _order(o: TaskCommand) -> dict[str, Any]:
-    out: dict[str, Any] = {"verb": _OPS[o.verb], "piece": f"{o.job}/{o.index}", "try": o.attempt}
-    if o.verb == "stop":
-        out["wind_down_s"] = o.grace_s
+def _order(command: TaskCommand) -> dict[str, Any]:
+    out: dict[str, Any] = {
+        "verb": _OPS[command.verb],
+        "piece": f"{command.job}/{command.index}",
+        "try": command.attempt,
+    }
+    if command.verb == "stop":
+        out["wind_down_s"] = command.grace_s
     return out
 
 
-def report_answer(token: int, orders: list[TaskCommand]) -> dict[str, Any]:
+def report_answer(token: int, commands: list[TaskCommand]) -> dict[str, Any]:
     """The body of a 200 to a worker's report."""
-    return {"baton": token, "orders": [_order(o) for o in orders]}
+    return {"baton": token, "orders": [_order(command) for command in commands]}
 
 
 def redirect_answer(node: str | None) -> dict[str, Any]:
@@ -278,9 +282,11 @@
 INSPECT_PATH = "/inspect"
 
 
-def do_body(token: int, session: int, orders: list[TaskCommand]) -> bytes:
+def do_body(token: int, session: int, commands: list[TaskCommand]) -> bytes:
     """The body of a direct command."""
-    return pack({"baton": token, "shift": session, "orders": [_order(o) for o in orders]})
+    return pack(
+        {"baton": token, "shift": session, "orders": [_order(command) for command in commands]}
+    )
 
 
 # --- cloud ---------------------------------------------------------------------------------
@@ -400,10 +406,10 @@
         return "GET", path, b""
     if isinstance(op, CompareAndSwap):
         ops: list[dict[str, Any]] = []
-        for p in op.puts:
-            item: dict[str, Any] = {"set": p.key, "value": p.value}
-            if p.lease_id is not None:
-                item["tenancy"] = p.lease_id
+        for put in op.puts:
+            item: dict[str, Any] = {"set": put.key, "value": put.value}
+            if put.lease_id is not None:
+                item["tenancy"] = put.lease_id
             ops.append(item)
         ops += [{"delete": k} for k in op.deletes]
         body: dict[str, Any] = {"guards": [{"path": k, "stamp": v} for k, v in op.preconditions]}
--- a/tests/fakes/production.py
+++ b/tests/fakes/production.py
@@ -20,7 +20,7 @@
 import tempfile
 import tomllib
 from collections.abc import Callable, Iterable, Iterator
-from types import ModuleType
+from types import ModuleType, SimpleNamespace
 from typing import Any
 
 import msgspec
@@ -262,6 +262,15 @@
         else:
             setattr(self.core, OUTPUTS.get(name, name), value)
 
+    def led_shards(self) -> list[Any]:
+        """Production's shards that the controller may act for."""
+        return list(self.core.acting())
+
+    @property
+    def slice_migrations(self) -> Any:
+        """Counts of migrations, by the present names."""
+        return SimpleNamespace(completed_count=self.core.migrations.done)
+
     @property
     def replies(self) -> list[Any]:
         return [to_present(reply) for reply in self.core.replies]
