--- a/tests/test_pipeline_search.py
+++ b/tests/test_pipeline_search.py
@@ -55,38 +55,38 @@
 
     def run(self) -> list[str]:
         """Play it all; what broke, and what is not answered in the end."""
-        w = self.world
-        w.run(4.0)
+        world = self.world
+        world.run(4.0)
         for pipeline in self.pipelines:
             start = self.rng.uniform(0.0, BUSY_S)
-            w.at(start, lambda jobs=pipeline: self._submit_next(list(jobs), 30))
+            world.at(start, lambda jobs=pipeline: self._submit_next(list(jobs), 30))
             if self.rng.random() < 0.6:
                 job = self.rng.choice(pipeline[:2])
                 at = start + self.rng.uniform(2.0, 25.0)
-                w.at(at, lambda job=job: self._cancel_accepted(job.id))
+                world.at(at, lambda job=job: self._cancel_accepted(job.id))
         self._look()
         self._trouble()
-        w.run(2.5 * BUSY_S)
-        w.answer_late = lambda node, call: None
-        w.late = lambda node, commit: None
-        w.watch_lag.clear()
-        w.calm()
-        w.run(3.0 * w.cancel_s)
-        return w.broken + [f"unanswered: {job}" for job in w.unanswered()]
+        world.run(2.5 * BUSY_S)
+        world.answer_late = lambda node, call: None
+        world.late = lambda node, commit: None
+        world.watch_lag.clear()
+        world.calm()
+        world.run(3.0 * world.cancel_s)
+        return world.broken + [f"unanswered: {job}" for job in world.unanswered()]
 
     # --- users -----------------------------------------------------------------------------
 
     def _submit_next(self, jobs: list[Any], tries: int) -> None:
         """Submit the jobs of a pipeline one after another, each once those before are accepted."""
-        w = self.world
-        while jobs and jobs[0].id in w.accepted:
+        world = self.world
+        while jobs and jobs[0].id in world.accepted:
             jobs.pop(0)
             tries = 30
         if not jobs or not tries:
             return
-        w.specs[jobs[0].id] = jobs[0]
-        w.ask(self._anyone(), "submit", jobs[0])
-        w.at(self.rng.choice([0.3, 1.5]), lambda: self._submit_next(jobs, tries - 1))
+        world.specs[jobs[0].id] = jobs[0]
+        world.ask(self._anyone(), "submit", jobs[0])
+        world.at(self.rng.choice([0.3, 1.5]), lambda: self._submit_next(jobs, tries - 1))
 
     def _cancel_accepted(self, job: str) -> None:
         if job in self.world.accepted:
@@ -96,12 +96,12 @@
 
     def _trouble(self) -> None:
         super()._trouble()
-        w = self.world
+        world = self.world
         if self.rng.random() < 0.5:
-            w.late = lambda _node, commit: self._starve(commit)
+            world.late = lambda _node, commit: self._starve(commit)
         at = 12.0
         while at < 2.0 * BUSY_S:
-            w.at(at, self.rng.choice([self._alone_then_out, self._unheard, self._long_outage]))
+            world.at(at, self.rng.choice([self._alone_then_out, self._unheard, self._long_outage]))
             at += self.rng.uniform(10.0, 60.0)
 
     def _starve(self, commit: CompareAndSwap) -> float | None:
@@ -111,31 +111,36 @@
 
     def _alone_then_out(self) -> None:
         """A node loses the state service, perhaps its peers, and then the service is out."""
-        w = self.world
+        world = self.world
         name = self._anyone()
-        peers = [x for x in w.node_names if x != name]
+        peers = [x for x in world.node_names if x != name]
         if self.rng.random() < 0.6:
-            w.isolate(name, *peers, hold=self.rng.random() < 0.5)
-        w.state.refused_nodes.add(name)
+            world.isolate(name, *peers, hold=self.rng.random() < 0.5)
+        world.state.refused_nodes.add(name)
         alone_s = self.rng.uniform(1.0, 3.8)
-        w.at(alone_s, self._long_outage)
-        w.at(alone_s + self.rng.uniform(0.0, 0.6), w.heal)
-        w.at(alone_s + 5.0, lambda: w.state.refused_nodes.discard(name))
+        world.at(alone_s, self._long_outage)
+        world.at(alone_s + self.rng.uniform(0.0, 0.6), world.heal)
+        world.at(alone_s + 5.0, lambda: world.state.refused_nodes.discard(name))
 
     def _long_outage(self) -> None:
         """The state service is out for longer than a cancel may take."""
-        w = self.world
-        w.state.outage(True, w.now)
-        w.at(self.rng.uniform(0.3, 1.4) * w.cancel_s, lambda: w.state.outage(False, w.now))
+        world = self.world
+        world.state.outage(True, world.now)
+        world.at(
+            self.rng.uniform(0.3, 1.4) * world.cancel_s,
+            lambda: world.state.outage(False, world.now),
+        )
 
     def _unheard(self) -> None:
         """Machines do not hear what they are told, or are not heard."""
-        w = self.world
-        up = [m for m in w.workers.values() if m.up and not m.deleted]
-        for m in self.rng.sample(up, min(len(up), 3)):
+        world = self.world
+        up = [worker for worker in world.workers.values() if worker.up and not worker.deleted]
+        for worker in self.rng.sample(up, min(len(up), 3)):
             what = self.rng.choice(["deaf", "mute", "hung"])
-            setattr(m, what, True)
-            w.at(self.rng.uniform(1.0, 30.0), lambda m=m, what=what: setattr(m, what, False))
+            setattr(worker, what, True)
+            world.at(
+                self.rng.uniform(1.0, 30.0), lambda m=worker, what=what: setattr(m, what, False)
+            )
 
 
 @pytest.mark.parametrize(("nodes", "seed"), [(3, 1), (3, 2), (5, 3)])
--- a/tests/test_rental_intents.py
+++ b/tests/test_rental_intents.py
@@ -35,15 +35,15 @@
     world.run(4.0)
     world.submit(spec(1, task_count=4, estimated_run_s=300.0))
     world.run(15.0)
-    core = world.cores["n0"]
-    assert core is not None
-    part = core.led_shards()[0]
+    controller = world.cores["n0"]
+    assert controller is not None
+    shard = controller.led_shards()[0]
     for number in range(20):
         world.state.rev += 1
-        key = keys.rental_intent(part.shard_id, f"r-0-{number}")
-        world.state.data[key] = (["t4", "a", False, 2, core.wall_time], world.state.rev, None)
-        part.obsolete_keys[key] = world.state.rev
-    slices = list(part.slices.values())
+        key = keys.rental_intent(shard.shard_id, f"r-0-{number}")
+        world.state.data[key] = (["t4", "a", False, 2, controller.wall_time], world.state.rev, None)
+        shard.obsolete_keys[key] = world.state.rev
+    slices = list(shard.slices.values())
     # There is always progress to write.
     monkeypatch.setattr(progress, "_dirty", lambda part, now: [(slices[0], 0)])
     world.run(60.0)
@@ -59,10 +59,10 @@
     world = World(451, 3)
     world.capacity = 100
     world.run(4.0)
-    core = world.cores["n0"]
-    assert core is not None
+    controller = world.cores["n0"]
+    assert controller is not None
     for number in range(20):
-        intent = ["t4", "a", False, 2, core.wall_time - age_s]
+        intent = ["t4", "a", False, 2, controller.wall_time - age_s]
         world.state.rev += 1
         key = keys.rental_intent(0, f"r-1-{900 + number}")
         world.state.data[key] = (intent, world.state.rev, None)
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -76,10 +76,10 @@
 def test_nothing_is_refused_when_the_limits_come_at_a_drawn_moment(seed: int) -> None:
     """Many jobs, wide jobs, large descriptions, and long lists of awaited jobs."""
     rng = random.Random(seed)
-    w = World(seed, 3, state={**NOW, "next": LATER})
-    w.capacity = 24
-    w.run(4.0)
-    w.at(rng.uniform(0.0, 30.0), lambda: w.limit_state(LATER))
+    world = World(seed, 3, state={**NOW, "next": LATER})
+    world.capacity = 24
+    world.run(4.0)
+    world.at(rng.uniform(0.0, 30.0), lambda: world.limit_state(LATER))
     types = ["t4", "t8", *(f"type-{n}-{'x' * 20}" for n in range(25))]
     many = [spec(n, task_count=1, estimated_run_s=1.0) for n in range(100, 130)]
     wide = [
@@ -88,36 +88,38 @@
     ]
     jobs = many + wide
     for job in jobs:
-        w.submit(job)
+        world.submit(job)
     jobs.append(spec(3, task_count=1, depends_on=[job.id for job in jobs]))
-    w.submit(jobs[-1])
+    world.submit(jobs[-1])
     for job in jobs:
-        assert w.finish(job.id, 400.0), job.id
-    w.run(10.0)
-    assert not [k for k in w.state.data if k.startswith(keys.JOBS)]
-    assert w.state.refused == []
-    assert w.broken == []
+        assert world.finish(job.id, 400.0), job.id
+    world.run(10.0)
+    assert not [k for k in world.state.data if k.startswith(keys.JOBS)]
+    assert world.state.refused == []
+    assert world.broken == []
 
 
 def test_a_commit_that_is_refused_is_counted_and_logged_as_a_defect() -> None:
-    w = World(1)
-    w.run(4.0)
-    core = w.cores["n0"]
-    assert core is not None
-    core.record_rejected_write(CompareAndSwap([], [Put("main/w/node/n0", 1, lease_id=5)]))
-    assert status(core)["refused_commits"] == 0
-    core.record_rejected_write(CompareAndSwap([], [Put("main/w/job/job-1", "x" * 100)]))
-    assert status(core)["refused_commits"] == 1
-    assert [level for level, text in core.log_lines if "main/w/job/job-1" in text] == ["error"]
-    core.log_lines.clear()
+    world = World(1)
+    world.run(4.0)
+    controller = world.cores["n0"]
+    assert controller is not None
+    controller.record_rejected_write(CompareAndSwap([], [Put("main/w/node/n0", 1, lease_id=5)]))
+    assert status(controller)["refused_commits"] == 0
+    controller.record_rejected_write(CompareAndSwap([], [Put("main/w/job/job-1", "x" * 100)]))
+    assert status(controller)["refused_commits"] == 1
+    assert [level for level, text in controller.log_lines if "main/w/job/job-1" in text] == [
+        "error"
+    ]
+    controller.log_lines.clear()
 
 
 def test_a_refused_change_of_a_record_is_not_repeated_at_once() -> None:
-    w = World(1)
-    w.run(4.0)
-    job = w.submit(spec(1, task_count=1, estimated_run_s=60.0))
-    w.limit_state(dict(value_kb=0.1))
-    w.cancel_asked.add(job)
-    w.ask(manager(w, job), "cancel", job)
-    w.run(10.0)
-    assert 1 <= len(w.state.refused) <= 4
+    world = World(1)
+    world.run(4.0)
+    job = world.submit(spec(1, task_count=1, estimated_run_s=60.0))
+    world.limit_state(dict(value_kb=0.1))
+    world.cancel_asked.add(job)
+    world.ask(manager(world, job), "cancel", job)
+    world.run(10.0)
+    assert 1 <= len(world.state.refused) <= 4
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -39,7 +39,7 @@
         return self.states[key][-1][1]
 
     def events(self, after: int) -> list[KeyChange]:
-        return [e for e in self.log if e.version > after]
+        return [change for change in self.log if change.version > after]
 
 
 class Late:
