--- a/marblestair/core/capacity/arrivals.py
+++ b/marblestair/core/capacity/arrivals.py
@@ -10,7 +10,8 @@
 from typing import TYPE_CHECKING
 
 from marblestair.core.capacity.provisioning import ExpectedGangs, kinds_for_job
-from marblestair.core.domain.model import GANG, JobRecord, JobSpec
+from marblestair.core.domain.jobs import JobKind, JobSpec
+from marblestair.core.state.records import JobRecord
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
@@ -59,7 +60,7 @@
             self._recorded[record.spec.id] = None
             while len(self._recorded) > max(LEAST_NOTED, 2 * len(live)):
                 self._recorded.pop(next(iter(self._recorded)))
-            if record.spec.kind == GANG:
+            if record.spec.kind == JobKind.GANG:
                 self._record_gang(record, start_aims)
             elif not self._controller.teams[record.spec.team].is_best_effort:
                 self._record_array(record.spec)
--- a/marblestair/core/capacity/boot_times.py
+++ b/marblestair/core/capacity/boot_times.py
@@ -9,7 +9,7 @@
 
 from collections import deque
 
-from marblestair.core.domain.model import MachineType
+from marblestair.core.domain.machines import MachineType
 
 #: boot times, as expected by now, after which a machine is not counted on
 OVERDUE_BOOTS = 1.6
--- a/marblestair/core/capacity/decommissioning.py
+++ b/marblestair/core/capacity/decommissioning.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from marblestair.core.capacity.provisioning import LEAST_AGE_S
-from marblestair.core.domain.model import GANG
+from marblestair.core.domain.agents import TaskState
+from marblestair.core.domain.jobs import JobKind
 from marblestair.core.shard.machine import Machine
 from marblestair.core.shard.shard import Shard
 
@@ -39,7 +40,7 @@
         ):
             continue
         if now - found.added_at < LEAST_AGE_S or any(
-            task.stop_grace_s is not None or task.state != "running"
+            task.stop_grace_s is not None or task.state != TaskState.RUNNING
             for task in found.tasks.values()
         ):
             continue
@@ -48,7 +49,7 @@
             job_slice = shard.slices.get(task.job)
             if (
                 job_slice is None
-                or job_slice.spec.kind == GANG
+                or job_slice.spec.kind == JobKind.GANG
                 or job_slice.is_cancelled
                 or task.running_since is None
             ):
--- a/marblestair/core/capacity/demand.py
+++ b/marblestair/core/capacity/demand.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from marblestair.core.domain.model import GANG
+from marblestair.core.domain.jobs import JobKind
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.shard import Shard
 
@@ -41,7 +41,7 @@
     """
     n = len(job_slice.pending)
     if n and controller.failures.is_quarantined(job_slice.spec.id):
-        return int(job_slice.spec.kind != GANG and not job_slice.placed_on)
+        return int(job_slice.spec.kind != JobKind.GANG and not job_slice.placed_on)
     return n
 
 
@@ -54,7 +54,7 @@
             continue
         demand.backlog_cpus += n * job_slice.resources[0]
         _add(demand.lacking_quota, job_slice, n)
-        unit = n if job_slice.spec.kind == GANG else 1
+        unit = n if job_slice.spec.kind == JobKind.GANG else 1
         share = controller.quota(shard, job_slice.spec.team)
         if unit * job_slice.resources[0] > share[0] or unit * job_slice.resources[1] > share[1]:
             demand.starved_teams.setdefault(
--- a/marblestair/core/capacity/fleet.py
+++ b/marblestair/core/capacity/fleet.py
@@ -23,30 +23,33 @@
     Tuning,
 )
 from marblestair.core.capacity.spending import Spending
-from marblestair.core.domain.model import GANG, Heartbeat, MachineType, TaskCommand
-from marblestair.core.leadership.shard_map import MachineRecord, split_evenly
-from marblestair.core.runtime.coroutines import Coroutine, Step
-from marblestair.core.runtime.requests import (
-    FINAL,
-    SPLIT,
+from marblestair.core.domain.agents import Heartbeat, TaskCommand
+from marblestair.core.domain.jobs import JobKind
+from marblestair.core.domain.machines import MachineType
+from marblestair.core.leadership.shard_map import split_evenly
+from marblestair.core.runtime.cloud_requests import (
     CloudResponse,
-    CompareAndSwap,
-    InspectAgent,
     ListedMachine,
-    ListKeys,
     ListMachines,
     ListMachineTypes,
-    Put,
     ReleaseMachines,
     RentMachines,
-    Sleep,
+)
+from marblestair.core.runtime.coroutines import Coroutine, Step
+from marblestair.core.runtime.requests import InspectAgent, Sleep
+from marblestair.core.runtime.store_requests import (
+    CompareAndSwap,
+    Lane,
+    ListKeys,
+    Put,
     StoredKey,
     StoreResponse,
 )
 from marblestair.core.scheduling.quota import infeasible_jobs
-from marblestair.core.shard.machine import Machine
+from marblestair.core.shard.machine import Machine, StopReason
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
+from marblestair.core.state.records import MachineRecord, RentalIntent
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
@@ -67,17 +70,6 @@
 MAX_RENT = 50
 
 
-class RentalIntent(msgspec.Struct, array_like=True, frozen=True):
-    """A rental request, recorded before it is sent."""
-
-    machine_type: str
-    zone: str
-    spot: bool
-    count: int
-    #: wall-clock time at which it was recorded
-    recorded_at: float | None = None
-
-
 class FleetManager:
     """What this node does about machines."""
 
@@ -134,7 +126,7 @@
                     ]
                     # Each is written once, by whoever is first.
                     guards = [(put.key, 0) for put in puts]
-                    done: StoreResponse = yield CompareAndSwap(guards, puts, [], SPLIT)
+                    done: StoreResponse = yield CompareAndSwap(guards, puts, [], Lane.SHARD_MAP)
                     if done.status == 409:
                         have: StoreResponse = yield ListKeys(keys.TYPES, "", 1000)
                         if have.status == 200:
@@ -212,7 +204,10 @@
             shard.shard_id, type_name, zone, spot, round(controller.wall_time, 1)
         )
         commit = CompareAndSwap(
-            [(key, 0), controller.fence_precondition(shard.shard_id)], [Put(key, record)], [], SPLIT
+            [(key, 0), controller.fence_precondition(shard.shard_id)],
+            [Put(key, record)],
+            [],
+            Lane.SHARD_MAP,
         )
         response: StoreResponse = yield commit
         if response.status == 200:
@@ -322,7 +317,7 @@
             }
             for machine in nearly_empty_machines(shard, long, now)[:1]:
                 machine.is_draining = machine.is_returning = True
-                shard.stop_tasks(list(machine.tasks.values()), "returned")
+                shard.stop_tasks(list(machine.tasks.values()), StopReason.MACHINE_RETURNED)
                 controller.log(
                     "info",
                     f"emptying {machine.name}: {len(machine.tasks)} tasks run again elsewhere",
@@ -415,7 +410,7 @@
         taken: dict[str, float] = {}
         for load in loads:
             team = load.spec.team
-            if load.spec.deadline_s is None or load.spec.kind == GANG:
+            if load.spec.deadline_s is None or load.spec.kind == JobKind.GANG:
                 # Gangs and undated work go first and leave the rest of the limit.
                 taken[team] = taken.get(team, 0.0) + load.running * load.spec.cpus
             else:
@@ -477,7 +472,10 @@
             round(controller.wall_time, 1),
         )
         response: StoreResponse = yield CompareAndSwap(
-            [(key, 0), controller.fence_precondition(shard.shard_id)], [Put(key, intent)], [], SPLIT
+            [(key, 0), controller.fence_precondition(shard.shard_id)],
+            [Put(key, intent)],
+            [],
+            Lane.SHARD_MAP,
         )
         if response.status != 200:
             if response.status == 0:
@@ -540,7 +538,7 @@
             # record of a machine that never reports: it is dropped like one that fell.
             guards = [(put.key, 0) for put in puts]
             guards += [controller.fence_precondition(shard.shard_id), (key, intent)]
-            commit = CompareAndSwap(guards, puts, [] if rest else [key], SPLIT)
+            commit = CompareAndSwap(guards, puts, [] if rest else [key], Lane.SHARD_MAP)
             response: StoreResponse = yield commit
             if response.status == 200:
                 controller.view.record_commit(commit, response.revision)
@@ -630,7 +628,7 @@
             drop = [keys.MACHINES + n for n in names[:ops]]
             guards = [(k, controller.view.version(k)) for k in drop]
             commit = CompareAndSwap(
-                [controller.fence_precondition(shard.shard_id), *guards], [], drop, FINAL
+                [controller.fence_precondition(shard.shard_id), *guards], [], drop, Lane.FINAL_STATE
             )
             response: StoreResponse = yield commit
             if response.status == 200:
--- a/marblestair/core/capacity/plan_inputs.py
+++ b/marblestair/core/capacity/plan_inputs.py
@@ -5,7 +5,8 @@
 from typing import TYPE_CHECKING
 
 from marblestair.core.capacity.provisioning import AvailableMachine, JobLoad
-from marblestair.core.domain.model import GANG, JobRecord
+from marblestair.core.domain.jobs import JobKind
+from marblestair.core.state.records import JobRecord
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
@@ -66,7 +67,7 @@
         for record in live:
             spec = record.spec
             _, running = told.tasks.get(spec.id, (0, 0))
-            self._take(spec.team, running * spec.cpus, spec.kind == GANG)
+            self._take(spec.team, running * spec.cpus, spec.kind == JobKind.GANG)
 
     def _take(self, team: str, cpus: float, is_gang: bool) -> None:
         self._room[team] = self._room.get(team, 0.0) - cpus
@@ -76,7 +77,7 @@
     def take(self, record: JobRecord, waiting: int) -> int:
         """Count a job's waiting tasks; how many of them the limit lets run."""
         spec = record.spec
-        is_gang = spec.kind == GANG
+        is_gang = spec.kind == JobKind.GANG
         left = self._gang_room if is_gang else self._room
         fitting = int(left[spec.team] // spec.cpus) if spec.cpus else waiting
         allowed = max(0, min(waiting, fitting))
@@ -97,7 +98,7 @@
             continue
         # More than the team's limit cannot run at once, whatever is rented.
         allowed = room.take(record, waiting)
-        if spec.kind == GANG:
+        if spec.kind == JobKind.GANG:
             waiting = 0 if allowed < spec.task_count and not running else allowed
         run_s = max(1.0, spec.estimated_run_s * controller.run_time_ratios.get(spec.job_class, 1.0))
         due_at = record.startable_since + patience * run_s
@@ -125,7 +126,7 @@
         if not record.is_blocked or not _ends_soon(controller, told, record):
             continue
         spec = controller.inherited_urgency.scheduling_spec(record)
-        if spec.kind == GANG:
+        if spec.kind == JobKind.GANG:
             continue
         allowed = room.take(record, spec.task_count)
         run_s = max(1.0, spec.estimated_run_s * controller.run_time_ratios.get(spec.job_class, 1.0))
--- a/marblestair/core/capacity/planning.py
+++ b/marblestair/core/capacity/planning.py
@@ -28,7 +28,8 @@
     price_per_task,
     spare_gang_count,
 )
-from marblestair.core.domain.model import GANG, PRIORITIES, JobSpec, MachineType
+from marblestair.core.domain.jobs import PRIORITY_RANKS, JobKind, JobSpec
+from marblestair.core.domain.machines import MachineType
 
 #: run times ahead of its due time from which on work is worth ordinary machines, though it may run
 #: on spot ones
@@ -92,8 +93,8 @@
         self._types = types
         self._refused = refused
         self._tuning = tuning
-        self._gangs = [load for load in loads if load.spec.kind == GANG]
-        self._arrays = [load for load in loads if load.spec.kind != GANG]
+        self._gangs = [load for load in loads if load.spec.kind == JobKind.GANG]
+        self._arrays = [load for load in loads if load.spec.kind != JobKind.GANG]
         self._boot_s = SLOW_BOOTS * min(
             (machine_type.boot_s for machine_type in types.values()), default=30.0
         )
@@ -133,8 +134,8 @@
                 continue
             spec = coming.spec
             # Where a gang may stop what runs there, arrays may use its machine meanwhile.
-            level = PRIORITIES[spec.priority]
-            shared = all(PRIORITIES[load.spec.priority] < level for load in self._arrays)
+            level = PRIORITY_RANKS[spec.priority]
+            shared = all(PRIORITY_RANKS[load.spec.priority] < level for load in self._arrays)
             count = self._tuning.spare_gangs
             aside: Callable[[str], None] = partial(self._reserve, job="")
             if shared:
--- a/marblestair/core/capacity/provisioning.py
+++ b/marblestair/core/capacity/provisioning.py
@@ -6,7 +6,8 @@
 
 import msgspec
 
-from marblestair.core.domain.model import JobSpec, MachineType
+from marblestair.core.domain.jobs import JobSpec
+from marblestair.core.domain.machines import MachineType
 
 #: a rental costs at least a minute; nothing is given back before
 LEAST_AGE_S = 58.0
--- a/marblestair/core/capacity/shard_summary.py
+++ b/marblestair/core/capacity/shard_summary.py
@@ -8,7 +8,7 @@
 
 from marblestair.core.capacity.decommissioning import absent_machines
 from marblestair.core.capacity.demand import demanded_tasks, measure_demand
-from marblestair.core.domain.model import GANG
+from marblestair.core.domain.jobs import JobKind
 from marblestair.core.runtime.outbox import ShardSummary
 from marblestair.core.shard.machine import Machine
 from marblestair.core.shard.shard import Shard
@@ -105,7 +105,7 @@
     with_gangs = {
         machine.name
         for job_slice in shard.slices.values()
-        if job_slice.spec.kind == GANG
+        if job_slice.spec.kind == JobKind.GANG
         for machine in job_slice.placed_on.values()
     }
     for machine in shard.machines.values():
--- a/marblestair/core/controller.py
+++ b/marblestair/core/controller.py
@@ -16,7 +16,8 @@
 from marblestair.core.capacity.failures import FailureAttribution
 from marblestair.core.capacity.fleet import FleetManager
 from marblestair.core.capacity.shard_summary import summarize_shard
-from marblestair.core.domain.model import Heartbeat, MachineType, TaskCommand
+from marblestair.core.domain.agents import CommandVerb, Heartbeat, TaskCommand
+from marblestair.core.domain.machines import MachineType
 from marblestair.core.jobs.answers import Answers
 from marblestair.core.jobs.cancellations import Cancellations
 from marblestair.core.jobs.completion_records import CompletionRecords
@@ -29,7 +30,7 @@
 from marblestair.core.runtime.coroutines import Coroutine, CoroutineRunner
 from marblestair.core.runtime.decision_log import Decision, DecisionLog
 from marblestair.core.runtime.outbox import DirectCommand, PeerMessage, ShardSummary, UserReply
-from marblestair.core.runtime.requests import CompareAndSwap
+from marblestair.core.runtime.store_requests import CompareAndSwap
 from marblestair.core.scheduling.dispatch import Dispatcher
 from marblestair.core.scheduling.inherited_urgency import InheritedUrgency
 from marblestair.core.scheduling.machine_transfers import MachineTransfers
@@ -411,7 +412,9 @@
         if machine is not None:
             launches = shard.launch_commands(machine, now)
             self.decisions.count(
-                Decision.STOP, "in an answer", sum(command.verb == "stop" for command in orders)
+                Decision.STOP,
+                "in an answer",
+                sum(command.verb is CommandVerb.STOP for command in orders),
             )
             self.decisions.count(Decision.LAUNCH, "in an answer", len(launches))
             orders += launches
--- a/marblestair/core/jobs/acceptance.py
+++ b/marblestair/core/jobs/acceptance.py
@@ -10,17 +10,18 @@
 
 import msgspec
 
-from marblestair.core.domain.model import DESCRIPTION, GANG, JobRecord, JobSpec, exceeds_value_limit
+from marblestair.core.domain.jobs import JobKind, JobSpec, JobState
 from marblestair.core.jobs.admission import AdmissionStage
-from marblestair.core.jobs.answers import UNKNOWN, JobState, JobStatus
+from marblestair.core.jobs.answers import UNKNOWN, JobStatus
 from marblestair.core.jobs.parents import Parents, ParentsState, look_up_parents
 from marblestair.core.leadership import shard_map
 from marblestair.core.runtime.coroutines import Step
-from marblestair.core.runtime.requests import ACCEPT, CompareAndSwap, Put, StoreResponse
+from marblestair.core.runtime.store_requests import CompareAndSwap, Lane, Put, StoreResponse
 from marblestair.core.scheduling.placement import gang_fits
 from marblestair.core.scheduling.quota import rejection_reason
 from marblestair.core.scheduling.slice_migration import reserve_capacity
 from marblestair.core.state import keys
+from marblestair.core.state.records import DESCRIPTION_SHARE, JobRecord, exceeds_value_limit
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
@@ -122,7 +123,7 @@
 
     def _is_too_large(self, spec: JobSpec) -> bool:
         value_kb = self._controller.settings.cluster.state.value_kb
-        return exceeds_value_limit(JobRecord(spec, 0, {}, []), value_kb, DESCRIPTION)
+        return exceeds_value_limit(JobRecord(spec, 0, {}, []), value_kb, DESCRIPTION_SHARE)
 
     def _refused(self, spec: JobSpec, reason: str) -> Step:
         """Refuse a job for good, unless it was accepted before: then it is known."""
@@ -169,7 +170,7 @@
             if not controller.leadership.is_authorized(controller.now):
                 return Outcome(503, UNKNOWN, "no authority", RETRY_S)
             guards = [(key, 0), (keys.FINALS + spec.id, 0), controller.fence_precondition(manager)]
-            commit = CompareAndSwap(guards, [Put(key, record)], [], ACCEPT)
+            commit = CompareAndSwap(guards, [Put(key, record)], [], Lane.ACCEPTANCE)
             response: StoreResponse = yield commit
             if response.status == 200:
                 controller.view.record_commit(commit, response.revision)
@@ -196,7 +197,7 @@
             return Outcome(503, UNKNOWN, "no authority", RETRY_S)
         final_key = keys.FINALS + spec.id
         guards = [(keys.JOBS + spec.id, 0), (final_key, 0)]
-        commit = CompareAndSwap(guards, [Put(final_key, JobState.CANCELLED)], [], ACCEPT)
+        commit = CompareAndSwap(guards, [Put(final_key, JobState.CANCELLED)], [], Lane.ACCEPTANCE)
         response: StoreResponse = yield commit
         if response.status == 200:
             controller.answers.record_final(spec.id, JobState.CANCELLED)
@@ -227,7 +228,7 @@
         """Which part gets which slice at first; unstarted ones can migrate later."""
         load = self._load_by_part(manager)
         able = self._parts_with_share(spec, load) or [manager]
-        whole = spec.kind == GANG or spec.single_zone or spec.spread_zones
+        whole = spec.kind == JobKind.GANG or spec.single_zone or spec.spread_zones
         if whole or spec.task_count < 2 * len(able):
             shard_id = self._part_for_whole(spec, able, load, manager)
             return {str(shard_id): [[0, spec.task_count]]}
@@ -262,7 +263,7 @@
         """Parts whose share of the team's limit holds a task, or the whole gang."""
         record = self._controller.view.shard_map
         assert record is not None
-        unit = spec.task_count if spec.kind == GANG else 1
+        unit = spec.task_count if spec.kind == JobKind.GANG else 1
         able = []
         for number in load:
             cpus, gpus = record.shards[number].quotas.get(spec.team, [0, 0])
@@ -275,7 +276,7 @@
     ) -> int:
         """Choose the part for a job that stays one slice: one with room, and of least load."""
         controller = self._controller
-        whole = spec.kind == GANG or spec.single_zone or spec.spread_zones
+        whole = spec.kind == JobKind.GANG or spec.single_zone or spec.spread_zones
         count = spec.task_count if whole else 1
         told = {
             shard_id: summary
@@ -301,7 +302,7 @@
             ]
         candidates = fitting or able
         best = min(candidates, key=lambda shard_id: (load[shard_id], shard_id != manager, shard_id))
-        if best in told and spec.kind == GANG:
+        if best in told and spec.kind == JobKind.GANG:
             # Several that come at once are not all sent to the same machine.
             reserve_capacity(told[best], spec, count)
         return best
--- a/marblestair/core/jobs/answers.py
+++ b/marblestair/core/jobs/answers.py
@@ -14,12 +14,14 @@
 
 import msgspec
 
-from marblestair.core.domain.model import JobRecord
+from marblestair.core.domain.jobs import FINAL_STATES, JobState
 from marblestair.core.jobs.lookups import Lookups
 from marblestair.core.runtime.coroutines import Step
 from marblestair.core.runtime.decision_log import Decision
-from marblestair.core.runtime.requests import ACCEPT, Get, PeerRequest, StoreResponse
+from marblestair.core.runtime.requests import PeerRequest
+from marblestair.core.runtime.store_requests import Get, Lane, StoreResponse
 from marblestair.core.state import keys
+from marblestair.core.state.records import JobRecord
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
@@ -31,20 +33,6 @@
 REMEMBERED = 20_000
 
 
-class JobState(enum.StrEnum):
-    """State of a job as users are told it."""
-
-    #: nobody submitted it
-    UNKNOWN = "unknown"
-    QUEUED = "queued"
-    RUNNING = "running"
-    DONE = "done"
-    CANCELLED = "cancelled"
-
-
-FINAL_STATES = (JobState.DONE, JobState.CANCELLED)
-
-
 class JobStatus(msgspec.Struct, frozen=True, array_like=True):
     """What users are told of a job: its state, and for display its tasks done and running."""
 
@@ -187,7 +175,7 @@
             self.record_final(job, status.state)
         return self.answerable_status(job, ProvenStatus(status, Proof.PEER))
 
-    def read_status(self, job: str, lane: int = ACCEPT) -> Step:
+    def read_status(self, job: str, lane: Lane = Lane.ACCEPTANCE) -> Step:
         """A job's status from a fresh read: UNKNOWN, or None when it cannot be told now."""
         controller = self.controller
         found = yield from self.read_record(job, lane)
@@ -213,7 +201,7 @@
         state = JobState.RUNNING if done else JobState.QUEUED
         return self.answerable_status(job, ProvenStatus(JobStatus(state, done, 0), Proof.READ))
 
-    def read_record(self, job: str, lane: int = ACCEPT) -> Step:
+    def read_record(self, job: str, lane: Lane = Lane.ACCEPTANCE) -> Step:
         """Read a job's record or final state afresh.
 
         Returns the status as kept, UNKNOWN, or None when it could not be read. What is read
@@ -236,7 +224,7 @@
         # second.
         return (yield from self._read_final(job, lane))
 
-    def _read_final(self, job: str, lane: int) -> Step:
+    def _read_final(self, job: str, lane: Lane) -> Step:
         """Read a job's final state; UNKNOWN if it has none, None when it could not be read."""
         read: StoreResponse = yield Get(keys.FINALS + job, lane)
         if read.status == 200 and read.value in FINAL_STATES:
@@ -244,7 +232,7 @@
             return JobStatus(JobState(read.value))
         return UNKNOWN if read.status == 404 else None
 
-    def read_final_first(self, job: str, lane: int) -> Step:
+    def read_final_first(self, job: str, lane: Lane) -> Step:
         """Look first for a job's final state, then for its record, by fresh reads.
 
         UNKNOWN, or None when that could not be told. A job that the view lacks is most often over.
--- a/marblestair/core/jobs/cancellations.py
+++ b/marblestair/core/jobs/cancellations.py
@@ -19,19 +19,12 @@
 
 from typing import TYPE_CHECKING, Any
 
-from marblestair.core.domain.model import JobRecord, with_cancel
-from marblestair.core.leadership.shard_map import ShardRecord
 from marblestair.core.runtime.coroutines import Coroutine, Step
 from marblestair.core.runtime.decision_log import Decision
-from marblestair.core.runtime.requests import (
-    ACCEPT,
-    CompareAndSwap,
-    PeerRequest,
-    Put,
-    Sleep,
-    StoreResponse,
-)
+from marblestair.core.runtime.requests import PeerRequest, Sleep
+from marblestair.core.runtime.store_requests import CompareAndSwap, Lane, Put, StoreResponse
 from marblestair.core.state import keys
+from marblestair.core.state.records import JobRecord, ShardRecord, with_cancel
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
@@ -298,7 +291,9 @@
             return
         key = keys.JOBS + job
         new = with_cancel(record, controller.settings.cluster.state.value_kb)
-        commit = CompareAndSwap([(key, controller.view.version(key))], [Put(key, new)], [], ACCEPT)
+        commit = CompareAndSwap(
+            [(key, controller.view.version(key))], [Put(key, new)], [], Lane.ACCEPTANCE
+        )
         response: StoreResponse = yield commit
         if response.status == 200:
             controller.view.record_commit(commit, response.revision)
--- a/marblestair/core/jobs/completion_records.py
+++ b/marblestair/core/jobs/completion_records.py
@@ -13,7 +13,8 @@
 import msgspec
 
 from marblestair.core.runtime.coroutines import Coroutine
-from marblestair.core.runtime.requests import FINAL, CompareAndSwap, Put, Sleep, StoreResponse
+from marblestair.core.runtime.requests import Sleep
+from marblestair.core.runtime.store_requests import CompareAndSwap, Lane, Put, StoreResponse
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
 
@@ -83,7 +84,7 @@
                 complete = sorted({*record.complete_shards, shard.shard_id})
                 puts.append(Put(key, msgspec.structs.replace(record, complete_shards=complete)))
             if puts:
-                commit = CompareAndSwap(guards, puts, [], FINAL)
+                commit = CompareAndSwap(guards, puts, [], Lane.FINAL_STATE)
                 response: StoreResponse = yield commit
                 if response.status == 200:
                     controller.view.record_commit(commit, response.revision)
--- a/marblestair/core/jobs/dependencies.py
+++ b/marblestair/core/jobs/dependencies.py
@@ -19,12 +19,13 @@
 from collections.abc import Iterable, Iterator
 from typing import TYPE_CHECKING
 
-from marblestair.core.domain.model import JobRecord
-from marblestair.core.jobs.answers import FINAL_STATES, JobState
+from marblestair.core.domain.jobs import FINAL_STATES, JobState
 from marblestair.core.jobs.cancellations import OVER_LEASES
 from marblestair.core.runtime.coroutines import Coroutine, Step
-from marblestair.core.runtime.requests import FINAL, Sleep
+from marblestair.core.runtime.requests import Sleep
+from marblestair.core.runtime.store_requests import Lane
 from marblestair.core.state import keys
+from marblestair.core.state.records import JobRecord
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
@@ -266,7 +267,7 @@
         while True:
             yield Sleep(READ_PAUSE_S * (0.8 + 0.4 * controller.rng.random()))
             for parent in self._parents_to_read():
-                yield from controller.answers.read_final_first(parent, FINAL)
+                yield from controller.answers.read_final_first(parent, Lane.FINAL_STATE)
 
     def _parents_to_read(self) -> list[str]:
         """Parents whose end decides about a job that is managed here."""
@@ -279,7 +280,7 @@
                     break
         return found
 
-    def may_answer_blocked(self, record: JobRecord, lane: int) -> Step:
+    def may_answer_blocked(self, record: JobRecord, lane: Lane) -> Step:
         """Whether users may be told that a job still waits, whose record was just read.
 
         The record alone does not show the cancel of an ancestor. This node's view does, unless
--- a/marblestair/core/jobs/job_managers.py
+++ b/marblestair/core/jobs/job_managers.py
@@ -11,24 +11,22 @@
 
 import msgspec
 
-from marblestair.core.domain.model import CANCEL, JobRecord, with_cancel, with_release
-from marblestair.core.jobs.answers import JobState
+from marblestair.core.domain.jobs import JobState
 from marblestair.core.jobs.managed_job import ManagedJob, SliceProgress
-from marblestair.core.leadership.shard_map import ShardMap
 from marblestair.core.runtime.coroutines import Coroutine, Step
 from marblestair.core.runtime.decision_log import Decision
-from marblestair.core.runtime.requests import (
-    ACCEPT,
-    FINAL,
-    PROGRESS,
-    CompareAndSwap,
-    Put,
-    Sleep,
-    StoreResponse,
-)
+from marblestair.core.runtime.requests import Sleep
+from marblestair.core.runtime.store_requests import CompareAndSwap, Lane, Put, StoreResponse
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
+from marblestair.core.state.records import (
+    ChangeKind,
+    JobRecord,
+    ShardMap,
+    with_cancel,
+    with_release,
+)
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
@@ -335,17 +333,19 @@
             controller.fence_precondition(managed.shard_id),
         ]
         if step is ManagerStep.TOUCH:
-            return CompareAndSwap(guards, [Put(key, record)], [], ACCEPT)
+            return CompareAndSwap(guards, [Put(key, record)], [], Lane.ACCEPTANCE)
         if step is ManagerStep.CANCEL:
             value_kb = controller.settings.cluster.state.value_kb
-            return CompareAndSwap(guards, [Put(key, with_cancel(record, value_kb))], [], ACCEPT)
+            return CompareAndSwap(
+                guards, [Put(key, with_cancel(record, value_kb))], [], Lane.ACCEPTANCE
+            )
         if step is ManagerStep.RELEASE:
             return CompareAndSwap(
-                guards, [Put(key, with_release(record, controller.wall_time))], [], FINAL
+                guards, [Put(key, with_release(record, controller.wall_time))], [], Lane.FINAL_STATE
             )
         final_key = keys.FINALS + managed.job
         is_patient = step is ManagerStep.ABORT and not controller.dependencies.must_end(managed.job)
-        lane = PROGRESS if is_patient else FINAL
+        lane = Lane.PROGRESS if is_patient else Lane.FINAL_STATE
         return CompareAndSwap(
             [*guards, (final_key, 0)], [Put(final_key, FINAL_STATE[step])], [key], lane
         )
@@ -383,7 +383,7 @@
 
     def receive_change_entries(self, job: str, changes: list[Any], version: int) -> bool:
         """Later change entries of a job, sent by the source of a migration."""
-        if any(entry[0] == CANCEL for entry in changes):
+        if any(entry[0] == ChangeKind.CANCEL for entry in changes):
             self._controller.cancellations.record(job, version)
         return True
 
--- a/marblestair/core/jobs/lookups.py
+++ b/marblestair/core/jobs/lookups.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from marblestair.core.runtime.coroutines import Coroutine, CoroutineRunner, Signal, Step
-from marblestair.core.runtime.requests import LOOKUP
+from marblestair.core.runtime.store_requests import Lane
 
 if TYPE_CHECKING:
     from marblestair.core.jobs.answers import Answers
@@ -44,14 +44,14 @@
 
     def read_status(self, job: str) -> Step:
         """The state of a job by a fresh read, or None at once when too many are under way."""
-        return (yield from self._bounded(self._answers.read_status(job, LOOKUP)))
+        return (yield from self._bounded(self._answers.read_status(job, Lane.LOOKUP)))
 
     def find_final(self, job: str) -> Step:
         """The final state of a job that the view lacks, else what its record says.
 
         None at once when too many reads are under way.
         """
-        return (yield from self._bounded(self._answers.read_final_first(job, LOOKUP)))
+        return (yield from self._bounded(self._answers.read_final_first(job, Lane.LOOKUP)))
 
     def _bounded(self, read: Step) -> Step:
         if self._reads >= self.max_reads:
--- a/marblestair/core/jobs/managed_job.py
+++ b/marblestair/core/jobs/managed_job.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from marblestair.core.domain.model import JobRecord
 from marblestair.core.jobs.server_manager import ServerManager
 from marblestair.core.runtime.coroutines import Step
-from marblestair.core.runtime.requests import CompareAndSwap, StoreResponse
+from marblestair.core.runtime.store_requests import CompareAndSwap, StoreResponse
+from marblestair.core.state.records import JobRecord
 
 
 class SliceProgress(msgspec.Struct, array_like=True):
--- a/marblestair/core/jobs/migration_locks.py
+++ b/marblestair/core/jobs/migration_locks.py
@@ -8,11 +8,12 @@
 import msgspec
 
 from marblestair.core.domain.index_ranges import Ranges
-from marblestair.core.domain.model import RECORD, JobRecord, exceeds_value_limit
 from marblestair.core.jobs.managed_job import ManagedJob
 from marblestair.core.runtime.coroutines import Step
-from marblestair.core.runtime.requests import FINAL, CompareAndSwap, Put, Sleep, StoreResponse
+from marblestair.core.runtime.requests import Sleep
+from marblestair.core.runtime.store_requests import CompareAndSwap, Lane, Put, StoreResponse
 from marblestair.core.state import keys
+from marblestair.core.state.records import RECORD_SHARE, JobRecord, exceeds_value_limit
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
@@ -108,7 +109,7 @@
             return None
         complete = [p for p in record.complete_shards if p not in (update.source, update.target)]
         updated = msgspec.structs.replace(record, slices=slices, complete_shards=complete)
-        if exceeds_value_limit(updated, controller.settings.cluster.state.value_kb, RECORD):
+        if exceeds_value_limit(updated, controller.settings.cluster.state.value_kb, RECORD_SHARE):
             # So many small ranges would outgrow the record; the source keeps its tasks.
             return None
         return updated
@@ -124,7 +125,7 @@
         ]
         if update.source != managed.shard_id:
             guards.append(controller.fence_precondition(update.source))
-        commit = CompareAndSwap(guards, [Put(key, record)], [], FINAL)
+        commit = CompareAndSwap(guards, [Put(key, record)], [], Lane.FINAL_STATE)
         outcome: bool | None = False
         tries = 0
         while controller.job_managers.managed.get(managed.job) is managed and controller.is_leader(
--- a/marblestair/core/jobs/parents.py
+++ b/marblestair/core/jobs/parents.py
@@ -11,7 +11,8 @@
 
 import msgspec
 
-from marblestair.core.jobs.answers import UNKNOWN, JobState, JobStatus
+from marblestair.core.domain.jobs import JobState
+from marblestair.core.jobs.answers import UNKNOWN, JobStatus
 from marblestair.core.runtime.coroutines import Step
 
 if TYPE_CHECKING:
--- a/marblestair/core/jobs/progress.py
+++ b/marblestair/core/jobs/progress.py
@@ -13,14 +13,13 @@
 
 from marblestair.core.domain.index_ranges import PAGE, decode_bits, encode_bits
 from marblestair.core.runtime.coroutines import Coroutine, Step
-from marblestair.core.runtime.requests import (
-    LEASE,
-    PROGRESS,
+from marblestair.core.runtime.requests import Sleep
+from marblestair.core.runtime.store_requests import (
     CompareAndSwap,
     Get,
+    Lane,
     ListKeys,
     Put,
-    Sleep,
     StoreResponse,
 )
 from marblestair.core.shard.job_slice import JobSlice
@@ -46,7 +45,7 @@
     after = ""
     while controller.shards.get(shard.shard_id) is shard:
         # Until it is read no worker of the part gets an answer: it must not wait behind users.
-        response: StoreResponse = yield ListKeys(prefix, after, 500, LEASE)
+        response: StoreResponse = yield ListKeys(prefix, after, 500, Lane.LEASE)
         if response.status != 200:
             yield Sleep(0.1 + 0.2 * controller.rng.random())
             continue
@@ -87,7 +86,7 @@
     been written under the key since.
     """
     for key in [k for k, v in shard.obsolete_keys.items() if v is None][:ops]:
-        read: StoreResponse = yield Get(key, PROGRESS)
+        read: StoreResponse = yield Get(key, Lane.PROGRESS)
         if read.status == 404:
             shard.obsolete_keys.pop(key, None)
         elif read.status == 200:
@@ -105,7 +104,10 @@
     if not drop:
         return 0
     response: StoreResponse = yield CompareAndSwap(
-        [controller.fence_precondition(shard.shard_id), *drop.items()], [], list(drop), PROGRESS
+        [controller.fence_precondition(shard.shard_id), *drop.items()],
+        [],
+        list(drop),
+        Lane.PROGRESS,
     )
     for key in drop:
         if response.status == 200:
@@ -162,7 +164,7 @@
         key = keys.progress_page(shard.shard_id, w.owned.spec.id, w.page)
         guards.append((key, w.owned.page_versions.get(w.page, 0)))
         puts.append(Put(key, encode_bits(w.bits)))
-    response: StoreResponse = yield CompareAndSwap(guards, puts, [], PROGRESS)
+    response: StoreResponse = yield CompareAndSwap(guards, puts, [], Lane.PROGRESS)
     if response.status == 200:
         for w in written:
             w.owned.page_versions[w.page] = response.revision
@@ -182,7 +184,7 @@
     """Read the versions of pages; one that is read late fails the next guard, and is read again."""
     for w in written:
         read: StoreResponse = yield Get(
-            keys.progress_page(shard.shard_id, w.owned.spec.id, w.page), PROGRESS
+            keys.progress_page(shard.shard_id, w.owned.spec.id, w.page), Lane.PROGRESS
         )
         if read.status == 200:
             w.owned.page_versions[w.page] = read.version
--- a/marblestair/core/jobs/user_requests.py
+++ b/marblestair/core/jobs/user_requests.py
@@ -4,9 +4,9 @@
 
 from typing import TYPE_CHECKING, Any
 
-from marblestair.core.domain.model import JobSpec
+from marblestair.core.domain.jobs import FINAL_STATES, JobSpec, JobState
 from marblestair.core.jobs.acceptance import RETRY_S, Acceptance, Outcome
-from marblestair.core.jobs.answers import FINAL_STATES, UNKNOWN, JobState, JobStatus
+from marblestair.core.jobs.answers import UNKNOWN, JobStatus
 from marblestair.core.runtime.coroutines import Coroutine, Step
 from marblestair.core.runtime.outbox import UserReply
 from marblestair.core.runtime.requests import PeerRequest
--- a/marblestair/core/leadership/leadership.py
+++ b/marblestair/core/leadership/leadership.py
@@ -16,20 +16,21 @@
 from marblestair.core.leadership.promises import Promises
 from marblestair.core.runtime.coroutines import Coroutine, Step
 from marblestair.core.runtime.decision_log import Decision
-from marblestair.core.runtime.requests import (
-    LEASE,
+from marblestair.core.runtime.requests import Sleep
+from marblestair.core.runtime.store_requests import (
     CompareAndSwap,
     Get,
     GrantLease,
+    Lane,
     ListKeys,
     Put,
     RenewLease,
-    Sleep,
     StoreResponse,
     Watch,
 )
 from marblestair.core.shard.shard import DRIFT, Shard
 from marblestair.core.state import keys
+from marblestair.core.state.records import ShardMap, ShardRecord
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
@@ -180,7 +181,7 @@
         pages: list[StoreResponse] = []
         after = ""
         while True:
-            page: StoreResponse = yield ListKeys(keys.VIEW, after, 1000, LEASE)
+            page: StoreResponse = yield ListKeys(keys.VIEW, after, 1000, Lane.LEASE)
             if page.status != 200:
                 return None
             pages.append(page)
@@ -254,7 +255,7 @@
         key = keys.NODES + controller.node
         guards = [(key, controller.view.version(key))]
         put = CompareAndSwap(
-            guards, [Put(key, controller.incarnation, granted.lease_id)], lane=LEASE
+            guards, [Put(key, controller.incarnation, granted.lease_id)], lane=Lane.LEASE
         )
         response: StoreResponse = yield put
         if response.status == 200:
@@ -284,7 +285,7 @@
     def _refresh_key(self, key: str) -> Step:
         """Read one followed key afresh; whether that succeeded."""
         controller = self.controller
-        read: StoreResponse = yield Get(key, LEASE)
+        read: StoreResponse = yield Get(key, Lane.LEASE)
         if read.status == 200:
             controller.view.record_read(key, read.value, read.version)
         elif read.status == 404:
@@ -351,9 +352,7 @@
         else:
             self._transfer_surplus(now, mine)
 
-    def _should_take_over(
-        self, number: int, shard: shard_map.ShardRecord, held: int, now: float
-    ) -> bool:
+    def _should_take_over(self, number: int, shard: ShardRecord, held: int, now: float) -> bool:
         """Whether to take a part now, by a node that holds some number of parts already."""
         controller = self.controller
         if shard.leader == controller.node:
@@ -374,9 +373,7 @@
             wait += self.lease_ttl_s / 2
         return now - since >= wait
 
-    def _absence_preconditions(
-        self, record: shard_map.ShardMap, take: list[int]
-    ) -> list[tuple[str, int]]:
+    def _absence_preconditions(self, record: ShardMap, take: list[int]) -> list[tuple[str, int]]:
         """Guards that hold only while the owners of parts to be taken are gone."""
         guards = []
         for number in take:
@@ -391,7 +388,7 @@
         first = shard_map.initial_shard_map(
             controller.settings.cluster.size, controller.settings.cluster.teams
         )
-        put = CompareAndSwap([(keys.SHARD_MAP, 0)], [Put(keys.SHARD_MAP, first)], lane=LEASE)
+        put = CompareAndSwap([(keys.SHARD_MAP, 0)], [Put(keys.SHARD_MAP, first)], lane=Lane.LEASE)
         response: StoreResponse = yield put
         if response.status == 200:
             controller.view.record_commit(put, response.revision)
@@ -418,7 +415,7 @@
 
     def commit_shard_map(
         self,
-        new: shard_map.ShardMap,
+        new: ShardMap,
         fenced: list[int],
         guards: list[tuple[str, int]],
         version: int,
@@ -431,7 +428,7 @@
         controller = self.controller
         puts = [Put(keys.SHARD_MAP, new)]
         puts += [Put(f"{keys.FENCES}{i}", new.shards[i].term) for i in fenced]
-        commit = CompareAndSwap([(keys.SHARD_MAP, version), *guards], puts, lane=LEASE)
+        commit = CompareAndSwap([(keys.SHARD_MAP, version), *guards], puts, lane=Lane.LEASE)
         response: StoreResponse = yield commit
         if response.status == 200:
             controller.view.record_commit(commit, response.revision)
--- a/marblestair/core/leadership/shard_map.py
+++ b/marblestair/core/leadership/shard_map.py
@@ -6,41 +6,11 @@
 
 from __future__ import annotations
 
-import msgspec
-
-from marblestair.core.domain.model import fixed_point_down
+from marblestair.core.domain.amounts import fixed_point_down
+from marblestair.core.state.records import ShardMap, ShardRecord
 from marblestair.settings import Team
 
 
-class ShardRecord(msgspec.Struct, array_like=True):
-    """One part: its owner (node and incarnation), its term and its share of each team's limit."""
-
-    leader: str
-    incarnation: int
-    term: int
-    quotas: dict[str, list[int]]
-    #: term under which the owner took the part; a raise of the term leaves it
-    acquired_term: int = 0
-
-
-class ShardMap(msgspec.Struct, array_like=True):
-    """The whole split; ``counter`` is the highest term ever given out."""
-
-    last_term: int
-    shards: list[ShardRecord]
-
-
-class MachineRecord(msgspec.Struct, array_like=True):
-    """Membership of a machine in a part."""
-
-    shard_id: int
-    machine_type: str
-    zone: str
-    spot: bool
-    #: wall-clock time at which it was rented or first seen
-    added_at: float
-
-
 def split_evenly(total: int, n: int) -> list[int]:
     """Split a total into n near-equal whole numbers that add up to it exactly."""
     return [total // n + (1 if i < total % n else 0) for i in range(n)]
--- a/marblestair/core/runtime/outbox.py
+++ b/marblestair/core/runtime/outbox.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from marblestair.core.domain.model import TaskCommand
+from marblestair.core.domain.agents import TaskCommand
 
 
 class UserReply(msgspec.Struct, frozen=True):
--- a/marblestair/core/scheduling/best_effort.py
+++ b/marblestair/core/scheduling/best_effort.py
@@ -11,7 +11,7 @@
 
 from marblestair.core.scheduling.placement import may_run_on_machine
 from marblestair.core.shard.job_slice import JobSlice
-from marblestair.core.shard.machine import Machine, PlacedTask
+from marblestair.core.shard.machine import Machine, PlacedTask, StopReason
 from marblestair.core.shard.shard import Shard
 
 if TYPE_CHECKING:
@@ -72,4 +72,4 @@
                 left.append(found)
         if chosen:
             self._running = left
-            self._part.stop_tasks(chosen, "preempted")
+            self._part.stop_tasks(chosen, StopReason.PREEMPTED)
--- a/marblestair/core/scheduling/dispatch.py
+++ b/marblestair/core/scheduling/dispatch.py
@@ -11,7 +11,7 @@
 from collections.abc import Collection, Container
 from typing import TYPE_CHECKING
 
-from marblestair.core.domain.model import GANG
+from marblestair.core.domain.jobs import JobKind
 from marblestair.core.scheduling.best_effort import BestEffortTasks
 from marblestair.core.scheduling.placement import place_array, place_gang
 from marblestair.core.scheduling.preemption import PreemptionSurvey
@@ -61,7 +61,7 @@
         self.order = order
         self.least_cpus = min(job_slice.resources[0] for job_slice in order)
         for job_slice in order:
-            if job_slice.spec.kind == GANG:
+            if job_slice.spec.kind == JobKind.GANG:
                 self.least_gang_cpus = min(self.least_gang_cpus, job_slice.resources[0])
             else:
                 least = self.least_team_cpus.get(job_slice.spec.team, 1 << 62)
@@ -160,7 +160,7 @@
         for job_slice in queue.order:
             if self._is_held_back(job_slice):
                 continue
-            if job_slice.spec.kind == GANG:
+            if job_slice.spec.kind == JobKind.GANG:
                 self._place_gang(shard, job_slice, look)
             else:
                 self._place_array(shard, job_slice, look, queue.least_cpus, guest_tasks)
@@ -183,7 +183,7 @@
         gangs = [
             job_slice
             for job_slice in old
-            if job_slice.spec.kind == GANG and not suspected(job_slice.spec.id)
+            if job_slice.spec.kind == JobKind.GANG and not suspected(job_slice.spec.id)
         ]
         return (
             [*gangs, *(job_slice for job_slice in order if job_slice not in gangs)]
@@ -282,7 +282,7 @@
             if not self._is_pending(shard, job_slice) or self._is_held_back(job_slice):
                 continue
             team, need = job_slice.spec.team, job_slice.resources
-            if job_slice.spec.kind == GANG:
+            if job_slice.spec.kind == JobKind.GANG:
                 self._fill_gang(shard, job_slice, free, held)
             elif need[0] <= free and full.get(team, 1 << 62) > need[0]:
                 if self._place_array_tasks(
@@ -458,7 +458,7 @@
             if (
                 job_slice.placed_on
                 and controller.wall_time - job_slice.startable_since > BOUND_S
-                and job_slice.spec.kind != GANG
+                and job_slice.spec.kind != JobKind.GANG
             ):
                 held[job_slice.spec.team] = (
                     held.get(job_slice.spec.team, 0)
@@ -477,7 +477,7 @@
             ),
         ):
             if (
-                job_slice.spec.kind == GANG
+                job_slice.spec.kind == JobKind.GANG
                 or self._is_held_back(job_slice)
                 or controller.failures.is_quarantined(job_slice.spec.id)
             ):
--- a/marblestair/core/scheduling/inherited_urgency.py
+++ b/marblestair/core/scheduling/inherited_urgency.py
@@ -12,7 +12,8 @@
 
 import msgspec
 
-from marblestair.core.domain.model import PRIORITIES, JobRecord, JobSpec
+from marblestair.core.domain.jobs import PRIORITY_RANKS, JobSpec, Priority
+from marblestair.core.state.records import JobRecord
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
@@ -24,7 +25,7 @@
 class InheritedNeed(msgspec.Struct, frozen=True):
     """What the jobs that need a job ask of it."""
 
-    priority: str
+    priority: Priority
     #: wall-clock time by which it has to be done
     done_by: float | None
 
@@ -87,7 +88,7 @@
                 needs.append(self._need_of(record))
         if not needs:
             return None
-        priority = max((need.priority for need in needs), key=PRIORITIES.__getitem__)
+        priority = max((need.priority for need in needs), key=PRIORITY_RANKS.__getitem__)
         times = [need.done_by for need in needs if need.done_by is not None]
         return InheritedNeed(priority, min(times, default=None))
 
@@ -104,5 +105,5 @@
         )
 
 
-def _higher(one: str, other: str) -> str:
-    return max(one, other, key=PRIORITIES.__getitem__)
+def _higher(one: Priority, other: Priority) -> Priority:
+    return max(one, other, key=PRIORITY_RANKS.__getitem__)
--- a/marblestair/core/scheduling/machine_transfers.py
+++ b/marblestair/core/scheduling/machine_transfers.py
@@ -6,10 +6,11 @@
 
 import msgspec
 
-from marblestair.core.domain.model import GANG, JobSpec
+from marblestair.core.domain.jobs import JobKind, JobSpec
 from marblestair.core.leadership.shard_map import raise_term
 from marblestair.core.runtime.coroutines import Coroutine
-from marblestair.core.runtime.requests import SPLIT, CompareAndSwap, Put, Sleep, StoreResponse
+from marblestair.core.runtime.requests import Sleep
+from marblestair.core.runtime.store_requests import CompareAndSwap, Lane, Put, StoreResponse
 from marblestair.core.scheduling.placement import (
     capacity_by_zone,
     gang_fits,
@@ -36,7 +37,9 @@
     def lacks_capacity(self, shard: Shard, job_slice: JobSlice) -> bool:
         """Whether tasks that must start together have waited here for room in vain."""
         whole = (
-            job_slice.spec.kind == GANG or job_slice.spec.single_zone or job_slice.spec.spread_zones
+            job_slice.spec.kind == JobKind.GANG
+            or job_slice.spec.single_zone
+            or job_slice.spec.spread_zones
         )
         waited = (
             self._controller.now - job_slice.pending_since
@@ -177,7 +180,7 @@
                     record = controller.view.machines[machine.name]
                     puts.append(Put(key, msgspec.structs.replace(record, shard_id=target)))
                     guards.append((key, controller.view.version(key)))
-                commit = CompareAndSwap(guards, puts, [], SPLIT)
+                commit = CompareAndSwap(guards, puts, [], Lane.SHARD_MAP)
                 response: StoreResponse = yield commit
                 if response.status == 200:
                     controller.view.record_commit(commit, response.revision)
--- a/marblestair/core/scheduling/placement.py
+++ b/marblestair/core/scheduling/placement.py
@@ -10,7 +10,7 @@
 from collections import Counter
 from collections.abc import Callable, Container, Iterable
 
-from marblestair.core.domain.model import JobSpec
+from marblestair.core.domain.jobs import JobSpec
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
 from marblestair.core.shard.shard import Shard
--- a/marblestair/core/scheduling/preemption.py
+++ b/marblestair/core/scheduling/preemption.py
@@ -8,10 +8,10 @@
 
 from typing import TYPE_CHECKING
 
-from marblestair.core.domain.model import PRIORITIES, JobSpec
+from marblestair.core.domain.jobs import PRIORITY_RANKS, JobSpec
 from marblestair.core.scheduling.placement import FreeCapacity, may_run_on_machine, tasks_that_fit
 from marblestair.core.shard.job_slice import JobSlice
-from marblestair.core.shard.machine import Machine, PlacedTask
+from marblestair.core.shard.machine import Machine, PlacedTask, StopReason
 from marblestair.core.shard.shard import Shard
 
 if TYPE_CHECKING:
@@ -59,7 +59,7 @@
             now = self.preemption.controller.now
             found = []
             for other in self.part.slices.values():
-                if other.spec.team != team or PRIORITIES[other.spec.priority] >= level:
+                if other.spec.team != team or PRIORITY_RANKS[other.spec.priority] >= level:
                     continue
                 for i, machine in other.placed_on.items():
                     task = machine.tasks.get((other.spec.id, i))
@@ -136,7 +136,7 @@
         out = []
         for task in machine.tasks.values():
             job_slice = shard.slices.get(task.job)
-            if job_slice is None or PRIORITIES[job_slice.spec.priority] < level:
+            if job_slice is None or PRIORITY_RANKS[job_slice.spec.priority] < level:
                 out.append(task)
         return out
 
@@ -176,7 +176,7 @@
         job, spec = job_slice.spec.id, job_slice.spec
         if any(claim[0] == job for claim in self.claims.values()):
             return True
-        level = PRIORITIES[spec.priority]
+        level = PRIORITY_RANKS[spec.priority]
         used, wanted = shard.usage(spec.team)[0], len(job_slice.pending) * job_slice.resources[0]
         # What the share lacks at least, whatever is stopped for its room.
         if share[0] + survey.stoppable(spec.team, level) < used + wanted:
@@ -192,7 +192,7 @@
         if own is None:
             return False
         if act:
-            shard.stop_tasks(own, "preempted")
+            shard.stop_tasks(own, StopReason.PREEMPTED)
             self._claim(shard, job, chosen)
             survey.stopped(spec.team)
         return True
@@ -246,7 +246,7 @@
         until = controller.now + CLAIM_REPORTS * report_s
         for name, victims in chosen:
             self.claims[name] = (job, until)
-            shard.stop_tasks(victims, "preempted")
+            shard.stop_tasks(victims, StopReason.PREEMPTED)
 
     def preemptible_capacity(self, shard: Shard) -> list[FreeCapacity]:
         """Room that a hurried class could have here by stopping lower-priority work."""
@@ -258,7 +258,7 @@
         ]
         if not coming:
             return []
-        level = max(PRIORITIES[x.priority] for x in coming)
+        level = max(PRIORITY_RANKS[x.priority] for x in coming)
         out: list[FreeCapacity] = []
         for machine in shard.machines.values():
             if (
--- a/marblestair/core/scheduling/quota.py
+++ b/marblestair/core/scheduling/quota.py
@@ -4,15 +4,10 @@
 
 from collections.abc import Callable
 
-from marblestair.core.domain.model import (
-    GANG,
-    PRIORITIES,
-    JobRecord,
-    JobSpec,
-    MachineType,
-    fixed_point_down,
-    fixed_point_up,
-)
+from marblestair.core.domain.amounts import fixed_point_down, fixed_point_up
+from marblestair.core.domain.jobs import PRIORITY_RANKS, JobKind, JobSpec, Priority
+from marblestair.core.domain.machines import MachineType
+from marblestair.core.state.records import JobRecord
 from marblestair.settings import Team
 
 
@@ -32,11 +27,11 @@
     if not options:
         return "a task fits no allowed machine type"
     zones = {z for machine_type in options for z in machine_type.zones if spec.zone in (None, z)}
-    if spec.kind == GANG and spec.spread_zones and spec.task_count > 1:
+    if spec.kind == JobKind.GANG and spec.spread_zones and spec.task_count > 1:
         # At most half of the tasks may lie in one zone, and all run at the same time.
         if spec.single_zone or len(zones) < 2:
             return "its tasks must lie apart, and there is one zone only"
-    n = spec.task_count if spec.kind == GANG else 1
+    n = spec.task_count if spec.kind == JobKind.GANG else 1
     if n * need[0] > fixed_point_down(team.cpu_limit) or n * need[1] > fixed_point_down(
         team.gpu_limit
     ):
@@ -95,8 +90,8 @@
             late += int(hopeless) + 2 * int(slack + 0.5 * spec.deadline_s < 0)
     else:
         slack = (spec.accepted_at if ready_at is None else ready_at) - wall + 120.0
-    first = guaranteed or PRIORITIES[spec.priority] >= PRIORITIES["high"]
-    return (late, 0 if first else 1, -PRIORITIES[spec.priority], slack, spec.id)
+    first = guaranteed or PRIORITY_RANKS[spec.priority] >= PRIORITY_RANKS[Priority.HIGH]
+    return (late, 0 if first else 1, -PRIORITY_RANKS[spec.priority], slack, spec.id)
 
 
 def infeasible_jobs(work: list[tuple[float, float, str]], limit: float) -> set[str]:
--- a/marblestair/core/scheduling/quota_transfers.py
+++ b/marblestair/core/scheduling/quota_transfers.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from marblestair.core.capacity.shard_summary import summarize_shard
-from marblestair.core.domain.model import GANG
+from marblestair.core.domain.jobs import JobKind
 from marblestair.core.leadership import shard_map
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
@@ -90,7 +90,7 @@
                 len(job_slice.pending) * job_slice.resources[0]
                 for job_slice in shard.slices.values()
                 if job_slice.spec.team == team
-                and job_slice.spec.kind == GANG
+                and job_slice.spec.kind == JobKind.GANG
                 and not job_slice.is_cancelled
             ),
             default=0,
--- a/marblestair/core/scheduling/slice_migration.py
+++ b/marblestair/core/scheduling/slice_migration.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING, Any
 
 from marblestair.core.domain.index_ranges import Ranges
-from marblestair.core.domain.model import GANG, JobSpec
+from marblestair.core.domain.jobs import JobKind, JobSpec
 from marblestair.core.jobs.server_manager import LOG_OFF, STAY
 from marblestair.core.runtime.coroutines import Coroutine, Step
 from marblestair.core.runtime.requests import PeerRequest, Sleep
@@ -102,7 +102,7 @@
 
 def _is_whole(spec: JobSpec) -> bool:
     """Whether a job's tasks stay in one slice."""
-    return spec.kind == GANG or spec.single_zone or spec.spread_zones
+    return spec.kind == JobKind.GANG or spec.single_zone or spec.spread_zones
 
 
 def _most_share_left(others: list[ShardSummary]) -> dict[str, int]:
@@ -165,7 +165,7 @@
             if not self._may_leave(job_slice):
                 continue
             hurried = (
-                job_slice.spec.kind == GANG
+                job_slice.spec.kind == JobKind.GANG
                 and controller.fleet.arrivals.is_latency_sensitive(job_slice.spec)
             )
             if hurried:
@@ -267,7 +267,7 @@
         controller = self.controller
         team, need = job_slice.spec.team, job_slice.resources
         used, share = shard.usage(team), controller.quota(shard, team)
-        if job_slice.spec.kind != GANG:
+        if job_slice.spec.kind != JobKind.GANG:
             share = (share[0] - controller.quota_transfers.largest_gang(shard, team), share[1])
             if share[0] <= used[0]:
                 return
--- a/marblestair/core/shard/job_slice.py
+++ b/marblestair/core/shard/job_slice.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from marblestair.core.domain.index_ranges import PAGE, Ranges
-from marblestair.core.domain.model import JobSpec
+from marblestair.core.domain.jobs import JobSpec
 from marblestair.core.shard.machine import Machine
 
 
--- a/marblestair/core/shard/machine.py
+++ b/marblestair/core/shard/machine.py
@@ -2,14 +2,32 @@
 
 from __future__ import annotations
 
+import enum
 from collections import OrderedDict
 
-from marblestair.core.domain.model import JobSpec, MachineType
+from marblestair.core.domain.agents import TaskState
+from marblestair.core.domain.jobs import JobSpec
+from marblestair.core.domain.machines import MachineType
 
 #: a task: its job and its number
 TaskKey = tuple[str, int]
 
 
+class StopReason(enum.StrEnum):
+    """Why a task is to stop."""
+
+    JOB_ENDED = "over"
+    CANCELLED = "cancel"
+    #: another task of its gang is gone
+    GANG_LOST = "gang"
+    #: the cloud takes the machine back
+    MACHINE_RECLAIMED = "drain"
+    #: other work needs its resources
+    PREEMPTED = "preempted"
+    #: its machine is to be given back
+    MACHINE_RETURNED = "returned"
+
+
 class PlacedTask:
     """A task that is, or may be, on a machine."""
 
@@ -38,14 +56,14 @@
         self.resources = need
         self.team = team
         #: ``planned`` until the launch is in an answer, ``sent`` until a report lists the task
-        self.state = "planned"
+        self.state = TaskState.PLANNED
         self.placed_at = now
         self.running_since: float | None = None
         #: sequence number of the report whose answer carried the launch
         self.sent_sequence = -1
         #: grace of the stop that is wanted, None when none is
         self.stop_grace_s: float | None = None
-        self.stop_reason = ""
+        self.stop_reason: StopReason | None = None
         self.stop_sent_at = -1e9
         self.is_checkpoint_saved = False
 
--- a/marblestair/core/shard/shard.py
+++ b/marblestair/core/shard/shard.py
@@ -12,18 +12,19 @@
 
 from marblestair.core.capacity.boot_times import BootTimes
 from marblestair.core.capacity.failures import FailureAttribution
-from marblestair.core.domain.index_ranges import Ranges
-from marblestair.core.domain.model import (
-    GANG,
-    SERVICE,
+from marblestair.core.domain.agents import (
+    CommandVerb,
+    ExitReason,
     Heartbeat,
-    JobRecord,
-    JobSpec,
     TaskCommand,
+    TaskState,
     TaskStatus,
 )
+from marblestair.core.domain.index_ranges import Ranges
+from marblestair.core.domain.jobs import JobKind, JobSpec
 from marblestair.core.shard.job_slice import JobSlice
-from marblestair.core.shard.machine import Machine, PlacedTask, TaskKey
+from marblestair.core.shard.machine import Machine, PlacedTask, StopReason, TaskKey
+from marblestair.core.state.records import JobRecord
 from marblestair.settings import Cluster
 
 #: attempts are (term << ATTEMPT_BITS) + a count, so that no term reuses another's
@@ -140,11 +141,11 @@
             status.job, status.index, status.attempt, job_slice.resources, job_slice.spec.team, now
         )
         task.state = status.state
-        if status.state in ("running", "saving"):
+        if status.state in (TaskState.RUNNING, TaskState.SAVING):
             task.running_since = now
             job_slice.running_count += 1
         if job_slice.is_cancelled or (job_slice.done_bits >> status.index) & 1:
-            task.stop_grace_s, task.stop_reason = 0.0, "over"
+            task.stop_grace_s, task.stop_reason = 0.0, StopReason.JOB_ENDED
         machine.add_task(task)
         machine.record_image(job_slice.spec)
         job_slice.placed_on[status.index] = machine
@@ -167,7 +168,7 @@
                 job_slice.running_count -= 1
         if job_slice.contains(task.index) and not (job_slice.done_bits >> task.index) & 1:
             job_slice.pending.add(task.index, task.index + 1)
-        if job_slice.spec.kind == GANG:
+        if job_slice.spec.kind == JobKind.GANG:
             self._gang_lost(job_slice)
 
     def _gang_lost(self, job_slice: JobSlice) -> None:
@@ -181,17 +182,17 @@
         for i, machine in job_slice.placed_on.items():
             task = machine.tasks.get((job_slice.spec.id, i))
             if task is not None and task.stop_grace_s is None:
-                task.stop_grace_s, task.stop_reason = 0.0, "gang"
+                task.stop_grace_s, task.stop_reason = 0.0, StopReason.GANG_LOST
 
     def _mark_done(self, job_slice: JobSlice, index: int, now: float) -> None:
         if (
             (job_slice.done_bits >> index) & 1
             or not job_slice.contains(index)
-            or job_slice.spec.kind == SERVICE
+            or job_slice.spec.kind == JobKind.SERVICE
         ):
             return
         # The members of a gang complete together: when one is done, all are.
-        for i in Ranges(job_slice.ranges) if job_slice.spec.kind == GANG else (index,):
+        for i in Ranges(job_slice.ranges) if job_slice.spec.kind == JobKind.GANG else (index,):
             if not (job_slice.done_bits >> i) & 1:
                 job_slice.done_bits |= 1 << i
                 job_slice.done_count += 1
@@ -239,7 +240,7 @@
         for index, machine in list(job_slice.placed_on.items()):
             task = machine.tasks.get((job_slice.spec.id, index))
             if task is not None and task.stop_grace_s is None:
-                task.stop_grace_s, task.stop_reason = 0.0, "over"
+                task.stop_grace_s, task.stop_reason = 0.0, StopReason.JOB_ENDED
         del self.slices[job_slice.spec.id]
 
     def cancel(self, job: str, now: float) -> None:
@@ -254,10 +255,10 @@
             task = machine.tasks.get((job, i))
             if task is None:
                 continue
-            if task.state == "planned":
+            if task.state == TaskState.PLANNED:
                 self._remove_task(machine, task, now)
             else:
-                task.stop_grace_s, task.stop_reason = 0.0, "cancel"
+                task.stop_grace_s, task.stop_reason = 0.0, StopReason.CANCELLED
                 task.stop_sent_at = -1e9
         job_slice.pending = Ranges()
 
@@ -267,7 +268,11 @@
             return
         for job_slice in self.slices.values():
             job_slice.is_unreconciled = False
-            if job_slice.spec.kind == GANG and job_slice.placed_on and len(job_slice.pending):
+            if (
+                job_slice.spec.kind == JobKind.GANG
+                and job_slice.placed_on
+                and len(job_slice.pending)
+            ):
                 # Only some of the gang survived the takeover.
                 self._gang_lost(job_slice)
 
@@ -320,7 +325,7 @@
                     if member is not None and member.stop_grace_s is None:
                         member.stop_grace_s, member.stop_reason = (
                             max(job_slice.spec.checkpoint_save_s, 0.001),
-                            "drain",
+                            StopReason.MACHINE_RECLAIMED,
                         )
 
     def tick(self, now: float) -> None:
@@ -333,7 +338,7 @@
             if now - machine.last_heartbeat_at >= machine.silence_limit_s:
                 # A launch that is in no answer yet can go elsewhere at once.
                 for task in list(machine.tasks.values()):
-                    if task.state == "planned":
+                    if task.state == TaskState.PLANNED:
                         self._remove_task(machine, task, now)
             if (
                 machine.is_silent
@@ -448,8 +453,10 @@
         commands = []
         for status in heartbeat.tasks:
             job_slice = self.slices.get(status.job)
-            if status.state != "exited" and (job_slice is None or job_slice.is_cancelled):
-                commands.append(TaskCommand("stop", status.job, status.index, status.attempt, 0.0))
+            if status.state != TaskState.EXITED and (job_slice is None or job_slice.is_cancelled):
+                commands.append(
+                    TaskCommand(CommandVerb.STOP, status.job, status.index, status.attempt, 0.0)
+                )
         return commands[:MAX_ORDERS]
 
     def _mark_unresponsive(self, machine: Machine, now: float) -> None:
@@ -466,14 +473,14 @@
         is_launch_lost = is_launch_shown = False
         for key, task in list(machine.tasks.items()):
             found = listed.get(key)
-            was_sent = task.state == "sent"
+            was_sent = task.state == TaskState.SENT
             is_launch_shown = is_launch_shown or (was_sent and found is not None)
             if found is not None and found.attempt == task.attempt:
                 self._update_task_state(machine, task, found, now)
             elif was_sent:
                 is_launch_lost = True
                 self._retract_launch(machine, task, now)
-            elif task.state != "planned":
+            elif task.state != TaskState.PLANNED:
                 self._remove_task(machine, task, now)
         if is_launch_shown:
             machine.ignored_commands = 0
@@ -501,14 +508,17 @@
                 and job_slice.contains(status.index)
                 and status.index not in job_slice.placed_on
             )
-            if status.state == "exited":
+            if status.state == TaskState.EXITED:
                 if is_launched:
                     listed[key] = status
-                elif status.exit_reason == "done" and job_slice is not None and is_free:
+                elif status.exit_reason == ExitReason.DONE and job_slice is not None and is_free:
                     # A result whose owner fell before it was recorded.
                     self._mark_done(job_slice, status.index, now)
                 if key not in machine.exited_tasks or not is_launched:
-                    machine.exited_tasks[key] = (status.attempt, status.exit_reason == "done")
+                    machine.exited_tasks[key] = (
+                        status.attempt,
+                        status.exit_reason == ExitReason.DONE,
+                    )
                 continue
             listed[key] = status
             if is_launched:
@@ -523,10 +533,10 @@
         self, machine: Machine, task: PlacedTask, found: TaskStatus, now: float
     ) -> None:
         """A task that was launched here is listed."""
-        if found.state == "exited":
+        if found.state == TaskState.EXITED:
             self._task_exited(machine, task, found, now)
         elif found.state != task.state:
-            if found.state == "running" and task.running_since is None:
+            if found.state == TaskState.RUNNING and task.running_since is None:
                 task.running_since = now
                 if (job_slice := self.slices.get(task.job)) is not None:
                     job_slice.running_count += 1
@@ -537,7 +547,7 @@
 
         It may be sent again.
         """
-        task.state = "planned"
+        task.state = TaskState.PLANNED
         job_slice = self.slices.get(task.job)
         if (
             job_slice is None
@@ -553,27 +563,27 @@
         if machine.ignored_commands < UNHEEDED or machine.is_unresponsive:
             return
         self._mark_unresponsive(machine, now)
-        for task in [task for task in machine.tasks.values() if task.state == "planned"]:
+        for task in [task for task in machine.tasks.values() if task.state == TaskState.PLANNED]:
             self._remove_task(machine, task, now)
 
     def _task_exited(
         self, machine: Machine, task: PlacedTask, status: TaskStatus, now: float
     ) -> None:
         job_slice = self.slices.get(task.job)
-        if status.exit_reason == "done":
+        if status.exit_reason == ExitReason.DONE:
             if job_slice is not None:
                 if task.running_since is not None:
                     self.finished_tasks.append((job_slice.spec, now - task.running_since))
                 self.failures.record_success(task.job, machine.name)
                 self._mark_done(job_slice, task.index, now)
-        elif status.exit_reason == "error":
+        elif status.exit_reason == ExitReason.ERROR:
             self.failures.record_failure(
                 task.job, machine.name, job_slice is not None and job_slice.done_count > 0, now
             )
             machine.usable_from = max(
                 machine.usable_from, now + self.failures.machine_backoff_s(machine.name)
             )
-        elif status.exit_reason in ("no_room", "unknown", "busy"):
+        elif status.exit_reason in (ExitReason.NO_ROOM, ExitReason.UNKNOWN, ExitReason.BUSY):
             machine.usable_from = now + 2 * self.cluster.workers.report_s
         self._remove_task(machine, task, now)
 
@@ -585,17 +595,19 @@
                 done
                 and job_slice is not None
                 and job_slice.contains(key[1])
-                and job_slice.spec.kind != SERVICE
+                and job_slice.spec.kind != JobKind.SERVICE
             )
             if kept and job_slice is not None and not (job_slice.durable_bits >> key[1]) & 1:
                 continue
-            commands.append(TaskCommand("forget", key[0], key[1], attempt))
+            commands.append(TaskCommand(CommandVerb.FORGET, key[0], key[1], attempt))
         for key, attempt in machine.unknown_tasks.items():
-            commands.append(TaskCommand("stop", key[0], key[1], attempt, 0.0))
+            commands.append(TaskCommand(CommandVerb.STOP, key[0], key[1], attempt, 0.0))
         for task in list(machine.tasks.values()):
-            if task.stop_grace_s is not None and task.state != "planned":
+            if task.stop_grace_s is not None and task.state != TaskState.PLANNED:
                 commands.append(
-                    TaskCommand("stop", task.job, task.index, task.attempt, task.stop_grace_s)
+                    TaskCommand(
+                        CommandVerb.STOP, task.job, task.index, task.attempt, task.stop_grace_s
+                    )
                 )
                 task.stop_sent_at = now
         return commands
@@ -606,7 +618,7 @@
         if not machine.is_reconciled or machine.is_given_up or machine.is_releasing:
             return commands
         for task in list(machine.tasks.values()):
-            if task.state != "planned":
+            if task.state != TaskState.PLANNED:
                 continue
             job_slice = self.slices.get(task.job)
             may_start = (
@@ -620,12 +632,12 @@
             ):
                 self._remove_task(machine, task, now)
             elif len(commands) < MAX_ORDERS:
-                commands.append(TaskCommand("start", task.job, task.index, task.attempt))
-                task.state = "sent"
+                commands.append(TaskCommand(CommandVerb.START, task.job, task.index, task.attempt))
+                task.state = TaskState.SENT
                 task.sent_sequence = machine.sequence
         return commands
 
-    def stop_tasks(self, tasks: list[PlacedTask], why: str) -> None:
+    def stop_tasks(self, tasks: list[PlacedTask], reason: StopReason) -> None:
         """Stop tasks to make room for others; what can save does so."""
         for task in tasks:
             job_slice = self.slices.get(task.job)
@@ -634,7 +646,7 @@
                 task.stop_grace_s = (
                     job_slice.spec.checkpoint_save_s if job_slice is not None and saves else 0.0
                 )
-                task.stop_reason = why
+                task.stop_reason = reason
                 task.stop_sent_at = -1e9
 
     def overdue_stops(self, now: float) -> list[tuple[Machine, list[TaskCommand]]]:
@@ -651,11 +663,13 @@
             for task in machine.tasks.values():
                 if (
                     task.stop_grace_s is not None
-                    and task.state != "planned"
+                    and task.state != TaskState.PLANNED
                     and now - task.stop_sent_at > again
                 ):
                     commands.append(
-                        TaskCommand("stop", task.job, task.index, task.attempt, task.stop_grace_s)
+                        TaskCommand(
+                            CommandVerb.STOP, task.job, task.index, task.attempt, task.stop_grace_s
+                        )
                     )
                     task.stop_sent_at = now
             if commands:
--- a/marblestair/core/state/store_view.py
+++ b/marblestair/core/state/store_view.py
@@ -7,10 +7,9 @@
 
 import msgspec
 
-from marblestair.core.domain.model import JobRecord
-from marblestair.core.leadership.shard_map import MachineRecord, ShardMap
-from marblestair.core.runtime.requests import CompareAndSwap, KeyChange, StoreResponse
+from marblestair.core.runtime.store_requests import CompareAndSwap, KeyChange, StoreResponse
 from marblestair.core.state import keys
+from marblestair.core.state.records import JobRecord, MachineRecord, ShardMap
 
 #: machines that are gone for good and remembered: the largest fleets, replaced several times
 MOST_GONE = 20_000
--- a/marblestair/core/status.py
+++ b/marblestair/core/status.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from marblestair.core.domain.model import UNIT
+from marblestair.core.domain.amounts import FIXED_POINT_UNIT
 
 if TYPE_CHECKING:
     from marblestair.core.controller import Controller
@@ -73,8 +73,10 @@
                 "part": number,
                 "owner": record.leader,
                 "term": record.term,
-                "shares_cpus": {team: x[0] / UNIT for team, x in record.quotas.items()},
-                "backlog_cpus": summary.backlog_cpus / UNIT if summary is not None else None,
+                "shares_cpus": {team: x[0] / FIXED_POINT_UNIT for team, x in record.quotas.items()},
+                "backlog_cpus": summary.backlog_cpus / FIXED_POINT_UNIT
+                if summary is not None
+                else None,
                 "told_s_ago": round(controller.now - told_at, 1) if told_at is not None else None,
                 "machines": sum(members),
             }
--- a/marblestair/net/http_client.py
+++ b/marblestair/net/http_client.py
@@ -8,7 +8,7 @@
 
 import httptools
 
-from marblestair.core.runtime.requests import NOT_SENT
+from marblestair.core.runtime.store_requests import NOT_SENT
 
 #: an answer larger than this is not taken
 MAX_ANSWER = 8 * 1024 * 1024
--- a/marblestair/node.py
+++ b/marblestair/node.py
@@ -11,22 +11,22 @@
 
 from marblestair import wire
 from marblestair.core.controller import Controller
+from marblestair.core.runtime.cloud_requests import (
+    CloudResponse,
+    ListMachines,
+    ListMachineTypes,
+    ReleaseMachines,
+    RentMachines,
+)
 from marblestair.core.runtime.outbox import DirectCommand, UserReply
-from marblestair.core.runtime.requests import (
+from marblestair.core.runtime.requests import InspectAgent, OutsideRequest, PeerRequest
+from marblestair.core.runtime.store_requests import (
     NOT_SENT,
-    CloudResponse,
     CompareAndSwap,
     Get,
     GrantLease,
-    InspectAgent,
     ListKeys,
-    ListMachines,
-    ListMachineTypes,
-    OutsideRequest,
-    PeerRequest,
-    ReleaseMachines,
     RenewLease,
-    RentMachines,
     StoreResponse,
     Watch,
 )
--- a/marblestair/wire.py
+++ b/marblestair/wire.py
@@ -12,31 +12,33 @@
 
 import msgspec
 
-from marblestair.core.domain.model import (
-    ARRAY,
-    GANG,
-    SERVICE,
+from marblestair.core.domain.agents import (
+    CommandVerb,
+    ExitReason,
     Heartbeat,
-    JobSpec,
-    MachineType,
     TaskCommand,
+    TaskState,
     TaskStatus,
-    all_finite,
 )
-from marblestair.core.runtime.requests import (
+from marblestair.core.domain.amounts import are_valid_amounts
+from marblestair.core.domain.jobs import JobKind, JobSpec, JobState, Priority
+from marblestair.core.domain.machines import MachineType
+from marblestair.core.runtime.cloud_requests import (
     CloudRequest,
     CloudResponse,
+    ListedMachine,
+    ListMachines,
+    ListMachineTypes,
+    ReleaseMachines,
+    RentMachines,
+)
+from marblestair.core.runtime.store_requests import (
     CompareAndSwap,
     Get,
     GrantLease,
     KeyChange,
-    ListedMachine,
     ListKeys,
-    ListMachines,
-    ListMachineTypes,
-    ReleaseMachines,
     RenewLease,
-    RentMachines,
     StoredKey,
     StoreRequest,
     StoreResponse,
@@ -49,22 +51,42 @@
 
 CONTENT_TYPE = "application/msgpack"
 
-_KINDS = {"batch": ARRAY, "group": GANG, "daemon": SERVICE}
-_PRIORITIES = {"prod": "production", "high": "high", "normal": "normal", "low": "low"}
-_JOB_STATES = {"queued": "queued", "running": "running", "done": "done", "cancelled": "aborted"}
+_KINDS = {"batch": JobKind.ARRAY, "group": JobKind.GANG, "daemon": JobKind.SERVICE}
+_PRIORITIES = {
+    "prod": Priority.PRODUCTION,
+    "high": Priority.HIGH,
+    "normal": Priority.NORMAL,
+    "low": Priority.LOW,
+}
+_JOB_STATES = {
+    JobState.QUEUED: "queued",
+    JobState.RUNNING: "running",
+    JobState.DONE: "done",
+    JobState.CANCELLED: "aborted",
+}
 _TASK_STATES = {
-    "pulling": "fetching",
-    "waiting": "waiting",
-    "running": "running",
-    "saving": "saving",
-    "exited": "exited",
+    "pulling": TaskState.FETCHING,
+    "waiting": TaskState.WAITING,
+    "running": TaskState.RUNNING,
+    "saving": TaskState.SAVING,
+    "exited": TaskState.EXITED,
+}
+_EXIT_REASONS = {
+    "": ExitReason.NONE,
+    "done": ExitReason.DONE,
+    "halted": ExitReason.STOPPED,
+    "mates_gone": ExitReason.PEERS,
+    "alone": ExitReason.ALONE,
+    "error": ExitReason.ERROR,
+    "no_room": ExitReason.NO_ROOM,
+    "in_use": ExitReason.BUSY,
+    "unknown": ExitReason.UNKNOWN,
 }
-_WHYS = {
-    "halted": "stopped",
-    "mates_gone": "peers",
-    "in_use": "busy",
+_VERBS = {
+    CommandVerb.START: "launch",
+    CommandVerb.STOP: "stop",
+    CommandVerb.FORGET: "reap",
 }
-_OPS = {"start": "launch", "stop": "stop", "forget": "reap"}
 
 #: "job-" and a whole number; digits only, so that ids stay short and safe in keys
 _JOB_ID = re.compile(r"job-[0-9]{1,20}\Z")
@@ -134,7 +156,7 @@
     if not 1 <= s.pieces <= MAX_TASKS:
         raise BadRequestError(f"pieces: must be from 1 to {MAX_TASKS}")
     amounts = (s.cpus, s.gpus, s.mem_gb, s.size_gb, s.expected_s, s.bookmark_s)
-    if not all_finite(*amounts, s.bookmark_cost_s, s.due_s):
+    if not are_valid_amounts(*amounts, s.bookmark_cost_s, s.due_s):
         raise BadRequestError("an amount is negative, infinite or not a number")
     if max(*amounts, s.bookmark_cost_s, s.due_s or 0.0) > 1e12:
         raise BadRequestError("an amount is out of range")
@@ -173,7 +195,7 @@
     job: str, state: str, done: int | None = None, running: int | None = None
 ) -> dict[str, Any]:
     """The body that tells a user about a job."""
-    out: dict[str, Any] = {"ref": job, "status": _JOB_STATES[state]}
+    out: dict[str, Any] = {"ref": job, "status": _JOB_STATES[JobState(state)]}
     if done is not None:
         out["done"] = done
         out["running"] = running or 0
@@ -236,10 +258,16 @@
         tasks = []
         for p in r.pieces:
             job, _, index = p.piece.rpartition("/")
-            why = p.cause or ""
-            state = _TASK_STATES.get(p.status, p.status)
+            state = _TASK_STATES.get(p.status, TaskState.UNRECOGNIZED)
             tasks.append(
-                TaskStatus(job, int(index), p.attempt, state, _WHYS.get(why, why), bool(p.stored))
+                TaskStatus(
+                    job,
+                    int(index),
+                    p.attempt,
+                    state,
+                    _EXIT_REASONS.get(p.cause or "", ExitReason.UNRECOGNIZED),
+                    bool(p.stored),
+                )
             )
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, ValueError) as e:
         raise BadRequestError(str(e)) from None
@@ -259,11 +287,11 @@
 
 def _order(command: TaskCommand) -> dict[str, Any]:
     out: dict[str, Any] = {
-        "verb": _OPS[command.verb],
+        "verb": _VERBS[command.verb],
         "piece": f"{command.job}/{command.index}",
         "try": command.attempt,
     }
-    if command.verb == "stop":
+    if command.verb is CommandVerb.STOP:
         out["wind_down_s"] = command.grace_s
     return out
 
--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -5,7 +5,8 @@
 from typing import Any
 
 from marblestair import settings as st
-from marblestair.core.domain.model import JobSpec, MachineType
+from marblestair.core.domain.jobs import JobSpec
+from marblestair.core.domain.machines import MachineType
 
 EPOCH = 1_000_000.0
 
--- a/tests/fakes/production.py
+++ b/tests/fakes/production.py
@@ -25,45 +25,46 @@
 
 import msgspec
 
-from marblestair.core.runtime.requests import PeerRequest, Put
+from marblestair.core.runtime.requests import PeerRequest
+from marblestair.core.runtime.store_requests import Put
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
 PACKAGE = "marblestair"
 #: structs that cross between a core and what is around it: their names in production, and now
 STRUCTS = {
-    "core.calls.Get": "core.runtime.requests.Get",
-    "core.calls.ListKeys": "core.runtime.requests.ListKeys",
-    "core.calls.Put": "core.runtime.requests.Put",
-    "core.calls.Commit": "core.runtime.requests.CompareAndSwap",
-    "core.calls.LeaseGrant": "core.runtime.requests.GrantLease",
-    "core.calls.LeaseRenew": "core.runtime.requests.RenewLease",
-    "core.calls.Watch": "core.runtime.requests.Watch",
-    "core.calls.Item": "core.runtime.requests.StoredKey",
-    "core.calls.Event": "core.runtime.requests.KeyChange",
-    "core.calls.StateResult": "core.runtime.requests.StoreResponse",
-    "core.calls.CloudTypes": "core.runtime.requests.ListMachineTypes",
-    "core.calls.CloudRent": "core.runtime.requests.RentMachines",
-    "core.calls.CloudDelete": "core.runtime.requests.ReleaseMachines",
-    "core.calls.CloudList": "core.runtime.requests.ListMachines",
-    "core.calls.Listed": "core.runtime.requests.ListedMachine",
-    "core.calls.CloudResult": "core.runtime.requests.CloudResponse",
+    "core.calls.Get": "core.runtime.store_requests.Get",
+    "core.calls.ListKeys": "core.runtime.store_requests.ListKeys",
+    "core.calls.Put": "core.runtime.store_requests.Put",
+    "core.calls.Commit": "core.runtime.store_requests.CompareAndSwap",
+    "core.calls.LeaseGrant": "core.runtime.store_requests.GrantLease",
+    "core.calls.LeaseRenew": "core.runtime.store_requests.RenewLease",
+    "core.calls.Watch": "core.runtime.store_requests.Watch",
+    "core.calls.Item": "core.runtime.store_requests.StoredKey",
+    "core.calls.Event": "core.runtime.store_requests.KeyChange",
+    "core.calls.StateResult": "core.runtime.store_requests.StoreResponse",
+    "core.calls.CloudTypes": "core.runtime.cloud_requests.ListMachineTypes",
+    "core.calls.CloudRent": "core.runtime.cloud_requests.RentMachines",
+    "core.calls.CloudDelete": "core.runtime.cloud_requests.ReleaseMachines",
+    "core.calls.CloudList": "core.runtime.cloud_requests.ListMachines",
+    "core.calls.Listed": "core.runtime.cloud_requests.ListedMachine",
+    "core.calls.CloudResult": "core.runtime.cloud_requests.CloudResponse",
     "core.calls.PeerCall": "core.runtime.requests.PeerRequest",
     "core.calls.Sleep": "core.runtime.requests.Sleep",
     "core.calls.Inspect": "core.runtime.requests.InspectAgent",
-    "core.model.JobSpec": "core.domain.model.JobSpec",
-    "core.model.MachineType": "core.domain.model.MachineType",
-    "core.model.TaskReport": "core.domain.model.TaskStatus",
-    "core.model.Report": "core.domain.model.Heartbeat",
-    "core.model.Order": "core.domain.model.TaskCommand",
-    "core.model.JobRecord": "core.domain.model.JobRecord",
+    "core.model.JobSpec": "core.domain.jobs.JobSpec",
+    "core.model.MachineType": "core.domain.machines.MachineType",
+    "core.model.TaskReport": "core.domain.agents.TaskStatus",
+    "core.model.Report": "core.domain.agents.Heartbeat",
+    "core.model.Order": "core.domain.agents.TaskCommand",
+    "core.model.JobRecord": "core.state.records.JobRecord",
     "core.messages.Reply": "core.runtime.outbox.UserReply",
     "core.messages.Command": "core.runtime.outbox.DirectCommand",
     "core.messages.Note": "core.runtime.outbox.PeerMessage",
     "core.messages.PartSummary": "core.runtime.outbox.ShardSummary",
-    "core.split.SplitRecord": "core.leadership.shard_map.ShardMap",
-    "core.split.PartRecord": "core.leadership.shard_map.ShardRecord",
-    "core.split.MachineRecord": "core.leadership.shard_map.MachineRecord",
-    "core.fleet.RentalIntent": "core.capacity.fleet.RentalIntent",
+    "core.split.SplitRecord": "core.state.records.ShardMap",
+    "core.split.PartRecord": "core.state.records.ShardRecord",
+    "core.split.MachineRecord": "core.state.records.MachineRecord",
+    "core.fleet.RentalIntent": "core.state.records.RentalIntent",
 }
 #: the same the other way round
 PRODUCTION_STRUCTS = {present: old for old, present in STRUCTS.items()}
--- a/tests/fakes/rules.py
+++ b/tests/fakes/rules.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from marblestair import settings as st
-from marblestair.core.domain.model import GANG, JobSpec
+from marblestair.core.domain.jobs import JobKind, JobSpec
 from tests.fakes.state import FakeState
 from tests.fakes.worker import FakeTask, Worker
 
@@ -231,7 +231,7 @@
             if self._cancel_asked_before(job) or waits <= 0 or over or self._lacks(job):
                 self._beside.pop(job, None)
                 continue
-            whole = spec.kind == GANG
+            whole = spec.kind == JobKind.GANG
             fits = sum(
                 min((f // n for f, n in zip(free, spec.resources, strict=True) if n), default=0)
                 for worker, free in rooms
--- a/tests/fakes/state.py
+++ b/tests/fakes/state.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from marblestair.core.runtime.requests import (
+from marblestair.core.runtime.store_requests import (
     CompareAndSwap,
     Get,
     GrantLease,
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -4,7 +4,9 @@
 
 from typing import TYPE_CHECKING
 
-from marblestair.core.domain.model import GANG, Heartbeat, MachineType, TaskCommand, TaskStatus
+from marblestair.core.domain.agents import Heartbeat, TaskCommand, TaskStatus
+from marblestair.core.domain.jobs import JobKind
+from marblestair.core.domain.machines import MachineType
 
 if TYPE_CHECKING:
     from tests.fakes.world import World
@@ -212,7 +214,7 @@
         if task.fetch > 0.0:
             task.fetch -= 0.25
         else:
-            task.state = "waiting" if self.world.specs[task.job].kind == GANG else "running"
+            task.state = "waiting" if self.world.specs[task.job].kind == JobKind.GANG else "running"
 
     def _wait(self, t: FakeTask) -> None:
         """A gang's task waits for the others."""
@@ -231,8 +233,8 @@
         """A task runs, unless its gang is not whole."""
         world = self.world
         spec = world.specs[t.job]
-        gang = world.gang(t) if spec.kind == GANG else []
-        if spec.kind == GANG and (
+        gang = world.gang(t) if spec.kind == JobKind.GANG else []
+        if spec.kind == JobKind.GANG and (
             len(gang) < spec.task_count or any(worker.hung for worker, _ in gang)
         ):
             t.waited += 0.25
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -14,22 +14,19 @@
 from typing import Any
 
 from marblestair.core.controller import Controller
-from marblestair.core.domain.model import GANG, Heartbeat, JobSpec
-from marblestair.core.runtime.outbox import DirectCommand
-from marblestair.core.runtime.requests import (
-    NOT_SENT,
+from marblestair.core.domain.agents import Heartbeat
+from marblestair.core.domain.jobs import JobKind, JobSpec
+from marblestair.core.runtime.cloud_requests import (
     CloudResponse,
-    CompareAndSwap,
-    InspectAgent,
     ListedMachine,
     ListMachines,
     ListMachineTypes,
-    PeerRequest,
     ReleaseMachines,
     RentMachines,
-    StoreResponse,
-    Watch,
 )
+from marblestair.core.runtime.outbox import DirectCommand
+from marblestair.core.runtime.requests import InspectAgent, PeerRequest
+from marblestair.core.runtime.store_requests import NOT_SENT, CompareAndSwap, StoreResponse, Watch
 from tests.fakes.deployment import EPOCH, TYPES, raw_settings, settings
 from tests.fakes.production import ProductionController
 from tests.fakes.rules import Rules
@@ -594,7 +591,7 @@
     def run_s(self, spec: JobSpec) -> float:
         return (
             spec.estimated_run_s
-            if spec.kind == GANG
+            if spec.kind == JobKind.GANG
             else spec.estimated_run_s * self.rng.uniform(0.5, 1.5)
         )
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -9,7 +9,8 @@
 import msgspec
 
 from marblestair.core.controller import Controller
-from marblestair.core.runtime.requests import Get, InspectAgent, PeerRequest
+from marblestair.core.runtime.requests import InspectAgent, PeerRequest
+from marblestair.core.runtime.store_requests import Get
 from marblestair.core.state import keys
 from tests.fakes.worker import Worker
 from tests.fakes.world import World
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from marblestair.core.domain.model import TaskStatus
+from marblestair.core.domain.agents import TaskStatus
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
 from marblestair.core.shard.shard import Shard
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -6,9 +6,10 @@
 
 import pytest
 
-from marblestair.core.jobs.answers import JobState, JobStatus
+from marblestair.core.domain.jobs import JobState
+from marblestair.core.jobs.answers import JobStatus
 from marblestair.core.runtime.coroutines import Step
-from marblestair.core.runtime.requests import CompareAndSwap, Get, KeyChange, StoreResponse
+from marblestair.core.runtime.store_requests import CompareAndSwap, Get, KeyChange, StoreResponse
 from marblestair.core.state import keys
 from tests.fakes.deployment import spec
 from tests.fakes.world import World
--- a/tests/test_answers_search.py
+++ b/tests/test_answers_search.py
@@ -14,7 +14,7 @@
 import pytest
 
 from marblestair.core.controller import Controller
-from marblestair.core.runtime.requests import CompareAndSwap, Get
+from marblestair.core.runtime.store_requests import CompareAndSwap, Get
 from tests.fakes.deployment import TYPES, spec
 from tests.fakes.world import World
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -95,7 +95,8 @@
 
 
 def test_malformed_answers_of_outside_systems_count_as_failed_calls() -> None:
-    from marblestair.core.runtime.requests import CompareAndSwap, Get, RentMachines, Watch
+    from marblestair.core.runtime.cloud_requests import RentMachines
+    from marblestair.core.runtime.store_requests import CompareAndSwap, Get, Watch
 
     for body in (b"", b"\xc1", wire.pack([1]), wire.pack({"benches": 3})):
         assert wire.cloud_result(RentMachines("r", "t", "z", False, 1), 200, body).status == 0
--- a/tests/test_boots.py
+++ b/tests/test_boots.py
@@ -6,8 +6,8 @@
 
 from marblestair.core.capacity.boot_times import MOST_RATIO, BootTimes
 from marblestair.core.capacity.shard_summary import summarize_shard
-from marblestair.core.leadership.shard_map import MachineRecord
 from marblestair.core.shard.machine import Machine
+from marblestair.core.state.records import MachineRecord
 from tests.fakes.deployment import TYPES, spec
 from tests.fakes.worker import Worker
 from tests.fakes.world import World
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from marblestair.core.runtime.requests import ACCEPT, LEASE, LOOKUP, PROGRESS
+from marblestair.core.runtime.store_requests import Lane
 from marblestair.net.budget import Budget
 
 
@@ -55,8 +55,8 @@
 
     async def check() -> None:
         budget = Budget(20.0, 2.0)
-        assert await budget.take(ACCEPT, 2)
-        order = await order_of(budget, ("commit", ACCEPT, 2), ("read", LOOKUP, 0))
+        assert await budget.take(Lane.ACCEPTANCE, 2)
+        order = await order_of(budget, ("commit", Lane.ACCEPTANCE, 2), ("read", Lane.LOOKUP, 0))
         assert order == ["read", "commit"]
 
     run(check())
@@ -65,9 +65,12 @@
 def test_changes_keep_their_order_and_the_lowest_lane_goes_first() -> None:
     async def check() -> None:
         budget = Budget(20.0, 2.0, 10.0)
-        assert await budget.take(ACCEPT, 2)
+        assert await budget.take(Lane.ACCEPTANCE, 2)
         order = await order_of(
-            budget, ("progress", PROGRESS, 1), ("large", ACCEPT, 2), ("lease", LEASE, 1)
+            budget,
+            ("progress", Lane.PROGRESS, 1),
+            ("large", Lane.ACCEPTANCE, 2),
+            ("lease", Lane.LEASE, 1),
         )
         assert order == ["lease", "large", "progress"]
 
@@ -78,7 +81,7 @@
 def test_what_waits_for_too_long_is_given_up(writes: int) -> None:
     async def check() -> None:
         budget = Budget(1.0, 1.0, 0.5)
-        assert await budget.take(ACCEPT, 1)
-        assert not await budget.take(ACCEPT, writes)
+        assert await budget.take(Lane.ACCEPTANCE, 1)
+        assert not await budget.take(Lane.ACCEPTANCE, writes)
 
     run(check())
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from marblestair.core.domain.model import TaskCommand
+from marblestair.core.domain.agents import TaskCommand
 from marblestair.core.runtime.outbox import UserReply
-from marblestair.core.runtime.requests import CompareAndSwap, GrantLease, Put
+from marblestair.core.runtime.store_requests import CompareAndSwap, GrantLease, Put
 from marblestair.core.state import keys
 from tests.fakes.deployment import TYPES, spec
 from tests.fakes.worker import Worker
--- a/tests/test_cost_of_a_job.py
+++ b/tests/test_cost_of_a_job.py
@@ -7,7 +7,8 @@
 import msgspec
 import pytest
 
-from marblestair.core.runtime.requests import CompareAndSwap, Get, PeerRequest
+from marblestair.core.runtime.requests import PeerRequest
+from marblestair.core.runtime.store_requests import CompareAndSwap, Get
 from tests.fakes.deployment import spec
 from tests.fakes.world import World
 from tests.helpers import manager, steps
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,9 +8,9 @@
 import pytest
 
 from marblestair.core.capacity.failures import FailureAttribution
-from marblestair.core.domain.model import MachineType
+from marblestair.core.domain.machines import MachineType
 from marblestair.core.runtime.outbox import ShardSummary
-from marblestair.core.runtime.requests import ListKeys
+from marblestair.core.runtime.store_requests import ListKeys
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
 from marblestair.core.state import keys
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -6,7 +6,7 @@
 
 from marblestair.core.capacity.decommissioning import nearly_empty_machines
 from marblestair.core.capacity.shard_summary import summarize_shard
-from marblestair.core.domain.model import MachineType
+from marblestair.core.domain.machines import MachineType
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
 from marblestair.core.shard.shard import Shard
--- a/tests/test_lookups.py
+++ b/tests/test_lookups.py
@@ -6,14 +6,8 @@
 
 import pytest
 
-from marblestair.core.runtime.requests import (
-    LEASE,
-    LOOKUP,
-    CompareAndSwap,
-    Get,
-    ListKeys,
-    PeerRequest,
-)
+from marblestair.core.runtime.requests import PeerRequest
+from marblestair.core.runtime.store_requests import CompareAndSwap, Get, Lane, ListKeys
 from marblestair.core.state import keys
 from tests.fakes.deployment import spec
 from tests.helpers import Recorder, manager_of, steps, warm
@@ -67,7 +61,7 @@
     assert all(answer for answer in answers)
     assert recorder.count(Get) == 2 * most
     lanes = {c.lane for c in recorder.calls if isinstance(c, Get) and c.key.endswith("900000")}
-    assert lanes == {LOOKUP}
+    assert lanes == {Lane.LOOKUP}
 
 
 @pytest.mark.parametrize("others", [1, 5])
@@ -118,7 +112,7 @@
         if isinstance(call, ListKeys) and call.prefix.startswith(keys.PROGRESS)
     ]
     assert pages
-    assert {call.lane for call in pages} == {LEASE}
+    assert {call.lane for call in pages} == {Lane.LEASE}
     assert not world.broken
 
 
--- a/tests/test_overlapping_troubles.py
+++ b/tests/test_overlapping_troubles.py
@@ -11,7 +11,7 @@
 from marblestair.core.capacity.planning import plan
 from marblestair.core.capacity.provisioning import AvailableMachine, JobLoad, Tuning
 from marblestair.core.jobs.managed_job import SliceProgress
-from marblestair.core.runtime.requests import CompareAndSwap
+from marblestair.core.runtime.store_requests import CompareAndSwap
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
 from marblestair.core.shard.shard import Shard
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -13,7 +13,8 @@
 
 import pytest
 
-from marblestair.core.runtime.requests import CompareAndSwap, PeerRequest
+from marblestair.core.runtime.requests import PeerRequest
+from marblestair.core.runtime.store_requests import CompareAndSwap
 from marblestair.core.state import keys
 from tests.fakes.deployment import spec
 from tests.fakes.world import World
--- a/tests/test_pipeline_search.py
+++ b/tests/test_pipeline_search.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from marblestair.core.runtime.requests import PROGRESS, CompareAndSwap
+from marblestair.core.runtime.store_requests import CompareAndSwap, Lane
 from tests.fakes.deployment import spec
 from tests.test_answers_search import BUSY_S, Search
 
@@ -106,7 +106,7 @@
 
     def _starve(self, commit: CompareAndSwap) -> float | None:
         """What goes in the lowest lane of changes may be held up for long behind the others."""
-        is_low = commit.lane == PROGRESS and self.rng.random() < 0.8
+        is_low = commit.lane == Lane.PROGRESS and self.rng.random() < 0.8
         return self.rng.uniform(10.0, 60.0) if is_low else None
 
     def _alone_then_out(self) -> None:
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -8,9 +8,9 @@
 import pytest
 
 from marblestair.core.capacity import plan_inputs
-from marblestair.core.domain.model import JobSpec
-from marblestair.core.jobs.answers import JobState, JobStatus, Proof, ProvenStatus
-from marblestair.core.runtime.requests import FINAL, PROGRESS, CompareAndSwap, Get
+from marblestair.core.domain.jobs import JobSpec, JobState
+from marblestair.core.jobs.answers import JobStatus, Proof, ProvenStatus
+from marblestair.core.runtime.store_requests import CompareAndSwap, Get, Lane
 from marblestair.core.state import keys
 from marblestair.core.status import status
 from tests.fakes.deployment import spec
@@ -846,10 +846,10 @@
     world.on_point = note
     cancelled_with_ends_held_back(world)
     told = world.cancel_told["job-000001"]
-    assert lanes[0][1] == PROGRESS
-    due = [at - told for at, lane in lanes if lane == FINAL]
+    assert lanes[0][1] == Lane.PROGRESS
+    due = [at - told for at, lane in lanes if lane == Lane.FINAL_STATE]
     assert 0.1 * world.cancel_s < due[0] < 0.3 * world.cancel_s
-    assert all(lane == FINAL for at, lane in lanes if at > told + due[0])
+    assert all(lane == Lane.FINAL_STATE for at, lane in lanes if at > told + due[0])
     assert world.broken == []
 
 
--- a/tests/test_rental_intents.py
+++ b/tests/test_rental_intents.py
@@ -7,7 +7,7 @@
 import pytest
 
 from marblestair.core.jobs import progress
-from marblestair.core.runtime.requests import RentMachines
+from marblestair.core.runtime.cloud_requests import RentMachines
 from marblestair.core.state import keys
 from tests.fakes.deployment import spec
 from tests.fakes.world import World
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -9,7 +9,7 @@
 import pytest
 
 from marblestair import settings as st
-from marblestair.core.runtime.requests import CompareAndSwap, Put
+from marblestair.core.runtime.store_requests import CompareAndSwap, Put
 from marblestair.core.state import keys
 from marblestair.core.status import status
 from marblestair.node import Node
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -10,12 +10,12 @@
 import msgspec
 import pytest
 
-from marblestair.core.capacity.fleet import RentalIntent
 from marblestair.core.controller import Controller
-from marblestair.core.domain.model import JobRecord, JobSpec, MachineType
-from marblestair.core.leadership.shard_map import MachineRecord, ShardMap
+from marblestair.core.domain.jobs import JobSpec
+from marblestair.core.domain.machines import MachineType
 from marblestair.core.runtime.outbox import ShardSummary
 from marblestair.core.state import keys
+from marblestair.core.state.records import JobRecord, MachineRecord, RentalIntent, ShardMap
 from tests.fakes import production
 from tests.fakes.deployment import TYPES, spec
 from tests.fakes.world import World
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from marblestair.core.runtime.requests import (
+from marblestair.core.runtime.store_requests import (
     CompareAndSwap,
     KeyChange,
     Put,
