--- /dev/null
+++ b/marblestair/core/capacity/catalog_updates.py
@@ -0,0 +1,94 @@
+"""Learns the machine types: from the store first, since the cloud may be down."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import msgspec
+
+from marblestair.core.domain.machines import MachineType
+from marblestair.core.leadership.leadership import Leadership
+from marblestair.core.runtime.cloud_requests import CloudResponse, ListMachineTypes
+from marblestair.core.runtime.context import NodeContext
+from marblestair.core.runtime.coroutines import Coroutine
+from marblestair.core.runtime.requests import Sleep
+from marblestair.core.runtime.store_requests import (
+    CompareAndSwap,
+    Lane,
+    ListKeys,
+    Put,
+    StoreResponse,
+)
+from marblestair.core.state import keys
+from marblestair.core.state.machine_catalog import MachineCatalog
+
+#: keys in one page of a listing
+LISTED_KEYS = 1000
+#: seconds between two questions to the cloud: at least, and the random part
+REFRESH_S, RANDOM_REFRESH_S = 60.0, 30.0
+#: the same while the cloud does not answer: with types known, and without
+RETRY_KNOWN_S, RETRY_UNKNOWN_S = 5.0, 0.8
+#: pause after types were written to the store
+WRITTEN_PAUSE_S = 1.0
+
+
+class CatalogUpdates:
+    """Keeps one node's catalog of machine types up to date."""
+
+    def __init__(
+        self, context: NodeContext, leadership: Leadership, catalog: MachineCatalog
+    ) -> None:
+        self._context = context
+        self._leadership = leadership
+        self._catalog = catalog
+        #: types as the store has them, by name
+        self._stored: dict[str, Any] = {}
+
+    def maintain(self) -> Coroutine[None]:
+        """Learn the types, and their prices again and again, for good."""
+        yield from self._load_stored()
+        while True:
+            response: CloudResponse = yield ListMachineTypes()
+            if response.status != 200 or not response.machine_types:
+                retry_s = RETRY_KNOWN_S if self._catalog.types else RETRY_UNKNOWN_S
+                yield Sleep(retry_s * (0.8 + 0.4 * self._context.rng.random()))
+                continue
+            self.update(response.machine_types)
+            new = [kind for kind in response.machine_types if kind.name not in self._stored]
+            if new:
+                yield from self._store(new)
+                yield Sleep(WRITTEN_PAUSE_S)
+            else:
+                yield Sleep(REFRESH_S + RANDOM_REFRESH_S * self._context.rng.random())
+
+    def update(self, machine_types: list[MachineType]) -> None:
+        """Take in the types, and tell the machines that are here of theirs."""
+        self._catalog.update(machine_types)
+        for shard in self._leadership.shards.values():
+            for machine in shard.machines.values():
+                machine.set_machine_type(self._catalog.types.get(machine.type_name))
+
+    def _load_stored(self) -> Coroutine[None]:
+        """Read what the store has, for as long as it takes."""
+        while not (yield from self._read_stored()):
+            yield Sleep(0.3 + 0.3 * self._context.rng.random())
+        if self._stored:
+            self.update([msgspec.convert(kind, MachineType) for kind in self._stored.values()])
+
+    def _read_stored(self) -> Coroutine[bool]:
+        response: StoreResponse = yield ListKeys(keys.TYPES, "", LISTED_KEYS)
+        if response.status != 200:
+            return False
+        self._stored = {item.key[len(keys.TYPES) :]: item.value for item in response.items}
+        return True
+
+    def _store(self, new: list[MachineType]) -> Coroutine[None]:
+        """Write types that the store lacks; each is written once, by whoever is first."""
+        batch = new[: self._context.settings.cluster.state.txn_ops]
+        puts = [Put(keys.TYPES + kind.name, kind) for kind in batch]
+        absent = [(put.key, 0) for put in puts]
+        response: StoreResponse = yield CompareAndSwap(absent, puts, [], Lane.SHARD_MAP)
+        if response.status == 409:
+            yield from self._read_stored()
+        if response.status == 200:
+            self._stored.update((kind.name, kind) for kind in batch)
--- a/marblestair/core/capacity/decommissioning.py
+++ b/marblestair/core/capacity/decommissioning.py
@@ -5,6 +5,7 @@
 from marblestair.core.capacity.provisioning import LEAST_AGE_S
 from marblestair.core.domain.agents import TaskState
 from marblestair.core.domain.jobs import JobKind
+from marblestair.core.shard.absence import absent_machines
 from marblestair.core.shard.machine import Machine
 from marblestair.core.shard.shard import Shard
 
@@ -12,9 +13,6 @@
 NEARLY_EMPTY = 0.5
 #: report intervals that pass until a task that was stopped and has saved goes on elsewhere
 SAVED_REPORTS = 3.0
-#: how many machines that fall silent at once, at least and as a share of a part, are waited for,
-#: and for how many leases
-TOGETHER, TOGETHER_SHARE, ABSENT_LEASES = 3, 0.06, 3.0
 #: leases of a worker after which a machine of an unknown type that never reported is given up
 UNKNOWN_BOOT_LEASES = 9.0
 
@@ -76,25 +74,6 @@
     return chosen
 
 
-def absent_machines(shard: Shard, lease_s: float, now: float) -> set[str]:
-    """Return machines that fell silent together with many others.
-
-    That is a failure of the network rather than of the machines, and most of them will be back.
-    """
-    gone = [
-        machine
-        for machine in shard.machines.values()
-        if machine.is_silent and machine.agent_incarnation and not machine.has_failed
-    ]
-    if len(gone) < max(TOGETHER, TOGETHER_SHARE * len(shard.machines)):
-        return set()
-    return {
-        machine.name
-        for machine in gone
-        if now - max(machine.last_heartbeat_at, shard.acquired_at) < ABSENT_LEASES * lease_s
-    }
-
-
 def machines_to_release(shard: Shard, lease_s: float, now: float) -> list[str]:
     """Machines to give back because they do not serve: never up, silent, given up, faulty."""
     out = []
--- /dev/null
+++ b/marblestair/core/capacity/fleet_planner.py
@@ -0,0 +1,131 @@
+"""The plan of the whole fleet, which every node computes from the same records and summaries."""
+
+from __future__ import annotations
+
+import math
+
+from marblestair.core.capacity.capacity_refusals import CapacityRefusals
+from marblestair.core.capacity.plan_inputs import PlanInputs
+from marblestair.core.capacity.planning import plan
+from marblestair.core.capacity.provisioning import JobLoad, Plan, Tuning
+from marblestair.core.domain.jobs import JobKind
+from marblestair.core.runtime.context import NodeContext
+from marblestair.core.scheduling.arrivals import Arrivals
+from marblestair.core.scheduling.fleet_plan import FleetPlan
+from marblestair.core.scheduling.quota import infeasible_jobs
+from marblestair.core.state.machine_catalog import MachineCatalog
+from marblestair.core.state.store_view import StoreView
+
+#: seconds between two log lines of the plan
+LOG_S = 10.0
+#: boot time where no type is known, in seconds
+UNKNOWN_BOOT_S = 30.0
+#: share of a team's limit that is counted on for what is due
+LIMIT_SHARE = 0.9
+#: of a running task, so much of its work is left on average
+RUNNING_LEFT = 0.5
+#: the least time over which the need is averaged, in seconds
+LEAST_SMOOTHING_S = 1e-6
+
+
+class FleetPlanner:
+    """Computes the plan on one node."""
+
+    def __init__(
+        self,
+        context: NodeContext,
+        view: StoreView,
+        catalog: MachineCatalog,
+        inputs: PlanInputs,
+        arrivals: Arrivals,
+        refusals: CapacityRefusals,
+        fleet_plan: FleetPlan,
+        tuning: Tuning,
+    ) -> None:
+        self._context = context
+        self._view = view
+        self._catalog = catalog
+        self._inputs = inputs
+        self._arrivals = arrivals
+        self._refusals = refusals
+        self._fleet_plan = fleet_plan
+        self._tuning = tuning
+        #: when the arrays' need for capacity was last averaged, and the average in cpus
+        self._averaged_at = 0.0
+        self._average: float | None = None
+        self._logged_at: float | None = None
+
+    def compute(self) -> Plan:
+        """Compute the plan, and set what placement goes by."""
+        live = sorted(
+            self._view.jobs.values(), key=lambda record: (record.startable_since, record.spec.id)
+        )
+        reported = self._inputs.reported_state()
+        loads = self._inputs.loads(reported, live, self._tuning.patience)
+        machines = self._inputs.machines(reported)
+        self._arrivals.record_jobs(live)
+        computed = plan(
+            loads,
+            machines,
+            self._catalog.types,
+            self._refusals.is_refused,
+            self._arrivals.usual_array_cpus,
+            self._arrivals.expected_gangs,
+            self._tuning,
+            self._smooth_target,
+        )
+        self._fleet_plan.reserved_machines = computed.reserved_machines
+        self._fleet_plan.draining_machines = computed.draining_machines
+        self._fleet_plan.infeasible_jobs = self._find_infeasible(loads)
+        self._log(computed, loads)
+        return computed
+
+    def _smooth_target(self, target: float) -> float:
+        """The arrays' need for capacity, averaged over some boot times."""
+        now = self._context.now
+        types = self._catalog.types.values()
+        boot_s = min((kind.boot_s for kind in types), default=UNKNOWN_BOOT_S)
+        if self._average is None:
+            value = target
+        else:
+            smoothing_s = max(LEAST_SMOOTHING_S, self._tuning.smooth_boots * boot_s)
+            weight = 1 - math.exp(-(now - self._averaged_at) / smoothing_s)
+            value = self._average + weight * (target - self._average)
+        self._averaged_at, self._average = now, value
+        return value
+
+    def _find_infeasible(self, loads: list[JobLoad]) -> set[str]:
+        """Jobs that are put off, so that as many others as possible are done when due."""
+        #: team -> seconds until due, cpu seconds left, and the job
+        due_work: dict[str, list[tuple[float, float, str]]] = {}
+        used_cpus: dict[str, float] = {}
+        for load in loads:
+            spec = load.spec
+            if spec.deadline_s is None or spec.kind == JobKind.GANG:
+                # Gangs and undated work go first and leave the rest of the limit.
+                running_cpus = load.running * spec.cpus
+                used_cpus[spec.team] = used_cpus.get(spec.team, 0.0) + running_cpus
+            else:
+                tasks_left = load.pending + RUNNING_LEFT * load.running
+                cpu_s = tasks_left * spec.cpus * load.run_s
+                due_work.setdefault(spec.team, []).append((load.due_in_s, cpu_s, spec.id))
+        infeasible: set[str] = set()
+        for team, work in due_work.items():
+            limit = max(1.0, self._context.teams[team].cpu_limit - used_cpus.get(team, 0.0))
+            infeasible |= infeasible_jobs(work, LIMIT_SHARE * limit)
+        return infeasible
+
+    def _log(self, computed: Plan, loads: list[JobLoad]) -> None:
+        now = self._context.now
+        if self._logged_at is not None and now - self._logged_at <= LOG_S:
+            return
+        self._logged_at = now
+        running_cpus = sum(load.running * load.spec.cpus for load in loads)
+        allowed_cpus = sum(load.allowed_tasks * load.spec.cpus for load in loads)
+        pending_cpus = sum(load.pending * load.spec.cpus for load in loads)
+        self._context.log(
+            "info",
+            f"plan: arrays need {computed.target_cpus:.0f} cpus of {computed.capacity_cpus:.0f},"
+            f" run on {running_cpus:.0f}, wait for {allowed_cpus:.0f} of {pending_cpus:.0f};"
+            f" {len(computed.reserved_machines)} machines for gangs, rent {computed.rentals}",
+        )
--- /dev/null
+++ b/marblestair/core/capacity/machine_registry.py
@@ -0,0 +1,189 @@
+"""Machines that belong to no shard: found by their heartbeats or in the cloud's list.
+
+They are taken into a shard, or released when they may not go on.
+"""
+
+from __future__ import annotations
+
+from marblestair.core.domain.agents import Heartbeat
+from marblestair.core.leadership.leadership import Leadership
+from marblestair.core.runtime.cloud_requests import (
+    CloudResponse,
+    ListedMachine,
+    ListMachines,
+    ReleaseMachines,
+)
+from marblestair.core.runtime.context import NodeContext
+from marblestair.core.runtime.coroutines import Coroutine
+from marblestair.core.runtime.requests import InspectAgent, Sleep
+from marblestair.core.runtime.store_requests import CompareAndSwap, Lane, Put, StoreResponse
+from marblestair.core.shard.heartbeat_response import HeartbeatResponse
+from marblestair.core.shard.shard import Shard
+from marblestair.core.state import keys
+from marblestair.core.state.records import MachineRecord, ShardMap
+from marblestair.core.state.store_view import StoreView
+
+#: shard whose leader goes through the cloud's list for all
+LISTING_SHARD = 0
+#: pause between two listings: at least, and as a ratio to the list's lag
+LEAST_LISTING_PAUSE_S, LISTING_PAUSE_LAGS = 2.0, 1.2
+#: a listed machine is taken in once it is so old, and so many lags of the list older: its rental
+#: may be under way, and in nobody's shard yet
+LEAST_LISTED_AGE_S, LISTED_AGE_LAGS = 15.0, 2
+#: lags for which the list must have shown a machine: one that is gone is listed for a while
+LISTED_LAGS = 2
+#: pause before a machine that did not answer is asked again, or released again
+RETRY_PAUSE_S = 1.0
+#: state of a machine in the cloud's list that has stopped by itself
+FAILED = "failed"
+
+
+class MachineRegistry:
+    """What one node does about machines of no shard."""
+
+    def __init__(self, context: NodeContext, view: StoreView, leadership: Leadership) -> None:
+        self._context = context
+        self._view = view
+        self._leadership = leadership
+        #: machines that are being taken in, and those that are being released
+        self._registering: set[str] = set()
+        self._releasing: set[str] = set()
+
+    # --- by heartbeat ----------------------------------------------------------------------
+
+    def receive_unregistered(self, heartbeat: Heartbeat) -> HeartbeatResponse:
+        """A heartbeat of a machine that belongs to no shard."""
+        name = heartbeat.machine
+        if name in self._view.gone_machines or name in self._releasing:
+            return HeartbeatResponse(503)
+        led_shards = self._leadership.led_shards()
+        shard_map = self._view.shard_map
+        if not led_shards or shard_map is None:
+            return HeartbeatResponse(503)
+        if heartbeat.tasks:
+            # Dropped from the view earlier, yet alive with tasks: it may not go on.
+            self._releasing.add(name)
+            self._context.spawn(self._release([name]))
+            return HeartbeatResponse(503)
+        counts = self._machine_counts(shard_map)
+        best = min(led_shards, key=lambda shard: (counts[shard.shard_id], shard.shard_id))
+        smallest = min(range(len(counts)), key=lambda shard_id: (counts[shard_id], shard_id))
+        if counts[best.shard_id] > counts[smallest] + 1:
+            return HeartbeatResponse(421, leader=self._leadership.leader_of(smallest))
+        if name not in self._registering:
+            self._registering.add(name)
+            self._context.spawn(self._register_inspected(heartbeat, best))
+        return HeartbeatResponse(503)
+
+    def _machine_counts(self, shard_map: ShardMap) -> list[int]:
+        counts = [0] * len(shard_map.shards)
+        for record in self._view.machines.values():
+            counts[record.shard_id] += 1
+        return counts
+
+    def _register_inspected(self, heartbeat: Heartbeat, shard: Shard) -> Coroutine[None]:
+        """Take in a machine that belongs to nobody, if it is there.
+
+        The heartbeat may be a late copy from a machine that was released or taken.
+        """
+        inspected: Heartbeat | None = yield InspectAgent(heartbeat.address)
+        if inspected is None or inspected.machine != heartbeat.machine:
+            yield Sleep(RETRY_PAUSE_S)
+            self._registering.discard(heartbeat.machine)
+            return
+        record = self._record(shard, heartbeat.machine_type, heartbeat.zone, heartbeat.spot)
+        yield from self._register(heartbeat.machine, record)
+
+    def _record(self, shard: Shard, machine_type: str, zone: str, spot: bool) -> MachineRecord:
+        added_at = round(self._context.wall_time, 1)
+        return MachineRecord(shard.shard_id, machine_type, zone, spot, added_at)
+
+    def _register(self, name: str, record: MachineRecord) -> Coroutine[None]:
+        key = keys.MACHINES + name
+        fence = self._leadership.fence_precondition(record.shard_id)
+        swap = CompareAndSwap([(key, 0), fence], [Put(key, record)], [], Lane.SHARD_MAP)
+        response: StoreResponse = yield swap
+        if response.status == 200:
+            self._view.record_commit(swap, response.revision)
+            self._view.publish_changes()
+        self._registering.discard(name)
+
+    def _release(self, names: list[str]) -> Coroutine[None]:
+        response: CloudResponse = yield ReleaseMachines(names)
+        if response.status != 200:
+            yield Sleep(RETRY_PAUSE_S)
+        self._releasing.difference_update(names)
+
+    # --- by the cloud's list ---------------------------------------------------------------
+
+    def watch_machine_list(self) -> Coroutine[None]:
+        """Go through the cloud's list for machines that nobody has, for good."""
+        lag_s = self._context.settings.cluster.cloud.list_lag_s
+        first_listed: dict[str, float] = {}
+        pause_s = max(LEAST_LISTING_PAUSE_S, LISTING_PAUSE_LAGS * lag_s)
+        while True:
+            yield Sleep(pause_s * (0.8 + 0.4 * self._context.rng.random()))
+            is_lister = self._leadership.is_leader(LISTING_SHARD)
+            if not is_lister and not self._has_silent_machines():
+                continue
+            listed = yield from self._list()
+            if listed is None:
+                continue
+            self._mark_failed(listed)
+            if not self._leadership.is_leader(LISTING_SHARD):
+                continue
+            now = self._context.now
+            first_listed = {machine.name: first_listed.get(machine.name, now) for machine in listed}
+            for machine in listed:
+                listed_s = now - first_listed[machine.name]
+                if self._is_unregistered(machine, lag_s) and listed_s >= LISTED_LAGS * lag_s:
+                    self._take_in(machine)
+
+    def _has_silent_machines(self) -> bool:
+        return any(
+            machine.is_silent
+            for shard in self._leadership.led_shards()
+            for machine in shard.machines.values()
+        )
+
+    def _is_unregistered(self, machine: ListedMachine, lag_s: float) -> bool:
+        """Whether a listed machine is in nobody's shard, and not about to be."""
+        name = machine.name
+        if name in self._view.machines or name in self._view.gone_machines:
+            return False
+        if name in self._registering:
+            return False
+        return machine.age_s >= LEAST_LISTED_AGE_S + LISTED_AGE_LAGS * lag_s
+
+    def _take_in(self, machine: ListedMachine) -> None:
+        if machine.state == FAILED:
+            self._context.spawn(self._release([machine.name]))
+        elif machine.name not in self._registering:
+            self._registering.add(machine.name)
+            shard = self._leadership.shards[LISTING_SHARD]
+            record = self._record(shard, machine.machine_type, machine.zone, machine.spot)
+            self._context.spawn(self._register(machine.name, record))
+
+    def _mark_failed(self, listed: list[ListedMachine]) -> None:
+        """What has stopped by itself will not be back."""
+        failed = {machine.name for machine in listed if machine.state == FAILED}
+        if not failed:
+            return
+        for shard in self._leadership.led_shards():
+            for machine in shard.machines.values():
+                # A machine that still sends heartbeats is judged by those.
+                if machine.is_silent and machine.name in failed:
+                    machine.has_failed = True
+
+    def _list(self) -> Coroutine[list[ListedMachine] | None]:
+        """All pages of the cloud's list; None when one of them could not be read."""
+        found: list[ListedMachine] = []
+        after_name = ""
+        while True:
+            response: CloudResponse = yield ListMachines(after_name)
+            if response.status != 200:
+                return None
+            found += response.listed
+            if not response.has_more or not response.listed:
+                return found
+            after_name = response.listed[-1].name
--- a/marblestair/core/capacity/planning.py
+++ b/marblestair/core/capacity/planning.py
@@ -17,19 +17,17 @@
 from marblestair.core.capacity.provisioning import (
     LEAST_AGE_S,
     AvailableMachine,
-    ExpectedGangs,
     JobLoad,
-    MachineKind,
     Plan,
     RentalRequest,
     Tuning,
-    kinds_for_job,
-    per_machine,
     price_per_task,
     spare_gang_count,
 )
 from marblestair.core.domain.jobs import PRIORITY_RANKS, JobKind, JobSpec
+from marblestair.core.domain.machine_kinds import MachineKind, kinds_for_job, tasks_per_machine
 from marblestair.core.domain.machines import MachineType
+from marblestair.core.scheduling.arrivals import ExpectedGangs
 
 #: run times ahead of its due time from which on work is worth ordinary machines, though it may run
 #: on spot ones
@@ -171,7 +169,7 @@
                 return
             count = min(
                 tasks,
-                per_machine(machine.machine_type, spec.resources),
+                tasks_per_machine(machine.machine_type, spec.resources),
                 most_in_zone - in_zone.get(machine.zone, 0),
             )
             if count > 0:
@@ -195,7 +193,7 @@
             kind = (machine.machine_type.name, machine.zone, machine.spot)
             if kind not in holds:
                 fits = spec.may_run_on(*kind)
-                holds[kind] = per_machine(machine.machine_type, spec.resources) if fits else 0
+                holds[kind] = tasks_per_machine(machine.machine_type, spec.resources) if fits else 0
             if holds[kind]:
                 fitting.append(machine)
                 room[machine.zone] = room.get(machine.zone, 0) + holds[kind]
@@ -231,7 +229,7 @@
             best = self._cheapest_first(open_kinds, spec, set())[0]
             count = min(
                 tasks,
-                per_machine(best.machine_type, spec.resources),
+                tasks_per_machine(best.machine_type, spec.resources),
                 most_in_zone - in_zone.get(best.zone, 0),
             )
             self._want(best, 1, shard_id)
@@ -319,7 +317,7 @@
     def _is_served(self, spec: JobSpec) -> bool:
         return any(
             spec.may_run_on(machine.machine_type.name, machine.zone, machine.spot)
-            and per_machine(machine.machine_type, spec.resources)
+            and tasks_per_machine(machine.machine_type, spec.resources)
             for machine in self._machines
             if machine.name not in self._plan.reserved_machines
         )
--- a/marblestair/core/capacity/provisioning.py
+++ b/marblestair/core/capacity/provisioning.py
@@ -7,7 +7,9 @@
 import msgspec
 
 from marblestair.core.domain.jobs import JobSpec
+from marblestair.core.domain.machine_kinds import MachineKind, tasks_per_machine
 from marblestair.core.domain.machines import MachineType
+from marblestair.core.scheduling.arrivals import ExpectedGangs
 
 #: a rental costs at least a minute; nothing is given back before
 LEAST_AGE_S = 58.0
@@ -77,24 +79,6 @@
         return busy_s if self.used_cpus else max(1.0, self.machine_type.boot_s - self.age_s)
 
 
-class MachineKind(msgspec.Struct, frozen=True):
-    """A kind of machine that can be rented."""
-
-    machine_type: MachineType
-    zone: str
-    spot: bool
-
-    @property
-    def key(self) -> tuple[str, str, bool]:
-        """Type, zone and whether spot."""
-        return self.machine_type.name, self.zone, self.spot
-
-    @property
-    def price(self) -> float:
-        """Per hour."""
-        return self.machine_type.spot_price if self.spot else self.machine_type.price
-
-
 class RentalRequest(msgspec.Struct, frozen=True):
     """A rental to make."""
 
@@ -106,33 +90,9 @@
     shard_id: int = -1
 
 
-def per_machine(machine_type: MachineType, need: tuple[int, int, int]) -> int:
-    """How many such tasks an empty machine holds."""
-    return max(
-        0,
-        min(
-            (s // n for s, n in zip(machine_type.capacity, need, strict=True) if n > 0),
-            default=1 << 20,
-        ),
-    )
-
-
-def kinds_for_job(spec: JobSpec, types: dict[str, MachineType]) -> list[MachineKind]:
-    """Every kind of machine a job may run on."""
-    out = []
-    for machine_type in types.values():
-        if per_machine(machine_type, spec.resources) < 1:
-            continue
-        for z in machine_type.zones:
-            for spot in (True, False):
-                if spec.may_run_on(machine_type.name, z, spot):
-                    out.append(MachineKind(machine_type, z, spot))
-    return out
-
-
 def price_per_task(kind: MachineKind, spec: JobSpec, tuning: Tuning, scarce: set[str]) -> float:
     """Price of the share of the machine that one task takes, with what weighs against it."""
-    price = kind.price / max(1, per_machine(kind.machine_type, spec.resources))
+    price = kind.price / max(1, tasks_per_machine(kind.machine_type, spec.resources))
     if kind.spot:
         price *= 1.0 + tuning.spot_risk
     if kind.machine_type.name in scarce:
@@ -140,15 +100,6 @@
     return price
 
 
-class ExpectedGangs(msgspec.Struct, frozen=True):
-    """A class of gangs that comes: one of its jobs, and how often."""
-
-    spec: JobSpec
-    #: whether starts are wanted sooner than a machine boots
-    is_latency_sensitive: bool
-    arrivals_per_s: float = 0.0
-
-
 def spare_gang_count(gangs: ExpectedGangs, types: dict[str, MachineType], least: int) -> int:
     """Count the gangs of a class to keep machines ready for.
 
@@ -157,7 +108,7 @@
     leads = [
         1.2 * machine_type.boot_s + gangs.spec.image_gb / max(machine_type.fetch_gb_per_s, 1e-6)
         for machine_type in types.values()
-        if per_machine(machine_type, gangs.spec.resources)
+        if tasks_per_machine(machine_type, gangs.spec.resources)
     ]
     mean = gangs.arrivals_per_s * min(leads, default=0.0)
     return max(least, math.ceil(mean + math.sqrt(mean)))
--- /dev/null
+++ b/marblestair/core/capacity/releases.py
@@ -0,0 +1,95 @@
+"""Releases: machines given back to the cloud, and what is known once it has confirmed that."""
+
+from __future__ import annotations
+
+from marblestair.core.leadership.leadership import Leadership
+from marblestair.core.runtime.cloud_requests import CloudResponse, ReleaseMachines
+from marblestair.core.runtime.context import NodeContext
+from marblestair.core.runtime.coroutines import Coroutine
+from marblestair.core.runtime.requests import Sleep
+from marblestair.core.runtime.store_requests import CompareAndSwap, Lane, StoreResponse
+from marblestair.core.shard.machine import Machine
+from marblestair.core.shard.shard import Shard
+from marblestair.core.state import keys
+from marblestair.core.state.store_follower import StoreFollower
+from marblestair.core.state.store_view import StoreView
+
+#: pause after a release that the cloud did not confirm
+RETRY_PAUSE_S = 0.5
+#: share of ``cancel_s`` after which a machine that still holds a cancelled task is given up
+GIVE_UP_SHARE = 0.5
+
+
+class Releases:
+    """The releases of one node's shards."""
+
+    def __init__(
+        self,
+        context: NodeContext,
+        view: StoreView,
+        leadership: Leadership,
+        follower: StoreFollower,
+    ) -> None:
+        self._context = context
+        self._view = view
+        self._leadership = leadership
+        self._follower = follower
+
+    def release(self, shard: Shard, machines: list[Machine]) -> Coroutine[None]:
+        """Give machines back. Their tasks are gone once the cloud has said so, not before."""
+        for machine in machines:
+            machine.is_releasing = True
+        names = [machine.name for machine in machines]
+        self._context.log("info", f"releasing {names}")
+        response: CloudResponse = yield ReleaseMachines(names)
+        if response.status == 200:
+            self._context.spawn(self._remove(shard, names))
+            return
+        for machine in machines:
+            # A late copy of the request may still take the machine; it is asked for again.
+            machine.is_releasing = machine.is_given_up
+            if not machine.tasks:
+                machine.idle_since = self._context.now
+        yield Sleep(RETRY_PAUSE_S)
+
+    def _remove(self, shard: Shard, names: list[str]) -> Coroutine[None]:
+        """Delete the records of machines that are gone."""
+        now = self._context.now
+        for name in names:
+            machine = shard.machines.get(name)
+            if machine is not None:
+                shard.forget_tasks(machine, now)
+            self._view.gone_machines[name] = None
+        batch_size = self._context.max_batch_changes
+        while names and self._leadership.shards.get(shard.shard_id) is shard:
+            names = [name for name in names if name in self._view.machines]
+            deleted = [keys.MACHINES + name for name in names[:batch_size]]
+            versions = [(key, self._view.version(key)) for key in deleted]
+            fence = self._leadership.fence_precondition(shard.shard_id)
+            swap = CompareAndSwap([fence, *versions], [], deleted, Lane.FINAL_STATE)
+            response: StoreResponse = yield swap
+            if response.status == 200:
+                self._view.record_commit(swap, response.revision)
+                self._view.publish_changes()
+                names = names[batch_size:]
+                continue
+            if response.status in (0, 409):
+                for key in deleted:
+                    yield from self._follower.refresh_until_read(key)
+            yield Sleep(0.3 + 0.3 * self._context.rng.random())
+
+    def enforce_cancel_deadline(self, shard: Shard) -> None:
+        """Stop answering machines that hold a cancelled task for too long.
+
+        Without 200 responses the agent's lease expires, and the machine is released, so that
+        both the lease and the cloud end the task.
+        """
+        now = self._context.now
+        limit_s = GIVE_UP_SHARE * self._context.settings.cluster.workers.cancel_s
+        for job_slice in shard.slices.values():
+            if not job_slice.is_cancelled or now - job_slice.cancelled_at <= limit_s:
+                continue
+            for machine in job_slice.placed_on.values():
+                if not machine.is_given_up:
+                    machine.is_given_up = True
+                    self._context.log("info", f"{machine.name} does not stop a cancelled task")
--- /dev/null
+++ b/marblestair/core/capacity/rentals.py
@@ -0,0 +1,211 @@
+"""Rentals: each is recorded as an intent before it is sent, under a name that is never reused."""
+
+from __future__ import annotations
+
+import msgspec
+
+from marblestair.core.capacity.capacity_refusals import CapacityRefusals
+from marblestair.core.capacity.provisioning import RentalRequest
+from marblestair.core.leadership.leadership import Leadership
+from marblestair.core.runtime.cloud_requests import CloudResponse, RentMachines
+from marblestair.core.runtime.context import NodeContext
+from marblestair.core.runtime.coroutines import Coroutine
+from marblestair.core.runtime.requests import Sleep
+from marblestair.core.runtime.store_requests import (
+    CompareAndSwap,
+    Lane,
+    ListKeys,
+    Put,
+    StoredKey,
+    StoreResponse,
+)
+from marblestair.core.shard.shard import Shard
+from marblestair.core.state import keys
+from marblestair.core.state.machine_catalog import MachineCatalog
+from marblestair.core.state.records import MachineRecord, RentalIntent
+from marblestair.core.state.store_view import StoreView
+
+#: agents' leases within which a new leader carries out what an earlier one meant to rent
+RECENT_LEASES = 2.0
+#: boot time of a machine of an unknown type, in seconds
+UNKNOWN_BOOT_S = 30.0
+#: boot times for which a kind is not asked for after a refusal, and the least time in seconds
+REFUSED_BOOTS, LEAST_REFUSED_S = 0.5, 5.0
+#: pause before a request without an answer is repeated: at first, its growth, and the longest
+FIRST_PAUSE_S, PAUSE_GROWTH, LONGEST_PAUSE_S = 0.5, 1.6, 4.0
+#: intents in one page of a listing, and the pause before a listing is tried again
+LISTED_INTENTS, LISTING_PAUSE_S = 200, 0.5
+
+
+class Rentals:
+    """The rentals of one node's shards."""
+
+    def __init__(
+        self,
+        context: NodeContext,
+        view: StoreView,
+        leadership: Leadership,
+        catalog: MachineCatalog,
+        refusals: CapacityRefusals,
+    ) -> None:
+        self._context = context
+        self._view = view
+        self._leadership = leadership
+        self._catalog = catalog
+        self._refusals = refusals
+        #: rentals of this process, for names that are never reused
+        self._count = 0
+
+    def _is_current(self, shard: Shard) -> bool:
+        return self._leadership.shards.get(shard.shard_id) is shard
+
+    def rent(self, shard: Shard, rental: RentalRequest) -> Coroutine[int]:
+        """Rent machines; how many the cloud gave, all of them where that is not known."""
+        self._count += 1
+        name = f"r-{shard.term}-{self._count}"
+        key = keys.rental_intent(shard.shard_id, name)
+        intent = RentalIntent(
+            rental.machine_type,
+            rental.zone,
+            rental.spot,
+            rental.count,
+            round(self._context.wall_time, 1),
+        )
+        fence = self._leadership.fence_precondition(shard.shard_id)
+        response: StoreResponse = yield CompareAndSwap(
+            [(key, 0), fence], [Put(key, intent)], [], Lane.SHARD_MAP
+        )
+        if response.status != 200:
+            if response.status == 0:
+                shard.obsolete_keys[key] = None
+            return rental.count
+        return (yield from self._rent_recorded(shard, name, rental, response.revision))
+
+    def _rent_recorded(
+        self, shard: Shard, name: str, rental: RentalRequest, intent_version: int
+    ) -> Coroutine[int]:
+        """Rent under a recorded name, for as long as it takes to know the answer; how many."""
+        machines = yield from self._request(shard, name, rental, intent_version)
+        if machines is None:
+            return 0
+        kind = f"{rental.machine_type} {rental.zone} {rental.spot}"
+        self._context.log("info", f"rented {machines} as {name}: {kind}")
+        if len(machines) < rental.count:
+            self._refuse(rental, 0.0)
+        yield from self._record_machines(shard, name, rental, intent_version, machines)
+        return len(machines)
+
+    def _request(
+        self, shard: Shard, name: str, rental: RentalRequest, intent_version: int
+    ) -> Coroutine[list[str] | None]:
+        """Ask the cloud until it answers: the machines, or None when there are none for us."""
+        pause_s = FIRST_PAUSE_S
+        while True:
+            response: CloudResponse = yield RentMachines(
+                name, rental.machine_type, rental.zone, rental.spot, rental.count
+            )
+            if response.status == 200:
+                return response.machines
+            if response.status == 400 or (response.status == 503 and response.no_capacity):
+                self._refuse(rental, LEAST_REFUSED_S)
+                shard.obsolete_keys[keys.rental_intent(shard.shard_id, name)] = intent_version
+                return None
+            if not self._is_current(shard):
+                return None
+            yield Sleep(pause_s * (0.8 + 0.4 * self._context.rng.random()))
+            pause_s = min(LONGEST_PAUSE_S, pause_s * PAUSE_GROWTH)
+
+    def _refuse(self, rental: RentalRequest, least_s: float) -> None:
+        """The cloud has no more of a kind: it is not asked for a while."""
+        kind = self._catalog.types.get(rental.machine_type)
+        boot_s = kind.boot_s if kind is not None else UNKNOWN_BOOT_S
+        key = (rental.machine_type, rental.zone, rental.spot)
+        self._refusals.refuse(key, max(least_s, REFUSED_BOOTS * boot_s))
+
+    def _record_machines(
+        self,
+        shard: Shard,
+        name: str,
+        rental: RentalRequest,
+        intent_version: int,
+        machines: list[str],
+    ) -> Coroutine[None]:
+        """Put rented machines into the shard, and delete the intent with the last of them."""
+        intent_key = keys.rental_intent(shard.shard_id, name)
+        batch_size = max(1, self._context.max_batch_changes - 1)
+        remaining = list(machines)
+        while remaining:
+            batch, rest = remaining[:batch_size], remaining[batch_size:]
+            puts = [
+                Put(keys.MACHINES + machine, self._machine_record(shard, rental))
+                for machine in batch
+            ]
+            # A try that is carried out only after the machine was released again leaves a record
+            # of a machine that never sends a heartbeat: it is dropped like one that fell.
+            preconditions = [(put.key, 0) for put in puts]
+            preconditions.append(self._leadership.fence_precondition(shard.shard_id))
+            preconditions.append((intent_key, intent_version))
+            swap = CompareAndSwap(preconditions, puts, [] if rest else [intent_key], Lane.SHARD_MAP)
+            response: StoreResponse = yield swap
+            if response.status == 200:
+                self._view.record_commit(swap, response.revision)
+                self._view.publish_changes()
+                remaining = rest
+                continue
+            if not self._is_current(shard):
+                return
+            if response.status == 409:
+                # Recorded by an earlier try, or taken in by somebody in between.
+                remaining = [machine for machine in remaining if self._is_unknown(machine)]
+                if not remaining:
+                    shard.obsolete_keys[intent_key] = None
+                    return
+            yield Sleep(0.2 + 0.2 * self._context.rng.random())
+
+    def _machine_record(self, shard: Shard, rental: RentalRequest) -> MachineRecord:
+        return MachineRecord(
+            shard.shard_id,
+            rental.machine_type,
+            rental.zone,
+            rental.spot,
+            round(self._context.wall_time, 1),
+        )
+
+    def _is_unknown(self, machine: str) -> bool:
+        return machine not in self._view.machines and machine not in self._view.gone_machines
+
+    # --- intents of earlier leaders --------------------------------------------------------
+
+    def finish_recorded(self, shard: Shard) -> Coroutine[None]:
+        """Carry out the rentals that an earlier leader recorded just before its end.
+
+        The same name gives the same machines, so none is left unused and paid for. Older
+        intents were refused, or their machines are recorded, listed or sending heartbeats by now;
+        sending them again would rent machines that nobody needs any more.
+        """
+        prefix = f"{keys.RENTAL_INTENTS}{shard.shard_id}/"
+        after_key = ""
+        while self._is_current(shard):
+            response: StoreResponse = yield ListKeys(prefix, after_key, LISTED_INTENTS)
+            if response.status != 200:
+                yield Sleep(LISTING_PAUSE_S)
+                continue
+            for item in response.items:
+                if not self._is_current(shard):
+                    return
+                name = item.key[len(prefix) :]
+                if not name.startswith(f"r-{shard.term}-"):
+                    yield from self._finish(shard, name, item)
+            if not response.has_more or not response.items:
+                return
+            after_key = response.items[-1].key
+
+    def _finish(self, shard: Shard, name: str, item: StoredKey) -> Coroutine[None]:
+        intent = msgspec.convert(item.value, RentalIntent)
+        recent_s = RECENT_LEASES * self._context.settings.cluster.workers.lease_s
+        recorded_at = intent.recorded_at
+        if recorded_at is not None and self._context.wall_time - recorded_at > recent_s:
+            shard.obsolete_keys[item.key] = item.version
+            return
+        rental = RentalRequest(intent.machine_type, intent.zone, intent.spot, intent.count)
+        yield from self._rent_recorded(shard, name, rental, item.version)
--- a/marblestair/core/capacity/spending.py
+++ b/marblestair/core/capacity/spending.py
@@ -2,14 +2,10 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
+from marblestair.core.runtime.context import NodeContext
 from marblestair.core.shard.machine import Machine
 from marblestair.core.shard.shard import Shard
 
-if TYPE_CHECKING:
-    from marblestair.core.controller import Controller
-
 #: seconds between two log lines of a part
 LOG_S = 60.0
 #: a pause longer than this, as after a takeover, is not counted in full
@@ -20,15 +16,15 @@
 class Spending:
     """The money spent by the parts of one node, by kind of use, since it was last logged."""
 
-    def __init__(self, controller: Controller) -> None:
-        self._controller = controller
+    def __init__(self, context: NodeContext) -> None:
+        self._context = context
         self._spent: dict[int, dict[str, float]] = {}
         self._accounted_at: dict[int, float] = {}
         self._logged_at: dict[int, float] = {}
 
     def account(self, shard: Shard) -> None:
         """Count what a part's machines cost since the last call; about once a minute, log it."""
-        now = self._controller.now
+        now = self._context.now
         pause_s = min(LONGEST_PAUSE_S, now - self._accounted_at.get(shard.shard_id, now))
         self._accounted_at[shard.shard_id] = now
         spent = self._spent.setdefault(shard.shard_id, {})
@@ -46,7 +42,7 @@
         total = sum(spent.values())
         uses = ", ".join(f"{use} {money / total:.2f}" for use, money in sorted(spent.items()))
         waiting = sum(len(job_slice.pending) for job_slice in shard.slices.values())
-        self._controller.log(
+        self._context.log(
             "info",
             f"part {shard.shard_id}: {len(shard.machines)} machines,"
             f" {waiting} tasks waiting, spent {total:.3f}: {uses}",
--- a/marblestair/core/jobs/admission.py
+++ b/marblestair/core/jobs/admission.py
@@ -6,13 +6,18 @@
 
 from __future__ import annotations
 
+#: bounds of the time after which a refused request may come back, in seconds
+LEAST_RETRY_S, MOST_RETRY_S = 1, 30
+#: requests per second that a stage serves, at the least
+LEAST_RATE = 0.1
+
 
 class AdmissionStage:
     """Counts what is in a stage and refuses what does not fit."""
 
     def __init__(self, size: int, per_second: float) -> None:
         self.size = max(1, size)
-        self.rate = max(per_second, 0.1)
+        self.rate = max(per_second, LEAST_RATE)
         self.inside = 0
         self.refused = 0
 
@@ -29,5 +34,5 @@
         self.inside -= 1
 
     def retry_after(self) -> int:
-        """Whole seconds after which a refused request has a chance, from 1 to 30."""
-        return max(1, min(30, round(self.inside / self.rate)))
+        """Whole seconds after which a refused request has a chance."""
+        return max(LEAST_RETRY_S, min(MOST_RETRY_S, round(self.inside / self.rate)))
--- a/marblestair/core/jobs/cancellations.py
+++ b/marblestair/core/jobs/cancellations.py
@@ -1,310 +1,242 @@
 """Cancels from the commit of their entry until users may be told.
 
 Three moments differ. A cancel is *committed* once its entry is in the job's change list, *applied*
-once every controller that may act for the job, as owner of a slice or of its manager part, has the
-entry (it launches nothing more of the job, has begun to stop it, and tells nobody that it runs),
-and *confirmed* once a user may be told. The paper's coordinator (Algorithm 3) releases its
-exclusive lock only after the change was made at every active server; here nobody tells of a cancel
-before that, whoever is asked and by whichever request. An owner that may act is one that
-holds its lease and a recent enough view, or promises of all the others:
-
-- by lease, it acts on a view younger than a worker's lease, so an entry older than that is in it;
+once every controller that may act for the job, as leader of a slice's shard or of its manager
+shard, has the entry (it launches nothing more of the job, has begun to stop it, and tells nobody
+that it runs), and *confirmed* once a user may be told. The paper's coordinator (Algorithm 3)
+releases its exclusive lock only after the change was made at every active server; here nobody
+answers that a job is cancelled before that, whoever is asked and by whichever request. A leader
+that may act is one that holds its lease and a recent enough view, or promises of all the others:
+
+- by lease, it acts on a view younger than an agent's lease, so an entry older than that is in it;
 - by promises, it has with every promise the entries that its giver knew (Algorithm 4's transfer
   of missing entries). Whoever confirms a cancel by the passing of time has known the entry for
-  longer than a promise lasts, so each promise of its own that still holds has carried it; also one
-  given before a restart is over by then.
+  longer than a promise lasts, so each promise of its own that is still valid has carried it; also
+  one given before a restart is over by then.
 """
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
-
-from marblestair.core.runtime.coroutines import Coroutine, Step
-from marblestair.core.runtime.decision_log import Decision
+from marblestair.core.jobs.cancel_registry import (
+    KNOWN_EVERYWHERE_LEASES,
+    CancelEntry,
+    CancelRegistry,
+)
+from marblestair.core.jobs.dependencies import DependencyGraph
+from marblestair.core.jobs.managed_job import ManagedJob
+from marblestair.core.jobs.record_reader import RecordReader
+from marblestair.core.leadership.connectivity import Connectivity
+from marblestair.core.leadership.leadership import Leadership
+from marblestair.core.messaging.messages import ApplyCancel, CancelConfirmed
+from marblestair.core.runtime.context import NodeContext
+from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import PeerRequest, Sleep
 from marblestair.core.runtime.store_requests import CompareAndSwap, Lane, Put, StoreResponse
 from marblestair.core.state import keys
-from marblestair.core.state.records import JobRecord, ShardRecord, with_cancel
+from marblestair.core.state.records import JobRecord, ShardMap, ShardRecord, with_cancel
+from marblestair.core.state.store_view import StoreView
 
-if TYPE_CHECKING:
-    from marblestair.core.controller import Controller
-
-#: leases of a worker after which a view that is acted on must hold an entry
-OVER_LEASES = 1.1
-#: time for another controller to apply an entry
+#: time for another controller to apply an entry, in seconds
 APPLY_PEER_S = 0.8
-#: controllers tell one another something twice a second; one that was not heard for this long is
-#: not waited for while a user waits
-UNHEARD_S = 2.0
-#: leases of a worker for which an application is carried on without anybody asking
-CARRY_LEASES = 2.5
-#: applications carried on at once that nobody waits for
-MOST_CARRIED = 64
-#: entries in one promise, which fit into one message; a node that lacks more than these gets none,
-#: and its lease ends
-MOST_ENTRIES = 10_000
-
-
-class CancelEntry:
-    """The cancel of one job, as far as this node knows."""
-
-    __slots__ = ("applied_terms", "is_propagating", "is_confirmed", "revision", "known_since")
-
-    def __init__(self, rev: int, now: float) -> None:
-        #: a revision at which the record held the entry
-        self.revision = rev
-        #: when this node first knew of it
-        self.known_since = now
-        #: part -> term under which its owner said that it has the entry
-        self.applied_terms: dict[int, int] = {}
-        #: users may be told
-        self.is_confirmed = False
-        #: somebody here is at it
-        self.is_propagating = False
+#: controllers send one another something twice a second; one from which nothing came for this long
+#: is not waited for while a user waits
+SILENT_S = 2.0
+#: agents' leases for which a propagation is carried on without anybody asking
+BACKGROUND_LEASES = 2.5
+#: propagations carried on at once that nobody waits for
+MOST_IN_BACKGROUND = 64
+#: pauses between two rounds of a propagation: while a user waits, and in the background
+WAITING_PAUSE_S, BACKGROUND_PAUSE_S = 0.05, 0.5
 
 
 class Cancellations:
-    """What one node knows of committed cancels, and how it has them applied."""
-
-    def __init__(self, controller: Controller) -> None:
-        self.controller = controller
-        self._entries: dict[str, CancelEntry] = {}
-
-    # --- what is known ---------------------------------------------------------------------
-
-    def is_known(self, job: str) -> bool:
-        """Whether a cancel of the job is committed, by the view or ahead of it."""
-        return job in self._entries
-
-    def is_known_confirmed(self, job: str) -> bool:
-        """Whether a cancel is known to be confirmed, without looking whether it could be now."""
-        entry = self._entries.get(job)
-        return entry is not None and entry.is_confirmed
-
-    def record(self, job: str, rev: int) -> CancelEntry:
-        """A cancel is committed: apply it to all that is held here, now and later."""
-        controller = self.controller
-        entry = self._entries.get(job)
-        if entry is None:
-            entry = self._entries[job] = CancelEntry(rev, controller.now)
-            self._note("known", job, rev=rev, view_rev=controller.view.revision)
-            for shard in controller.shards.values():
-                shard.cancel(job, controller.now)
-            controller.dependencies.parent_cancelled(job)
-        return entry
-
-    def record_changed(self, job: str) -> None:
-        """A job's record changed in the view."""
-        record = self.controller.view.jobs.get(job)
-        if record is None:
-            entry = self._entries.get(job)
-            if entry is not None and self.controller.view.revision >= entry.revision:
-                # Buried; its final state tells the rest.
-                self._note("forgotten", job, view_rev=self.controller.view.revision)
-                del self._entries[job]
-        elif record.is_cancelled:
-            self.record(job, self.controller.view.version(keys.JOBS + job))
-
-    def prune(self) -> None:
-        """Forget entries of jobs that are over, which came late or ahead of the view."""
-        controller = self.controller
-        for job in [
-            j for j, entry in self._entries.items() if entry.revision <= controller.view.revision
-        ]:
-            if job not in controller.view.jobs:
-                self._note("forgotten", job, view_rev=controller.view.revision)
-                del self._entries[job]
-
-    # --- what may be told ------------------------------------------------------------------
+    """How one node has committed cancels applied, and when it counts them as confirmed."""
+
+    def __init__(
+        self,
+        context: NodeContext,
+        view: StoreView,
+        leadership: Leadership,
+        connectivity: Connectivity,
+        cancels: CancelRegistry,
+        dependencies: DependencyGraph,
+        managed_jobs: dict[str, ManagedJob],
+        reader: RecordReader,
+    ) -> None:
+        self._context = context
+        self._view = view
+        self._leadership = leadership
+        self._connectivity = connectivity
+        self._cancels = cancels
+        self._dependencies = dependencies
+        self._managed_jobs = managed_jobs
+        self._reader = reader
+
+    # --- confirmation ----------------------------------------------------------------------
 
     def shards_without_entry(self, job: str) -> list[int] | None:
-        """List the parts whose owners may act without the entry.
+        """List the shards whose leaders may act without the entry.
 
-        None when that cannot be told, because owners may have changed before the entry was
+        None when that cannot be told, because leaders may have changed before the entry was
         committed and are not in the view yet.
         """
-        view = self.controller.view
-        entry = self._entries.get(job)
+        view = self._view
+        entry = self._cancels.get(job)
         record = view.jobs.get(job)
-        if (
-            entry is None
-            or record is None
-            or view.shard_map is None
-            or view.revision < entry.revision
-        ):
+        if entry is None or record is None:
+            return None
+        if view.shard_map is None or view.revision < entry.revision:
             return None
         if self._is_known_everywhere(entry):
             return []
         return [
-            number
-            for number in sorted(self._concerned_shards(job, record))
-            if not self._has_entry(number, view.shard_map.shards[number], entry)
+            shard_id
+            for shard_id in sorted(self._concerned_shards(job, record))
+            if not self._has_entry(shard_id, view.shard_map.shards[shard_id], entry)
         ]
 
     def _concerned_shards(self, job: str, record: JobRecord) -> set[int]:
-        """Parts whose owners may act for the job or tell of it, or of what needs it.
+        """Shards whose leaders may act for the job or answer about it, or what depends on it.
 
-        Its slices' owners may start its tasks, its manager's owner may tell that it runs, and the
-        managers' owners of its descendants that those are queued.
+        The leaders of its slices may start its tasks, its manager may answer that it runs, and the
+        managers of its descendants that those are queued.
         """
-        numbers = {record.manager_shard, *map(int, record.slices)}
-        for descendant in self.controller.dependencies.descendants(job):
-            # One that is over, though the index does not show it yet, is told of by nobody.
-            live = self.controller.view.jobs.get(descendant)
+        shard_ids = {record.manager_shard, *map(int, record.slices)}
+        for descendant in self._dependencies.descendants(job):
+            # Of one that is over, though the index does not show it yet, nobody answers that.
+            live = self._view.jobs.get(descendant)
             if live is not None:
-                numbers.add(live.manager_shard)
-        return numbers
+                shard_ids.add(live.manager_shard)
+        return shard_ids
 
-    def _has_entry(self, number: int, shard: ShardRecord, entry: CancelEntry) -> bool:
-        """Whether a part's present owner is known to have applied an entry."""
-        is_here = (shard.leader, shard.incarnation) == self.controller.identity
-        return is_here or entry.applied_terms.get(number) == shard.term
+    def _has_entry(self, shard_id: int, shard: ShardRecord, entry: CancelEntry) -> bool:
+        """Whether a shard's present leader is known to have applied an entry."""
+        is_here = (shard.leader, shard.incarnation) == self._context.identity
+        return is_here or entry.applied_terms.get(shard_id) == shard.term
 
     def _is_known_everywhere(self, entry: CancelEntry) -> bool:
         """Whether whoever has not applied an entry by now can act no more."""
-        lease_s = self.controller.settings.cluster.workers.lease_s
-        return self.controller.now - entry.known_since > OVER_LEASES * lease_s
-
-    @property
-    def unconfirmed_count(self) -> int:
-        """Committed cancels that users may not be told of yet."""
-        return sum(not entry.is_confirmed for entry in self._entries.values())
-
-    @property
-    def oldest_unconfirmed_s(self) -> float:
-        """For how long the oldest of them has been known."""
-        waiting = [entry.known_since for entry in self._entries.values() if not entry.is_confirmed]
-        return self.controller.now - min(waiting) if waiting else 0.0
-
-    def _note(self, what: str, job: str, **facts: object) -> None:
-        self.controller.decisions.note(self.controller.now, Decision.CANCEL, what, job=job, **facts)
+        agent_lease_s = self._context.settings.cluster.workers.lease_s
+        return self._context.now - entry.known_since > KNOWN_EVERYWHERE_LEASES * agent_lease_s
 
     def is_confirmed(self, job: str) -> bool:
-        """Whether users may be told that the job is cancelled."""
-        entry = self._entries.get(job)
+        """Whether users may be told that the job is cancelled; marks it so when they may."""
+        entry = self._cancels.get(job)
         if entry is None:
             return False
         if not entry.is_confirmed and self.shards_without_entry(job) == []:
-            self._note(
-                "confirmed",
-                job,
-                after_s=round(self.controller.now - entry.known_since, 2),
-                by=f"answers {entry.applied_terms}"
-                if not self._is_known_everywhere(entry)
-                else "time",
-                view_rev=self.controller.view.revision,
-            )
-            self.mark_confirmed(job, entry.revision)
-            for peer in self.controller.settings.others:
-                self.controller.send(peer.node, "confirmed", [job, entry.revision])
+            self._log_confirmed(job, entry)
+            self._cancels.mark_confirmed(job, entry.revision)
+            self._context.broadcast(CancelConfirmed(job, entry.revision))
         return entry.is_confirmed
 
-    def mark_confirmed(self, job: str, rev: int) -> None:
-        """A user may be told, here or by another node that has said so."""
-        entry = self.record(job, rev)
-        if not entry.is_confirmed:
-            entry.is_confirmed = True
-            self.controller.dependencies.cancel_confirmed(job)
+    def _log_confirmed(self, job: str, entry: CancelEntry) -> None:
+        by_time = self._is_known_everywhere(entry)
+        self._cancels.log(
+            "confirmed",
+            job,
+            after_s=round(self._context.now - entry.known_since, 2),
+            by="time" if by_time else f"answers {entry.applied_terms}",
+            view_rev=self._view.revision,
+        )
 
-    # --- having it applied -----------------------------------------------------------------
+    # --- propagation -----------------------------------------------------------------------
 
-    def apply_entry(self, job: str, rev: int) -> list[list[int]]:
-        """Another node asks to apply an entry: the parts and terms for which that is done."""
-        self.record(job, rev)
-        return [[shard.shard_id, shard.term] for shard in self.controller.led_shards()]
+    def apply_entry(self, job: str, revision: int) -> list[list[int]]:
+        """Another node asks to apply an entry: the shards and terms for which that is done."""
+        self._cancels.record(job, revision)
+        return [[shard.shard_id, shard.term] for shard in self._leadership.led_shards()]
 
-    def propagate(self, job: str, heard_s: float = 1e9) -> Step:
-        """Ask every owner that may lack the entry to apply it, the latest heard first.
+    def propagate(self, job: str, silent_s: float | None = None) -> Coroutine[bool]:
+        """Ask every leader that may lack the entry to apply it, the latest received from first.
 
-        Owners that were not heard within ``heard_s`` are left out. Returns whether the
+        Leaders from which nothing came for ``silent_s``, or ever, are left out. Returns whether the
         cancel is confirmed.
         """
-        controller = self.controller
-        shard_map, entry = controller.view.shard_map, self._entries.get(job)
-        nodes: dict[str, None] = {}
-        for p in self.shards_without_entry(job) or ():
-            if shard_map is not None:
-                nodes[shard_map.shards[p].leader] = None
-        for node in sorted(nodes, key=lambda n: (-controller.last_received_at.get(n, -1e9), n)):
-            if (
-                entry is None
-                or node == controller.node
-                or controller.now - controller.last_received_at.get(node, -1e9) > heard_s
-            ):
-                continue
-            got = yield PeerRequest(node, "apply", [job, entry.revision], APPLY_PEER_S)
-            for pair in got if isinstance(got, list) else ():
-                entry.applied_terms[int(pair[0])] = int(pair[1])
+        entry = self._cancels.get(job)
+        shard_map = self._view.shard_map
+        if entry is not None and shard_map is not None:
+            for node in self._leaders_without_entry(job, shard_map):
+                if node == self._context.node or self._is_silent(node, silent_s):
+                    continue
+                request = ApplyCancel(job, entry.revision)
+                applied = yield PeerRequest(node, request, APPLY_PEER_S)
+                for pair in applied if isinstance(applied, list) else ():
+                    entry.applied_terms[int(pair[0])] = int(pair[1])
         return self.is_confirmed(job)
 
-    def await_confirmation(self, job: str, most_s: float) -> Step:
+    def _leaders_without_entry(self, job: str, shard_map: ShardMap) -> list[str]:
+        """Leaders that may lack the entry, those first from which something came latest."""
+        nodes = {
+            shard_map.shards[shard_id].leader for shard_id in self.shards_without_entry(job) or ()
+        }
+        last = self._connectivity.last_received_at
+        received = sorted((node for node in nodes if node in last), key=lambda n: (-last[n], n))
+        return received + sorted(node for node in nodes if node not in last)
+
+    def _is_silent(self, node: str, silent_s: float | None) -> bool:
+        """Whether nothing has come from a node, ever or for longer than some seconds."""
+        last = self._connectivity.last_received_at.get(node)
+        if last is None:
+            return True
+        return silent_s is not None and self._context.now - last > silent_s
+
+    def await_confirmation(self, job: str, most_s: float) -> Coroutine[bool]:
         """Have a committed cancel applied within some time; whether it is confirmed."""
-        controller = self.controller
-        until = controller.now + most_s
-        while self.is_known(job):
-            # A user waits: those that do not answer anyway are left to what goes on afterwards.
-            if (yield from self.propagate(job, UNHEARD_S)):
+        until = self._context.now + most_s
+        while self._cancels.is_known(job):
+            # A user waits: those that do not reply anyway are left to what goes on afterwards.
+            if (yield from self.propagate(job, SILENT_S)):
                 return True
-            if controller.now >= until:
+            if self._context.now >= until:
                 self.propagate_in_background(job)
                 return False
-            yield Sleep(0.05)
+            yield Sleep(WAITING_PAUSE_S)
         return False
 
     def propagate_in_background(self, job: str) -> None:
-        """Go on with it while nobody waits, for a bounded time."""
-        entry = self._entries.get(job)
+        """Go on with a propagation while nobody waits, for a bounded time."""
+        entry = self._cancels.get(job)
         if entry is None or entry.is_confirmed or entry.is_propagating:
             return
-        managed = self.controller.job_managers.managed.get(job)
+        managed = self._managed_jobs.get(job)
         if managed is not None and managed.is_advancing:
             return
-        if sum(x.is_propagating for x in self._entries.values()) < MOST_CARRIED:
+        in_background = sum(other.is_propagating for other in self._cancels.entries())
+        if in_background < MOST_IN_BACKGROUND:
             entry.is_propagating = True
-            self.controller.spawn(self._propagate_until_confirmed(job, entry))
+            self._context.spawn(self._propagate_until_confirmed(job, entry))
 
-    def _propagate_until_confirmed(self, job: str, entry: CancelEntry) -> Coroutine:
-        controller = self.controller
-        until = controller.now + CARRY_LEASES * controller.settings.cluster.workers.lease_s
+    def _propagate_until_confirmed(self, job: str, entry: CancelEntry) -> Coroutine[None]:
+        agent_lease_s = self._context.settings.cluster.workers.lease_s
+        until = self._context.now + BACKGROUND_LEASES * agent_lease_s
         try:
-            while (
-                self._entries.get(job) is entry
-                and controller.now < until
-                and not entry.is_confirmed
-            ):
-                if (yield from self.propagate(job)):
+            while self._cancels.get(job) is entry and not entry.is_confirmed:
+                if self._context.now >= until or (yield from self.propagate(job)):
                     return
-                yield Sleep(0.5)
+                yield Sleep(BACKGROUND_PAUSE_S)
         finally:
             entry.is_propagating = False
 
-    def commit_entry(self, job: str) -> Step:
-        """Commit the entry by way of the record, where the manager is not heard.
+    # --- by way of the record --------------------------------------------------------------
+
+    def commit_entry(self, job: str) -> Coroutine[None]:
+        """Commit the entry of a cancel to the record, where the manager does not reply.
 
         A refused or silent connection shows nothing about the controller behind it, so nothing
-        is taken from it; every owner that can read finds the entry by its watch.
+        is taken from it; every leader that can read finds the entry by its watch.
         """
-        controller = self.controller
-        state = yield from controller.answers.read_record(job)
-        record = controller.view.jobs.get(job)
-        if state is None or record is None or record.is_cancelled:
+        status = yield from self._reader.read_record(job)
+        record = self._view.jobs.get(job)
+        if status is None or record is None or record.is_cancelled:
             return
         key = keys.JOBS + job
-        new = with_cancel(record, controller.settings.cluster.state.value_kb)
-        commit = CompareAndSwap(
-            [(key, controller.view.version(key))], [Put(key, new)], [], Lane.ACCEPTANCE
+        cancelled = with_cancel(record, self._context.settings.cluster.state.value_kb)
+        swap = CompareAndSwap(
+            [(key, self._view.version(key))], [Put(key, cancelled)], [], Lane.ACCEPTANCE
         )
-        response: StoreResponse = yield commit
+        response: StoreResponse = yield swap
         if response.status == 200:
-            controller.view.record_commit(commit, response.revision)
-            controller.sync()
+            self._view.record_commit(swap, response.revision)
+            self._view.publish_changes()
         # In doubt or outrun: the next request reads the record afresh.
-
-    # --- promises --------------------------------------------------------------------------
-
-    def entries_after(self, rev: int) -> list[list[Any]] | None:
-        """Entries that a view of some revision may lack; None when they are too many."""
-        out: list[list[Any]] = [
-            [j, entry.revision] for j, entry in self._entries.items() if entry.revision > rev
-        ]
-        return out if len(out) <= MOST_ENTRIES else None
--- a/marblestair/core/jobs/user_requests.py
+++ b/marblestair/core/jobs/user_requests.py
@@ -2,66 +2,94 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from marblestair.core.domain.jobs import FINAL_STATES, JobSpec, JobState
 from marblestair.core.jobs.acceptance import RETRY_S, Acceptance, Outcome
-from marblestair.core.jobs.answers import UNKNOWN, JobStatus
-from marblestair.core.runtime.coroutines import Coroutine, Step
+from marblestair.core.jobs.answers import Answers
+from marblestair.core.jobs.cancel_registry import CancelRegistry
+from marblestair.core.jobs.cancellations import Cancellations
+from marblestair.core.jobs.final_states import FinalStates
+from marblestair.core.jobs.job_managers import JobManagers
+from marblestair.core.jobs.job_status import UNKNOWN, JobStatus
+from marblestair.core.jobs.record_reader import RecordReader
+from marblestair.core.leadership.connectivity import Connectivity
+from marblestair.core.leadership.leadership import Leadership
+from marblestair.core.messaging.messages import CancelJob
+from marblestair.core.runtime.context import NodeContext
+from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.outbox import UserReply
 from marblestair.core.runtime.requests import PeerRequest
+from marblestair.core.state.store_view import StoreView
 
-if TYPE_CHECKING:
-    from marblestair.core.controller import Controller
-
-#: time for another controller to answer a cancel, within the 5 s that a user waits; what is left
-#: of them is for the state service
+#: time for another controller to reply to a cancel, within the 5 s that a user waits; what is left
+#: of them is for the store
 CANCEL_PEER_S = 2.5
-#: time for the owners of slices to apply a cancel that is entered by way of the record
-SETTLE_S = 1.0
+#: time for the leaders of slices to apply a cancel that is entered by way of the record
+CONFIRMATION_S = 1.0
 
 
 class UserRequests:
     """The requests of users at one node."""
 
-    def __init__(self, controller: Controller) -> None:
-        self._controller = controller
-        self._acceptance = Acceptance(controller)
+    def __init__(
+        self,
+        context: NodeContext,
+        view: StoreView,
+        leadership: Leadership,
+        connectivity: Connectivity,
+        acceptance: Acceptance,
+        answers: Answers,
+        final_states: FinalStates,
+        cancels: CancelRegistry,
+        cancellations: Cancellations,
+        job_managers: JobManagers,
+        reader: RecordReader,
+    ) -> None:
+        self._context = context
+        self._view = view
+        self._leadership = leadership
+        self._connectivity = connectivity
+        self._acceptance = acceptance
+        self._answers = answers
+        self._final_states = final_states
+        self._cancels = cancels
+        self._cancellations = cancellations
+        self._job_managers = job_managers
+        self._reader = reader
 
-    def submit(self, request: int, spec: JobSpec) -> Coroutine:
+    def submit(self, request_id: int, spec: JobSpec) -> Coroutine[None]:
         """POST of a job."""
-        outcome: Outcome = yield from self._acceptance.submit(spec)
-        self._reply(request, spec.id, outcome)
+        outcome = yield from self._acceptance.submit(spec)
+        self._reply(request_id, spec.id, outcome)
 
-    def query(self, request: int, job: str) -> Coroutine:
+    def query(self, request_id: int, job: str) -> Coroutine[None]:
         """GET of a job."""
-        status: JobStatus | None = yield from self._controller.answers.lookup(job)
+        status = yield from self._answers.lookup(job)
         if status is None:
             outcome = Outcome(503, UNKNOWN, "state not available", RETRY_S)
         elif status == UNKNOWN:
             outcome = Outcome(404, UNKNOWN, "no such job")
         else:
             outcome = Outcome(200, status)
-        self._reply(request, job, outcome)
+        self._reply(request_id, job, outcome)
 
-    def cancel(self, request: int, job: str) -> Coroutine:
+    def cancel(self, request_id: int, job: str) -> Coroutine[None]:
         """POST of a cancel."""
-        outcome: Outcome = yield from self._cancel(job)
-        self._reply(request, job, outcome)
+        outcome = yield from self._cancel(job)
+        self._reply(request_id, job, outcome)
 
-    def _cancel(self, job: str) -> Step:
-        controller = self._controller
-        answers = controller.answers
-        if job not in answers.final_states and job not in controller.view.jobs:
-            yield from answers.read_record(job)
-        if job in answers.final_states:
-            return Outcome(200, JobStatus(answers.final_states[job]))
+    def _cancel(self, job: str) -> Coroutine[Outcome]:
+        if job not in self._final_states and job not in self._view.jobs:
+            yield from self._reader.read_record(job)
+        if job in self._final_states:
+            return Outcome(200, JobStatus(self._final_states[job]))
         final: JobState | None = None
-        if not controller.is_cut_off():
-            if job in controller.view.jobs:
+        if not self._connectivity.is_cut_off():
+            if job in self._view.jobs:
                 final = yield from self._cancel_live(job)
             else:
-                status: JobStatus | None = yield from answers.lookup(job)
+                status = yield from self._answers.lookup(job)
                 if status == UNKNOWN:
                     return Outcome(404, UNKNOWN, "no such job")
                 if status is not None and status.is_final:
@@ -70,34 +98,36 @@
             return Outcome(503, UNKNOWN, "not cancelled yet", RETRY_S)
         return Outcome(200, JobStatus(final))
 
-    def _cancel_live(self, job: str) -> Step:
+    def _cancel_live(self, job: str) -> Coroutine[JobState | None]:
         """Have a job cancelled whose record is in the view: its final state, or None for now."""
-        controller = self._controller
-        known: JobStatus | None = controller.answers.answerable_status(job, None)
+        known = self._answers.answerable_status(job, None)
         if known is not None:
             return known.state
-        owner = controller.leader_of(controller.view.jobs[job].manager_shard)
-        answer: Any = None
-        if owner == controller.node:
-            answer = yield from controller.job_managers.cancel_managed(job)
-        elif owner is not None:
-            answer = yield PeerRequest(owner, "cancel", [job], CANCEL_PEER_S)
-        if answer in FINAL_STATES:
-            return JobState(answer)
-        if owner == controller.node:
-            return None
-        # The manager is not heard, or cannot write: by way of the record.
-        if not controller.cancellations.is_known(job):
-            yield from controller.cancellations.commit_entry(job)
-        if (yield from controller.cancellations.await_confirmation(job, SETTLE_S)):
+        manager = self._leadership.leader_of(self._view.jobs[job].manager_shard)
+        final = yield from self._ask_manager(manager, job)
+        if final is not None or manager == self._context.node:
+            return final
+        # The manager does not reply, or cannot write: by way of the record.
+        if not self._cancels.is_known(job):
+            yield from self._cancellations.commit_entry(job)
+        if (yield from self._cancellations.await_confirmation(job, CONFIRMATION_S)):
             return JobState.CANCELLED
-        return controller.answers.final_states.get(job)
+        return self._final_states.get(job)
+
+    def _ask_manager(self, manager: str | None, job: str) -> Coroutine[JobState | None]:
+        """Have a job's manager cancel it: its final state, or None."""
+        reply: Any = None
+        if manager == self._context.node:
+            reply = yield from self._job_managers.cancel_managed(job)
+        elif manager is not None:
+            reply = yield PeerRequest(manager, CancelJob(job), CANCEL_PEER_S)
+        return JobState(reply) if reply in FINAL_STATES else None
 
-    def _reply(self, request: int, job: str, outcome: Outcome) -> None:
+    def _reply(self, request_id: int, job: str, outcome: Outcome) -> None:
         status = outcome.status
-        self._controller.replies.append(
+        self._context.outbox.user_replies.append(
             UserReply(
-                request,
+                request_id,
                 outcome.http_status,
                 job,
                 status.state,
--- /dev/null
+++ b/marblestair/core/leadership/coordinator.py
@@ -0,0 +1,55 @@
+"""Starts what keeps this node's leadership, and decides a few times a second who should lead."""
+
+from __future__ import annotations
+
+from marblestair.core.leadership.failover import Failover
+from marblestair.core.leadership.leadership import Leadership
+from marblestair.core.leadership.promises import Promises
+from marblestair.core.leadership.store_lease import StoreLease
+from marblestair.core.leadership.transfer import LeadershipTransfer
+from marblestair.core.runtime.context import NodeContext
+from marblestair.core.runtime.coroutines import Coroutine
+from marblestair.core.state.store_follower import StoreFollower
+
+
+class LeadershipCoordinator:
+    """The leadership of one node over time."""
+
+    def __init__(
+        self,
+        context: NodeContext,
+        follower: StoreFollower,
+        lease: StoreLease,
+        leadership: Leadership,
+        failover: Failover,
+        transfer: LeadershipTransfer,
+        promises: Promises,
+    ) -> None:
+        self._context = context
+        self._follower = follower
+        self._lease = lease
+        self._leadership = leadership
+        self._failover = failover
+        self._transfer = transfer
+        self._promises = promises
+        #: the view has been loaded once
+        self.is_started = False
+
+    def start(self) -> Coroutine[None]:
+        """Load the view, then follow it and keep a lease."""
+        yield from self._follower.load()
+        self.is_started = True
+        self._context.supervise(self._follower.follow)
+        self._context.supervise(self._lease.maintain)
+        self._context.supervise(self._promises.maintain)
+
+    def tick(self, now: float) -> None:
+        """Take over what is orphaned, or hand back what is too much."""
+        self._leadership.log_basis_change(now)
+        self._transfer.note_incarnations(now)
+        if not self.is_started or self._failover.is_in_progress:
+            return
+        if not self._leadership.is_authorized(now):
+            return
+        if not self._failover.begin(now):
+            self._transfer.begin(now)
--- a/marblestair/core/leadership/shard_recovery.py
+++ b/marblestair/core/leadership/shard_recovery.py
@@ -1,73 +1,112 @@
-"""The rebuilding of a part by its new owner: from records and pages of progress, before it acts.
+"""The recovery of a shard by its new leader: from records and pages of progress, before it acts.
 
-Tasks that were held before start elsewhere only once every machine of the part has reported
-under the new term, or surely lost its lease; until then the machines count as suspect.
+Tasks that were there before start elsewhere only once every machine of the shard has sent a
+heartbeat under the new term, or its agent's lease has surely expired; until then the machines
+count as unreconciled.
 """
 
 from __future__ import annotations
 
-from functools import partial
-from typing import TYPE_CHECKING
+from collections.abc import Callable
+from typing import Protocol
 
-from marblestair.core.jobs.progress import load_progress, persist_progress
+from marblestair.core.leadership.failover import Failover
+from marblestair.core.leadership.leadership import Leadership
+from marblestair.core.leadership.progress_pages import ProgressPages, StoredProgress
+from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
+from marblestair.core.state.store_view import StoreView
 
-if TYPE_CHECKING:
-    from marblestair.core.controller import Controller
+#: pause between two checks whether the view has reached the failover
+CHECK_PAUSE_S = 0.02
 
-#: pause between two looks at whether the view has reached the takeover
-LOOK_S = 0.02
 
+class ShardSynchronizer(Protocol):
+    """Brings a shard in line with the view."""
 
-def recover_shard(controller: Controller, shard: Shard, taken_at: int) -> Coroutine:
-    """Rebuild a part that was taken by a commit of the split at a revision."""
-    # Everything committed before the takeover must be in the view first: jobs, cancels, machines.
-    while controller.view.revision < taken_at:
-        yield Sleep(LOOK_S)
-        if controller.shards.get(shard.shard_id) is not shard:
+    def sync_machine(self, name: str, recovering: Shard | None = None) -> None:
+        """Bring a machine in line with the view, also of a shard that is being recovered."""
+
+    def sync_slice(self, shard: Shard, job: str) -> None:
+        """Bring a shard's slice of a job in line with the view."""
+
+
+class ShardRecovery:
+    """Recovers the shards that one node has come to lead."""
+
+    def __init__(
+        self,
+        context: NodeContext,
+        view: StoreView,
+        leadership: Leadership,
+        failover: Failover,
+        progress: ProgressPages,
+        on_ready: Callable[[Shard], None],
+    ) -> None:
+        self._context = context
+        self._view = view
+        self._leadership = leadership
+        self._failover = failover
+        self._progress = progress
+        self._on_ready = on_ready
+
+    def recover(
+        self, shard: Shard, acquired_revision: int, synchronizer: ShardSynchronizer
+    ) -> Coroutine[None]:
+        """Recover a shard that was acquired by a commit of the shard map at a revision."""
+        # Everything committed before must be in the view first: jobs, cancels, machines.
+        while self._view.revision < acquired_revision:
+            yield Sleep(CHECK_PAUSE_S)
+            if self._leadership.shards.get(shard.shard_id) is not shard:
+                return
+        stored = yield from self._progress.load(shard)
+        if stored is None:
             return
-    pages = yield from load_progress(controller, shard)
-    if pages is None:
-        return
-    _take_machines(controller, shard)
-    for job in controller.view.jobs:
-        controller.sync_slice(shard, job)
-    _take_progress(shard, pages)
-    for job_slice in shard.slices.values():
-        # What awaits other jobs never had a task: it may start as soon as it is released.
-        job_slice.is_unreconciled = bool(shard.unreconciled_machines) and not job_slice.is_blocked
-        if job_slice.is_cancelled:
-            # Users may have been told before the earlier owner fell.
-            job_slice.cancelled_at = controller.now - controller.leadership.failover_s
-    shard.is_ready = True
-    controller.log(
-        "info",
-        f"part {shard.shard_id} ready, term {shard.term}: {len(shard.machines)} machines,"
-        f" {len(shard.slices)} jobs, {controller.now - shard.acquired_at:.2f} s after the takeover",
-    )
-    controller.job_managers.shards_changed()
-    controller.coroutines.supervise(partial(persist_progress, controller, shard))
-    controller.coroutines.supervise(partial(controller.fleet.manage_shard, shard))
-
-
-def _take_machines(controller: Controller, shard: Shard) -> None:
-    """Every machine of the part is suspect: what runs there is not known."""
-    for name, member in controller.view.machines.items():
-        if member.shard_id == shard.shard_id:
-            controller.sync_machine(name, shard)
-            shard.unreconciled_machines.add(name)
-
-
-def _take_progress(shard: Shard, pages: dict[str, dict[int, tuple[int, int]]]) -> None:
+        self._add_machines(shard, synchronizer)
+        for job in self._view.jobs:
+            synchronizer.sync_slice(shard, job)
+        _load_progress(shard, stored)
+        self._mark_slices(shard)
+        shard.is_ready = True
+        self._log_ready(shard)
+        self._on_ready(shard)
+
+    def _add_machines(self, shard: Shard, synchronizer: ShardSynchronizer) -> None:
+        """Every machine of the shard is unreconciled: what runs there is not known."""
+        for name, record in self._view.machines.items():
+            if record.shard_id == shard.shard_id:
+                synchronizer.sync_machine(name, shard)
+                shard.unreconciled_machines.add(name)
+
+    def _mark_slices(self, shard: Shard) -> None:
+        has_unreconciled = bool(shard.unreconciled_machines)
+        for job_slice in shard.slices.values():
+            # What depends on other jobs never had a task: it may start as soon as it is released.
+            job_slice.is_unreconciled = has_unreconciled and not job_slice.is_blocked
+            if job_slice.is_cancelled:
+                # Users may have been told before the earlier leader fell.
+                job_slice.cancelled_at = self._context.now - self._failover.duration_s
+
+    def _log_ready(self, shard: Shard) -> None:
+        elapsed_s = self._context.now - shard.acquired_at
+        self._context.log(
+            "info",
+            f"shard {shard.shard_id} ready, term {shard.term}: {len(shard.machines)} machines,"
+            f" {len(shard.slices)} jobs, {elapsed_s:.2f} s after it was acquired",
+        )
+
+
+def _load_progress(shard: Shard, stored: StoredProgress) -> None:
     """What was recorded as done is done; pages of jobs that are over are of no use."""
-    for job, numbered in pages.items():
+    for job, pages in stored.items():
         job_slice = shard.slices.get(job)
-        for page, (bits, version) in numbered.items():
+        for number, page in pages.items():
             if job_slice is None:
-                shard.obsolete_keys[keys.progress_page(shard.shard_id, job, page)] = version
+                key = keys.progress_page(shard.shard_id, job, number)
+                shard.obsolete_keys[key] = page.version
                 continue
-            job_slice.page_versions[page] = version
-            job_slice.load_done_page(page, bits)
+            job_slice.page_versions[number] = page.version
+            job_slice.load_done_page(number, page.bits)
--- /dev/null
+++ b/marblestair/core/peer_service.py
@@ -0,0 +1,162 @@
+"""The messages and requests of other controllers: each kind goes to the component it concerns."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+import msgspec
+
+from marblestair.core.capacity.capacity_refusals import CapacityRefusals
+from marblestair.core.domain.jobs import FINAL_STATES, JobState
+from marblestair.core.jobs.answers import Answers
+from marblestair.core.jobs.cancel_registry import CancelRegistry
+from marblestair.core.jobs.cancellations import Cancellations
+from marblestair.core.jobs.final_states import FinalStates
+from marblestair.core.jobs.job_managers import JobManagers
+from marblestair.core.jobs.migration_locks import MigrationLocks
+from marblestair.core.jobs.progress_reports import ProgressReports
+from marblestair.core.jobs.record_announcements import RecordAnnouncements
+from marblestair.core.leadership.connectivity import Connectivity
+from marblestair.core.leadership.promises import Promises
+from marblestair.core.messaging.messages import (
+    AnnounceMigration,
+    ApplyCancel,
+    CancelConfirmed,
+    CancelJob,
+    JobEnded,
+    LockSlices,
+    ProgressReport,
+    QueryJob,
+    RecordCommitted,
+    ReleaseSlices,
+    RequestPromise,
+    RequestStatus,
+    SendChangeEntries,
+    ShardSummaries,
+    UpdateSlices,
+)
+from marblestair.core.messaging.received_summaries import ReceivedSummaries
+from marblestair.core.runtime.context import NodeContext
+from marblestair.core.runtime.coroutines import Coroutine
+from marblestair.core.runtime.outbox import PeerReply
+from marblestair.core.runtime.requests import PeerMessage
+from marblestair.core.shard.failures import FailureAttribution
+from marblestair.core.state.store_view import StoreView
+
+
+class PeerService:
+    """What one node does with what the others send and ask."""
+
+    def __init__(
+        self,
+        context: NodeContext,
+        view: StoreView,
+        connectivity: Connectivity,
+        promises: Promises,
+        summaries: ReceivedSummaries,
+        failures: FailureAttribution,
+        refusals: CapacityRefusals,
+        final_states: FinalStates,
+        cancels: CancelRegistry,
+        cancellations: Cancellations,
+        answers: Answers,
+        job_managers: JobManagers,
+        reports: ProgressReports,
+        announcements: RecordAnnouncements,
+        migration_locks: MigrationLocks,
+        status: Callable[[], dict[str, object]],
+    ) -> None:
+        self._context = context
+        self._view = view
+        self._connectivity = connectivity
+        self._promises = promises
+        self._summaries = summaries
+        self._failures = failures
+        self._refusals = refusals
+        self._final_states = final_states
+        self._cancels = cancels
+        self._cancellations = cancellations
+        self._answers = answers
+        self._job_managers = job_managers
+        self._reports = reports
+        self._announcements = announcements
+        self._migration_locks = migration_locks
+        self._status = status
+
+    # --- one-way messages ------------------------------------------------------------------
+
+    def receive(self, node: str, message: PeerMessage | None) -> None:
+        """A one-way message of another node; None if this version does not know its kind."""
+        self._connectivity.message_received(node)
+        if isinstance(message, ShardSummaries):
+            self._receive_summaries(node, message)
+        elif isinstance(message, ProgressReport):
+            self._reports.receive(message)
+        elif isinstance(message, CancelConfirmed):
+            self._cancels.mark_confirmed(message.job, message.revision)
+        elif isinstance(message, JobEnded):
+            self._receive_end(node, message)
+        elif isinstance(message, RecordCommitted):
+            self._announcements.receive(message)
+
+    def reject(self, node: str, error: str) -> None:
+        """A message or request of another node could not be decoded."""
+        if node in self._context.settings.nodes:
+            self._connectivity.message_received(node)
+        self._context.log("error", f"{error}, from {node}")
+
+    def _receive_summaries(self, node: str, message: ShardSummaries) -> None:
+        if self._view.nodes.get(node, message.incarnation) != message.incarnation:
+            # A late message of an earlier process, or one of a process not seen yet.
+            return
+        for summary in message.summaries:
+            self._summaries.record(summary)
+            self._failures.receive_failing_jobs(
+                summary.shard_id, summary.failing_jobs, self._context.now
+            )
+        self._connectivity.peer_reaches_agents[node] = message.reaches_agents
+        self._refusals.receive(message.refusals)
+
+    def _receive_end(self, node: str, message: JobEnded) -> None:
+        if message.state not in FINAL_STATES:
+            self._context.log("error", f"not a final state: {message.state}, from {node}")
+            return
+        self._final_states.record(message.job, JobState(message.state))
+
+    # --- requests --------------------------------------------------------------------------
+
+    def receive_request(self, request_id: int, node: str, message: PeerMessage | None) -> None:
+        """A request of another node, or of an operator; answered through the outbox."""
+        if node in self._context.settings.nodes:
+            self._connectivity.message_received(node)
+        self._context.spawn(self._reply(request_id, message))
+
+    def refuse_request(self, request_id: int, node: str, error: str) -> None:
+        """A request could not be decoded: it is answered with nothing."""
+        self.reject(node, error)
+        self._context.outbox.peer_replies.append(PeerReply(request_id, None))
+
+    def _reply(self, request_id: int, message: PeerMessage | None) -> Coroutine[None]:
+        reply = yield from self._answer(message)
+        self._context.outbox.peer_replies.append(PeerReply(request_id, reply))
+
+    def _answer(self, message: PeerMessage | None) -> Coroutine[Any]:
+        """The reply to a request; None where nothing can be replied."""
+        if isinstance(message, QueryJob):
+            return msgspec.to_builtins(self._answers.status_from_memory(message.job))
+        if isinstance(message, CancelJob):
+            return (yield from self._job_managers.cancel_managed(message.job))
+        if isinstance(message, ApplyCancel):
+            return self._cancellations.apply_entry(message.job, message.revision)
+        if isinstance(message, (LockSlices, UpdateSlices, ReleaseSlices)):
+            return (yield from self._migration_locks.handle(message))
+        if isinstance(message, RequestPromise):
+            return self._promises.grant(message)
+        if isinstance(message, AnnounceMigration):
+            return (yield from self._job_managers.slice_arrived(message))
+        if isinstance(message, SendChangeEntries):
+            return self._job_managers.receive_change_entries(message)
+        if isinstance(message, RequestStatus):
+            return self._status()
+        return None
--- a/marblestair/core/runtime/coroutines.py
+++ b/marblestair/core/runtime/coroutines.py
@@ -1,100 +1,106 @@
-"""Flows: steps of the core that wait for outside answers, written as generators.
+"""Coroutines of the core: generators that wait for responses from outside.
 
-A flow yields a call and is resumed with its result. The runner keeps no clock and does no I/O:
-it returns the calls to make and is told of their results, so a story can answer them in any
-order, late, or never.
+A coroutine yields a request and is resumed with the response. The runner keeps no clock and does
+no I/O: it collects the requests to send and is given the responses, so a test can answer them in
+any order, late, or never.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Generator
-from typing import Any, TypeAlias
+from typing import Any, TypeAlias, TypeVar
 
 from marblestair.core.runtime.requests import OutsideRequest, Sleep
 
+#: pause before a supervised coroutine that ended by an error is started again
+RESTART_PAUSE_S = 1.0
+
 
 class Signal:
-    """Something that flows wait for: yielded by each of them, fired once for all."""
+    """Something that coroutines wait for: yielded by each of them, fired once for all."""
 
     def __init__(self) -> None:
-        self.waiters: list[int] = []
+        self.waiting_requests: list[int] = []
+
 
+ResultT = TypeVar("ResultT")
 
-Coroutine: TypeAlias = Generator[OutsideRequest | Signal, Any, None]
-#: a step of a flow with a result, used with ``yield from``
-Step: TypeAlias = Generator[OutsideRequest | Signal, Any, Any]
+#: a coroutine that returns a result; used by others with ``yield from``
+Coroutine: TypeAlias = Generator[OutsideRequest | Signal, Any, ResultT]
 
 
 class CoroutineRunner:
-    """Drives flows; the calls they make are collected until taken."""
+    """Drives coroutines; the requests that they make are collected until taken."""
 
     def __init__(self) -> None:
-        self._next = 1
-        self._waiting: dict[int, Coroutine] = {}
+        self._next_request = 1
+        self._waiting: dict[int, Coroutine[None]] = {}
+        #: when a sleep is over, and its number
         self._sleeping: list[tuple[float, int]] = []
+        #: requests that were made and not taken yet, by their numbers
         self.requests: list[tuple[int, OutsideRequest]] = []
         self.now = 0.0
-        #: told of a flow that ended by an error, which must not end the process
+        #: called with the error that ended a coroutine, which must not end the process
         self.on_error: Callable[[BaseException], None] | None = None
 
-    def spawn(self, flow: Coroutine) -> None:
-        """Start a flow."""
-        self._advance(flow, None)
+    def spawn(self, coroutine: Coroutine[None]) -> None:
+        """Start a coroutine."""
+        self._advance(coroutine, None)
 
-    def supervise(self, make: Callable[[], Coroutine]) -> None:
-        """Start a flow that is to run for good: one that an error ends is started again."""
+    def supervise(self, make: Callable[[], Coroutine[None]]) -> None:
+        """Start a coroutine that is to run for good: one that an error ends is started again."""
         self._advance(self._supervised(make), None)
 
-    def _supervised(self, make: Callable[[], Coroutine]) -> Coroutine:
+    def _supervised(self, make: Callable[[], Coroutine[None]]) -> Coroutine[None]:
         while True:
             try:
                 yield from make()
                 return
-            except Exception as e:
+            except Exception as error:
                 if self.on_error is None:
                     raise
-                self.on_error(e)
-            yield Sleep(1.0)
+                self.on_error(error)
+            yield Sleep(RESTART_PAUSE_S)
 
-    def resume(self, call: int, result: Any) -> None:
-        """Resume the flow that waits for a call; unknown calls are ignored."""
-        flow = self._waiting.pop(call, None)
-        if flow is not None:
-            self._advance(flow, result)
+    def resume(self, request: int, response: Any) -> None:
+        """Resume the coroutine that waits for a request; unknown requests are ignored."""
+        coroutine = self._waiting.pop(request, None)
+        if coroutine is not None:
+            self._advance(coroutine, response)
 
     def fire(self, signal: Signal, result: Any) -> None:
-        """Resume all flows that wait for a signal."""
-        waiters, signal.waiters = signal.waiters, []
-        for call in waiters:
-            self.resume(call, result)
+        """Resume all coroutines that wait for a signal."""
+        waiting, signal.waiting_requests = signal.waiting_requests, []
+        for request in waiting:
+            self.resume(request, result)
 
     def wake(self, now: float) -> None:
-        """Resume the flows whose sleep is over."""
+        """Resume the coroutines whose sleep is over."""
         self.now = now
         if not self._sleeping:
             return
-        due = [c for t, c in self._sleeping if t <= now]
+        due = [request for until, request in self._sleeping if until <= now]
         if due:
-            self._sleeping = [s for s in self._sleeping if s[0] > now]
-            for call in due:
-                self.resume(call, None)
+            self._sleeping = [sleep for sleep in self._sleeping if sleep[0] > now]
+            for request in due:
+                self.resume(request, None)
 
-    def _advance(self, flow: Coroutine, value: Any) -> None:
+    def _advance(self, coroutine: Coroutine[None], response: Any) -> None:
         try:
-            call = flow.send(value)
+            request = coroutine.send(response)
         except StopIteration:
             return
-        except Exception as e:
+        except Exception as error:
             if self.on_error is None:
                 raise
-            self.on_error(e)
+            self.on_error(error)
             return
-        n = self._next
-        self._next += 1
-        self._waiting[n] = flow
-        if isinstance(call, Signal):
-            call.waiters.append(n)
-        elif isinstance(call, Sleep):
-            self._sleeping.append((self.now + call.seconds, n))
+        number = self._next_request
+        self._next_request += 1
+        self._waiting[number] = coroutine
+        if isinstance(request, Signal):
+            request.waiting_requests.append(number)
+        elif isinstance(request, Sleep):
+            self._sleeping.append((self.now + request.seconds, number))
         else:
-            self.requests.append((n, call))
+            self.requests.append((number, request))
--- a/marblestair/core/runtime/outbox.py
+++ b/marblestair/core/runtime/outbox.py
@@ -1,4 +1,4 @@
-"""What a controller hands to its shell and tells other controllers."""
+"""What a controller hands to its shell, to be sent."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 import msgspec
 
 from marblestair.core.domain.agents import TaskCommand
+from marblestair.core.runtime.requests import PeerMessage
 
 
 class UserReply(msgspec.Struct, frozen=True):
@@ -19,11 +20,12 @@
     done: int | None = None
     running: int | None = None
     error: str = ""
+    #: seconds after which a refused user may come back; 0: not said
     retry_after_s: int = 0
 
 
 class DirectCommand(msgspec.Struct, frozen=True):
-    """Orders to send straight to a worker."""
+    """Commands to send straight to an agent."""
 
     address: str
     fencing_token: int
@@ -31,44 +33,33 @@
     commands: list[TaskCommand]
 
 
-class PeerMessage(msgspec.Struct, frozen=True):
+class OutgoingMessage(msgspec.Struct, frozen=True):
     """A one-way message to another controller."""
 
     node: str
-    tag: str
-    args: list[Any]
-
-
-class ShardSummary(msgspec.Struct, array_like=True):
-    """What a node tells the others about one of its parts."""
-
-    shard_id: int
-    term: int
-    #: free room by machine: type, zone, spot, cpus, gpus, memory
-    free_capacity: list[tuple[str, str, bool, int, int, int]]
-    #: the same, for what a hurried gang of high priority may have by stopping arrays
-    preemptible_capacity: list[tuple[str, str, bool, int, int, int]]
-    backlog_cpus: int
-    #: room left under each team's share
-    free_quota: dict[str, list[int]]
-    #: team -> cpus and gpus that waiting tasks lack in this part's share
-    lacking_quota: dict[str, list[int]]
-    #: job, tasks waiting, tasks on machines
-    pending_jobs: list[tuple[str, int, int]]
-    #: machines with tasks, and how much of them is in use
-    busy_machines: list[tuple[str, int]]
-    #: machines without tasks, and for how long
-    idle_machines: list[tuple[str, float]]
-    #: jobs whose tasks must start together and that no part has room for as it is
-    jobs_lacking_capacity: list[str]
-    #: machines that run gangs
-    gang_machines: list[str]
-    #: machines that are not to be counted on
-    leaving_machines: list[str]
-    #: machines that fell silent together with many, and for which is waited
-    absent_machines: list[str]
-    #: team -> what the whole share must hold for the first waiting unit (a task, or a gang) that
-    #: it is too small for
-    starved_teams: dict[str, list[int]]
-    #: jobs of which nothing succeeded, and on how many machines nothing else fails
-    failing_jobs: list[tuple[str, int]] = []
+    message: PeerMessage
+
+
+class PeerReply(msgspec.Struct, frozen=True):
+    """The reply to a request of another controller; None: no reply can be given."""
+
+    request_id: int
+    value: Any
+
+
+class LogLine(msgspec.Struct, frozen=True):
+    """A line for the log; the level is ``error``, ``info`` or ``debug``."""
+
+    level: str
+    text: str
+
+
+class Outbox:
+    """All that a controller has to send and to log, until its shell takes it."""
+
+    def __init__(self) -> None:
+        self.user_replies: list[UserReply] = []
+        self.direct_commands: list[DirectCommand] = []
+        self.messages: list[OutgoingMessage] = []
+        self.peer_replies: list[PeerReply] = []
+        self.log_lines: list[LogLine] = []
--- a/marblestair/core/runtime/requests.py
+++ b/marblestair/core/runtime/requests.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import Any, TypeAlias
+from typing import TypeAlias
 
 import msgspec
 
@@ -10,12 +10,19 @@
 from marblestair.core.runtime.store_requests import StoreRequest
 
 
+class PeerMessage(msgspec.Struct, frozen=True, array_like=True):
+    """What one controller sends to another; each kind is a struct in ``core/messaging``.
+
+    Their fields are sent in order: names may change, the order may not, and new fields come at the
+    end with a default (the version in production reads them too).
+    """
+
+
 class PeerRequest(msgspec.Struct, frozen=True):
-    """Ask another controller; answered with its value, or None when none came in time."""
+    """Ask another controller; answered with its reply, or None when none came in time."""
 
     node: str
-    tag: str
-    args: list[Any]
+    message: PeerMessage
     timeout_s: float
 
 
@@ -26,7 +33,7 @@
 
 
 class InspectAgent(msgspec.Struct, frozen=True):
-    """Ask a worker for its report at once; None when it does not answer."""
+    """Ask an agent for its heartbeat at once; None when it does not answer."""
 
     address: str
 
--- a/marblestair/core/capacity/arrivals.py
+++ b/marblestair/core/scheduling/arrivals.py
@@ -7,15 +7,15 @@
 from __future__ import annotations
 
 from collections import deque
-from typing import TYPE_CHECKING
 
-from marblestair.core.capacity.provisioning import ExpectedGangs, kinds_for_job
+import msgspec
+
 from marblestair.core.domain.jobs import JobKind, JobSpec
+from marblestair.core.domain.machine_kinds import kinds_for_job
+from marblestair.core.runtime.context import NodeContext
+from marblestair.core.state.machine_catalog import MachineCatalog
 from marblestair.core.state.records import JobRecord
 
-if TYPE_CHECKING:
-    from marblestair.core.controller import Controller
-
 #: a class's rate of arrival is taken over this many seconds, or its latest jobs if they are more
 RATE_S, RATE_JOBS = 90.0, 64
 #: jobs whose arrival is remembered, so that none counts twice, if fewer than half of them live
@@ -32,11 +32,21 @@
 NO_AIM_S = 1e9
 
 
+class ExpectedGangs(msgspec.Struct, frozen=True):
+    """A class of gangs that comes: one of its jobs, and how often."""
+
+    spec: JobSpec
+    #: whether starts are wanted sooner than a machine boots
+    is_latency_sensitive: bool
+    arrivals_per_s: float = 0.0
+
+
 class Arrivals:
     """What one node has seen come."""
 
-    def __init__(self, controller: Controller) -> None:
-        self._controller = controller
+    def __init__(self, context: NodeContext, catalog: MachineCatalog) -> None:
+        self._context = context
+        self._catalog = catalog
         #: gang classes that come, and how often
         self.expected_gangs: dict[str, ExpectedGangs] = {}
         #: usual size of an array job within its guarantee
@@ -62,14 +72,14 @@
                 self._recorded.pop(next(iter(self._recorded)))
             if record.spec.kind == JobKind.GANG:
                 self._record_gang(record, start_aims)
-            elif not self._controller.teams[record.spec.team].is_best_effort:
+            elif not self._context.teams[record.spec.team].is_best_effort:
                 self._record_array(record.spec)
         self._forget()
 
     def _start_aims(self) -> dict[str, float]:
         """Class -> its shortest aim for starts, which tells whether a boot is too long."""
         aims: dict[str, float] = {}
-        for objective in self._controller.settings.cluster.objectives:
+        for objective in self._context.settings.cluster.objectives:
             if objective.kind == "wait":
                 known = aims.get(objective.cls, objective.within_s)
                 aims[objective.cls] = min(objective.within_s, known)
@@ -77,36 +87,36 @@
 
     def _guarantee_s(self) -> float:
         """Time within which work within a guarantee is to start."""
-        objectives = self._controller.settings.cluster.objectives
+        objectives = self._context.settings.cluster.objectives
         return min(
             (objective.within_s for objective in objectives if objective.kind == "guarantee"),
             default=NO_AIM_S,
         )
 
     def _record_gang(self, record: JobRecord, start_aims: dict[str, float]) -> None:
-        controller, spec = self._controller, record.spec
-        boots = [kind.machine_type.boot_s for kind in kinds_for_job(spec, controller.machine_types)]
+        spec = record.spec
+        boots = [kind.machine_type.boot_s for kind in kinds_for_job(spec, self._catalog.types)]
         hurry = False
         if boots:
             wanted_s = start_aims.get(spec.job_class, NO_AIM_S)
             hurry = wanted_s < HURRIED_BOOTS * min(boots) or self._guarantee_s() < min(boots)
         at = self._arrived.setdefault(spec.job_class, deque(maxlen=RATE_JOBS))
         at.append(record.startable_since)
-        span_s = controller.wall_time - at[0] if len(at) == RATE_JOBS else RATE_S
-        lately = sum(controller.wall_time - t < RATE_S for t in at)
+        span_s = self._context.wall_time - at[0] if len(at) == RATE_JOBS else RATE_S
+        lately = sum(self._context.wall_time - t < RATE_S for t in at)
         self.expected_gangs[spec.job_class] = ExpectedGangs(
             spec, hurry, lately / max(1.0, min(span_s, RATE_S))
         )
-        self._latest[spec.job_class] = controller.now
+        self._latest[spec.job_class] = self._context.now
 
     def _record_array(self, spec: JobSpec) -> None:
-        size = min(spec.task_count * spec.cpus, self._controller.teams[spec.team].cpus)
+        size = min(spec.task_count * spec.cpus, self._context.teams[spec.team].cpus)
         self.usual_array_cpus += USUAL_WEIGHT * (size - self.usual_array_cpus)
-        self._latest[ARRAYS] = self._controller.now
+        self._latest[ARRAYS] = self._context.now
 
     def _forget(self) -> None:
         for cls, latest in list(self._latest.items()):
-            if self._controller.now - latest <= FORGET_S:
+            if self._context.now - latest <= FORGET_S:
                 continue
             del self._latest[cls]
             self.expected_gangs.pop(cls, None)
--- a/marblestair/core/scheduling/best_effort.py
+++ b/marblestair/core/scheduling/best_effort.py
@@ -7,16 +7,12 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
+from marblestair.core.runtime.context import NodeContext
 from marblestair.core.scheduling.placement import may_run_on_machine
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine, PlacedTask, StopReason
 from marblestair.core.shard.shard import Shard
 
-if TYPE_CHECKING:
-    from marblestair.core.controller import Controller
-
 #: share of a part's capacity below which the work of guests is not stopped
 GUEST_FLOOR = 0.1
 
@@ -24,23 +20,23 @@
 class BestEffortTasks:
     """The guests' tasks in a part, as one look through all that waits finds them."""
 
-    def __init__(self, controller: Controller, shard: Shard) -> None:
+    def __init__(self, context: NodeContext, shard: Shard) -> None:
         self._part = shard
         self._running: list[tuple[float, PlacedTask, Machine]] = []
         #: room that comes up by stops under way and that nobody counts on yet
         self._coming = 0
         self._spare = 0
-        guests = {name for name, team in controller.teams.items() if team.is_best_effort}
+        guests = {name for name, team in context.teams.items() if team.is_best_effort}
         if not guests:
             return
         capacity = 0
         for machine in shard.machines.values():
-            if not machine.is_usable(controller.now) or machine.machine_type is None:
+            if not machine.is_usable(context.now) or machine.machine_type is None:
                 continue
             capacity += machine.machine_type.capacity[0]
             for task in machine.tasks.values():
                 if task.team in guests:
-                    self._add(task, machine, controller.now)
+                    self._add(task, machine, context.now)
         self._spare = sum(task.resources[0] for _, task, _ in self._running) - int(
             GUEST_FLOOR * capacity
         )
--- a/marblestair/core/capacity/demand.py
+++ b/marblestair/core/scheduling/demand.py
@@ -6,17 +6,14 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
 import msgspec
 
 from marblestair.core.domain.jobs import JobKind
+from marblestair.core.scheduling.quota_ledger import QuotaLedger
+from marblestair.core.shard.failures import FailureAttribution
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.shard import Shard
 
-if TYPE_CHECKING:
-    from marblestair.core.controller import Controller
-
 #: cpus and gpus of a team, in fixed point
 Amounts = list[int]
 
@@ -33,34 +30,34 @@
     starved_teams: dict[str, Amounts]
 
 
-def demanded_tasks(controller: Controller, job_slice: JobSlice) -> int:
+def demanded_tasks(failures: FailureAttribution, job_slice: JobSlice) -> int:
     """Count the tasks of a slice that room is wanted for.
 
     A job that probably fails on every machine wants room for one task at a time; such a gang
     wants none and tries where there is room.
     """
     n = len(job_slice.pending)
-    if n and controller.failures.is_quarantined(job_slice.spec.id):
+    if n and failures.is_quarantined(job_slice.spec.id):
         return int(job_slice.spec.kind != JobKind.GANG and not job_slice.placed_on)
     return n
 
 
-def measure_demand(controller: Controller, shard: Shard) -> Demand:
+def measure_demand(failures: FailureAttribution, quotas: QuotaLedger, shard: Shard) -> Demand:
     """Go through a part's waiting slices."""
     demand = Demand(0, {}, {})
     for job_slice in shard.slices.values():
-        n = demanded_tasks(controller, job_slice)
+        n = demanded_tasks(failures, job_slice)
         if not n or job_slice.is_cancelled:
             continue
         demand.backlog_cpus += n * job_slice.resources[0]
         _add(demand.lacking_quota, job_slice, n)
         unit = n if job_slice.spec.kind == JobKind.GANG else 1
-        share = controller.quota(shard, job_slice.spec.team)
+        share = quotas.quota(shard, job_slice.spec.team)
         if unit * job_slice.resources[0] > share[0] or unit * job_slice.resources[1] > share[1]:
             demand.starved_teams.setdefault(
                 job_slice.spec.team, [unit * job_slice.resources[0], unit * job_slice.resources[1]]
             )
-    demand.lacking_quota = _lacking(controller, shard, demand.lacking_quota)
+    demand.lacking_quota = _lacking(quotas, shard, demand.lacking_quota)
     return demand
 
 
@@ -70,13 +67,11 @@
     total[1] += tasks * job_slice.resources[1]
 
 
-def _lacking(
-    controller: Controller, shard: Shard, totals: dict[str, Amounts]
-) -> dict[str, Amounts]:
+def _lacking(quotas: QuotaLedger, shard: Shard, totals: dict[str, Amounts]) -> dict[str, Amounts]:
     """What of the teams' totals is more than their shares leave free here."""
     out = {}
     for team, total in totals.items():
-        used, share = shard.usage(team), controller.quota(shard, team)
+        used, share = shard.usage(team), quotas.quota(shard, team)
         lack = [max(0, total[i] - max(0, share[i] - used[i])) for i in range(2)]
         if any(lack):
             out[team] = lack
--- a/marblestair/core/scheduling/dispatch.py
+++ b/marblestair/core/scheduling/dispatch.py
@@ -9,20 +9,24 @@
 from __future__ import annotations
 
 from collections.abc import Collection, Container
-from typing import TYPE_CHECKING
 
 from marblestair.core.domain.jobs import JobKind
+from marblestair.core.jobs.dependencies import DependencyGraph
+from marblestair.core.runtime.context import NodeContext
+from marblestair.core.scheduling.arrivals import Arrivals
 from marblestair.core.scheduling.best_effort import BestEffortTasks
+from marblestair.core.scheduling.fleet_plan import FleetPlan
+from marblestair.core.scheduling.guarantees import Guarantees
 from marblestair.core.scheduling.placement import place_array, place_gang
-from marblestair.core.scheduling.preemption import PreemptionSurvey
+from marblestair.core.scheduling.preemption import Preemption, PreemptionSurvey
 from marblestair.core.scheduling.quota import priority_key
+from marblestair.core.scheduling.quota_ledger import QuotaLedger
+from marblestair.core.scheduling.run_times import RunTimes
+from marblestair.core.shard.failures import FailureAttribution
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
 from marblestair.core.shard.shard import Shard
 
-if TYPE_CHECKING:
-    from marblestair.core.controller import Controller
-
 #: the largest jobs, too, are to begin within this time of the users' rules; work that has waited
 #: for the second as long is helped ahead of everything else
 BEGIN_S = 240.0
@@ -92,8 +96,30 @@
 class Dispatcher:
     """Placement on one node."""
 
-    def __init__(self, controller: Controller) -> None:
-        self.controller = controller
+    def __init__(
+        self,
+        context: NodeContext,
+        quotas: QuotaLedger,
+        failures: FailureAttribution,
+        run_times: RunTimes,
+        guarantees: Guarantees,
+        arrivals: Arrivals,
+        fleet_plan: FleetPlan,
+        preemption: Preemption,
+        dependencies: DependencyGraph,
+        deadline_offsets_s: dict[str, float],
+    ) -> None:
+        self._context = context
+        self._quotas = quotas
+        self._failures = failures
+        self._run_times = run_times
+        self._guarantees = guarantees
+        self._arrivals = arrivals
+        self._fleet_plan = fleet_plan
+        self._preemption = preemption
+        self._dependencies = dependencies
+        #: class -> seconds by which it is served earlier, from the operators' policy
+        self._deadline_offsets_s = deadline_offsets_s
         self._queues: dict[int, PendingQueue] = {}
         #: parts in which something new waits: the next report goes through all of it
         self.shards_with_new_work: set[int] = set()
@@ -104,21 +130,21 @@
 
         They are put in order once for all that ask at the same moment.
         """
-        at, order = self._ordered.get(shard.shard_id, (-1e9, []))
-        if at == self.controller.now:
-            return [job_slice for job_slice in order if self._is_pending(shard, job_slice)]
+        ordered = self._ordered.get(shard.shard_id)
+        if ordered is not None and ordered[0] == self._context.now:
+            return [job_slice for job_slice in ordered[1] if self._is_pending(shard, job_slice)]
         order = self._order(shard)
-        self._ordered[shard.shard_id] = (self.controller.now, order)
+        self._ordered[shard.shard_id] = (self._context.now, order)
         return list(order)
 
     def _order(self, shard: Shard) -> list[JobSlice]:
-        wall, f = self.controller.wall_time, self.controller.run_time_ratios
+        wall, run_times = self._context.wall_time, self._run_times
         guaranteed, hopeless, lead = (
-            self.controller.guaranteed_jobs,
-            self.controller.fleet.infeasible_jobs,
-            self.controller.deadline_offsets_s,
+            self._guarantees.jobs,
+            self._fleet_plan.infeasible_jobs,
+            self._deadline_offsets_s,
         )
-        suspected = self.controller.failures.is_quarantined
+        suspected = self._failures.is_quarantined
         waiting = [
             job_slice
             for job_slice in shard.slices.values()
@@ -130,11 +156,11 @@
                 job_slice.spec.id in guaranteed,
                 job_slice.spec.id in hopeless,
                 wall + lead.get(job_slice.spec.job_class, 0.0),
-                f.get(job_slice.spec.job_class, 1.0),
+                run_times.ratio(job_slice.spec.job_class),
                 suspected(job_slice.spec.id),
-                self.controller.teams[job_slice.spec.team].is_best_effort,
+                self._context.teams[job_slice.spec.team].is_best_effort,
                 job_slice.startable_since,
-                self.controller.dependencies.has_dependents(job_slice.spec.id),
+                self._dependencies.has_dependents(job_slice.spec.id),
             )
         )
         return waiting
@@ -146,7 +172,7 @@
         order = self.pending_in_order(shard)
         if not order:
             return
-        now, claims = self.controller.now, self.controller.preemption.claims
+        now, claims = self._context.now, self._preemption.claims
         least = min(job_slice.resources[0] for job_slice in order)
         usable = [
             machine
@@ -155,8 +181,8 @@
         ]
         free = [machine for machine in usable if machine.free[0] >= least]
         queue.set_order(self._help_oldest(shard, order, usable, free, queue))
-        look = PlacementPass(usable, free, self.controller.preemption.survey(shard))
-        guest_tasks = BestEffortTasks(self.controller, shard)
+        look = PlacementPass(usable, free, self._preemption.survey(shard))
+        guest_tasks = BestEffortTasks(self._context, shard)
         for job_slice in queue.order:
             if self._is_held_back(job_slice):
                 continue
@@ -174,12 +200,12 @@
         queue: PendingQueue,
     ) -> list[JobSlice]:
         """Help what has waited for long; the order in which the rest is gone through."""
-        wall = self.controller.wall_time
+        wall = self._context.wall_time
         old = [job_slice for job_slice in order if wall - job_slice.startable_since > BOUND_S]
         if not old:
             return order
         self._help_starved(shard, old, usable, free, queue)
-        suspected = self.controller.failures.is_quarantined
+        suspected = self._failures.is_quarantined
         gangs = [
             job_slice
             for job_slice in old
@@ -210,28 +236,27 @@
         elif not self._has_quota_for_one(shard, job_slice, look.reserved_quota):
             look.exhausted_teams[job_slice.spec.team] = need
             return
-        if job_slice.pending.count and job_slice.spec.id in self.controller.guaranteed_jobs:
+        if job_slice.pending.count and job_slice.spec.id in self._guarantees:
             guest_tasks.preempt_for(
                 job_slice, self._lacking_cpus(shard, job_slice, look.reserved_quota)
             )
 
     def _place_gang(self, shard: Shard, job_slice: JobSlice, look: PlacementPass) -> None:
         """Launch a gang, or hold share for it and clear machines if it is urgent."""
-        controller = self.controller
         if (
             self._place_whole_gang(shard, job_slice, look.free, look.reserved_quota)
             or job_slice.placed_on
         ):
             return
-        if controller.failures.is_quarantined(job_slice.spec.id):
+        if self._failures.is_quarantined(job_slice.spec.id):
             return
         held = look.reserved_quota.setdefault(job_slice.spec.team, [0, 0])
-        if controller.fleet.arrivals.is_latency_sensitive(job_slice.spec):
-            share = controller.quota(shard, job_slice.spec.team)
+        if self._arrivals.is_latency_sensitive(job_slice.spec):
+            share = self._quotas.quota(shard, job_slice.spec.team)
             ahead = (share[0] - held[0], share[1] - held[1])
-            if controller.preemption.make_room(shard, job_slice, ahead, True, look.survey):
+            if self._preemption.make_room(shard, job_slice, ahead, True, look.survey):
                 # What comes after it may not fill what is being cleared.
-                look.leave_out(controller.preemption.claims)
+                look.leave_out(self._preemption.claims)
         held[0] += len(job_slice.pending) * job_slice.resources[0]
         held[1] += len(job_slice.pending) * job_slice.resources[1]
 
@@ -241,17 +266,17 @@
         if (
             queue is None
             or machine.free[0] < queue.least_cpus
-            or not machine.is_usable(self.controller.now)
+            or not machine.is_usable(self._context.now)
         ):
             return
-        claim = self.controller.preemption.claims.get(machine.name)
+        claim = self._preemption.claims.get(machine.name)
         if claim is not None:
             # What it was cleared for starts with this very answer, if all its machines are clear.
             gang = shard.slices.get(claim[0])
             if gang is not None and self._is_pending(shard, gang) and not gang.is_unreconciled:
                 self._place_whole_gang(shard, gang, None, {})
             return
-        if machine.name in self.controller.fleet.draining_machines:
+        if machine.name in self._fleet_plan.draining_machines:
             return
         self._fill_with_helped(shard, machine, queue)
         self._fill_in_order(shard, machine, queue)
@@ -302,7 +327,7 @@
             return
         if free >= job_slice.resources[0] and self._place_whole_gang(shard, job_slice, None, held):
             return
-        if self.controller.failures.is_quarantined(job_slice.spec.id):
+        if self._failures.is_quarantined(job_slice.spec.id):
             return
         share = held.setdefault(job_slice.spec.team, [0, 0])
         share[0] += len(job_slice.pending) * job_slice.resources[0]
@@ -310,8 +335,8 @@
 
     def _is_held_back(self, job_slice: JobSlice) -> bool:
         """Whether a slice may not start anything now, whatever room there is."""
-        return job_slice.is_unreconciled or self.controller.failures.is_backing_off(
-            job_slice.spec.id, self.controller.now
+        return job_slice.is_unreconciled or self._failures.is_backing_off(
+            job_slice.spec.id, self._context.now
         )
 
     def _is_pending(self, shard: Shard, job_slice: JobSlice) -> bool:
@@ -325,7 +350,7 @@
     def _available_quota(
         self, shard: Shard, job_slice: JobSlice, held: dict[str, list[int]]
     ) -> tuple[int, int]:
-        share = self.controller.quota(shard, job_slice.spec.team)
+        share = self._quotas.quota(shard, job_slice.spec.team)
         h = held.get(job_slice.spec.team)
         return share if h is None else (share[0] - h[0], share[1] - h[1])
 
@@ -358,19 +383,18 @@
         held: dict[str, list[int]],
         most: int = 1 << 30,
     ) -> int:
-        controller = self.controller
-        hurry = HURRY if job_slice.spec.id in controller.guaranteed_jobs else 1.0
+        hurry = HURRY if job_slice.spec.id in self._guarantees else 1.0
         share = self._available_quota(shard, job_slice, held)
-        if controller.failures.is_quarantined(job_slice.spec.id):
+        if self._failures.is_quarantined(job_slice.spec.id):
             if job_slice.placed_on:
                 return 0
             # It tries with one task at a time.
             most = min(most, 1)
-        keep: Collection[str] = controller.fleet.reserved_machines.keys()
-        drain = controller.fleet.draining_machines
-        waited = controller.now - job_slice.pending_since
+        keep: Collection[str] = self._fleet_plan.reserved_machines.keys()
+        drain = self._fleet_plan.draining_machines
+        waited = self._context.now - job_slice.pending_since
         if keep and not job_slice.placed_on and waited > BESIDE_S:
-            kept = controller.fleet.reserved_machines
+            kept = self._fleet_plan.reserved_machines
             keep = {n for n, job in kept.items() if job and waited <= 2 * BESIDE_S}
             if not any(
                 machine.name not in kept and machine.free[0] >= job_slice.resources[0]
@@ -378,7 +402,7 @@
             ):
                 # One task is enough not to wait; the rest leaves the gang its machines.
                 most = min(most, 1)
-        avoided = controller.failures.avoided_machines(job_slice.spec.id, controller.now)
+        avoided = self._failures.avoided_machines(job_slice.spec.id, self._context.now)
         if avoided:
             keep = avoided.union(keep)
         return place_array(
@@ -387,8 +411,8 @@
             share,
             usable,
             free,
-            controller.now,
-            controller.rng,
+            self._context.now,
+            self._context.rng,
             keep,
             drain,
             hurry,
@@ -403,10 +427,9 @@
         held: dict[str, list[int]],
     ) -> int:
         """Start a gang whole, if there is room, on ``free`` machines or on any."""
-        controller = self.controller
         need = job_slice.resources[0]
         machines = shard.machines.values() if free is None else free
-        avoided = controller.failures.avoided_machines(job_slice.spec.id, controller.now)
+        avoided = self._failures.avoided_machines(job_slice.spec.id, self._context.now)
         options = [
             machine
             for machine in machines
@@ -416,23 +439,24 @@
             # Those that are claimed for this gang are not among them.
             options += [
                 machine
-                for machine in controller.preemption.machines_claimed_for(shard, job_slice.spec.id)
+                for machine in self._preemption.machines_claimed_for(shard, job_slice.spec.id)
                 if machine not in options
             ]
         n = place_gang(
             shard,
             job_slice,
             self._available_quota(shard, job_slice, held),
-            controller.now,
+            self._context.now,
             options,
-            controller.preemption.is_claimed,
+            self._preemption.is_claimed,
         )
         if n:
-            controller.log(
+            waited_s = self._context.wall_time - job_slice.startable_since
+            self._context.log(
                 "info",
-                f"part {shard.shard_id} starts {job_slice.spec.id}:"
+                f"shard {shard.shard_id} starts {job_slice.spec.id}:"
                 f" gang of {job_slice.spec.job_class},"
-                f" {controller.wall_time - job_slice.startable_since:.1f} s after it could start",
+                f" {waited_s:.1f} s after it could start",
             )
         return n
 
@@ -449,7 +473,6 @@
         Of each team, what has not begun gets a few first tasks, and what is older still
         gets a share of the team's room.
         """
-        controller = self.controller
         held: dict[str, int] = {}
         left = queue.remaining_help
         #: teams that are owed a task of what is oldest
@@ -457,7 +480,7 @@
         for job_slice in shard.slices.values():
             if (
                 job_slice.placed_on
-                and controller.wall_time - job_slice.startable_since > BOUND_S
+                and self._context.wall_time - job_slice.startable_since > BOUND_S
                 and job_slice.spec.kind != JobKind.GANG
             ):
                 held[job_slice.spec.team] = (
@@ -479,17 +502,17 @@
             if (
                 job_slice.spec.kind == JobKind.GANG
                 or self._is_held_back(job_slice)
-                or controller.failures.is_quarantined(job_slice.spec.id)
+                or self._failures.is_quarantined(job_slice.spec.id)
             ):
                 continue
             if (
                 begun[job_slice.spec.id]
-                and controller.wall_time - job_slice.startable_since < OLD_S
+                and self._context.wall_time - job_slice.startable_since < OLD_S
             ):
                 continue
             team, need = job_slice.spec.team, job_slice.resources[0]
             if team not in left:
-                left[team] = int(OLD_SHARE * controller.quota(shard, team)[0]) - held.get(team, 0)
+                left[team] = int(OLD_SHARE * self._quotas.quota(shard, team)[0]) - held.get(team, 0)
             # A team of which nothing that old runs gets a task, however large.
             least = 0 if held.get(team) or team in owed else 1
             most = job_slice.size
--- a/marblestair/core/scheduling/inherited_urgency.py
+++ b/marblestair/core/scheduling/inherited_urgency.py
@@ -8,15 +8,15 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
-from typing import TYPE_CHECKING
 
 import msgspec
 
 from marblestair.core.domain.jobs import PRIORITY_RANKS, JobSpec, Priority
+from marblestair.core.jobs.dependencies import DependencyGraph
+from marblestair.core.runtime.context import NodeContext
+from marblestair.core.scheduling.run_times import RunTimes
 from marblestair.core.state.records import JobRecord
-
-if TYPE_CHECKING:
-    from marblestair.core.controller import Controller
+from marblestair.core.state.store_view import StoreView
 
 #: report intervals between the end of a job and the start of one that awaits it
 START_REPORTS = 2.0
@@ -33,8 +33,17 @@
 class InheritedUrgency:
     """The needs that jobs inherit, kept as the jobs that wait come and go."""
 
-    def __init__(self, controller: Controller) -> None:
-        self._controller = controller
+    def __init__(
+        self,
+        context: NodeContext,
+        view: StoreView,
+        dependencies: DependencyGraph,
+        run_times: RunTimes,
+    ) -> None:
+        self._context = context
+        self._view = view
+        self._dependencies = dependencies
+        self._run_times = run_times
         self._inherited: dict[str, InheritedNeed] = {}
         self._changed: set[str] = set()
 
@@ -66,7 +75,7 @@
         stack = sorted(parents)
         while stack:
             job = stack.pop()
-            record = self._controller.view.jobs.get(job)
+            record = self._view.jobs.get(job)
             if record is None:
                 continue
             need = self._need_of_children(job)
@@ -82,8 +91,8 @@
 
     def _need_of_children(self, job: str) -> InheritedNeed | None:
         needs = []
-        for child in self._controller.dependencies.dependents(job):
-            record = self._controller.view.jobs.get(child)
+        for child in self._dependencies.dependents(job):
+            record = self._view.jobs.get(child)
             if record is not None:
                 needs.append(self._need_of(record))
         if not needs:
@@ -97,9 +106,8 @@
         spec = self.scheduling_spec(child)
         if spec.deadline_s is None:
             return InheritedNeed(spec.priority, None)
-        controller = self._controller
-        run_s = spec.estimated_run_s * controller.run_time_ratios.get(spec.job_class, 1.0)
-        start_s = START_REPORTS * controller.settings.cluster.workers.report_s
+        run_s = spec.estimated_run_s * self._run_times.ratio(spec.job_class)
+        start_s = START_REPORTS * self._context.settings.cluster.workers.report_s
         return InheritedNeed(
             spec.priority, round(spec.accepted_at + spec.deadline_s - run_s - start_s, 1)
         )
--- a/marblestair/core/scheduling/preemption.py
+++ b/marblestair/core/scheduling/preemption.py
@@ -6,16 +6,16 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
 from marblestair.core.domain.jobs import PRIORITY_RANKS, JobSpec
+from marblestair.core.leadership.leadership import Leadership
+from marblestair.core.runtime.context import NodeContext
+from marblestair.core.scheduling.arrivals import Arrivals
+from marblestair.core.scheduling.fleet_plan import FleetPlan
 from marblestair.core.scheduling.placement import FreeCapacity, may_run_on_machine, tasks_that_fit
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine, PlacedTask, StopReason
 from marblestair.core.shard.shard import Shard
-
-if TYPE_CHECKING:
-    from marblestair.core.controller import Controller
+from marblestair.core.state.store_view import StoreView
 
 #: a claim lapses after this many report intervals: what was to be stopped has not gone
 CLAIM_REPORTS = 6.0
@@ -28,9 +28,10 @@
 class PreemptionSurvey:
     """What work of a part could be stopped for a priority, counted once for all that ask."""
 
-    def __init__(self, shard: Shard, preemption: Preemption) -> None:
+    def __init__(self, shard: Shard, preemption: Preemption, now: float) -> None:
         self.part = shard
         self.preemption = preemption
+        self._now = now
         self._machines: dict[int, list[tuple[Machine, float, list[int]]]] = {}
         self._teams: dict[tuple[str, int], list[tuple[float, PlacedTask]]] = {}
         self._sums: dict[tuple[str, int], int] = {}
@@ -40,7 +41,7 @@
         out = self._machines.get(level)
         if out is None:
             out = self._machines[level] = []
-            now = self.preemption.controller.now
+            now = self._now
             for machine in self.part.machines.values():
                 if not machine.is_usable(now):
                     continue
@@ -56,7 +57,7 @@
     def _tasks(self, team: str, level: int) -> list[tuple[float, PlacedTask]]:
         found = self._teams.get((team, level))
         if found is None:
-            now = self.preemption.controller.now
+            now = self._now
             found = []
             for other in self.part.slices.values():
                 if other.spec.team != team or PRIORITY_RANKS[other.spec.priority] >= level:
@@ -105,8 +106,19 @@
 class Preemption:
     """Claims of machines on one node, and the choice of what is stopped."""
 
-    def __init__(self, controller: Controller) -> None:
-        self.controller = controller
+    def __init__(
+        self,
+        context: NodeContext,
+        view: StoreView,
+        leadership: Leadership,
+        arrivals: Arrivals,
+        fleet_plan: FleetPlan,
+    ) -> None:
+        self._context = context
+        self._view = view
+        self._leadership = leadership
+        self._arrivals = arrivals
+        self._fleet_plan = fleet_plan
         #: machine -> job that it is cleared for, and until when
         self.claims: dict[str, tuple[str, float]] = {}
 
@@ -115,20 +127,19 @@
         claim = self.claims.get(machine.name)
         if claim is not None:
             return claim[0] != job
-        kept = self.controller.fleet.reserved_machines.get(machine.name, "")
-        return kept not in ("", job) and kept in self.controller.view.jobs
+        kept = self._fleet_plan.reserved_machines.get(machine.name, "")
+        return kept not in ("", job) and kept in self._view.jobs
 
     def tick(self) -> None:
         """Drop claims of jobs that have started or gone, and those that have lapsed."""
-        controller = self.controller
         for name, (job, until) in list(self.claims.items()):
             waits = any(
                 name in shard.machines
                 and (job_slice := shard.slices.get(job)) is not None
                 and not job_slice.placed_on
-                for shard in controller.shards.values()
+                for shard in self._leadership.shards.values()
             )
-            if not waits or controller.now > until:
+            if not waits or self._context.now > until:
                 del self.claims[name]
 
     def _victims(self, shard: Shard, machine: Machine, level: int) -> list[PlacedTask]:
@@ -152,7 +163,7 @@
 
     def survey(self, shard: Shard) -> PreemptionSurvey:
         """What could be stopped in a part; to be kept for one look through all that waits."""
-        return PreemptionSurvey(shard, self)
+        return PreemptionSurvey(shard, self, self._context.now)
 
     def machines_claimed_for(self, shard: Shard, job: str) -> list[Machine]:
         """Machines of a part that are being cleared for a job."""
@@ -241,19 +252,17 @@
 
     def _claim(self, shard: Shard, job: str, chosen: list[tuple[str, list[PlacedTask]]]) -> None:
         """Clear machines for a job."""
-        controller = self.controller
-        report_s = controller.settings.cluster.workers.report_s
-        until = controller.now + CLAIM_REPORTS * report_s
+        report_s = self._context.settings.cluster.workers.report_s
+        until = self._context.now + CLAIM_REPORTS * report_s
         for name, victims in chosen:
             self.claims[name] = (job, until)
             shard.stop_tasks(victims, StopReason.PREEMPTED)
 
     def preemptible_capacity(self, shard: Shard) -> list[FreeCapacity]:
         """Room that a hurried class could have here by stopping lower-priority work."""
-        controller = self.controller
         coming: list[JobSpec] = [
             gangs.spec
-            for gangs in controller.fleet.arrivals.expected_gangs.values()
+            for gangs in self._arrivals.expected_gangs.values()
             if gangs.is_latency_sensitive
         ]
         if not coming:
@@ -263,7 +272,7 @@
         for machine in shard.machines.values():
             if (
                 not machine.tasks
-                or not machine.is_usable(controller.now)
+                or not machine.is_usable(self._context.now)
                 or self.is_claimed(machine)
             ):
                 continue
--- a/marblestair/core/scheduling/quota.py
+++ b/marblestair/core/scheduling/quota.py
@@ -5,40 +5,11 @@
 from collections.abc import Callable
 
 from marblestair.core.domain.amounts import fixed_point_down, fixed_point_up
-from marblestair.core.domain.jobs import PRIORITY_RANKS, JobKind, JobSpec, Priority
-from marblestair.core.domain.machines import MachineType
+from marblestair.core.domain.jobs import PRIORITY_RANKS, JobSpec, Priority
 from marblestair.core.state.records import JobRecord
 from marblestair.settings import Team
 
 
-def rejection_reason(spec: JobSpec, teams: dict[str, Team], types: list[MachineType]) -> str | None:
-    """Why a job can never run, or None: the same answer on every controller."""
-    team = teams.get(spec.team)
-    if team is None:
-        return "unknown team"
-    need = spec.resources
-    options = [
-        machine_type
-        for machine_type in types
-        if (spec.machine_types is None or machine_type.name in spec.machine_types)
-        and (spec.zone is None or spec.zone in machine_type.zones)
-    ]
-    options = [machine_type for machine_type in options if machine_type.can_hold(need)]
-    if not options:
-        return "a task fits no allowed machine type"
-    zones = {z for machine_type in options for z in machine_type.zones if spec.zone in (None, z)}
-    if spec.kind == JobKind.GANG and spec.spread_zones and spec.task_count > 1:
-        # At most half of the tasks may lie in one zone, and all run at the same time.
-        if spec.single_zone or len(zones) < 2:
-            return "its tasks must lie apart, and there is one zone only"
-    n = spec.task_count if spec.kind == JobKind.GANG else 1
-    if n * need[0] > fixed_point_down(team.cpu_limit) or n * need[1] > fixed_point_down(
-        team.gpu_limit
-    ):
-        return "more than the team's limit"
-    return None
-
-
 def jobs_within_guarantee(
     jobs: dict[str, JobRecord],
     teams: dict[str, Team],
--- /dev/null
+++ b/marblestair/core/scheduling/quota_ledger.py
@@ -0,0 +1,25 @@
+"""What each team's tasks may use in a shard: its quota, less what is being given to others."""
+
+from __future__ import annotations
+
+from marblestair.core.shard.shard import Shard
+from marblestair.core.state.store_view import StoreView
+
+
+class QuotaLedger:
+    """The quotas of the shards that one node leads."""
+
+    def __init__(self, view: StoreView) -> None:
+        self._view = view
+        #: shard and team -> cpus and gpus that are lowered here ahead of the commit that gives them
+        #: to another shard
+        self.pending_releases: dict[tuple[int, str], list[int]] = {}
+
+    def quota(self, shard: Shard, team: str) -> tuple[int, int]:
+        """Cpus and gpus that a team's tasks may use in a shard, in fixed point."""
+        shard_map = self._view.shard_map
+        if shard_map is None:
+            return 0, 0
+        cpus, gpus = shard_map.shards[shard.shard_id].quotas.get(team, [0, 0])
+        released = self.pending_releases.get((shard.shard_id, team), [0, 0])
+        return cpus - released[0], gpus - released[1]
--- a/marblestair/core/scheduling/quota_transfers.py
+++ b/marblestair/core/scheduling/quota_transfers.py
@@ -6,19 +6,20 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
-from marblestair.core.capacity.shard_summary import summarize_shard
 from marblestair.core.domain.jobs import JobKind
 from marblestair.core.leadership import shard_map
+from marblestair.core.leadership.leadership import Leadership
+from marblestair.core.leadership.shard_map_updates import ShardMapUpdates, UpdateResult
+from marblestair.core.messaging.received_summaries import ReceivedSummaries
+from marblestair.core.messaging.shard_summary import ShardSummary
+from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
+from marblestair.core.scheduling.quota_ledger import QuotaLedger
+from marblestair.core.scheduling.shard_summary import ShardSummarizer
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
-
-if TYPE_CHECKING:
-    from marblestair.core.controller import Controller
-    from marblestair.core.runtime.outbox import ShardSummary
+from marblestair.core.state.store_view import StoreView
 
 #: seconds for which what a part told of its wants counts
 FRESH_S = 3.0
@@ -29,20 +30,34 @@
 class QuotaTransfers:
     """The room that one node's parts give away."""
 
-    def __init__(self, controller: Controller) -> None:
-        self._controller = controller
+    def __init__(
+        self,
+        context: NodeContext,
+        view: StoreView,
+        leadership: Leadership,
+        shard_map_updates: ShardMapUpdates,
+        quotas: QuotaLedger,
+        summaries: ReceivedSummaries,
+        summarizer: ShardSummarizer,
+    ) -> None:
+        self._context = context
+        self._view = view
+        self._leadership = leadership
+        self._shard_map_updates = shard_map_updates
+        self._quotas = quotas
+        self._summaries = summaries
+        self._summarizer = summarizer
 
     def rebalance(self, led_shards: list[Shard]) -> None:
         """Give room under a team's limit to a part that lacks it, one move at a time."""
-        controller = self._controller
-        record = controller.view.shard_map
-        if controller.pending_quota_releases or record is None:
+        record = self._view.shard_map
+        if self._quotas.pending_releases or record is None:
             return
         for shard in led_shards:
             if shard.unreconciled_machines:
                 continue
-            for number, (told_at, summary) in sorted(controller.shard_summaries.items()):
-                if number == shard.shard_id or controller.now - told_at > FRESH_S:
+            for number, (told_at, summary) in sorted(self._summaries.items()):
+                if number == shard.shard_id or self._context.now - told_at > FRESH_S:
                     continue
                 if summary.term == record.shards[number].term and self._begin_transfer(
                     shard, summary
@@ -51,17 +66,16 @@
 
     def _begin_transfer(self, shard: Shard, other: ShardSummary) -> bool:
         """Begin to give the first room that another part lacks and this one can spare."""
-        controller = self._controller
-        told = controller.shard_summaries.get(shard.shard_id)
-        own = told[1] if told is not None else summarize_shard(controller, shard)
+        told = self._summaries.get(shard.shard_id)
+        own = told[1] if told is not None else self._summarizer.summarize(shard)
         for team, want in (*other.starved_teams.items(), *other.lacking_quota.items()):
             free = self._free(shard, team, own, other)
             if free is None:
                 continue
             give = [max(0, min(free[i], want[i])) for i in range(2)]
             if give[0] or give[1]:
-                controller.pending_quota_releases[(shard.shard_id, team)] = give
-                controller.spawn(self.transfer(shard, other.shard_id, team, give))
+                self._quotas.pending_releases[(shard.shard_id, team)] = give
+                self._context.spawn(self.transfer(shard, other.shard_id, team, give))
                 return True
         return False
 
@@ -69,7 +83,7 @@
         self, shard: Shard, team: str, own: ShardSummary, other: ShardSummary
     ) -> list[int] | None:
         """Room that a part can spare for another; None when it gives none of this team's."""
-        used, share = shard.usage(team), self._controller.quota(shard, team)
+        used, share = shard.usage(team), self._quotas.quota(shard, team)
         free = [share[i] - used[i] for i in range(2)]
         if team in other.starved_teams:
             # One of two parts that are both stuck must give way.
@@ -105,33 +119,32 @@
                 needs[1] += len(job_slice.pending) * job_slice.resources[1]
         return needs
 
-    def transfer(self, shard: Shard, target: int, team: str, give: list[int]) -> Coroutine:
+    def transfer(self, shard: Shard, target: int, team: str, give: list[int]) -> Coroutine[None]:
         """Change both shares in one commit; the room was lowered here already."""
-        controller = self._controller
         try:
-            doubt = -1
+            uncertain_version: int | None = None
             tries = 0
             while True:
                 tries += 1
-                record = controller.view.shard_map
-                version = controller.view.version(keys.SHARD_MAP)
-                if record is None or controller.shards.get(shard.shard_id) is not shard:
+                record = self._view.shard_map
+                version = self._view.version(keys.SHARD_MAP)
+                if record is None or self._leadership.shards.get(shard.shard_id) is not shard:
                     return
-                if doubt >= 0 and doubt != version:
+                if uncertain_version not in (None, version):
                     # Whatever was sent has been applied or cannot be any more.
                     return
                 share = record.shards[shard.shard_id].quotas.get(team, [0, 0])
-                too_much = give[0] > share[0] or give[1] > share[1]
-                if doubt < 0 and (too_much or tries > MOST_TRIES):
+                exceeds_quota = give[0] > share[0] or give[1] > share[1]
+                if uncertain_version is None and (exceeds_quota or tries > MOST_TRIES):
                     return
                 new = shard_map.shift_quota(record, shard.shard_id, target, team, give[0], give[1])
-                guards = [controller.fence_precondition(shard.shard_id)]
-                moved = yield from controller.leadership.commit_shard_map(new, [], guards, version)
-                if moved:
+                guards = [self._leadership.fence_precondition(shard.shard_id)]
+                result = yield from self._shard_map_updates.commit(new, [], guards, version)
+                if result is UpdateResult.APPLIED:
                     return
-                if moved is None:
-                    doubt = version
-                    yield from controller.leadership.refresh_shard_map()
-                yield Sleep(0.1 + 0.2 * controller.rng.random())
+                if result is UpdateResult.UNCERTAIN:
+                    uncertain_version = version
+                    yield from self._shard_map_updates.refresh()
+                yield Sleep(0.1 + 0.2 * self._context.rng.random())
         finally:
-            controller.pending_quota_releases.pop((shard.shard_id, team), None)
+            self._quotas.pending_releases.pop((shard.shard_id, team), None)
--- /dev/null
+++ b/marblestair/core/scheduling/shard_summary.py
@@ -0,0 +1,176 @@
+"""What the owner of a part tells the other owners about it, a few times a second."""
+
+from __future__ import annotations
+
+import msgspec
+
+from marblestair.core.domain.jobs import JobKind
+from marblestair.core.messaging.shard_summary import ShardSummary
+from marblestair.core.runtime.context import NodeContext
+from marblestair.core.scheduling.demand import demanded_tasks, measure_demand
+from marblestair.core.scheduling.dispatch import Dispatcher
+from marblestair.core.scheduling.machine_transfers import MachineTransfers
+from marblestair.core.scheduling.preemption import Preemption
+from marblestair.core.scheduling.quota_ledger import QuotaLedger
+from marblestair.core.shard.absence import absent_machines
+from marblestair.core.shard.boot_times import BootTimes
+from marblestair.core.shard.failures import FailureAttribution
+from marblestair.core.shard.machine import Machine
+from marblestair.core.shard.shard import Shard
+
+
+class MachineUse(msgspec.Struct):
+    """The machines of a part by what they are good for."""
+
+    #: with tasks, and how much of them is in use
+    busy_machines: list[tuple[str, int]] = []
+    #: without tasks, and for how long
+    idle_machines: list[tuple[str, float]] = []
+    #: with gangs
+    gang_machines: list[str] = []
+    #: not to be counted on
+    leaving_machines: list[str] = []
+
+
+class ShardSummarizer:
+    """Summarizes the shards that one node leads."""
+
+    def __init__(
+        self,
+        context: NodeContext,
+        quotas: QuotaLedger,
+        failures: FailureAttribution,
+        boot_times: BootTimes,
+        preemption: Preemption,
+        dispatcher: Dispatcher,
+        machine_transfers: MachineTransfers,
+    ) -> None:
+        self._context = context
+        self._quotas = quotas
+        self._failures = failures
+        self._boot_times = boot_times
+        self._preemption = preemption
+        self._dispatcher = dispatcher
+        self._machine_transfers = machine_transfers
+
+    def summarize(self, shard: Shard) -> ShardSummary:
+        """What the others should know about a part."""
+        demand = measure_demand(self._failures, self._quotas, shard)
+        away = absent_machines(
+            shard, self._context.settings.cluster.workers.lease_s, self._context.now
+        )
+        use = self._machine_use(shard, away)
+        ordered = self._dispatcher.pending_in_order(shard)
+        return ShardSummary(
+            shard_id=shard.shard_id,
+            term=shard.term,
+            free_capacity=self._free_rooms(shard),
+            preemptible_capacity=self._preemption.preemptible_capacity(shard),
+            backlog_cpus=demand.backlog_cpus,
+            free_quota=self._shares_left(shard),
+            lacking_quota=demand.lacking_quota,
+            pending_jobs=self._waiting(shard),
+            busy_machines=use.busy_machines,
+            idle_machines=use.idle_machines,
+            jobs_lacking_capacity=[
+                job_slice.spec.id
+                for job_slice in ordered
+                if self._machine_transfers.lacks_capacity(shard, job_slice)
+            ],
+            gang_machines=use.gang_machines,
+            leaving_machines=use.leaving_machines,
+            absent_machines=sorted(away),
+            starved_teams=demand.starved_teams,
+            failing_jobs=[x for x in self._failures.failing_jobs() if x[0] in shard.slices],
+        )
+
+    def _free_rooms(self, shard: Shard) -> list[tuple[str, str, bool, int, int, int]]:
+        return [
+            (
+                machine.type_name,
+                machine.zone,
+                machine.spot,
+                machine.free[0],
+                machine.free[1],
+                machine.free[2],
+            )
+            for machine in shard.machines.values()
+            if machine.free[0] > 0
+            and machine.is_usable(self._context.now)
+            and not self._preemption.is_claimed(machine)
+        ]
+
+    def _shares_left(self, shard: Shard) -> dict[str, list[int]]:
+        left = {}
+        for team in self._context.teams:
+            used, share = shard.usage(team), self._quotas.quota(shard, team)
+            left[team] = [max(0, share[i] - used[i]) for i in range(2)]
+        return left
+
+    def _waiting(self, shard: Shard) -> list[tuple[str, int, int]]:
+        waiting = []
+        for job, job_slice in shard.slices.items():
+            if job_slice.is_cancelled or not (
+                len(job_slice.pending) or job_slice.placed_on or job_slice.migrating_ranges
+            ):
+                continue
+            moving = sum(end - start for start, end in job_slice.migrating_ranges)
+            waiting.append(
+                (job, demanded_tasks(self._failures, job_slice) + moving, len(job_slice.placed_on))
+            )
+        return waiting
+
+    def _machine_use(self, shard: Shard, away: set[str]) -> MachineUse:
+        """Sort a part's machines; those that fell silent together with many are left out."""
+        use = MachineUse()
+        with_gangs = {
+            machine.name
+            for job_slice in shard.slices.values()
+            if job_slice.spec.kind == JobKind.GANG
+            for machine in job_slice.placed_on.values()
+        }
+        for machine in shard.machines.values():
+            is_given_up = machine.is_releasing or machine.is_given_up or machine.is_returning
+            if machine.name in away and not is_given_up:
+                continue
+            if is_given_up or self._is_leaving(machine):
+                use.leaving_machines.append(machine.name)
+            elif machine.is_draining:
+                # On its way to a gang's part: neither idle nor lost to the plan, which would rent
+                # once more what is there already.
+                continue
+            elif (
+                machine.is_reconciled
+                and machine.idle_since is not None
+                and not machine.tasks
+                and not machine.unknown_tasks
+            ):
+                use.idle_machines.append(
+                    (machine.name, round(self._context.now - machine.idle_since, 2))
+                )
+            elif machine.name in with_gangs:
+                use.gang_machines.append(machine.name)
+            elif machine.machine_type is not None and machine.tasks:
+                use.busy_machines.append(
+                    (machine.name, machine.machine_type.capacity[0] - machine.free[0])
+                )
+        return use
+
+    def _is_leaving(self, machine: Machine) -> bool:
+        """Whether a machine is not to be counted on."""
+        if machine.is_silent or machine.is_unresponsive or machine.reclaim_at is not None:
+            return True
+        return self._is_overdue(machine)
+
+    def _is_overdue(self, machine: Machine) -> bool:
+        """Whether a machine that was rented should have reported by now.
+
+        The time counts from its arrival in the shard: after a failover, or a transfer from another
+        shard, it may have sent heartbeats elsewhere. Were it left out until it sends one here, the
+        others would rent machines in place of the whole shard.
+        """
+        if machine.agent_incarnation or machine.machine_type is None:
+            return False
+        return self._boot_times.is_overdue(
+            machine.machine_type, self._context.now - machine.added_at, self._context.now
+        )
--- a/marblestair/core/scheduling/slice_migration.py
+++ b/marblestair/core/scheduling/slice_migration.py
@@ -9,22 +9,40 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from marblestair.core.domain.index_ranges import Ranges
 from marblestair.core.domain.jobs import JobKind, JobSpec
+from marblestair.core.jobs.migration_locks import MigrationLocks, UpdateReply
+from marblestair.core.jobs.record_reader import RecordReader
 from marblestair.core.jobs.server_manager import LOG_OFF, STAY
-from marblestair.core.runtime.coroutines import Coroutine, Step
+from marblestair.core.leadership.leadership import Leadership
+from marblestair.core.messaging.messages import (
+    AnnounceMigration,
+    LockSlices,
+    ReleaseSlices,
+    SendChangeEntries,
+    UpdateSlices,
+)
+from marblestair.core.messaging.received_summaries import ReceivedSummaries
+from marblestair.core.messaging.shard_summary import ShardSummary
+from marblestair.core.runtime.context import NodeContext
+from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import PeerRequest, Sleep
+from marblestair.core.scheduling.arrivals import Arrivals
+from marblestair.core.scheduling.dispatch import Dispatcher
 from marblestair.core.scheduling.placement import capacity_by_zone, gang_fits, placeable_tasks
+from marblestair.core.scheduling.preemption import Preemption
+from marblestair.core.scheduling.quota_ledger import QuotaLedger
+from marblestair.core.scheduling.quota_transfers import QuotaTransfers
+from marblestair.core.shard.failures import FailureAttribution
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
+from marblestair.core.state.store_view import StoreView
 
-if TYPE_CHECKING:
-    from marblestair.core.controller import Controller
-    from marblestair.core.runtime.outbox import ShardSummary
-
+#: time for a manager, and for the target, to reply, in seconds
+MANAGER_S, TARGET_S = 1.5, 0.5
 #: migrations under way at once, per node
 MOST = 4
 #: seconds for which what another part told of its room counts
@@ -117,8 +135,33 @@
 class SliceMigrations:
     """The migrations from one node's parts."""
 
-    def __init__(self, controller: Controller) -> None:
-        self.controller = controller
+    def __init__(
+        self,
+        context: NodeContext,
+        view: StoreView,
+        leadership: Leadership,
+        quotas: QuotaLedger,
+        quota_transfers: QuotaTransfers,
+        summaries: ReceivedSummaries,
+        failures: FailureAttribution,
+        arrivals: Arrivals,
+        preemption: Preemption,
+        dispatcher: Dispatcher,
+        migration_locks: MigrationLocks,
+        reader: RecordReader,
+    ) -> None:
+        self._context = context
+        self._view = view
+        self._leadership = leadership
+        self._quotas = quotas
+        self._quota_transfers = quota_transfers
+        self._summaries = summaries
+        self._failures = failures
+        self._arrivals = arrivals
+        self._preemption = preemption
+        self._dispatcher = dispatcher
+        self._migration_locks = migration_locks
+        self._reader = reader
         self.active_count = 0
         self.completed_count = 0
         self._count = 0
@@ -142,35 +185,33 @@
                     raise ValueError("only pending tasks migrate")
         self.active_count += 1
         self._count += 1
-        holder = f"{self.controller.node}-{self.controller.incarnation}-{self._count}"
+        holder = f"{self._context.node}-{self._context.incarnation}-{self._count}"
         job_slice.migrating_ranges = [list(r) for r in ranges]
         job_slice.migration_holder = holder
-        self.controller.spawn(self._migrate(shard, job_slice, target, holder))
+        self._context.spawn(self._migrate(shard, job_slice, target, holder))
         return True
 
     def migrate_pending(self, shard: Shard) -> None:
         """Find room elsewhere for what cannot start here."""
-        controller = self.controller
         others = [] if shard.unreconciled_machines else self._recent_summaries(shard)
         if not others:
             return
         rooms = ReportedCapacity()
-        survey = controller.preemption.survey(shard)
+        survey = self._preemption.survey(shard)
         #: team -> whether its share here is not all in use
         spare: dict[str, bool] = {}
         left = _most_share_left(others)
-        for job_slice in controller.dispatcher.pending_in_order(shard):
+        for job_slice in self._dispatcher.pending_in_order(shard):
             if self.active_count >= MOST:
                 return
             if not self._may_leave(job_slice):
                 continue
-            hurried = (
-                job_slice.spec.kind == JobKind.GANG
-                and controller.fleet.arrivals.is_latency_sensitive(job_slice.spec)
+            hurried = job_slice.spec.kind == JobKind.GANG and self._arrivals.is_latency_sensitive(
+                job_slice.spec
             )
             if hurried:
-                share = controller.quota(shard, job_slice.spec.team)
-                if controller.preemption.make_room(shard, job_slice, share, False, survey):
+                share = self._quotas.quota(shard, job_slice.spec.team)
+                if self._preemption.make_room(shard, job_slice, share, False, survey):
                     continue
             best, count = None, 0
             if left.get(job_slice.spec.team, 0) >= job_slice.resources[0]:
@@ -183,27 +224,25 @@
 
     def _recent_summaries(self, shard: Shard) -> list[ShardSummary]:
         """What the owners of the other parts told just now."""
-        controller = self.controller
-        shard_map = controller.view.shard_map
+        shard_map = self._view.shard_map
         if shard_map is None:
             return []
         return [
             summary
-            for number, (told_at, summary) in sorted(controller.shard_summaries.items())
+            for number, (told_at, summary) in sorted(self._summaries.items())
             if number != shard.shard_id
-            and controller.now - told_at < SUMMARY_FRESH_S
+            and self._context.now - told_at < SUMMARY_FRESH_S
             and number < len(shard_map.shards)
             and summary.term == shard_map.shards[number].term
         ]
 
     def _may_leave(self, job_slice: JobSlice) -> bool:
         """Whether tasks of a slice may look for room in another part."""
-        controller = self.controller
         if job_slice.is_unreconciled or job_slice.migrating_ranges or job_slice.is_stopping_gang:
             return False
-        if controller.failures.is_quarantined(job_slice.spec.id):
+        if self._failures.is_quarantined(job_slice.spec.id):
             return False
-        if controller.now - job_slice.pending_since < LEAST_WAIT_S:
+        if self._context.now - job_slice.pending_since < LEAST_WAIT_S:
             return False
         return not (_is_whole(job_slice.spec) and (job_slice.placed_on or job_slice.done_count))
 
@@ -248,12 +287,11 @@
         spare: dict[str, bool],
     ) -> None:
         """Send share to a part with room for a slice's tasks, if some of it is not in use."""
-        controller = self.controller
         team = job_slice.spec.team
         if team not in spare:
-            used, share = shard.usage(team), controller.quota(shard, team)
+            used, share = shard.usage(team), self._quotas.quota(shard, team)
             spare[team] = any(u < x for u, x in zip(used, share, strict=True))
-        if spare[team] and not controller.pending_quota_releases:
+        if spare[team] and not self._quotas.pending_releases:
             self._send_quota(shard, job_slice, others, rooms)
 
     def _send_quota(
@@ -264,11 +302,10 @@
         The tasks follow by migration. Room under the limit that no machine here can use
         would else be lost to the team.
         """
-        controller = self.controller
         team, need = job_slice.spec.team, job_slice.resources
-        used, share = shard.usage(team), controller.quota(shard, team)
+        used, share = shard.usage(team), self._quotas.quota(shard, team)
         if job_slice.spec.kind != JobKind.GANG:
-            share = (share[0] - controller.quota_transfers.largest_gang(shard, team), share[1])
+            share = (share[0] - self._quota_transfers.largest_gang(shard, team), share[1])
             if share[0] <= used[0]:
                 return
         here = -1
@@ -277,7 +314,7 @@
             if fitting <= 0:
                 continue
             if here < 0:
-                here = placeable_tasks(shard, job_slice.spec, controller.now)
+                here = placeable_tasks(shard, job_slice.spec, self._context.now)
             if _is_whole(job_slice.spec) and not rooms.fits_whole(
                 summary, job_slice, len(job_slice.pending), False
             ):
@@ -286,58 +323,64 @@
             there = summary.free_quota.get(team, [0, 0])
             give = [max(0, min(share[i] - used[i], count * need[i] - there[i])) for i in range(2)]
             if count > 0 and any(give):
-                controller.pending_quota_releases[(shard.shard_id, team)] = give
-                controller.spawn(
-                    controller.quota_transfers.transfer(shard, summary.shard_id, team, give)
+                self._quotas.pending_releases[(shard.shard_id, team)] = give
+                self._context.spawn(
+                    self._quota_transfers.transfer(shard, summary.shard_id, team, give)
                 )
                 return
 
-    def _ask_manager(self, job: str, tag: str, args: list[Any]) -> Step:
+    def _ask_manager(
+        self, message: LockSlices | UpdateSlices | ReleaseSlices
+    ) -> Coroutine[UpdateReply]:
         """Ask the job's ServerManager, wherever it is."""
-        controller = self.controller
-        record = controller.view.jobs.get(job)
-        owner = controller.leader_of(record.manager_shard) if record is not None else None
-        if owner == controller.node:
-            return (yield from controller.migration_locks.handle(tag, args))
-        if owner is None:
+        record = self._view.jobs.get(message.job)
+        if record is None:
             return None
-        return (yield PeerRequest(owner, tag, args, 1.5))
+        manager = self._leadership.leader_of(record.manager_shard)
+        if manager == self._context.node:
+            return (yield from self._migration_locks.handle(message))
+        if manager is None:
+            return None
+        reply: UpdateReply = yield PeerRequest(manager, message, MANAGER_S)
+        return reply
 
-    def _migrate(self, shard: Shard, job_slice: JobSlice, target: int, holder: str) -> Coroutine:
+    def _migrate(
+        self, shard: Shard, job_slice: JobSlice, target: int, holder: str
+    ) -> Coroutine[None]:
         job = job_slice.spec.id
         try:
             locked = False
             for _ in range(8):
-                locked = (yield from self._ask_manager(job, "lock", [job, holder])) is True
+                locked = (yield from self._ask_manager(LockSlices(job, holder))) is True
                 if locked or job_slice.is_cancelled or shard.slices.get(job) is not job_slice:
                     break
                 yield Sleep(0.1)
             if not locked:
                 self._restore(shard, job_slice, holder)
-                yield from self._ask_manager(job, "release", [job, holder])
+                yield from self._ask_manager(ReleaseSlices(job, holder))
                 return
             if not job_slice.migrating_ranges or job_slice.migration_holder != holder:
                 # The record no longer gives them to this part.
-                yield from self._ask_manager(job, "release", [job, holder])
+                yield from self._ask_manager(ReleaseSlices(job, holder))
                 return
             left = Ranges(job_slice.ranges)
             for a, b in job_slice.migrating_ranges:
                 for i in range(a, b):
                     left.discard(i)
             option = STAY if len(left) else LOG_OFF
-            args = [
+            update = UpdateSlices(
                 job,
                 holder,
                 shard.shard_id,
                 shard.term,
                 option,
                 target,
-                job_slice.migrating_ranges,
-            ]
-            got = yield from self._ask_manager(job, "update", args)
+                [list(pair) for pair in job_slice.migrating_ranges],
+            )
+            got = yield from self._ask_manager(update)
             if got is False:
                 self._restore(shard, job_slice, holder)
-                yield from self._ask_manager(job, "release", [job, holder])
+                yield from self._ask_manager(ReleaseSlices(job, holder))
                 return
             if isinstance(got, list):
                 self.completed_count += 1
@@ -346,41 +389,36 @@
         finally:
             self.active_count -= 1
 
-    def _notify_target(self, job: str, target: int, version: int) -> Step:
+    def _notify_target(self, job: str, target: int, version: int) -> Coroutine[None]:
         """Tell the target of a migration.
 
         It names the last change entry that it knows of the job, and gets only later ones
         (Algorithm 4).
         """
-        controller = self.controller
-        owner = controller.leader_of(target)
-        if owner is None or owner == controller.node:
+        owner = self._leadership.leader_of(target)
+        if owner is None or owner == self._context.node:
             return
-        known = yield PeerRequest(owner, "arrive", [job, version], 0.5)
-        record = controller.view.jobs.get(job)
+        known = yield PeerRequest(owner, AnnounceMigration(job, version), TARGET_S)
+        record = self._view.jobs.get(job)
         if isinstance(known, int) and record is not None and len(record.change_list) > known:
-            later = [
-                job,
-                known,
-                record.change_list[known:],
-                controller.view.version(keys.JOBS + job),
-            ]
-            yield PeerRequest(owner, "entries", later, 0.5)
+            version_now = self._view.version(keys.JOBS + job)
+            entries = record.change_list[known:]
+            later = SendChangeEntries(job, known, entries, version_now)
+            yield PeerRequest(owner, later, TARGET_S)
 
-    def _await_outcome(self, shard: Shard, job_slice: JobSlice, holder: str) -> Step:
+    def _await_outcome(self, shard: Shard, job_slice: JobSlice, holder: str) -> Coroutine[None]:
         """Wait until the record shows what became of the task numbers that were dropped.
 
         They may be pending here again only once the manager has given the holder's locks up, so
         that an update that is still on its way will be refused, and only after the record has
         been read afresh.
         """
-        controller = self.controller
         job = job_slice.spec.id
         released = False
         while True:
-            released = (yield from self._ask_manager(job, "release", [job, holder])) is True
+            released = (yield from self._ask_manager(ReleaseSlices(job, holder))) is True
             here = (
-                controller.shards.get(shard.shard_id) is shard
+                self._leadership.shards.get(shard.shard_id) is shard
                 and shard.slices.get(job) is job_slice
             )
             # Once this migration is settled, the slice may be in the middle of the next one,
@@ -388,10 +426,10 @@
             if not here or not job_slice.migrating_ranges or job_slice.migration_holder != holder:
                 if released or not here:
                     return
-            elif released and (yield from controller.answers.refresh_record(job)):
+            elif released and (yield from self._reader.refresh(job)):
                 self._restore(shard, job_slice, holder)
                 return
-            if job not in controller.view.jobs:
+            if job not in self._view.jobs:
                 return
             yield Sleep(0.2)
 
--- a/marblestair/core/shard/shard.py
+++ b/marblestair/core/shard/shard.py
@@ -10,8 +10,6 @@
 
 from __future__ import annotations
 
-from marblestair.core.capacity.boot_times import BootTimes
-from marblestair.core.capacity.failures import FailureAttribution
 from marblestair.core.domain.agents import (
     CommandVerb,
     ExitReason,
@@ -22,6 +20,8 @@
 )
 from marblestair.core.domain.index_ranges import Ranges
 from marblestair.core.domain.jobs import JobKind, JobSpec
+from marblestair.core.shard.boot_times import BootTimes
+from marblestair.core.shard.failures import FailureAttribution
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine, PlacedTask, StopReason, TaskKey
 from marblestair.core.state.records import JobRecord
--- a/marblestair/core/state/store_view.py
+++ b/marblestair/core/state/store_view.py
@@ -2,7 +2,9 @@
 
 from __future__ import annotations
 
+import math
 from collections import OrderedDict
+from collections.abc import Callable
 from typing import Any
 
 import msgspec
@@ -39,8 +41,8 @@
 
     def __init__(self) -> None:
         self.revision = -1
-        #: steady time as of which everything committed before is known
-        self.fresh_as_of = -1e9
+        #: steady time as of which everything committed before is known; None before the first load
+        self.fresh_as_of: float | None = None
         self.shard_map: ShardMap | None = None
         self.nodes: dict[str, int] = {}
         self.machines: dict[str, MachineRecord] = {}
@@ -56,11 +58,34 @@
         self.changed_jobs: set[str] = set()
         self.changed_machines: set[str] = set()
         self.shard_map_changed = False
+        self._listeners: list[Callable[[], None]] = []
+
+    def subscribe(self, listener: Callable[[], None]) -> None:
+        """Have a listener called whenever changes are published."""
+        self._listeners.append(listener)
+
+    def publish_changes(self) -> None:
+        """Have everything that follows the view brought in line with it."""
+        for listener in self._listeners:
+            listener()
+
+    def note_fresh(self, as_of: float) -> None:
+        """Everything that was committed before a steady time is known."""
+        if self.fresh_as_of is None or as_of > self.fresh_as_of:
+            self.fresh_as_of = as_of
+
+    def age_s(self, now: float) -> float:
+        """For how long a change may have been committed without being known here."""
+        return math.inf if self.fresh_as_of is None else now - self.fresh_as_of
 
     def version(self, key: str) -> int:
         """Version of a key as known here; 0 when it does not exist."""
         return self.versions.get(key, 0)
 
+    def job_version(self, job: str) -> int:
+        """Version of a job's record as known here; 0 when it does not exist."""
+        return self.version(keys.JOBS + job)
+
     def load_listing(self, pages: list[StoreResponse]) -> None:
         """Replace everything by a fresh listing, each page of which has a revision of its own.
 
--- a/marblestair/core/status.py
+++ b/marblestair/core/status.py
@@ -2,83 +2,120 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
-
 from marblestair.core.domain.amounts import FIXED_POINT_UNIT
+from marblestair.core.jobs.cancel_registry import CancelRegistry
+from marblestair.core.jobs.dependencies import DependencyGraph
+from marblestair.core.jobs.managed_job import ManagedJob
+from marblestair.core.leadership.leadership import Leadership
+from marblestair.core.leadership.promise_ledger import PromiseLedger
+from marblestair.core.leadership.store_lease import StoreLease
+from marblestair.core.messaging.received_summaries import ReceivedSummaries
+from marblestair.core.runtime.context import NodeContext
+from marblestair.core.runtime.rejected_writes import RejectedWrites
+from marblestair.core.scheduling.slice_migration import SliceMigrations
+from marblestair.core.state.records import ShardRecord
+from marblestair.core.state.store_view import StoreView
 
-if TYPE_CHECKING:
-    from marblestair.core.controller import Controller
-
-#: age shown of a view that was never filled
+#: age shown of a view that was never filled, in seconds
 MOST_AGE_S = 1e6
 
 
-def status(controller: Controller) -> dict[str, Any]:
-    """What a node sees and does, for operators."""
-    return {
-        **_leadership(controller),
-        **_jobs(controller),
-        **_waiting(controller),
-        "decisions": dict(sorted(controller.decisions.counts.items())),
-        "parts": _parts(controller),
-    }
-
+class StatusReport:
+    """Collects what one node shows."""
 
-def _leadership(controller: Controller) -> dict[str, Any]:
-    now = controller.now
-    authority = controller.leadership
-    return {
-        "node": controller.node,
-        "acts_for": [shard.shard_id for shard in controller.led_shards()],
-        "lease_s_left": round(max(0.0, authority.lease_expires_at - now), 1),
-        "on_promises": authority.promises.are_held(now),
-        "view_s_old": round(min(MOST_AGE_S, now - controller.view.fresh_as_of), 1),
-    }
+    def __init__(
+        self,
+        context: NodeContext,
+        view: StoreView,
+        lease: StoreLease,
+        promises: PromiseLedger,
+        leadership: Leadership,
+        summaries: ReceivedSummaries,
+        managed_jobs: dict[str, ManagedJob],
+        cancels: CancelRegistry,
+        dependencies: DependencyGraph,
+        migrations: SliceMigrations,
+        rejected_writes: RejectedWrites,
+    ) -> None:
+        self._context = context
+        self._view = view
+        self._lease = lease
+        self._promises = promises
+        self._leadership = leadership
+        self._summaries = summaries
+        self._managed_jobs = managed_jobs
+        self._cancels = cancels
+        self._dependencies = dependencies
+        self._migrations = migrations
+        self._rejected_writes = rejected_writes
 
+    def collect(self) -> dict[str, object]:
+        """What this node sees and does, for operators."""
+        return {
+            **self._leadership_status(),
+            **self._job_status(),
+            **self._pending_status(),
+            "decisions": dict(sorted(self._context.decisions.counts.items())),
+            "parts": self._shard_status(),
+        }
 
-def _jobs(controller: Controller) -> dict[str, Any]:
-    return {
-        "live_jobs": len(controller.view.jobs),
-        "managed_jobs": len(controller.job_managers.managed),
-        "waiting_jobs": controller.dependencies.blocked_count,
-        "waiting": controller.dependencies.status(),
-        "migrations": controller.slice_migrations.completed_count,
-        "refused_commits": controller.rejected_writes,
-    }
+    def _leadership_status(self) -> dict[str, object]:
+        now = self._context.now
+        return {
+            "node": self._context.node,
+            "acts_for": [shard.shard_id for shard in self._leadership.led_shards()],
+            "lease_s_left": round(max(0.0, self._lease.remaining_s(now) or 0.0), 1),
+            "on_promises": self._promises.are_valid(now),
+            "view_s_old": round(min(MOST_AGE_S, self._view.age_s(now)), 1),
+        }
 
+    def _job_status(self) -> dict[str, object]:
+        return {
+            "live_jobs": len(self._view.jobs),
+            "managed_jobs": len(self._managed_jobs),
+            "waiting_jobs": self._dependencies.blocked_count,
+            "waiting": self._dependencies.status(),
+            "migrations": self._migrations.completed_count,
+            "refused_commits": self._rejected_writes.count,
+        }
 
-def _waiting(controller: Controller) -> dict[str, Any]:
-    """What is under way, and for how long it has been."""
-    parts = controller.shards.values()
-    managed = controller.job_managers.managed.values()
-    return {
-        "cancels_not_confirmed": controller.cancellations.unconfirmed_count,
-        "oldest_not_confirmed_s": round(controller.cancellations.oldest_unconfirmed_s, 1),
-        "changes_in_doubt": sum(not job.is_record_known for job in managed),
-        "stops_waiting": sum(shard.pending_stop_count for shard in parts),
-        "machines_with_unknown_tasks": sum(
-            len(shard.machines_with_unknown_tasks) for shard in parts
-        ),
-    }
+    def _pending_status(self) -> dict[str, object]:
+        """What is under way, and for how long it has been."""
+        shards = self._leadership.shards.values()
+        managed = self._managed_jobs.values()
+        return {
+            "cancels_not_confirmed": self._cancels.unconfirmed_count,
+            "oldest_not_confirmed_s": round(self._cancels.oldest_unconfirmed_s, 1),
+            "changes_in_doubt": sum(not job.is_record_known for job in managed),
+            "stops_waiting": sum(shard.pending_stop_count for shard in shards),
+            "machines_with_unknown_tasks": sum(
+                len(shard.machines_with_unknown_tasks) for shard in shards
+            ),
+        }
 
+    def _shard_status(self) -> list[dict[str, object]]:
+        shard_map = self._view.shard_map
+        if shard_map is None:
+            return []
+        return [
+            self._one_shard(shard_id, record) for shard_id, record in enumerate(shard_map.shards)
+        ]
 
-def _parts(controller: Controller) -> list[dict[str, Any]]:
-    shard_map = controller.view.shard_map
-    shown = []
-    for number, record in enumerate(shard_map.shards if shard_map is not None else []):
-        told_at, summary = controller.shard_summaries.get(number, (None, None))
-        members = (m.shard_id == number for m in controller.view.machines.values())
-        shown.append(
-            {
-                "part": number,
-                "owner": record.leader,
-                "term": record.term,
-                "shares_cpus": {team: x[0] / FIXED_POINT_UNIT for team, x in record.quotas.items()},
-                "backlog_cpus": summary.backlog_cpus / FIXED_POINT_UNIT
-                if summary is not None
-                else None,
-                "told_s_ago": round(controller.now - told_at, 1) if told_at is not None else None,
-                "machines": sum(members),
-            }
-        )
-    return shown
+    def _one_shard(self, shard_id: int, record: ShardRecord) -> dict[str, object]:
+        backlog_cpus = received_s_ago = None
+        if shard_id in self._summaries:
+            received_at, summary = self._summaries[shard_id]
+            backlog_cpus = summary.backlog_cpus / FIXED_POINT_UNIT
+            received_s_ago = round(self._context.now - received_at, 1)
+        machines = self._view.machines.values()
+        return {
+            "part": shard_id,
+            "owner": record.leader,
+            "term": record.term,
+            "shares_cpus": {
+                team: quota[0] / FIXED_POINT_UNIT for team, quota in record.quotas.items()
+            },
+            "backlog_cpus": backlog_cpus,
+            "told_s_ago": received_s_ago,
+            "machines": sum(machine.shard_id == shard_id for machine in machines),
+        }
