--- a/marblestair/node.py
+++ b/marblestair/node.py
@@ -1,4 +1,4 @@
-"""The shell that joins the pure core with the network."""
+"""The shell of one controller process: joins the pure core with the network."""
 
 from __future__ import annotations
 
@@ -7,49 +7,51 @@
 import os
 import random
 import time
+from collections.abc import Callable, Coroutine
 from typing import Any
 
-from marblestair import wire
 from marblestair.core.controller import Controller
-from marblestair.core.runtime.cloud_requests import (
-    CloudResponse,
-    ListMachines,
-    ListMachineTypes,
-    ReleaseMachines,
-    RentMachines,
-)
-from marblestair.core.runtime.outbox import DirectCommand, UserReply
-from marblestair.core.runtime.requests import InspectAgent, OutsideRequest, PeerRequest
-from marblestair.core.runtime.store_requests import (
-    NOT_SENT,
-    CompareAndSwap,
-    Get,
-    GrantLease,
-    ListKeys,
-    RenewLease,
-    StoreResponse,
-    Watch,
-)
-from marblestair.net.budget import Budget
-from marblestair.net.http_client import HttpClient
+from marblestair.core.domain.jobs import JobSpec
+from marblestair.core.runtime.outbox import UserReply
+from marblestair.core.runtime.requests import OutsideRequest
 from marblestair.net.http_server import Connection, HttpServer
-from marblestair.net.peers import Link, PeerServer
+from marblestair.net.peers import PeerServer
+from marblestair.outside_calls import OutsideCalls
 from marblestair.policy import Policy
 from marblestair.settings import Settings, split_addr
+from marblestair.wire.agents import decode_heartbeat, encode_heartbeat_response, encode_redirect
+from marblestair.wire.codec import MAX_BODY, BadRequestError, encode_error, pack
+from marblestair.wire.peers import (
+    MalformedMessageError,
+    arguments_of,
+    decode_message,
+    decode_request,
+    tag_of,
+)
+from marblestair.wire.users import (
+    RequestKind,
+    decode_submission,
+    encode_job_status,
+    is_valid_job_id,
+    route_request,
+)
 
 log = logging.getLogger("marblestair")
 
 _LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
-#: pause between ticks, as a share of the workers' report interval
-TICK = 0.2
-#: shares of the sockets: what is accepted at all, from which users are turned away so that every
-#: worker finds a place, and what each outgoing use may keep or have under way
-ACCEPTED, CROWDED, OUTGOING = 0.8, 0.7, 0.04
-#: seconds after which a user who was turned away may come back
-CROWDED_RETRY_S = 2
-#: time for one call of the state service, of the cloud, and of a worker
-STATE_S, CLOUD_S, WORKER_S = 1.2, 4.0, 1.5
+#: pause between ticks, as a share of the agents' heartbeat interval, and the least in seconds
+TICK_SHARE, LEAST_TICK_S = 0.2, 0.05
+#: shares of the sockets: what is accepted at all, and from which on users are turned away so that
+#: every agent finds a place; and the least numbers
+ACCEPTED_SHARE, CROWDED_SHARE = 0.8, 0.7
+LEAST_ACCEPTED, LEAST_CROWDED = 8, 4
+#: seconds after which an idle connection is closed, and between two checks for such
+IDLE_S, SWEEP_S = 120.0, 5.0
+#: seconds after which a user who was turned away, or met an error, may come back
+CROWDED_RETRY_S, ERROR_RETRY_S = 2, 1
+#: bytes of randomness in a process's incarnation
+INCARNATION_BYTES = 7
 
 
 class Node:
@@ -57,37 +59,33 @@
 
     def __init__(self, settings: Settings, policy: Policy) -> None:
         self.settings = settings
-        cluster = settings.cluster
-        n = len(settings.nodes)
-        seed = int.from_bytes(os.urandom(7), "big")
-        self.core = Controller(settings, seed, random.Random(seed), time.monotonic(), time.time())
-        self.core.fleet.tuning = policy.tuning
-        self.core.deadline_offsets_s = policy.lead_s
-        sockets = int(cluster.machine_limits.sockets)
-        few = max(4, int(sockets * OUTGOING))
+        seed = int.from_bytes(os.urandom(INCARNATION_BYTES), "big")
+        self.core = Controller(
+            settings,
+            seed,
+            random.Random(seed),
+            time.monotonic(),
+            time.time(),
+            policy.tuning,
+            policy.lead_s,
+        )
+        sockets = int(settings.cluster.machine_limits.sockets)
         self.server = HttpServer(
             self._handle,
             time.monotonic,
-            max(8, int(sockets * ACCEPTED)),
-            wire.MAX_BODY,
-            120.0,
-            max(4, int(sockets * CROWDED)),
+            max(LEAST_ACCEPTED, int(sockets * ACCEPTED_SHARE)),
+            MAX_BODY,
+            IDLE_S,
+            max(LEAST_CROWDED, int(sockets * CROWDED_SHARE)),
         )
-        self.state = HttpClient(few, 2 * few, few)
-        self.cloud = HttpClient(2, 8)
-        # Stops for hundreds of machines at once take turns; no machine's connection is kept for
-        # long where there are many.
-        self.workers = HttpClient(1, few, few)
-        # A few per cent stay free: clocks drift and the services count on theirs.
-        self.state_budget = Budget(cluster.state.rps / n * 0.95, cluster.state.write_rps / n * 0.95)
-        self.cloud_budget = Budget(cluster.cloud.rps / n * 0.9, 1.0, 10.0)
-        self.links = {peer.node: Link(settings.node, peer.address) for peer in settings.others}
-        self.peers = PeerServer(self._on_note, self._on_ask)
-        self._requests: dict[int, Connection] = {}
-        self._asks: dict[int, Any] = {}
-        self._next = 1
+        self.outside = OutsideCalls(settings, self.core.rejected_writes)
+        self.peers = PeerServer(self._receive_message, self._receive_request)
+        #: connections of users whose requests the core has not answered, by the requests' numbers
+        self._user_connections: dict[int, Connection] = {}
+        #: what sends the reply to a request of another controller, by the requests' numbers
+        self._peer_replies: dict[int, Callable[[Any], None]] = {}
+        self._next_request = 1
         self._tasks: set[asyncio.Task[None]] = set()
-        self._flushing = False
 
     async def run(self) -> None:
         """Serve until cancelled."""
@@ -95,218 +93,210 @@
         await self.server.listen(host, port)
         host, port = split_addr(self.settings.cluster_listen)
         await self.peers.listen(host, port)
-        self._time()
+        self._set_time()
         self.core.start()
         self._flush()
-        pause = max(0.05, TICK * self.settings.cluster.workers.report_s)
-        last_sweep = time.monotonic()
         try:
-            while True:
-                await asyncio.sleep(pause)
-                self._time()
-                try:
-                    self.core.tick()
-                except Exception:
-                    # Nothing that arrives may end the process; the next tick tries again.
-                    log.exception("tick failed")
-                self._flush()
-                if time.monotonic() - last_sweep > 5.0:
-                    last_sweep = time.monotonic()
-                    self.server.sweep(self.server.idle_s)
+            await self._tick_for_good()
         finally:
             self.server.close()
             self.peers.close()
 
-    def _time(self) -> None:
+    async def _tick_for_good(self) -> None:
+        pause_s = max(LEAST_TICK_S, TICK_SHARE * self.settings.cluster.workers.report_s)
+        last_sweep = time.monotonic()
+        while True:
+            await asyncio.sleep(pause_s)
+            self._set_time()
+            try:
+                self.core.tick()
+            except Exception:
+                # Nothing that arrives may end the process; the next tick tries again.
+                log.exception("tick failed")
+            self._flush()
+            if time.monotonic() - last_sweep > SWEEP_S:
+                last_sweep = time.monotonic()
+                self.server.sweep(self.server.idle_s)
+
+    def _set_time(self) -> None:
         self.core.set_time(time.monotonic(), time.time())
 
     # --- outputs ---------------------------------------------------------------------------
 
-    def _spawn(self, coro: Any) -> None:
-        t = asyncio.create_task(coro)
-        self._tasks.add(t)
-        t.add_done_callback(self._tasks.discard)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        """Run a coroutine as a task that the node owns until it is done."""
+        task = asyncio.create_task(coroutine)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
     def _flush(self) -> None:
-        controller = self.core
-        while controller.coroutines.requests:
-            calls, controller.coroutines.requests = controller.coroutines.requests, []
-            for n, call in calls:
-                self._spawn(self._carry_out(n, call))
-        replies, controller.replies = controller.replies, []
+        """Send what the core has to send."""
+        coroutines = self.core.context.coroutines
+        while coroutines.requests:
+            requests, coroutines.requests = coroutines.requests, []
+            for number, request in requests:
+                self._spawn(self._carry_out(number, request))
+        self._flush_users_and_agents()
+        self._flush_peers()
+        outbox = self.core.context.outbox
+        lines, outbox.log_lines = outbox.log_lines, []
+        for line in lines:
+            log.log(_LEVELS.get(line.level, logging.INFO), "%s", line.text)
+
+    def _flush_users_and_agents(self) -> None:
+        outbox = self.core.context.outbox
+        replies, outbox.user_replies = outbox.user_replies, []
         for reply in replies:
-            connection = self._requests.pop(reply.request_id, None)
+            connection = self._user_connections.pop(reply.request_id, None)
             if connection is not None:
-                self._answer(connection, reply)
-        commands, controller.direct_commands = controller.direct_commands, []
+                self._reply_to_user(connection, reply)
+        commands, outbox.direct_commands = outbox.direct_commands, []
         for command in commands:
-            self._spawn(self._command(command))
-        notes, controller.messages = controller.messages, []
-        for message in notes:
-            link = self.links.get(message.node)
+            self._spawn(self.outside.send_command(command))
+
+    def _flush_peers(self) -> None:
+        outbox = self.core.context.outbox
+        messages, outbox.messages = outbox.messages, []
+        for outgoing in messages:
+            link = self.outside.links.get(outgoing.node)
             if link is not None:
-                link.note(message.tag, message.args)
-        answers, controller.peer_replies = controller.peer_replies, []
-        for n, value in answers:
-            send = self._asks.pop(n, None)
+                link.note(tag_of(outgoing.message), arguments_of(outgoing.message))
+        replies, outbox.peer_replies = outbox.peer_replies, []
+        for reply in replies:
+            send = self._peer_replies.pop(reply.request_id, None)
             if send is not None:
-                send(value)
-        lines, controller.log_lines = controller.log_lines, []
-        for level, text in lines:
-            log.log(_LEVELS.get(level, logging.INFO), "%s", text)
+                send(reply.value)
 
-    async def _carry_out(self, n: int, call: OutsideRequest) -> None:
-        result: Any
-        try:
-            result = await self._call(call)
-        except Exception:
-            log.exception("call failed")
-            result = self._nothing(call)
-        self._time()
-        self.core.complete(n, result)
+    async def _carry_out(self, number: int, request: OutsideRequest) -> None:
+        response = await self.outside.carry_out(request)
+        self._set_time()
+        self.core.complete(number, response)
         self._flush()
 
-    def _nothing(self, call: OutsideRequest) -> Any:
-        if isinstance(call, (PeerRequest, InspectAgent)):
-            return None
-        if isinstance(call, (ListMachineTypes, RentMachines, ReleaseMachines, ListMachines)):
-            return CloudResponse(0)
-        return StoreResponse(0)
-
-    async def _call(self, call: OutsideRequest) -> Any:
-        if isinstance(call, PeerRequest):
-            link = self.links.get(call.node)
-            return None if link is None else await link.ask(call.tag, call.args, call.timeout_s)
-        if isinstance(call, (Get, ListKeys, CompareAndSwap, GrantLease, RenewLease, Watch)):
-            writes = call.change_count if isinstance(call, CompareAndSwap) else 0
-            if not await self.state_budget.take(call.lane, writes):
-                return StoreResponse(NOT_SENT)
-            wait = call.wait_ms / 1000 if isinstance(call, Watch) else 0.0
-            method, path, body = wire.state_request(call)
-            status, data = await self.state.request(
-                self.settings.external.state, method, path, body, STATE_S + wait
-            )
-            if status <= 0 or status >= 500:
-                log.debug("state %s %s: %s", method, path, status)
-            if isinstance(call, CompareAndSwap) and status == 400:
-                self.core.record_rejected_write(call)
-            return wire.state_result(call, status, data)
-        if isinstance(call, (ListMachineTypes, RentMachines, ReleaseMachines, ListMachines)):
-            if not await self.cloud_budget.take(1 if isinstance(call, ListMachines) else 0, 0):
-                return CloudResponse(NOT_SENT)
-            method, path, body = wire.cloud_request(call)
-            status, data = await self.cloud.request(
-                self.settings.external.cloud, method, path, body, CLOUD_S
-            )
-            if status != 200:
-                log.debug("cloud %s %s: %s", method, path, status)
-            return wire.cloud_result(call, status, data)
-        if isinstance(call, InspectAgent):
-            status, data = await self.workers.request(
-                call.address, "GET", wire.INSPECT_PATH, b"", WORKER_S
-            )
-            try:
-                return wire.parse_report(data) if status == 200 else None
-            except wire.BadRequestError:
-                return None
-        raise TypeError(f"unknown call {call!r}")
-
-    async def _command(self, command: DirectCommand) -> None:
-        body = wire.do_body(command.fencing_token, command.agent_incarnation, command.commands)
-        await self.workers.request(command.address, "POST", wire.DO_PATH, body, WORKER_S)
+    def _reply_to_user(self, connection: Connection, reply: UserReply) -> None:
+        if reply.status in (200, 201):
+            body = encode_job_status(reply.job, reply.state, reply.done, reply.running)
+        else:
+            body = encode_error(reply.error)
+        headers = _retry_after(reply.retry_after_s) if reply.retry_after_s else ""
+        connection.respond(reply.status, body, headers)
 
     # --- inputs ----------------------------------------------------------------------------
 
     def _handle(self, connection: Connection, method: str, path: str, body: bytes) -> None:
+        """A request of a user, an agent or the load balancer."""
         try:
             self._route(connection, method, path, body)
         except Exception:
             log.exception("request failed")
-            connection.respond(503, wire.pack(wire.error_answer("internal")), "Retry-After: 1\r\n")
+            connection.respond(503, encode_error("internal"), _retry_after(ERROR_RETRY_S))
 
     def _route(self, connection: Connection, method: str, path: str, body: bytes) -> None:
-        action, job = wire.route_user(method, path)
-        if action == "health":
-            ok = self.core.is_healthy()
-            connection.respond(200 if ok else 503, wire.pack({}))
-        elif action == "none":
-            connection.respond(404, wire.pack(wire.error_answer("no such path")))
-        elif action == "method":
-            connection.respond(405, wire.pack(wire.error_answer("method not allowed")))
-        elif action == "report":
-            self._time()
-            self._report(connection, body)
+        route = route_request(method, path)
+        if route.kind is RequestKind.HEALTH:
+            connection.respond(200 if self.core.is_healthy() else 503, pack({}))
+        elif route.kind is RequestKind.UNKNOWN_PATH:
+            connection.respond(404, encode_error("no such path"))
+        elif route.kind is RequestKind.WRONG_METHOD:
+            connection.respond(405, encode_error("method not allowed"))
+        elif route.kind is RequestKind.HEARTBEAT:
+            self._set_time()
+            self._receive_heartbeat(connection, body)
         else:
-            self._time()
-            self._user_request(connection, action, job, body)
+            self._set_time()
+            self._receive_user_request(connection, route.kind, route.job, body)
 
-    def _report(self, connection: Connection, body: bytes) -> None:
-        """A worker's report."""
+    def _receive_heartbeat(self, connection: Connection, body: bytes) -> None:
         connection.worker = True
         try:
-            heartbeat = wire.parse_report(body)
-        except wire.BadRequestError as e:
-            connection.respond(400, wire.pack(wire.error_answer(str(e))))
+            heartbeat = decode_heartbeat(body)
+        except BadRequestError as error:
+            connection.respond(400, encode_error(str(error)))
             return
-        status, token, commands, node = self.core.receive_heartbeat(heartbeat)
-        if status == 200:
-            answer = wire.report_answer(token, commands)
+        response = self.core.receive_heartbeat(heartbeat)
+        if response.status == 200:
+            commands = list(response.commands)
+            answer = encode_heartbeat_response(response.fencing_token, commands)
         else:
-            answer = wire.redirect_answer(node)
+            answer = encode_redirect(response.leader)
         if log.isEnabledFor(logging.DEBUG):
-            log.debug("report %s -> %s %s", heartbeat, status, commands or node)
-        connection.respond(status, wire.pack(answer))
+            log.debug("heartbeat %s -> %s", heartbeat, response)
+        connection.respond(response.status, answer)
         self._flush()
 
-    def _user_request(self, connection: Connection, action: str, job: str, body: bytes) -> None:
+    def _receive_user_request(
+        self, connection: Connection, kind: RequestKind, job: str, body: bytes
+    ) -> None:
         """A submission, a query or a cancel; answered through the core's replies."""
         if self.server.crowded:
-            refusal = wire.pack(wire.error_answer("too many connections"))
-            connection.respond(503, refusal, f"Retry-After: {CROWDED_RETRY_S}\r\n", close=True)
+            refusal = encode_error("too many connections")
+            connection.respond(503, refusal, _retry_after(CROWDED_RETRY_S), close=True)
             return
-        spec = None
-        if action == "submit":
+        if kind is RequestKind.SUBMIT:
             try:
-                spec = wire.parse_submit(body)
-            except wire.BadRequestError as e:
-                connection.respond(400, wire.pack(wire.error_answer(str(e))))
+                spec = decode_submission(body)
+            except BadRequestError as error:
+                connection.respond(400, encode_error(str(error)))
                 return
-        elif not wire.valid_job_id(job):
-            connection.respond(404, wire.pack(wire.error_answer("no such job")))
+            self._submit(connection, spec)
+        elif not is_valid_job_id(job):
+            connection.respond(404, encode_error("no such job"))
             return
-        n = self._next
-        self._next += 1
-        self._requests[n] = connection
-        if spec is not None:
-            self.core.spawn(self.core.user_requests.submit(n, spec))
-        elif action == "query":
-            self.core.spawn(self.core.user_requests.query(n, job))
+        elif kind is RequestKind.QUERY:
+            requests = self.core.user_requests
+            self.core.context.spawn(requests.query(self._expect_reply(connection), job))
         else:
-            self.core.spawn(self.core.user_requests.cancel(n, job))
+            requests = self.core.user_requests
+            self.core.context.spawn(requests.cancel(self._expect_reply(connection), job))
         self._flush()
 
-    def _answer(self, connection: Connection, reply: UserReply) -> None:
-        if reply.status in (200, 201):
-            body = wire.job_answer(reply.job, reply.state, reply.done, reply.running)
-        else:
-            body = wire.error_answer(reply.error)
-        extra = f"Retry-After: {reply.retry_after_s}\r\n" if reply.retry_after_s else ""
-        connection.respond(reply.status, wire.pack(body), extra)
+    def _submit(self, connection: Connection, spec: JobSpec) -> None:
+        requests = self.core.user_requests
+        self.core.context.spawn(requests.submit(self._expect_reply(connection), spec))
+
+    def _expect_reply(self, connection: Connection) -> int:
+        """The number under which the core answers a user's request."""
+        number = self._take_number()
+        self._user_connections[number] = connection
+        return number
 
-    def _on_note(self, node: str, tag: str, args: list[Any]) -> None:
-        self._time()
-        self.core.receive_message(node, tag, args)
+    def _take_number(self) -> int:
+        number = self._next_request
+        self._next_request += 1
+        return number
+
+    def _receive_message(self, node: str, tag: str, arguments: list[Any]) -> None:
+        """A one-way message of another controller."""
+        self._set_time()
+        try:
+            message = decode_message(tag, arguments)
+        except MalformedMessageError as error:
+            self.core.peer_service.reject(node, str(error))
+        else:
+            self.core.peer_service.receive(node, message)
         self._flush()
 
-    def _on_ask(self, send: Any, node: str, tag: str, args: list[Any]) -> None:
-        n = self._next
-        self._next += 1
-        self._asks[n] = send
-        self._time()
-        self.core.receive_request(n, node, tag, args)
+    def _receive_request(
+        self, send: Callable[[Any], None], node: str, tag: str, arguments: list[Any]
+    ) -> None:
+        """A request of another controller, or of an operator."""
+        number = self._take_number()
+        self._peer_replies[number] = send
+        self._set_time()
+        try:
+            message = decode_request(tag, arguments)
+        except MalformedMessageError as error:
+            self.core.peer_service.refuse_request(number, node, str(error))
+        else:
+            self.core.peer_service.receive_request(number, node, message)
         self._flush()
 
 
+def _retry_after(seconds: int) -> str:
+    """The header that tells when to come back."""
+    return f"Retry-After: {seconds}\r\n"
+
+
 def serve(settings: Settings, policy: Policy) -> None:
     """Run one controller until the process is killed."""
     asyncio.run(Node(settings, policy).run())
--- /dev/null
+++ b/marblestair/wire/agents.py
@@ -0,0 +1,141 @@
+"""The agents' interface: heartbeats and their responses, direct commands and inspections."""
+
+from __future__ import annotations
+
+import msgspec
+
+from marblestair.core.domain.agents import (
+    CommandVerb,
+    ExitReason,
+    Heartbeat,
+    TaskCommand,
+    TaskState,
+    TaskStatus,
+)
+from marblestair.wire.codec import BadRequestError, pack
+
+#: path of direct commands
+COMMAND_PATH = "/do"
+#: path at which an agent shows its heartbeat
+INSPECT_PATH = "/inspect"
+
+_TASK_STATES = {
+    "pulling": TaskState.FETCHING,
+    "waiting": TaskState.WAITING,
+    "running": TaskState.RUNNING,
+    "saving": TaskState.SAVING,
+    "exited": TaskState.EXITED,
+}
+_EXIT_REASONS = {
+    "": ExitReason.NONE,
+    "done": ExitReason.DONE,
+    "halted": ExitReason.STOPPED,
+    "mates_gone": ExitReason.PEERS,
+    "alone": ExitReason.ALONE,
+    "error": ExitReason.ERROR,
+    "no_room": ExitReason.NO_ROOM,
+    "in_use": ExitReason.BUSY,
+    "unknown": ExitReason.UNKNOWN,
+}
+_VERBS = {
+    CommandVerb.START: "launch",
+    CommandVerb.STOP: "stop",
+    CommandVerb.FORGET: "reap",
+}
+
+
+class _Task(msgspec.Struct):
+    piece: str
+    attempt: int = msgspec.field(name="try")
+    status: str
+    cause: str | None = None
+    stored: bool | None = None
+
+
+class _Heartbeat(msgspec.Struct):
+    bench: str
+    endpoint: str
+    build: str
+    room: str
+    loaners: bool
+    shift: int
+    tally: int
+    baton: int = 0
+    recall_s: float | None = None
+    pieces: list[_Task] = []
+
+
+_heartbeat_decoder = msgspec.msgpack.Decoder(_Heartbeat)
+
+
+def decode_heartbeat(body: bytes) -> Heartbeat:
+    """Decode an agent's heartbeat.
+
+    Raises
+    ------
+    BadRequestError
+        When it is malformed.
+    """
+    try:
+        heartbeat = _heartbeat_decoder.decode(body)
+        tasks = [_task_status(task) for task in heartbeat.pieces]
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, ValueError) as error:
+        raise BadRequestError(str(error)) from None
+    return Heartbeat(
+        machine=heartbeat.bench,
+        address=heartbeat.endpoint,
+        machine_type=heartbeat.build,
+        zone=heartbeat.room,
+        spot=heartbeat.loaners,
+        agent_incarnation=heartbeat.shift,
+        sequence=heartbeat.tally,
+        fencing_token=heartbeat.baton,
+        reclaim_in_s=heartbeat.recall_s,
+        tasks=tasks,
+    )
+
+
+def _task_status(task: _Task) -> TaskStatus:
+    job, _, index = task.piece.rpartition("/")
+    return TaskStatus(
+        job,
+        int(index),
+        task.attempt,
+        _TASK_STATES.get(task.status, TaskState.UNRECOGNIZED),
+        _EXIT_REASONS.get(task.cause or "", ExitReason.UNRECOGNIZED),
+        bool(task.stored),
+    )
+
+
+def _command(command: TaskCommand) -> dict[str, object]:
+    fields: dict[str, object] = {
+        "verb": _VERBS[command.verb],
+        "piece": f"{command.job}/{command.index}",
+        "try": command.attempt,
+    }
+    if command.verb is CommandVerb.STOP:
+        fields["wind_down_s"] = command.grace_s
+    return fields
+
+
+def encode_heartbeat_response(fencing_token: int, commands: list[TaskCommand]) -> bytes:
+    """Encode the body of a 200 to a heartbeat."""
+    return pack({"baton": fencing_token, "orders": [_command(command) for command in commands]})
+
+
+def encode_redirect(node: str | None) -> bytes:
+    """Encode the body of a 421 to a heartbeat: the node to turn to, if it is known."""
+    return pack({"foreman": node} if node else {})
+
+
+def encode_direct_command(
+    fencing_token: int, agent_incarnation: int, commands: list[TaskCommand]
+) -> bytes:
+    """Encode the body of a direct command."""
+    return pack(
+        {
+            "baton": fencing_token,
+            "shift": agent_incarnation,
+            "orders": [_command(command) for command in commands],
+        }
+    )
--- /dev/null
+++ b/marblestair/wire/store.py
@@ -0,0 +1,126 @@
+"""The store's interface: keys, transactions, leases and watches."""
+
+from __future__ import annotations
+
+from typing import Any
+from urllib.parse import quote
+
+import msgspec
+
+from marblestair.core.runtime.store_requests import (
+    CompareAndSwap,
+    Get,
+    GrantLease,
+    KeyChange,
+    ListKeys,
+    Put,
+    RenewLease,
+    StoredKey,
+    StoreRequest,
+    StoreResponse,
+    Watch,
+)
+from marblestair.wire.codec import HttpRequest, pack
+
+
+def encode_store_request(request: StoreRequest) -> HttpRequest:
+    """Encode a request to the store."""
+    if isinstance(request, Get):
+        return HttpRequest("GET", "/keys/" + request.key)
+    if isinstance(request, ListKeys):
+        return HttpRequest("GET", _list_path(request))
+    if isinstance(request, CompareAndSwap):
+        return HttpRequest("POST", "/commit", pack(_transaction(request)))
+    if isinstance(request, GrantLease):
+        return HttpRequest("POST", "/leases", pack({"ttl_ms": request.ttl_ms}))
+    if isinstance(request, RenewLease):
+        return HttpRequest("POST", f"/leases/{request.lease_id}/renew")
+    return HttpRequest("GET", _watch_path(request))
+
+
+def _list_path(request: ListKeys) -> str:
+    path = f"/keys?starts={_quoted(request.prefix)}&limit={request.limit}"
+    if request.after_key:
+        path += "&from=" + _quoted(request.after_key)
+    return path
+
+
+def _watch_path(request: Watch) -> str:
+    hold = f"&hold_ms={request.wait_ms}"
+    return f"/watch?starts={_quoted(request.prefix)}&from={request.after_revision}{hold}"
+
+
+def _quoted(key: str) -> str:
+    return quote(key, safe="/")
+
+
+def _transaction(request: CompareAndSwap) -> dict[str, object]:
+    changes = [_put(put) for put in request.puts]
+    changes += [{"delete": key} for key in request.deletes]
+    guards = [{"path": key, "stamp": version} for key, version in request.preconditions]
+    body: dict[str, object] = {"guards": guards}
+    if changes:
+        body["apply"] = changes
+    return body
+
+
+def _put(put: Put) -> dict[str, object]:
+    fields = {"set": put.key, "value": put.value}
+    if put.lease_id is not None:
+        fields["tenancy"] = put.lease_id
+    return fields
+
+
+def decode_store_response(request: StoreRequest, status: int, body: bytes) -> StoreResponse:
+    """Decode a response of the store; a malformed one counts as no response."""
+    try:
+        fields = msgspec.msgpack.decode(body) if body else {}
+        if not isinstance(fields, dict):
+            raise ValueError("not a map")
+        if status == 200:
+            return _decode_success(request, fields)
+        return _decode_failure(request, status, fields)
+    except (msgspec.DecodeError, UnicodeDecodeError, ValueError, KeyError, TypeError):
+        # It may have been carried out, unless the status alone says that it was not.
+        return StoreResponse(status if status == 429 or status >= 500 else 0)
+
+
+def _decode_success(request: StoreRequest, fields: dict[str, Any]) -> StoreResponse:
+    if isinstance(request, Get):
+        return StoreResponse(200, value=fields["value"], version=int(fields["stamp"]))
+    if isinstance(request, ListKeys):
+        items = [
+            StoredKey(item["path"], item["value"], int(item["stamp"])) for item in fields["items"]
+        ]
+        has_more = bool(fields.get("more"))
+        return StoreResponse(
+            200, items=items, has_more=has_more, revision=int(fields["ledger_rev"])
+        )
+    if isinstance(request, Watch):
+        changes = [_key_change(change) for change in fields["log"]]
+        return StoreResponse(200, events=changes, revision=int(fields["ledger_rev"]))
+    if isinstance(request, GrantLease):
+        return StoreResponse(200, lease_id=int(fields["tenancy"]))
+    if isinstance(request, CompareAndSwap):
+        # Without the revision nobody could tell whether something newer is known already.
+        return StoreResponse(200, revision=int(fields["ledger_rev"]))
+    return _decode_plain(200, fields)
+
+
+def _decode_failure(request: StoreRequest, status: int, fields: dict[str, Any]) -> StoreResponse:
+    if isinstance(request, Get) and status == 404:
+        # As above: an absence without its revision proves nothing.
+        return StoreResponse(404, revision=int(fields["ledger_rev"]))
+    return _decode_plain(status, fields)
+
+
+def _decode_plain(status: int, fields: dict[str, Any]) -> StoreResponse:
+    failed_keys = list(fields.get("failed") or [])
+    revision = int(fields.get("ledger_rev") or 0)
+    return StoreResponse(status, revision=revision, failed_keys=failed_keys)
+
+
+def _key_change(fields: dict[str, Any]) -> KeyChange:
+    if fields.get("set") is not None:
+        return KeyChange(fields["set"], fields["value"], int(fields["stamp"]))
+    return KeyChange(fields["delete"], None, int(fields["stamp"]))
--- /dev/null
+++ b/marblestair/wire/users.py
@@ -0,0 +1,218 @@
+"""The users' interface: submissions, queries, cancels and health checks."""
+
+from __future__ import annotations
+
+import enum
+import re
+
+import msgspec
+
+from marblestair.core.domain.amounts import are_valid_amounts
+from marblestair.core.domain.jobs import JobKind, JobSpec, JobState, Priority
+from marblestair.wire.codec import MAX_BODY, BadRequestError, pack
+
+#: tasks in one job, at most
+MAX_TASKS = 100_000
+#: the largest amount that is accepted, in any unit
+MAX_AMOUNT = 1e12
+#: bounds on names that end up in records: characters in one, and names in one submission
+MAX_NAME_LENGTH = 200
+MAX_NAMES = 100
+
+HEALTH_PATH = "/healthz"
+JOBS_PATH = "/v1/jobs"
+HEARTBEAT_PATH = "/v1/report"
+
+_KINDS = {"batch": JobKind.ARRAY, "group": JobKind.GANG, "daemon": JobKind.SERVICE}
+_PRIORITIES = {
+    "prod": Priority.PRODUCTION,
+    "high": Priority.HIGH,
+    "normal": Priority.NORMAL,
+    "low": Priority.LOW,
+}
+_JOB_STATES = {
+    JobState.QUEUED: "queued",
+    JobState.RUNNING: "running",
+    JobState.DONE: "done",
+    JobState.CANCELLED: "aborted",
+}
+
+#: "job-" and a whole number; digits only, so that ids stay short and safe in keys
+_JOB_ID = re.compile(r"job-[0-9]{1,20}\Z")
+
+
+def is_valid_job_id(job: str) -> bool:
+    """Whether an id has the form in which users choose them."""
+    return _JOB_ID.match(job) is not None
+
+
+class _Submission(msgspec.Struct):
+    ref: str
+    jobclass: str
+    owner: str
+    shape: str
+    urgency: str
+    pieces: int
+    cpus: float
+    gpus: float
+    mem_gb: float
+    bundle: str
+    size_gb: float
+    together: bool
+    scatter: bool
+    loaners: bool
+    expected_s: float
+    bookmark_s: float
+    bookmark_cost_s: float
+    builds: list[str] | None = None
+    room: str | None = None
+    due_s: float | None = None
+    awaits: list[str] | None = None
+
+
+_submission_decoder = msgspec.msgpack.Decoder(_Submission)
+
+
+def decode_submission(body: bytes) -> JobSpec:
+    """Decode and check a submission.
+
+    Raises
+    ------
+    BadRequestError
+        When it is malformed.
+    """
+    if len(body) > MAX_BODY:
+        raise BadRequestError("body too large")
+    try:
+        submission = _submission_decoder.decode(body)
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, ValueError) as error:
+        raise BadRequestError(str(error)) from None
+    _check_words(submission)
+    _check_amounts(submission)
+    _check_names(submission)
+    return _job_spec(submission, _depends_on(submission))
+
+
+def _check_words(submission: _Submission) -> None:
+    if not is_valid_job_id(submission.ref):
+        raise BadRequestError("ref: not of the form job-NUMBER")
+    if submission.shape not in _KINDS:
+        raise BadRequestError("shape: unknown")
+    if submission.urgency not in _PRIORITIES:
+        raise BadRequestError("urgency: unknown")
+    if not 1 <= submission.pieces <= MAX_TASKS:
+        raise BadRequestError(f"pieces: must be from 1 to {MAX_TASKS}")
+
+
+def _check_amounts(submission: _Submission) -> None:
+    amounts = [
+        submission.cpus,
+        submission.gpus,
+        submission.mem_gb,
+        submission.size_gb,
+        submission.expected_s,
+        submission.bookmark_s,
+        submission.bookmark_cost_s,
+        submission.due_s or 0.0,
+    ]
+    if not are_valid_amounts(*amounts):
+        raise BadRequestError("an amount is negative, infinite or not a number")
+    if max(amounts) > MAX_AMOUNT:
+        raise BadRequestError("an amount is out of range")
+
+
+def _check_names(submission: _Submission) -> None:
+    names = [
+        submission.jobclass,
+        submission.owner,
+        submission.bundle,
+        submission.room or "",
+        *(submission.builds or []),
+    ]
+    if len(names) > MAX_NAMES or any(len(name) > MAX_NAME_LENGTH for name in names):
+        raise BadRequestError("a name is too long")
+
+
+def _depends_on(submission: _Submission) -> list[str]:
+    """The jobs that a submission waits for, each once."""
+    jobs = list(dict.fromkeys(submission.awaits or []))
+    if not all(is_valid_job_id(job) for job in jobs):
+        raise BadRequestError("awaits: not a list of ids of the form job-NUMBER")
+    return jobs
+
+
+def _job_spec(submission: _Submission, depends_on: list[str]) -> JobSpec:
+    return JobSpec(
+        id=submission.ref,
+        job_class=submission.jobclass,
+        team=submission.owner,
+        kind=_KINDS[submission.shape],
+        priority=_PRIORITIES[submission.urgency],
+        task_count=submission.pieces,
+        cpus=submission.cpus,
+        gpus=submission.gpus,
+        mem_gb=submission.mem_gb,
+        image=submission.bundle,
+        image_gb=submission.size_gb,
+        machine_types=submission.builds,
+        zone=submission.room,
+        single_zone=submission.together,
+        spread_zones=submission.scatter,
+        allows_spot=submission.loaners,
+        estimated_run_s=submission.expected_s,
+        checkpoint_interval_s=submission.bookmark_s,
+        checkpoint_save_s=submission.bookmark_cost_s,
+        deadline_s=submission.due_s,
+        depends_on=depends_on,
+    )
+
+
+def encode_job_status(
+    job: str, state: str, done: int | None = None, running: int | None = None
+) -> bytes:
+    """Encode the body that tells a user about a job."""
+    body: dict[str, object] = {"ref": job, "status": _JOB_STATES[JobState(state)]}
+    if done is not None:
+        body["done"] = done
+        body["running"] = running or 0
+    return pack(body)
+
+
+class RequestKind(enum.Enum):
+    """What a request line asks for."""
+
+    SUBMIT = enum.auto()
+    QUERY = enum.auto()
+    CANCEL = enum.auto()
+    HEALTH = enum.auto()
+    HEARTBEAT = enum.auto()
+    UNKNOWN_PATH = enum.auto()
+    WRONG_METHOD = enum.auto()
+
+
+class Route(msgspec.Struct, frozen=True):
+    """Where a request goes, and the job id in its path."""
+
+    kind: RequestKind
+    job: str = ""
+
+
+def route_request(method: str, path: str) -> Route:
+    """Map a request line to what it asks for."""
+    if path == HEARTBEAT_PATH:
+        return _route(RequestKind.HEARTBEAT, method, "POST")
+    if path == HEALTH_PATH:
+        return _route(RequestKind.HEALTH, method, "GET")
+    if path == JOBS_PATH:
+        return _route(RequestKind.SUBMIT, method, "POST")
+    if path.startswith(f"{JOBS_PATH}/"):
+        job, slash, action = path[len(JOBS_PATH) + 1 :].partition("/")
+        if not slash:
+            return _route(RequestKind.QUERY, method, "GET", job)
+        if action == "withdraw":
+            return _route(RequestKind.CANCEL, method, "POST", job)
+    return Route(RequestKind.UNKNOWN_PATH)
+
+
+def _route(kind: RequestKind, method: str, expected_method: str, job: str = "") -> Route:
+    return Route(kind if method == expected_method else RequestKind.WRONG_METHOD, job)
--- /dev/null
+++ b/tests/fakes/peer_wire.py
@@ -0,0 +1,54 @@
+"""Messages between controllers as they are on the wire, also those of the version in production."""
+
+from __future__ import annotations
+
+from typing import Any, NamedTuple
+
+from marblestair.core.runtime.requests import PeerMessage
+from marblestair.wire.peers import (
+    MalformedMessageError,
+    arguments_of,
+    decode_message,
+    decode_request,
+    tag_of,
+)
+from tests.fakes.production import ProductionController, over_the_wire
+
+
+class WireMessage(NamedTuple):
+    """A message on the wire: its tag and its arguments as plain values."""
+
+    tag: str
+    arguments: list[Any]
+
+
+def encode(message: PeerMessage | WireMessage) -> WireMessage:
+    """A message as it goes over the wire; one of production's is that already."""
+    if isinstance(message, WireMessage):
+        return message
+    if isinstance(message, PeerMessage):
+        return WireMessage(tag_of(message), over_the_wire(arguments_of(message)))
+    tag, arguments = message
+    return WireMessage(tag, arguments)
+
+
+def deliver(controller: Any, sender: str, message: WireMessage) -> None:
+    """A one-way message arrives at a controller."""
+    if isinstance(controller, ProductionController):
+        controller.receive_message(sender, message.tag, message.arguments)
+        return
+    try:
+        decoded = decode_message(message.tag, message.arguments)
+    except MalformedMessageError as error:
+        controller.peer_service.reject(sender, str(error))
+    else:
+        controller.peer_service.receive(sender, decoded)
+
+
+def deliver_request(controller: Any, request: int, sender: str, message: WireMessage) -> None:
+    """A request arrives at a controller."""
+    if isinstance(controller, ProductionController):
+        controller.receive_request(request, sender, message.tag, message.arguments)
+    else:
+        decoded = decode_request(message.tag, message.arguments)
+        controller.peer_service.receive_request(request, sender, decoded)
--- a/tests/fakes/production.py
+++ b/tests/fakes/production.py
@@ -25,8 +25,10 @@
 
 import msgspec
 
+from marblestair.core.runtime.outbox import LogLine, PeerReply
 from marblestair.core.runtime.requests import PeerRequest
 from marblestair.core.runtime.store_requests import Put
+from marblestair.core.shard.heartbeat_response import HeartbeatResponse
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
 PACKAGE = "marblestair"
@@ -48,7 +50,6 @@
     "core.calls.CloudList": "core.runtime.cloud_requests.ListMachines",
     "core.calls.Listed": "core.runtime.cloud_requests.ListedMachine",
     "core.calls.CloudResult": "core.runtime.cloud_requests.CloudResponse",
-    "core.calls.PeerCall": "core.runtime.requests.PeerRequest",
     "core.calls.Sleep": "core.runtime.requests.Sleep",
     "core.calls.Inspect": "core.runtime.requests.InspectAgent",
     "core.model.JobSpec": "core.domain.jobs.JobSpec",
@@ -59,8 +60,7 @@
     "core.model.JobRecord": "core.state.records.JobRecord",
     "core.messages.Reply": "core.runtime.outbox.UserReply",
     "core.messages.Command": "core.runtime.outbox.DirectCommand",
-    "core.messages.Note": "core.runtime.outbox.PeerMessage",
-    "core.messages.PartSummary": "core.runtime.outbox.ShardSummary",
+    "core.messages.PartSummary": "core.messaging.shard_summary.ShardSummary",
     "core.split.SplitRecord": "core.state.records.ShardMap",
     "core.split.PartRecord": "core.state.records.ShardRecord",
     "core.split.MachineRecord": "core.state.records.MachineRecord",
@@ -217,29 +217,78 @@
     return msgspec.msgpack.decode(msgspec.msgpack.encode(value))
 
 
-class _CoroutineRunner:
-    """The calls of a production core, as the present version's."""
+class _Requests:
+    """The requests of a production core's coroutines, as the present version's."""
 
     def __init__(self, runner: Any) -> None:
         self._runner = runner
 
     @property
     def requests(self) -> list[tuple[int, Any]]:
-        return [(number, self._request(call)) for number, call in self._runner.calls]
+        return [(number, _present_request(call)) for number, call in self._runner.calls]
 
     @requests.setter
     def requests(self, value: list[tuple[int, Any]]) -> None:
         self._runner.calls = value
 
-    def _request(self, call: Any) -> Any:
-        present = to_present(call)
-        if isinstance(present, PeerRequest):
-            return msgspec.structs.replace(present, args=over_the_wire(present.args))
-        return present
 
+def _present_request(call: Any) -> Any:
+    if type(call).__name__ == "PeerCall":
+        # What goes to another controller passes as it is on the wire.
+        return PeerRequest(call.node, (call.tag, over_the_wire(call.args)), call.timeout_s)
+    return to_present(call)
 
-#: a controller's outputs, by the present names: their names in production
-OUTPUTS = {"direct_commands": "commands", "messages": "notes", "log_lines": "lines"}
+
+class _Outbox:
+    """The outputs of a production core, as the present version's."""
+
+    def __init__(self, core: Any) -> None:
+        self._core = core
+
+    @property
+    def user_replies(self) -> list[Any]:
+        return [to_present(reply) for reply in self._core.replies]
+
+    @user_replies.setter
+    def user_replies(self, value: list[Any]) -> None:
+        self._core.replies = value
+
+    @property
+    def direct_commands(self) -> list[Any]:
+        return [to_present(command) for command in self._core.commands]
+
+    @direct_commands.setter
+    def direct_commands(self, value: list[Any]) -> None:
+        self._core.commands = value
+
+    @property
+    def messages(self) -> list[Any]:
+        return [
+            SimpleNamespace(node=note.node, message=(note.tag, over_the_wire(note.args)))
+            for note in self._core.notes
+        ]
+
+    @messages.setter
+    def messages(self, value: list[Any]) -> None:
+        self._core.notes = value
+
+    @property
+    def peer_replies(self) -> list[Any]:
+        return [
+            PeerReply(number, over_the_wire(value)) for number, value in self._core.peer_replies
+        ]
+
+    @peer_replies.setter
+    def peer_replies(self, value: list[Any]) -> None:
+        self._core.peer_replies = value
+
+    @property
+    def log_lines(self) -> list[Any]:
+        return [LogLine(level, text) for level, text in self._core.lines]
+
+    @log_lines.setter
+    def log_lines(self, value: list[Any]) -> None:
+        self._core.lines = value
 
 
 class ProductionController:
@@ -252,44 +301,31 @@
         settings = self._production.settings(raw)
         kind = self._production.module("core.controller").Controller
         self.core = kind(settings, incarnation, rng, now, wall)
-        self.coroutines = _CoroutineRunner(self.core.runner)
+        self.context = SimpleNamespace(
+            node=self.core.node,
+            incarnation=incarnation,
+            coroutines=_Requests(self.core.runner),
+            outbox=_Outbox(self.core),
+        )
+        self.leadership = SimpleNamespace(led_shards=lambda: list(self.core.acting()))
 
-    def __getattr__(self, name: str) -> Any:
-        return getattr(self.core, OUTPUTS.get(name, name))
-
-    def __setattr__(self, name: str, value: Any) -> None:
-        if name in ("core", "coroutines", "_production"):
-            object.__setattr__(self, name, value)
-        else:
-            setattr(self.core, OUTPUTS.get(name, name), value)
-
-    def led_shards(self) -> list[Any]:
-        """Production's shards that the controller may act for."""
-        return list(self.core.acting())
+    @property
+    def view(self) -> Any:
+        return self.core.view
 
     @property
     def slice_migrations(self) -> Any:
         """Counts of migrations, by the present names."""
         return SimpleNamespace(completed_count=self.core.migrations.done)
 
-    @property
-    def replies(self) -> list[Any]:
-        return [to_present(reply) for reply in self.core.replies]
+    def start(self) -> None:
+        self.core.start()
 
-    @property
-    def direct_commands(self) -> list[Any]:
-        return [to_present(command) for command in self.core.commands]
+    def set_time(self, now: float, wall: float) -> None:
+        self.core.set_time(now, wall)
 
-    @property
-    def messages(self) -> list[Any]:
-        return [
-            msgspec.structs.replace(to_present(note), args=over_the_wire(note.args))
-            for note in self.core.notes
-        ]
-
-    @property
-    def peer_replies(self) -> list[Any]:
-        return [(number, over_the_wire(value)) for number, value in self.core.peer_replies]
+    def tick(self) -> None:
+        self.core.tick()
 
     def complete(self, call: int, result: Any) -> None:
         if isinstance(result, msgspec.Struct):
@@ -297,9 +333,9 @@
         else:
             self.core.complete(call, over_the_wire(result))
 
-    def receive_heartbeat(self, report: Any) -> tuple[int, int, list[Any], str | None]:
-        status, token, orders, node = self.core.report(self._production.translate(report))
-        return status, token, to_present(orders), node
+    def receive_heartbeat(self, heartbeat: Any) -> HeartbeatResponse:
+        status, token, orders, node = self.core.report(self._production.translate(heartbeat))
+        return HeartbeatResponse(status, token, to_present(orders), node)
 
     def receive_message(self, node: str, tag: str, args: list[Any]) -> None:
         self.core.note(node, tag, over_the_wire(args))
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -28,7 +28,8 @@
 from marblestair.core.runtime.requests import InspectAgent, PeerRequest
 from marblestair.core.runtime.store_requests import NOT_SENT, CompareAndSwap, StoreResponse, Watch
 from tests.fakes.deployment import EPOCH, TYPES, raw_settings, settings
-from tests.fakes.production import ProductionController
+from tests.fakes.peer_wire import WireMessage, deliver, deliver_request, encode
+from tests.fakes.production import ProductionController, over_the_wire
 from tests.fakes.rules import Rules
 from tests.fakes.state import FakeState
 from tests.fakes.worker import FakeTask, Worker
@@ -203,8 +204,9 @@
         self.at(0.2, lambda: self._tick(name, controller))
 
     def set_time(self, controller: Controller) -> None:
-        i = self.node_names.index(controller.node)
-        controller.set_time(self.now * self.drift[controller.node] + 100 * i, EPOCH + self.now)
+        i = self.node_names.index(controller.context.node)
+        steady = self.now * self.drift[controller.context.node] + 100 * i
+        controller.set_time(steady, EPOCH + self.now)
 
     def flush(self, name: str) -> None:
         """Carry out what a node's core has left to be sent."""
@@ -213,32 +215,36 @@
             return
         if self.asleep(name, lambda: self.flush(name)):
             return
-        while controller.coroutines.requests:
-            calls, controller.coroutines.requests = controller.coroutines.requests, []
+        while controller.context.coroutines.requests:
+            coroutines = controller.context.coroutines
+            calls, coroutines.requests = coroutines.requests, []
             for n, call in calls:
                 self._point("call", name, call)
                 if not self.asleep(
                     name, lambda n=n, call=call: self._call_late(controller, n, call)
                 ):
                     self._call(controller, n, call)
-        replies, controller.replies = controller.replies, []
+        outbox = controller.context.outbox
+        replies, outbox.user_replies = outbox.user_replies, []
         for reply in replies:
             done = self._waiters.pop(reply.request_id, None)
             if done is not None:
                 done(reply)
-        commands, controller.direct_commands = controller.direct_commands, []
+        commands, outbox.direct_commands = outbox.direct_commands, []
         self._send_commands(name, commands)
-        notes, controller.messages = controller.messages, []
-        for message in notes:
+        messages, outbox.messages = outbox.messages, []
+        for outgoing in messages:
+            message = encode(outgoing.message)
             if message.tag not in self.lost:
-                self.send(name, message.node, lambda n=message: self._note(name, n))
-        answers, controller.peer_replies = controller.peer_replies, []
-        for n, value in answers:
-            self._answer_peer(name, n, value)
-        errors = [t for level, t in controller.log_lines if level == "error"]
+                to = outgoing.node
+                self.send(name, to, lambda to=to, m=message: self._deliver(name, to, m))
+        answers, outbox.peer_replies = outbox.peer_replies, []
+        for answer in answers:
+            self._answer_peer(name, answer.request_id, over_the_wire(answer.value))
+        lines, outbox.log_lines = outbox.log_lines, []
+        errors = [line.text for line in lines if line.level == "error"]
         assert not errors, errors
-        self.log += [(self.now, name, text) for _, text in controller.log_lines]
-        controller.log_lines = []
+        self.log += [(self.now, name, line.text) for line in lines]
 
     def logged(self, *words: str) -> list[tuple[float, str, str]]:
         """The lines of the controllers' logs that hold all of some words."""
@@ -265,17 +271,18 @@
 
     def _call_late(self, controller: Controller, n: int, call: Any) -> None:
         """A call that was made before a pause and is sent after it."""
-        if self.cores.get(controller.node) is controller:
+        if self.cores.get(controller.context.node) is controller:
             self._call(controller, n, call)
 
-    def _note(self, sender: str, n: Any) -> None:
-        if self.asleep(n.node, lambda: self._note(sender, n)):
+    def _deliver(self, sender: str, node: str, message: WireMessage) -> None:
+        """A one-way message arrives at a node."""
+        if self.asleep(node, lambda: self._deliver(sender, node, message)):
             return
-        controller = self.cores.get(n.node)
+        controller = self.cores.get(node)
         if controller is not None:
             self.set_time(controller)
-            controller.receive_message(sender, n.tag, n.args)
-            self.flush(n.node)
+            deliver(controller, sender, message)
+            self.flush(node)
 
     def send(self, a: str, b: str, do: Callable[[], None]) -> None:
         """Deliver between two hosts, unless cut; a holding cut delivers when it ends."""
@@ -300,46 +307,48 @@
             self.at(0.001, do)
 
     def _complete(self, controller: Controller, n: int, result: Any) -> None:
-        if self.asleep(controller.node, lambda: self._complete(controller, n, result)):
+        if self.asleep(controller.context.node, lambda: self._complete(controller, n, result)):
             return
-        if self.cores.get(controller.node) is controller:
+        if self.cores.get(controller.context.node) is controller:
             self.set_time(controller)
             controller.complete(n, result)
-            self.flush(controller.node)
+            self.flush(controller.context.node)
 
     def _call(self, controller: Controller, n: int, call: Any) -> None:
         """Carry out a call of a node's flow."""
         answer = Answer(self, controller, n)
         if isinstance(call, PeerRequest):
-            self._call_peer(controller.node, call, answer)
+            self._call_peer(controller.context.node, call, answer)
         elif isinstance(call, InspectAgent):
-            self._call_worker(controller.node, call, answer)
+            self._call_worker(controller.context.node, call, answer)
         elif isinstance(call, (ListMachineTypes, RentMachines, ReleaseMachines, ListMachines)):
-            self._call_cloud(controller.node, call, answer)
+            self._call_cloud(controller.context.node, call, answer)
         elif isinstance(call, Watch):
-            self._watch(controller.node, call, answer)
+            self._watch(controller.context.node, call, answer)
         else:
-            self._call_state(controller.node, call, answer, (controller.incarnation, n))
+            process = controller.context.incarnation
+            self._call_state(controller.context.node, call, answer, (process, n))
 
     def _call_peer(self, name: str, call: PeerRequest, answer: Answer) -> None:
         self.at(call.timeout_s, lambda: answer(None))
-        if call.tag in self.lost:
+        if self.lost and encode(call.message).tag in self.lost:
             return
 
-        def deliver() -> None:
-            if self.asleep(call.node, deliver):
+        def arrive() -> None:
+            if self.asleep(call.node, arrive):
                 return
             peer = self.cores.get(call.node)
             if peer is None:
                 return
             ask = next(self._ids)
             self._waiters[ask] = lambda v: self.send(call.node, name, lambda: answer(v))
-            self._tags[ask] = call.tag
+            message = encode(call.message)
+            self._tags[ask] = message.tag
             self.set_time(peer)
-            peer.receive_request(ask, name, call.tag, call.args)
+            deliver_request(peer, ask, name, message)
             self.flush(call.node)
 
-        self.send(name, call.node, deliver)
+        self.send(name, call.node, arrive)
 
     def _call_worker(self, name: str, call: InspectAgent, answer: Answer) -> None:
         self.at(1.5, lambda: answer(None))
@@ -542,7 +551,7 @@
                 if isinstance(controller, ProductionController):
                     controller.request(what, n, arg)
                 else:
-                    controller.spawn(getattr(controller.user_requests, what)(n, arg))
+                    controller.context.spawn(getattr(controller.user_requests, what)(n, arg))
                 self.flush(node)
 
         deliver()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -12,6 +12,7 @@
 from marblestair.core.runtime.requests import InspectAgent, PeerRequest
 from marblestair.core.runtime.store_requests import Get
 from marblestair.core.state import keys
+from tests.fakes.peer_wire import WireMessage
 from tests.fakes.worker import Worker
 from tests.fakes.world import World
 
@@ -65,31 +66,34 @@
 
 def cost(world: World, seconds: float) -> dict[str, float]:
     """Steps per report and per tick of the cores, and bytes per note, over some seconds."""
-    total = {"receive_heartbeat": 0, "tick": 0, "receive_message": 0}
-    count = {"receive_heartbeat": 0, "tick": 0, "receive_message": 0}
-    plain = {
-        name: getattr(Controller, name) for name in ("receive_heartbeat", "tick", "receive_message")
-    }
+    total = {"heartbeat": 0, "tick": 0, "message": 0}
+    count = {"heartbeat": 0, "tick": 0, "message": 0}
+    plain = {"heartbeat": Controller.receive_heartbeat, "tick": Controller.tick}
+    deliver = world._deliver
 
     def counted(name: str) -> Callable[..., Any]:
         def call(self: Controller, *args: Any) -> Any:
             out: list[Any] = []
             count[name] += 1
-            if name == "receive_message":
-                total[name] += len(msgspec.msgpack.encode(args))
-                return plain[name](self, *args)
             total[name] += steps(lambda: out.append(plain[name](self, *args)))
             return out[0]
 
         return call
 
-    for name in plain:
-        setattr(Controller, name, counted(name))
+    def count_message(sender: str, node: str, message: WireMessage) -> None:
+        count["message"] += 1
+        total["message"] += len(msgspec.msgpack.encode([sender, *message]))
+        deliver(sender, node, message)
+
+    Controller.receive_heartbeat = counted("heartbeat")  # type: ignore[method-assign]
+    Controller.tick = counted("tick")  # type: ignore[method-assign]
+    world._deliver = count_message  # type: ignore[method-assign]
     try:
         world.run(seconds)
     finally:
-        for name, f in plain.items():
-            setattr(Controller, name, f)
+        Controller.receive_heartbeat = plain["heartbeat"]  # type: ignore[method-assign]
+        Controller.tick = plain["tick"]  # type: ignore[method-assign]
+        world._deliver = deliver  # type: ignore[method-assign]
     return {name: total[name] / max(1, count[name]) for name in total}
 
 
@@ -106,7 +110,7 @@
         world._call = self._call  # type: ignore[method-assign]
 
     def _call(self, core: Any, number: int, call: Any) -> None:
-        if core.node == self._node:
+        if core.context.node == self._node:
             self.calls.append(call)
             if self.holding and isinstance(call, Get):
                 self.held.append((core, number, call))
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -198,15 +198,15 @@
         (c, p)
         for c in world.cores.values()
         if c is not None
-        for p in c.led_shards()
+        for p in c.leadership.led_shards()
         if worker.name in p.machines
     )
     seen = part.machines[worker.name].last_heartbeat_at
-    world._copy(core.node, before)
+    world._copy(core.context.node, before)
     world.set_time(core)
     done = [TaskStatus("job-000001", 0, 1, "exited", "done")]
     late = msgspec.structs.replace(before, reclaim_in_s=1.0, tasks=done)
-    world._copy(core.node, late)
+    world._copy(core.context.node, late)
     k = part.machines[worker.name]
     assert k.reclaim_at is None and k.last_heartbeat_at >= seen and len(k.tasks) == len(worker.live)
     assert not part.slices["job-000001"].done_bits
@@ -250,7 +250,7 @@
         (c, p)
         for c in world.cores.values()
         if c is not None
-        for p in c.led_shards()
+        for p in c.leadership.led_shards()
         if worker.name in p.machines
     )
     worker.hung = True
@@ -260,7 +260,7 @@
     world.capacity = 0
     assert world.until(lambda: part.machines[worker.name].is_silent, 2 * world.lease_s)
     held = dict(part.slices["job-000001"].placed_on)
-    world._copy(core.node, lost)
+    world._copy(core.context.node, lost)
     assert not part.machines[worker.name].tasks and part.machines[worker.name].is_silent
     assert part.slices["job-000001"].placed_on == held
     assert not world.broken
@@ -310,7 +310,11 @@
     assert controller is not None and controller.is_healthy()
     world.isolate("n1", "state", "n0", "n2")
     world.run(8.0)
-    assert owner(world, 1) != "n1" and not controller.led_shards() and not controller.is_healthy()
+    assert (
+        owner(world, 1) != "n1"
+        and not controller.leadership.led_shards()
+        and not controller.is_healthy()
+    )
     # Workers and users are refused at once: no 200, no name, nothing held back.
     worker = busy(world)[0]
     world.set_time(controller)
@@ -324,7 +328,7 @@
     world.heal()
     assert world.finish(job, 200.0)
     world.run(15.0)
-    assert controller.is_healthy() and controller.led_shards()
+    assert controller.is_healthy() and controller.leadership.led_shards()
     assert world.state_of(job, "n1") == "done"
     assert not world.broken
 
@@ -485,7 +489,8 @@
     world.run(12.0)
     # Slow as it is, parts have owners, and users are served.
     assert all(
-        controller is not None and controller.led_shards() for controller in world.cores.values()
+        controller is not None and controller.leadership.led_shards()
+        for controller in world.cores.values()
     )
     jobs.append(world.submit(spec(6, task_count=6, estimated_run_s=5.0)))
     assert not world.broken
@@ -511,7 +516,7 @@
         outs.append(world.ask("n1", "cancel", job))
         world.run(0.25)
         if any(o and o[0].status == 200 for o in outs):
-            assert not controller.led_shards()
+            assert not controller.leadership.led_shards()
     world.heal()
     world.run(world.cancel_s + 2.0)
     assert not world.broken
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -7,8 +7,8 @@
 import pytest
 
 from marblestair.core.domain.jobs import JobState
-from marblestair.core.jobs.answers import JobStatus
-from marblestair.core.runtime.coroutines import Step
+from marblestair.core.jobs.job_status import JobStatus
+from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.store_requests import CompareAndSwap, Get, KeyChange, StoreResponse
 from marblestair.core.state import keys
 from tests.fakes.deployment import spec
@@ -80,7 +80,7 @@
         world.ask(home, "cancel", job)
     while keys.FINALS + job not in world.state.data:
         controller = running(world, reader)
-        controller.spawn(controller.answers.refresh_record(job))
+        controller.context.spawn(controller.reader.refresh(job))
         world.flush(reader)
         world.run(0.1)
     assert world.until(lambda: bool(world.state_of(job, home)), 5.0)
@@ -120,7 +120,7 @@
     assert not world.broken, world.broken[:3]
 
 
-def step_with(step: Step, response: StoreResponse) -> Any:
+def step_with(step: Coroutine, response: StoreResponse) -> Any:
     """Answer the one call that a step makes; what the step returns."""
     next(step)
     with pytest.raises(StopIteration) as end:
@@ -138,7 +138,7 @@
     cancelled = [*record[:3], [["cancel", 1]]]
     rev = world.state.rev + 2
     controller.view.apply_changes([KeyChange(keys.JOBS + job, None, rev)], rev)
-    controller.sync()
+    controller.view.publish_changes()
     late = StoreResponse(200, value=cancelled, version=version + 1)
     assert step_with(controller.answers.read_status(job), late) is None
 
@@ -148,7 +148,7 @@
     job = world.submit(spec(1, task_count=3, estimated_run_s=200.0))
     controller = running(world, manager(world, job))
     record, version, _ = world.state.data[keys.JOBS + job]
-    reading = controller.answers.read_record(job)
+    reading = controller.reader.read_record(job)
     next(reading)
     reading.send(StoreResponse(404, revision=version + 5))
     assert job not in controller.view.jobs
@@ -158,8 +158,8 @@
     assert job not in controller.view.jobs
     # A read that was carried out before the acceptance removes nothing either.
     controller.view.record_read(keys.JOBS + job, record, version + 6)
-    step_with(controller.answers.read_record(job), StoreResponse(0))
-    late = controller.answers.read_record(job)
+    step_with(controller.reader.read_record(job), StoreResponse(0))
+    late = controller.reader.read_record(job)
     next(late)
     late.send(StoreResponse(404, revision=version + 5))
     assert job in controller.view.jobs
@@ -184,4 +184,4 @@
     world.run(12.0)
     controller = running(world, manager(world, job))
     assert controller.answers.status_from_memory(job) == JobStatus(JobState.RUNNING, 0, 3)
-    assert controller.job_managers.managed[job].is_record_known
+    assert controller.managed_jobs[job].is_record_known
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -10,11 +10,19 @@
 import msgspec
 import pytest
 
-from marblestair import cli, wire
+from marblestair import cli
 from marblestair.net.http_server import HttpServer
 from marblestair.net.peers import PeerServer, frame
+from marblestair.node import Node
+from marblestair.policy import Policy
 from marblestair.settings import SettingsError, parse
+from marblestair.wire.agents import decode_heartbeat
+from marblestair.wire.cloud import decode_cloud_response
+from marblestair.wire.codec import MAX_BODY, BadRequestError, pack
+from marblestair.wire.store import decode_store_response
+from marblestair.wire.users import RequestKind, Route, decode_submission, route_request
 from tests.fakes.deployment import settings
+from tests.fakes.peer_wire import WireMessage, deliver
 
 GOOD: dict[str, Any] = {
     "ref": "job-000412",
@@ -42,7 +50,7 @@
 
 def test_a_good_submission_with_unknown_and_omitted_fields() -> None:
     body = {k: v for k, v in GOOD.items() if k not in ("room", "builds", "due_s")}
-    spec = wire.parse_submit(wire.pack({**body, "later_field": [1, 2]}))
+    spec = decode_submission(pack({**body, "later_field": [1, 2]}))
     assert (spec.id, spec.kind, spec.machine_types, spec.deadline_s) == (
         "job-000412",
         "array",
@@ -76,35 +84,35 @@
     ],
 )
 def test_malformed_submissions(change: dict[str, Any]) -> None:
-    with pytest.raises(wire.BadRequestError):
-        wire.parse_submit(wire.pack({**GOOD, **change}))
+    with pytest.raises(BadRequestError):
+        decode_submission(pack({**GOOD, **change}))
 
 
 @pytest.mark.parametrize("field", sorted(set(GOOD) - {"builds", "room", "due_s"}))
 def test_a_missing_field(field: str) -> None:
-    with pytest.raises(wire.BadRequestError):
-        wire.parse_submit(wire.pack({k: v for k, v in GOOD.items() if k != field}))
+    with pytest.raises(BadRequestError):
+        decode_submission(pack({k: v for k, v in GOOD.items() if k != field}))
 
 
 @pytest.mark.parametrize("body", [b"", b"\xc1", b"\x93\x01\x02\x03", b"\x91" * 5000, b"{}"])
 def test_bodies_that_are_no_map(body: bytes) -> None:
-    with pytest.raises(wire.BadRequestError):
-        wire.parse_submit(body)
-    with pytest.raises(wire.BadRequestError):
-        wire.parse_report(body)
+    with pytest.raises(BadRequestError):
+        decode_submission(body)
+    with pytest.raises(BadRequestError):
+        decode_heartbeat(body)
 
 
 def test_malformed_answers_of_outside_systems_count_as_failed_calls() -> None:
     from marblestair.core.runtime.cloud_requests import RentMachines
     from marblestair.core.runtime.store_requests import CompareAndSwap, Get, Watch
 
-    for body in (b"", b"\xc1", wire.pack([1]), wire.pack({"benches": 3})):
-        assert wire.cloud_result(RentMachines("r", "t", "z", False, 1), 200, body).status == 0
-        assert wire.state_result(Get("k"), 200, body).status == 0
-        assert wire.state_result(Watch("k", 1, 1), 200, body).status == 0
+    for body in (b"", b"\xc1", pack([1]), pack({"benches": 3})):
+        assert decode_cloud_response(RentMachines("r", "t", "z", False, 1), 200, body).status == 0
+        assert decode_store_response(Get("k"), 200, body).status == 0
+        assert decode_store_response(Watch("k", 1, 1), 200, body).status == 0
         # Without a revision neither an absence nor a change can be put in order.
-        assert wire.state_result(Get("k"), 404, body).status == 0
-        assert wire.state_result(CompareAndSwap([], [], ["k"]), 200, body).status == 0
+        assert decode_store_response(Get("k"), 404, body).status == 0
+        assert decode_store_response(CompareAndSwap([], [], ["k"]), 200, body).status == 0
 
 
 class FakeTransport:
@@ -138,7 +146,7 @@
 
     from marblestair.net.http_server import Connection
 
-    server = HttpServer(handler, lambda: 0.0, 10, wire.MAX_BODY, 60.0)
+    server = HttpServer(handler, lambda: 0.0, 10, MAX_BODY, 60.0)
     connection = Connection(server)
     t = FakeTransport()
     connection.connection_made(t)
@@ -264,12 +272,12 @@
 
 
 def test_unknown_paths_and_methods() -> None:
-    assert wire.route_user("GET", "/nothing")[0] == "none"
-    assert wire.route_user("GET", "/v1/jobs/job-1/other")[0] == "none"
-    assert wire.route_user("DELETE", "/v1/jobs/job-1")[0] == "method"
-    assert wire.route_user("GET", "/v1/jobs")[0] == "method"
-    assert wire.route_user("GET", "/v1/report")[0] == "method"
-    assert wire.route_user("POST", "/v1/jobs/job-1/withdraw") == ("cancel", "job-1")
+    assert route_request("GET", "/nothing") == Route(RequestKind.UNKNOWN_PATH)
+    assert route_request("GET", "/v1/jobs/job-1/other") == Route(RequestKind.UNKNOWN_PATH)
+    assert route_request("DELETE", "/v1/jobs/job-1").kind is RequestKind.WRONG_METHOD
+    assert route_request("GET", "/v1/jobs").kind is RequestKind.WRONG_METHOD
+    assert route_request("GET", "/v1/report").kind is RequestKind.WRONG_METHOD
+    assert route_request("POST", "/v1/jobs/job-1/withdraw") == Route(RequestKind.CANCEL, "job-1")
 
 
 def test_malformed_peer_frames_close_that_connection_only() -> None:
@@ -298,15 +306,30 @@
     world.run(3.0)
     controller = world.cores["n0"]
     assert controller is not None
-    controller.receive_message("n1", "summaries", [])
-    controller.receive_message("n1", "summaries", [controller.view.nodes["n1"], [["x"]]])
-    controller.receive_message("n1", "progress", [[1, 2]])
-    controller.receive_message("n1", "what", [1])
-    assert sum(level == "error" for level, _ in controller.log_lines) == 3
-    controller.log_lines.clear()
+    for tag, arguments in (
+        ("summaries", []),
+        ("summaries", [controller.view.nodes["n1"], [["x"]]]),
+        ("progress", [[1, 2]]),
+        ("what", [1]),
+    ):
+        deliver(controller, "n1", WireMessage(tag, arguments))
+    lines = controller.context.outbox.log_lines
+    assert sum(line.level == "error" for line in lines) == 3
+    lines.clear()
     world.run(1.0)
 
 
+def test_malformed_messages_do_not_end_the_process(caplog: Any) -> None:
+    node = Node(settings(0), Policy())
+    replies: list[Any] = []
+    node._receive_message("n1", "summaries", [])
+    node._receive_message("n1", "what", [1])
+    node._receive_request(replies.append, "n1", "apply", [])
+    node._receive_request(replies.append, "n1", "what", [1])
+    assert replies == [None, None]
+    assert [record.levelname for record in caplog.records] == ["ERROR", "ERROR"]
+
+
 def test_settings_errors_name_the_field(tmp_path: pathlib.Path, capsys: Any) -> None:
     good = msgspec.to_builtins(settings(0))
     parse(good)
--- a/tests/test_boots.py
+++ b/tests/test_boots.py
@@ -4,8 +4,7 @@
 
 import pytest
 
-from marblestair.core.capacity.boot_times import MOST_RATIO, BootTimes
-from marblestair.core.capacity.shard_summary import summarize_shard
+from marblestair.core.shard.boot_times import MOST_RATIO, BootTimes
 from marblestair.core.shard.machine import Machine
 from marblestair.core.state.records import MachineRecord
 from tests.fakes.deployment import TYPES, spec
@@ -111,9 +110,7 @@
         world.run(0.25)
         for name, other in world.cores.items():
             if other is not None and name != dead:
-                left |= {
-                    x for _, told in other.shard_summaries.values() for x in told.leaving_machines
-                }
+                left |= {x for _, told in other.summaries.values() for x in told.leaving_machines}
     assert not left & machines
     assert not world.broken
 
@@ -124,11 +121,11 @@
     controller = world.cores["n0"]
     assert controller is not None
     world.set_time(controller)
-    shard = controller.led_shards()[0]
-    machine = Machine("host-900", KIND.name, "a", False, controller.now)
+    shard = controller.leadership.led_shards()[0]
+    machine = Machine("host-900", KIND.name, "a", False, controller.context.now)
     shard.add_machine(machine)
     machine.set_machine_type(KIND)
     controller.view.machines["host-900"] = MachineRecord(shard.shard_id, KIND.name, "a", False, 0.0)
-    assert summarize_shard(controller, shard).leaving_machines == []
-    controller.set_time(controller.now + 1.7 * KIND.boot_s, controller.wall_time)
-    assert summarize_shard(controller, shard).leaving_machines == ["host-900"]
+    assert controller.summarizer.summarize(shard).leaving_machines == []
+    controller.set_time(controller.context.now + 1.7 * KIND.boot_s, controller.context.wall_time)
+    assert controller.summarizer.summarize(shard).leaving_machines == ["host-900"]
--- a/tests/test_cost_of_a_job.py
+++ b/tests/test_cost_of_a_job.py
@@ -10,6 +10,7 @@
 from marblestair.core.runtime.requests import PeerRequest
 from marblestair.core.runtime.store_requests import CompareAndSwap, Get
 from tests.fakes.deployment import spec
+from tests.fakes.peer_wire import WireMessage
 from tests.fakes.world import World
 from tests.helpers import manager, steps
 from tests.test_fleet import fill, fleet
@@ -59,9 +60,9 @@
         self.world = world
         self.job = ""
         self.cost = Cost()
-        self._call, self._note = world._call, world._note
+        self._call, self._deliver = world._call, world._deliver
         world._call = self._count_call  # type: ignore[method-assign]
-        world._note = self._count_note  # type: ignore[method-assign]
+        world._deliver = self._count_message  # type: ignore[method-assign]
 
     def about(self, job: str) -> Cost:
         """Begin to count for a job."""
@@ -78,20 +79,20 @@
             self.cost.changes += mine
             values = [put.value for put in call.puts if self.job in put.key]
             self.cost.bytes += len(msgspec.msgpack.encode(values)) if mine else 0
-        elif isinstance(call, PeerRequest) and self.job in call.args:
+        elif isinstance(call, PeerRequest) and self.job in msgspec.structs.astuple(call.message):
             self.cost.messages += 1
-            self.cost.bytes += len(msgspec.msgpack.encode(call.args))
+            self.cost.bytes += len(msgspec.msgpack.encode(call.message))
         self._call(core, number, call)
 
-    def _count_note(self, sender: str, note: Any) -> None:
-        if note.tag == "progress":
-            told = [report for report in note.args if report[0] == self.job]
-            self.cost.messages += len(told)
-            self.cost.bytes += len(msgspec.msgpack.encode(told)) if told else 0
-        elif note.tag in ("record", "ended") and note.args[0] == self.job:
+    def _count_message(self, sender: str, node: str, message: WireMessage) -> None:
+        if message.tag == "progress":
+            reports = [report for report in message.arguments if report[0] == self.job]
+            self.cost.messages += len(reports)
+            self.cost.bytes += len(msgspec.msgpack.encode(reports)) if reports else 0
+        elif message.tag in ("record", "ended") and message.arguments[0] == self.job:
             self.cost.messages += 1
-            self.cost.bytes += len(msgspec.msgpack.encode(note.args))
-        self._note(sender, note)
+            self.cost.bytes += len(msgspec.msgpack.encode(message.arguments))
+        self._deliver(sender, node, message)
 
 
 class Ask(msgspec.Struct):
--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from marblestair.core.runtime.decision_log import LINES_PER_S, Decision, DecisionLog
-from marblestair.core.status import status
 from tests.fakes.deployment import spec
 from tests.helpers import manager, running, warm
 
@@ -54,12 +53,14 @@
     released = world.logged("record release", child)
     finished = world.logged("record finish", parent)
     assert finished[0][0] <= released[0][0] <= world.starts[-1][0]
-    assert "awaits=1" in released[0][2]
+    assert "depends_on=1" in released[0][2]
     world.cancel(child)
     world.run(5.0)
-    counts = [status(running(world, name))["decisions"] for name in world.node_names]
+    counts = [
+        running(world, name).status_report.collect()["decisions"] for name in world.node_names
+    ]
     assert sum(c.get("launch in an answer", 0) for c in counts) == 2
     assert sum(c.get("stop in an answer", 0) + c.get("stop direct", 0) for c in counts) >= 1
-    shown = status(running(world, "n0"))
+    shown = running(world, "n0").status_report.collect()
     assert shown["cancels_not_confirmed"] == 0 and shown["stops_waiting"] == 0
     assert world.broken == []
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -5,8 +5,8 @@
 import pytest
 
 from marblestair.core.capacity.decommissioning import machines_to_release
-from marblestair.core.capacity.failures import REMEMBERED, FailureAttribution
 from marblestair.core.domain.agents import TaskCommand
+from marblestair.core.shard.failures import REMEMBERED, FailureAttribution
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
 from marblestair.core.shard.shard import Shard
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,10 +7,10 @@
 import msgspec
 import pytest
 
-from marblestair.core.capacity.failures import FailureAttribution
 from marblestair.core.domain.machines import MachineType
-from marblestair.core.runtime.outbox import ShardSummary
+from marblestair.core.messaging.shard_summary import ShardSummary
 from marblestair.core.runtime.store_requests import ListKeys
+from marblestair.core.shard.failures import FailureAttribution
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
 from marblestair.core.state import keys
@@ -91,11 +91,11 @@
         assert not world.broken and not world.state.refused and world.state.largest <= 4096
     small, large, busy = seen[300, 60], seen[900, 180], seen[300, 180]
     # A report and what it starts or ends: neither the machines nor the jobs beside it count.
-    assert large["receive_heartbeat"] < 1.5 * small["receive_heartbeat"], seen
-    assert busy["receive_heartbeat"] < 1.5 * small["receive_heartbeat"], seen
+    assert large["heartbeat"] < 1.5 * small["heartbeat"], seen
+    assert busy["heartbeat"] < 1.5 * small["heartbeat"], seen
     # What is done twice a second may go once through the part, which is three times as large.
     assert large["tick"] < 3.5 * small["tick"], seen
-    assert large["receive_message"] < 3.5 * small["receive_message"], seen
+    assert large["message"] < 3.5 * small["message"], seen
 
 
 def test_four_thousand_machines_cost_each_event_no_more_than_nine_hundred() -> None:
@@ -112,10 +112,10 @@
         seen[machines] = cost(world, 4.0)
         changes[machines] = (world.state.writes - before) / (world.now - then)
         assert not world.broken and not world.state.refused and world.state.largest <= 4096
-    assert seen[4000]["receive_heartbeat"] < 1.2 * seen[900]["receive_heartbeat"], seen
+    assert seen[4000]["heartbeat"] < 1.2 * seen[900]["heartbeat"], seen
     # What is done twice a second goes through the part, which is 4.4 times as large.
     assert seen[4000]["tick"] < 1.2 * 4.5 * seen[900]["tick"], seen
-    assert seen[4000]["receive_message"] < 1.2 * 4.5 * seen[900]["receive_message"], seen
+    assert seen[4000]["message"] < 1.2 * 4.5 * seen[900]["message"], seen
     assert max(changes.values()) < STATE["write_rps"], changes
 
 
@@ -156,8 +156,8 @@
     controller = world.cores["n0"]
     assert controller is not None
     for number in range(4000):
-        controller.cancellations.record(f"job-{number:06d}", 1_000_000)
-    entries = controller.cancellations.entries_after(0)
+        controller.cancels.record(f"job-{number:06d}", 1_000_000)
+    entries = controller.cancels.entries_after(0)
     assert entries is not None and len(entries) == 4000
     assert len(msgspec.msgpack.encode(entries)) < MAX_FRAME
 
@@ -375,13 +375,15 @@
     controller = world.cores["n0"]
     assert controller is not None
     world.set_time(controller)
-    shard = controller.led_shards()[0]
-    machine = Machine("host-1", "t64", "a", False, controller.now)
+    shard = controller.leadership.led_shards()[0]
+    machine = Machine("host-1", "t64", "a", False, controller.context.now)
     machine.set_machine_type(MachineType("t64", 64.0, 0.0, 256.0, 50.0, 1.0, 1.0, 0.3, 5.0, ["a"]))
     shard.add_machine(machine)
-    machine.is_reconciled, machine.last_heartbeat_at = True, controller.now
+    machine.is_reconciled, machine.last_heartbeat_at = True, controller.context.now
     for n in range(1, 9):
-        job_slice = JobSlice(spec(n, task_count=160, accepted_at=controller.wall_time - 200.0))
+        job_slice = JobSlice(
+            spec(n, task_count=160, accepted_at=controller.context.wall_time - 200.0)
+        )
         job_slice.ranges, job_slice.size = [[0, 160]], 160
         job_slice.pending.add(0, 160)
         shard.slices[job_slice.spec.id] = job_slice
@@ -429,7 +431,7 @@
         shard.shard_id
         for controller in world.cores.values()
         if controller
-        for shard in controller.led_shards()
+        for shard in controller.leadership.led_shards()
     } == {0, 1, 2}
     assert len(reads) < 40 and sum(reads) < 1500, (len(reads), sum(reads))
     # What is over is read when somebody asks for it.
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -5,7 +5,6 @@
 from typing import Any
 
 from marblestair.core.capacity.decommissioning import nearly_empty_machines
-from marblestair.core.capacity.shard_summary import summarize_shard
 from marblestair.core.domain.machines import MachineType
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
@@ -81,9 +80,9 @@
     after = cost(world, 6.0)
     # Four times the machines and five times the tasks. A report costs what it lists, a tick what
     # its part holds; neither what the whole fleet and all jobs together are.
-    assert after["receive_heartbeat"] < 2.5 * before["receive_heartbeat"]
+    assert after["heartbeat"] < 2.5 * before["heartbeat"]
     assert after["tick"] < 3.0 * before["tick"]
-    assert after["receive_message"] < 3.0 * before["receive_message"]
+    assert after["message"] < 3.0 * before["message"]
     # Changes of the state service stay within its rate, whatever runs.
     assert (world.state.writes - writes) / (world.now - then) < 40.0
     # A node falls and comes back at once, and another for longer.
@@ -156,7 +155,11 @@
     world.capacity = 1
     job = world.submit(spec(2, task_count=400, estimated_run_s=30.0))
     core, part = next(
-        (c, p) for c in world.cores.values() if c for p in c.led_shards() if job in p.slices
+        (c, p)
+        for c in world.cores.values()
+        if c
+        for p in c.leadership.led_shards()
+        if job in p.slices
     )
     target = next(i for i in range(3) if i != part.shard_id)
     for _ in range(150):
@@ -170,7 +173,7 @@
         world.set_time(core)
         if b - a > 1 and core.slice_migrations.active_count < 4:
             core.slice_migrations.start(part, job_slice, [[a + 1, a + 2]], target)
-        world.flush(core.node)
+        world.flush(core.context.node)
         world.run(0.6)
     assert not world.state.refused and world.state.largest <= 512
     world.capacity = 12
@@ -222,16 +225,16 @@
     )
     world.run(12.0)
     core, part = next(
-        (c, p) for c in world.cores.values() if c for p in c.led_shards() if p.machines
+        (c, p) for c in world.cores.values() if c for p in c.leadership.led_shards() if p.machines
     )
     machine = next(iter(part.machines.values()))
     machine.is_draining = True
-    told = summarize_shard(core, part)
+    told = core.summarizer.summarize(part)
     assert machine.name not in told.leaving_machines and machine.name not in [
         n for n, _ in told.idle_machines
     ]
     machine.is_returning = True
-    assert machine.name in summarize_shard(core, part).leaving_machines
+    assert machine.name in core.summarizer.summarize(part).leaving_machines
     machine.is_draining = machine.is_returning = False
     assert world.finish(job, 90.0)
     assert sum(x.type.name == "m32" for x in world.workers.values()) == 4
@@ -280,20 +283,20 @@
         (c, p, machine)
         for c in world.cores.values()
         if c is not None
-        for p in c.led_shards()
+        for p in c.leadership.led_shards()
         for machine in p.machines.values()
-        if machine.is_usable(c.now) and machine.free[0] > 0
+        if machine.is_usable(c.context.now) and machine.free[0] > 0
     )
     world.set_time(core)
-    core.fleet.reserved_machines = {machine.name: older}
+    core.fleet_plan.reserved_machines = {machine.name: older}
     free = machine.free[0]
-    rooms = summarize_shard(core, part).free_capacity
+    rooms = core.summarizer.summarize(part).free_capacity
     assert core.preemption.is_claimed(machine, "job-000003") and not core.preemption.is_claimed(
         machine, older
     )
-    core.fleet.reserved_machines = {}
+    core.fleet_plan.reserved_machines = {}
     # Told to the others, too, only once it is nobody's.
-    now = summarize_shard(core, part).free_capacity
+    now = core.summarizer.summarize(part).free_capacity
     assert len(now) == len(rooms) + 1 and free in [r[3] for r in now]
     assert world.finish(older, 200.0)
     assert not world.broken
--- a/tests/test_guest_teams.py
+++ b/tests/test_guest_teams.py
@@ -5,8 +5,9 @@
 import pytest
 
 from marblestair.core.capacity.decommissioning import nearly_empty_machines
+from marblestair.core.jobs.eligibility import rejection_reason
 from marblestair.core.leadership.shard_map import initial_shard_map
-from marblestair.core.scheduling.quota import priority_key, rejection_reason
+from marblestair.core.scheduling.quota import priority_key
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
 from marblestair.core.shard.shard import Shard
--- a/tests/test_lookups.py
+++ b/tests/test_lookups.py
@@ -6,6 +6,7 @@
 
 import pytest
 
+from marblestair.core.messaging.messages import QueryJob
 from marblestair.core.runtime.requests import PeerRequest
 from marblestair.core.runtime.store_requests import CompareAndSwap, Get, Lane, ListKeys
 from marblestair.core.state import keys
@@ -33,7 +34,9 @@
     answers = [world.ask(other, "query", job) for _ in range(200)]
     world.run(0.3)
     assert all(answer and answer[0].status == 200 for answer in answers)
-    queries = [c for c in recorder.calls if isinstance(c, PeerRequest) and c.tag == "query"]
+    queries = [
+        c for c in recorder.calls if isinstance(c, PeerRequest) and isinstance(c.message, QueryJob)
+    ]
     assert len(queries) == 2
     assert recorder.reads(job) == 0
 
@@ -51,7 +54,7 @@
     world = warm(413)
     controller = world.cores["n0"]
     assert controller is not None
-    most = controller.answers.lookups.max_reads
+    most = controller.lookups.max_reads
     recorder = Recorder(world, "n0")
     answers = [world.ask("n0", "query", f"job-{number:06d}") for number in range(900_000, 900_200)]
     refused = [answer[0] for answer in answers if answer]
@@ -76,7 +79,7 @@
     # Begun before the job is submitted, this one may be answered either way.
     node = world.cores["n0"]
     assert node is not None
-    node.spawn(node.user_requests.query(1 << 40, job))
+    node.context.spawn(node.user_requests.query(1 << 40, job))
     world.flush("n0")
     missing = [reader for reader in recorder.held if reader[2].key == keys.JOBS + job]
     assert missing
@@ -130,7 +133,7 @@
 
         def poll(core: Any = controller, job: str = ids[0]) -> None:
             for number in range(100):
-                core.spawn(core.user_requests.query((1 << 40) + number, job))
+                core.context.spawn(core.user_requests.query((1 << 40) + number, job))
 
         cost[jobs] = steps(poll) / 100
     assert cost[3] < 40
--- a/tests/test_overlapping_troubles.py
+++ b/tests/test_overlapping_troubles.py
@@ -10,7 +10,8 @@
 
 from marblestair.core.capacity.planning import plan
 from marblestair.core.capacity.provisioning import AvailableMachine, JobLoad, Tuning
-from marblestair.core.jobs.managed_job import SliceProgress
+from marblestair.core.jobs.manager_steps import is_empty
+from marblestair.core.messaging.messages import SliceProgress
 from marblestair.core.runtime.store_requests import CompareAndSwap
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
@@ -186,7 +187,7 @@
     # While it acts on, it does so with the entry, though nobody asks it to apply it.
     world.lost = {"apply", "confirmed", "entries"}
     world.run(1.2 * world.cancel_s)
-    assert controller.led_shards() and not holders(world, job)
+    assert controller.leadership.led_shards() and not holders(world, job)
     assert not world.broken
     world.state.outage(False, world.now)
     world.state.refused_nodes.clear()
@@ -228,14 +229,14 @@
     job = world.submit(spec(1, task_count=9, estimated_run_s=300.0))
     world.run(16.0)
     controller = running(world, manager(world, job))
-    part = next(p for p in controller.led_shards() if job in p.slices)
+    part = next(p for p in controller.leadership.led_shards() if job in p.slices)
     record = controller.view.jobs[job]
     rev = controller.view.revision + 5
-    controller.cancellations.record(job, rev)
+    controller.cancels.record(job, rev)
     assert part.slices[job].is_cancelled and not part.slices[job].pending
     # Owners may have changed before the entry was committed, and this view would not show it.
     for number in record.slices:
-        controller.cancellations._entries[job].applied_terms[int(number)] = (
+        controller.cancels._entries[job].applied_terms[int(number)] = (
             controller.view.shard_map.shards[int(number)].term
         )
     assert controller.cancellations.shards_without_entry(
@@ -244,7 +245,7 @@
     assert controller.answers.status_from_memory(job) is None
     # The slice leaves, and comes again by a record that is older than the entry.
     del part.slices[job]
-    controller.sync_slice(part, job)
+    controller.synchronizer.sync_slice(part, job)
     assert part.slices[job].is_cancelled and not part.slices[job].pending
 
 
@@ -254,14 +255,14 @@
     world.run(16.0)
     controller = running(world, manager(world, job))
     assert controller.view.shard_map is not None
-    mj, record = controller.job_managers.managed[job], controller.view.jobs[job]
+    mj, record = controller.managed_jobs[job], controller.view.jobs[job]
     for over in (False, True):
         for number in record.slices:
             term = controller.view.shard_map.shards[int(number)].term
             mj.progress_by_shard[int(number)] = SliceProgress(
                 job, int(number), term, 0, 0, 0, 9, over
             )
-        assert controller.job_managers._is_empty(mj, record, controller.view.shard_map) == over
+        assert is_empty(mj, record, controller.view.shard_map) == over
 
 
 def test_after_a_takeover_a_cancels_time_counts_from_before_it() -> None:
@@ -278,10 +279,10 @@
     assert world.until(lambda: owner(world, shard_id) != name, 20.0)
     world.run(1.0)
     controller = running(world, owner(world, shard_id))
-    job_slice = controller.shards[shard_id].slices.get(job)
-    here = (controller.now - world.now * world.drift[controller.node]) + told * world.drift[
-        controller.node
-    ]
+    job_slice = controller.leadership.shards[shard_id].slices.get(job)
+    here = (
+        controller.context.now - world.now * world.drift[controller.context.node]
+    ) + told * world.drift[controller.context.node]
     assert job_slice is not None and job_slice.cancelled_at <= here + 0.5
     world.run(world.cancel_s)
     assert not world.broken
@@ -314,11 +315,11 @@
         controller = world.cores["n0"]
         if controller is not None:
             world.set_time(controller)
-            if controller.led_shards():
+            if controller.leadership.led_shards():
                 acted = True
                 held = world.state.data[keys.NODES + "n0"]
                 # What it counts on ends no later than the lease that its key goes with.
-                until = controller.leadership.lease_expires_at / world.drift["n0"]
+                until = controller.lease.expires_at / world.drift["n0"]
                 assert until <= world.state.leases[held[2]][1]
     assert acted and not left[0]
     assert world.finish(job, 200.0)
@@ -712,7 +713,7 @@
         worker.deaf = True
     # What is launched now is not heard, and shows in no report.
     job = world.submit(spec(2, task_count=24, estimated_run_s=4.0))
-    shard = running(world, "n0").shards[0]
+    shard = running(world, "n0").leadership.shards[0]
     assert world.until(
         lambda: all(machine.ignored_commands >= 2 for machine in shard.machines.values()), 60.0
     )
@@ -737,7 +738,7 @@
     job = world.submit(spec(3, task_count=4, estimated_run_s=3.0, deadline_s=1000.0))
     assert world.finish("job-000002", 30.0)
     assert all(
-        "" in controller.fleet.reserved_machines.values()
+        "" in controller.fleet_plan.reserved_machines.values()
         for controller in world.cores.values()
         if controller is not None
     )
@@ -802,7 +803,7 @@
     worker = busy(world)[0]
     shard = running(
         world, owner(world, world.state.data[keys.MACHINES + worker.name][0][0])
-    ).led_shards()[0]
+    ).leadership.led_shards()[0]
     index = next(i for _, i in worker.live)
     worker.tasks[(job, index)].state, worker.tasks[(job, index)].why = "exited", "done"
     forgotten: list[bool] = []
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -116,12 +116,16 @@
     world.run(6.0)
     name = owner(world, 0)
     controller = world.cores[name]
-    assert controller is not None and controller.is_leader(0)
+    assert controller is not None and controller.leadership.is_leader(0)
     world.freeze(name, 1.5 * world.lease_s)
     world.run(1.5 * world.lease_s - 0.01)
     # Others have taken the part over. On waking, before anything is read, nothing is held.
     world.set_time(controller)
-    assert not controller.led_shards() and not controller.is_leader(0) and owner(world, 0) != name
+    assert (
+        not controller.leadership.led_shards()
+        and not controller.leadership.is_leader(0)
+        and owner(world, 0) != name
+    )
     world.run(20.0)
     assert not world.broken
     assert world.finish(job, 200.0)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -7,12 +7,10 @@
 
 import pytest
 
-from marblestair.core.capacity import plan_inputs
 from marblestair.core.domain.jobs import JobSpec, JobState
-from marblestair.core.jobs.answers import JobStatus, Proof, ProvenStatus
+from marblestair.core.jobs.job_status import JobStatus, Proof, ProvenStatus
 from marblestair.core.runtime.store_requests import CompareAndSwap, Get, Lane
 from marblestair.core.state import keys
-from marblestair.core.status import status
 from tests.fakes.deployment import spec
 from tests.fakes.world import World
 from tests.helpers import Recorder, manager, manager_of, owner, running, warm
@@ -75,11 +73,11 @@
     controller = running(world, "n0")
     # The guarantee is for eight tasks.
     assert (
-        controller.guaranteed_jobs >= {parent, beside} and child not in controller.guaranteed_jobs
+        controller.guarantees.jobs >= {parent, beside} and child not in controller.guarantees.jobs
     )
     assert all(
         job_slice.spec.id != child
-        for shard in controller.shards.values()
+        for shard in controller.leadership.shards.values()
         for job_slice in controller.dispatcher.pending_in_order(shard)
     )
     assert world.finish(beside, 60.0)
@@ -266,7 +264,7 @@
             shard.unreconciled_machines
             for controller in world.cores.values()
             if controller
-            for shard in controller.led_shards()
+            for shard in controller.leadership.led_shards()
         ),
         8.0,
     )
@@ -274,7 +272,7 @@
         shard.slices[child.id]
         for controller in world.cores.values()
         if controller
-        for shard in controller.led_shards()
+        for shard in controller.leadership.led_shards()
         if shard.unreconciled_machines and child.id in shard.slices
     ]
     assert all(not job_slice.is_unreconciled for job_slice in waiting)
@@ -301,7 +299,7 @@
     world.run(5.0)
     # The first unknown id decides, by three reads, and two more show that the job itself is not
     # known; only so many are under way at once.
-    most = running(world, "n0").answers.lookups.max_reads
+    most = running(world, "n0").lookups.max_reads
     assert most < 20 and recorder.count(Get) <= 5 * most
     assert world.finish(world.submit(spec(1, task_count=1, estimated_run_s=1.0)), 40.0)
 
@@ -453,10 +451,10 @@
     }
     for job, record in records.items():
         controller.view.record_read(keys.JOBS + job, record, controller.view.revision + 1)
-    controller.sync()
+    controller.view.publish_changes()
     controller.view.revision += 2
     assert not controller.dependencies.knows_ancestors("job-000003")
-    controller.answers.record_final("job-000001", JobState.CANCELLED)
+    controller.final_states.record("job-000001", JobState.CANCELLED)
     assert controller.dependencies.has_cancelled_ancestor("job-000003")
 
 
@@ -638,7 +636,7 @@
     world = warm()
     jobs = submit_pipeline(world, deadline_s=100.0)
     world.run(2.0)
-    urgency = running(world, "n0").inherited_urgency
+    urgency = running(world, "n0").urgency
     view = running(world, "n0").view
     scheduled = [urgency.scheduling_spec(view.jobs[job.id]) for job in jobs]
     assert {spec.priority for spec in scheduled} == {"high"}
@@ -661,10 +659,9 @@
     def planned() -> dict[str, int]:
         controller = running(world, "n0")
         live = list(controller.view.jobs.values())
-        told = plan_inputs.ReportedState(controller)
-        return {
-            load.spec.id: load.pending for load in plan_inputs.loads(controller, told, live, 2.0)
-        }
+        inputs = controller.plan_inputs
+        loads = inputs.loads(inputs.reported_state(), live, 2.0)
+        return {load.spec.id: load.pending for load in loads}
 
     world.run(1.0)
     assert not {f"job-{n:06d}" for n in (3, 4, 5, 6)} & planned().keys()
@@ -684,7 +681,7 @@
     parent = world.submit(spec(1, task_count=1, estimated_run_s=60.0))
     child = world.submit(spec(2, depends_on=[parent]))
     world.run(1.0)
-    shown = status(running(world, manager_of(world, child)))["waiting"]
+    shown = running(world, manager_of(world, child)).status_report.collect()["waiting"]
     assert shown == [
         {"job": child, "awaits": [parent], "awaits_in_all": 1, "ancestor_cancelled": False}
     ]
@@ -702,9 +699,9 @@
         controller.view.record_read(
             keys.JOBS + job.id, [list_of(job), 0, {"0": [[0, 6]]}, []], 10_000 + n
         )
-    controller.sync()
+    controller.view.publish_changes()
     assert sum(1 for _ in controller.dependencies.descendants(top.id)) == 2998
-    controller.cancellations.record(top.id, 20_000)
+    controller.cancels.record(top.id, 20_000)
     assert all(controller.dependencies.has_cancelled_ancestor(job.id) for job in specs[1:])
 
 
--- a/tests/test_rental_intents.py
+++ b/tests/test_rental_intents.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from marblestair.core.jobs import progress
+from marblestair.core.leadership import progress_pages
 from marblestair.core.runtime.cloud_requests import RentMachines
 from marblestair.core.state import keys
 from tests.fakes.deployment import spec
@@ -37,15 +37,20 @@
     world.run(15.0)
     controller = world.cores["n0"]
     assert controller is not None
-    shard = controller.led_shards()[0]
+    shard = controller.leadership.led_shards()[0]
     for number in range(20):
         world.state.rev += 1
         key = keys.rental_intent(shard.shard_id, f"r-0-{number}")
-        world.state.data[key] = (["t4", "a", False, 2, controller.wall_time], world.state.rev, None)
+        world.state.data[key] = (
+            ["t4", "a", False, 2, controller.context.wall_time],
+            world.state.rev,
+            None,
+        )
         shard.obsolete_keys[key] = world.state.rev
     slices = list(shard.slices.values())
     # There is always progress to write.
-    monkeypatch.setattr(progress, "_dirty", lambda part, now: [(slices[0], 0)])
+    endless = [progress_pages.DirtyPage(slices[0], 0)]
+    monkeypatch.setattr(progress_pages, "dirty_pages", lambda shard, now: endless)
     world.run(60.0)
     assert not [key for key in world.state.data if key.startswith(f"{keys.RENTAL_INTENTS}0/r-0-")]
     assert not world.broken
@@ -62,7 +67,7 @@
     controller = world.cores["n0"]
     assert controller is not None
     for number in range(20):
-        intent = ["t4", "a", False, 2, controller.wall_time - age_s]
+        intent = ["t4", "a", False, 2, controller.context.wall_time - age_s]
         world.state.rev += 1
         key = keys.rental_intent(0, f"r-1-{900 + number}")
         world.state.data[key] = (intent, world.state.rev, None)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -10,6 +10,7 @@
 from marblestair.core.leadership import shard_map
 from marblestair.core.state import keys
 from tests.fakes.deployment import spec
+from tests.fakes.peer_wire import WireMessage, deliver_request
 from tests.fakes.world import World
 from tests.helpers import owner, warm
 
@@ -86,7 +87,7 @@
     world.run(9.0)
     controller = world.cores["n2"]
     assert controller is not None
-    assert controller.led_shards() == []
+    assert controller.leadership.led_shards() == []
     assert owner(world, 2) != "n2"
     world.heal()
     assert all(world.finish(j, 300.0) for j in jobs)
@@ -284,7 +285,8 @@
     world.state.outage(True, world.now)
     world.run(35.0)
     assert all(
-        controller is not None and controller.led_shards() for controller in world.cores.values()
+        controller is not None and controller.leadership.led_shards()
+        for controller in world.cores.values()
     )
     world.state.outage(False, world.now)
     assert world.finish(job, 200.0)
@@ -300,7 +302,7 @@
     world.state.refused_nodes.add("n1")
     world.run(8.0)
     controller = world.cores["n1"]
-    assert controller is not None and not controller.led_shards()
+    assert controller is not None and not controller.leadership.led_shards()
     assert owner(world, 1) != "n1"
     world.state.refused_nodes.clear()
     assert world.finish("job-000001", 300.0)
@@ -320,7 +322,7 @@
             world.kill("n2", back_after=0.5)
         world.run(9.0)
         assert all(
-            controller is not None and not controller.led_shards()
+            controller is not None and not controller.leadership.led_shards()
             for controller in world.cores.values()
         )
         world.heal()
@@ -336,7 +338,8 @@
     world.state.outage(True, world.now)
     assert world.until(
         lambda: all(
-            c is not None and c.leadership.promises.are_held(c.now) for c in world.cores.values()
+            c is not None and c.promise_ledger.are_valid(c.context.now)
+            for c in world.cores.values()
         ),
         10.0,
     )
@@ -350,7 +353,7 @@
         core = world.cores["n0"]
         assert core is not None
         if owner(world, 0) != "n0":
-            assert not core.is_leader(0)
+            assert not core.leadership.is_leader(0)
     assert owner(world, 0) != "n0"
     world.state.refused_nodes.clear()
     assert world.finish("job-000001", 300.0)
@@ -365,7 +368,7 @@
     world.run(9.0)
     assert owner(world, 0) != "n0"
     controller = world.cores["n0"]
-    assert controller is not None and not controller.led_shards()
+    assert controller is not None and not controller.leadership.led_shards()
     world.heal()
     assert world.finish("job-000001", 300.0)
     # The machines' leases were kept: nothing was started twice, not even one after the other.
@@ -493,14 +496,14 @@
     assert controller is not None
     out: list[Any] = []
     world._waiters[999_999] = out.append
-    controller.receive_request(999_999, "operator", "status", [])
+    deliver_request(controller, 999_999, "operator", WireMessage("status", []))
     world.flush("n1")
     s = out[0]
     assert s["node"] == "n1" and s["acts_for"] == [1] and s["live_jobs"] == 1
     assert [p["owner"] for p in s["parts"]] == ["n0", "n1", "n2"]
     assert sum(p["shares_cpus"]["red"] for p in s["parts"]) == 24.0
     assert all(p["term"] > 0 and p["backlog_cpus"] is not None for p in s["parts"])
-    assert "operator" not in controller.last_received_at
+    assert "operator" not in controller.connectivity.last_received_at
 
 
 def test_a_part_lost_and_given_back_is_rebuilt_even_if_only_the_split_is_read() -> None:
@@ -512,20 +515,24 @@
     world.run(8.0)
     controller = world.cores["n0"]
     assert controller is not None and controller.view.shard_map is not None
-    before = controller.shards[0]
+    before = controller.leadership.shards[0]
     assert before.is_ready
     other = shard_map.assign_shards(controller.view.shard_map, [0], "n1", 7)
-    back = shard_map.assign_shards(other, [0], *controller.identity)
+    back = shard_map.assign_shards(other, [0], *controller.context.identity)
     version = controller.view.version(keys.SHARD_MAP)
     controller.view.record_read(keys.SHARD_MAP, msgspec.to_builtins(back), version + 2)
-    controller.sync()
-    assert controller.shards[0] is not before and not controller.is_leader(0)
+    controller.view.publish_changes()
+    assert controller.leadership.shards[0] is not before and not controller.leadership.is_leader(0)
     # A raise of the term alone keeps what is known.
-    kept = controller.shards[1] if 1 in controller.shards else controller.shards[0]
+    kept = (
+        controller.leadership.shards[1]
+        if 1 in controller.leadership.shards
+        else controller.leadership.shards[0]
+    )
     raised = shard_map.raise_term(back, kept.shard_id)
     controller.view.record_read(keys.SHARD_MAP, msgspec.to_builtins(raised), version + 3)
-    controller.sync()
-    assert controller.shards[kept.shard_id] is kept and kept.term == raised.last_term
+    controller.view.publish_changes()
+    assert controller.leadership.shards[kept.shard_id] is kept and kept.term == raised.last_term
 
 
 @pytest.mark.parametrize("seed", range(100, 108))
@@ -603,14 +610,14 @@
         (c, p, p.slices[job])
         for c in world.cores.values()
         if c is not None
-        for p in c.led_shards()
+        for p in c.leadership.led_shards()
         if len(p.slices[job].pending) > 4
     )
     target = next(i for i in range(3) if i != part.shard_id)
     assert core.slice_migrations.start(part, job_slice, job_slice.pending.tail(2), target)
     world.set_time(core)
     first = job_slice.migration_holder
-    world.flush(core.node)
+    world.flush(core.context.node)
     assert world.until(lambda: not job_slice.migrating_ranges, 5.0)
     second = job_slice.pending.tail(2)
     assert core.slice_migrations.start(part, job_slice, second, target)
@@ -618,7 +625,7 @@
     assert job_slice.migrating_ranges == second and not any(
         i in job_slice.pending for a, b in second for i in range(a, b)
     )
-    world.flush(core.node)
+    world.flush(core.context.node)
     world.capacity = 12
     assert world.finish(job, 300.0)
     assert not world.broken
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -11,7 +11,6 @@
 from marblestair import settings as st
 from marblestair.core.runtime.store_requests import CompareAndSwap, Put
 from marblestair.core.state import keys
-from marblestair.core.status import status
 from marblestair.node import Node
 from marblestair.policy import Policy
 from tests.fakes.deployment import raw_settings, settings, spec
@@ -68,8 +67,8 @@
 
 def test_the_budget_of_a_node_keeps_to_the_smaller_rates() -> None:
     node = Node(settings(0, state={**NOW, "next": dict(rps=60.0, write_rps=30.0)}), Policy())
-    assert node.state_budget.write_rps <= 30.0 / 3
-    assert node.state_budget.rps <= 60.0 / 3
+    assert node.outside.store_budget.write_rps <= 30.0 / 3
+    assert node.outside.store_budget.rps <= 60.0 / 3
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -104,14 +103,16 @@
     world.run(4.0)
     controller = world.cores["n0"]
     assert controller is not None
-    controller.record_rejected_write(CompareAndSwap([], [Put("main/w/node/n0", 1, lease_id=5)]))
-    assert status(controller)["refused_commits"] == 0
-    controller.record_rejected_write(CompareAndSwap([], [Put("main/w/job/job-1", "x" * 100)]))
-    assert status(controller)["refused_commits"] == 1
-    assert [level for level, text in controller.log_lines if "main/w/job/job-1" in text] == [
-        "error"
-    ]
-    controller.log_lines.clear()
+    controller.rejected_writes.record(CompareAndSwap([], [Put("main/w/node/n0", 1, lease_id=5)]))
+    assert controller.status_report.collect()["refused_commits"] == 0
+    controller.rejected_writes.record(CompareAndSwap([], [Put("main/w/job/job-1", "x" * 100)]))
+    assert controller.status_report.collect()["refused_commits"] == 1
+    assert [
+        line.level
+        for line in controller.context.outbox.log_lines
+        if "main/w/job/job-1" in line.text
+    ] == ["error"]
+    controller.context.outbox.log_lines.clear()
 
 
 def test_a_refused_change_of_a_record_is_not_repeated_at_once() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -13,7 +13,7 @@
 from marblestair.core.controller import Controller
 from marblestair.core.domain.jobs import JobSpec
 from marblestair.core.domain.machines import MachineType
-from marblestair.core.runtime.outbox import ShardSummary
+from marblestair.core.messaging.shard_summary import ShardSummary
 from marblestair.core.state import keys
 from marblestair.core.state.records import JobRecord, MachineRecord, RentalIntent, ShardMap
 from tests.fakes import production
@@ -179,7 +179,7 @@
     controller.receive_message("n1", "ended", ["job-000001", "done"])
     controller.receive_message("n1", "record", ["job-000001", [], 5])
     assert controller.view.jobs == before
-    assert not [text for level, text in controller.log_lines if level == "error"]
+    assert not [line.text for line in controller.context.outbox.log_lines if line.level == "error"]
 
 
 def test_the_version_in_production_is_another_than_the_present_one() -> None:
@@ -319,7 +319,7 @@
     world.state.outage(True, world.now)
     world.run(1.5 * world.lease_s)
     # The lease of a worker is over by now, had nobody acted on promises.
-    acting = [name for name in world.node_names if world.cores[name].led_shards()]  # type: ignore[union-attr]
+    acting = [name for name in world.node_names if world.cores[name].leadership.led_shards()]  # type: ignore[union-attr]
     assert acting == world.node_names
     world.state.outage(False, world.now)
     assert all_done(world, jobs, 150.0)
