--- /dev/null
+++ b/tests/tools/cloud.py
@@ -0,0 +1,237 @@
+"""The cloud: machine types, rentals, releases, a list that lags, and troubles."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+from urllib.parse import parse_qs, urlsplit
+
+from tests.tools.http_service import Responder, ServiceConnection
+from tests.tools.messages import HttpMessage, pack, unpack
+from tests.tools.network import Address, Network
+from tests.tools.processes import Host
+from tests.tools.rates import TokenBucket
+
+#: most machines of one rental, in one release, and in one page of the list
+RENTAL_MACHINES, RELEASE_MACHINES, LIST_MACHINES = 50, 100, 500
+#: requests that may come at once, in seconds' worth
+BURST_S = 2.0
+#: bounds of the time that the cloud takes for a request
+SHORTEST_WORK_S, LONGEST_WORK_S = 0.01, 0.2
+#: bounds of the delay of a request that is carried out late
+SHORTEST_LATENESS_S, LONGEST_LATENESS_S = 2.0, 25.0
+#: bounds of a boot and of a late boot, as multiples of the type's boot time
+BOOT_FACTORS, LATE_BOOT_FACTORS = (0.6, 1.5), (3.0, 8.0)
+#: a machine that died is listed as running for this long
+DEATH_UNSEEN_S = 30.0
+#: spot prices are this share of the nominal price, give or take a third
+AGENT_PORT = 9000
+#: addresses in one part of the machines' network
+ADDRESSES = 250
+
+
+@dataclass
+class Machine:
+    """A rented machine."""
+
+    host: Host
+    machine_type: dict[str, Any]
+    zone: str
+    is_spot: bool
+    rented_at_s: float
+    up_at_s: float | None = None
+    failed_at_s: float | None = None
+    gone_at_s: float | None = None
+
+    @property
+    def name(self) -> str:
+        """The machine's name."""
+        return self.host.name
+
+    @property
+    def kind(self) -> tuple[str, str, bool]:
+        """What the cloud's capacity depends on: type, zone, and whether it is a spot machine."""
+        return self.machine_type["sku"], self.zone, self.is_spot
+
+
+@dataclass
+class CloudTroubles:
+    """What may go wrong at present; shares are of the requests, or of the boots."""
+
+    is_down: bool = False
+    lost_answers: float = 0.0
+    late_requests: float = 0.0
+    malformed_answers: float = 0.0
+    never_boots: float = 0.0
+    late_boots: float = 0.0
+    instant_boots: float = 0.0
+
+
+class Cloud:
+    """The outside service that rents machines."""
+
+    def __init__(
+        self,
+        network: Network,
+        address: Address,
+        limits: dict[str, Any],
+        types: list[dict[str, Any]],
+        seed: str,
+    ) -> None:
+        self._network = network
+        self._loop = network.loop
+        self._random = random.Random(f"{seed}/cloud")
+        self._requests = TokenBucket(limits["rps"], self._loop.time, BURST_S)
+        self._list_lag_s = limits["list_lag_s"]
+        self._types = {x["sku"]: x for x in types}
+        self._rentals: dict[str, list[str]] = {}
+        self.machines: dict[str, Machine] = {}
+        self.troubles = CloudTroubles()
+        #: most machines by kind; what is not named has no limit
+        self.capacity: dict[tuple[str, str, bool], int] = {}
+        #: called when a machine is up, and when it is gone
+        self.on_up: Callable[[Machine], None] = lambda machine: None
+        self.on_gone: Callable[[Machine], None] = lambda machine: None
+        network.listen(address, lambda: ServiceConnection(self._receive))
+
+    # what happens to machines
+
+    def take_back(self, machine: Machine) -> None:
+        """End a machine that is not released by its user."""
+        if machine.gone_at_s is None:
+            machine.gone_at_s = self._loop.time()
+            self.on_gone(machine)
+
+    def fail(self, machine: Machine) -> None:
+        """Let a machine stop by itself; it remains listed."""
+        if machine.gone_at_s is None and machine.failed_at_s is None:
+            machine.failed_at_s = self._loop.time()
+            self.on_gone(machine)
+
+    def rent_unasked(self, sku: str, zone: str) -> Machine:
+        """Create a machine that nobody asked for."""
+        return self._create(sku, zone, is_spot=False)
+
+    # requests
+
+    def _receive(self, request: HttpMessage, responder: Responder) -> None:
+        work_s = self._random.uniform(SHORTEST_WORK_S, LONGEST_WORK_S)
+        self._loop.call_later(work_s, self._handle, request, responder)
+
+    def _handle(self, request: HttpMessage, responder: Responder) -> None:
+        if self.troubles.is_down:
+            responder.answer(503, {"error": "trouble"})
+        elif not self._requests.take(1):
+            responder.answer(429, {"error": "too many requests"})
+        elif request.method == "POST" and self._happens(self.troubles.late_requests):
+            lateness_s = self._random.uniform(SHORTEST_LATENESS_S, LONGEST_LATENESS_S)
+            self._loop.call_later(lateness_s, self._execute, request)
+        else:
+            status, value = self._execute(request)
+            if self._happens(self.troubles.lost_answers):
+                return
+            if self._happens(self.troubles.malformed_answers):
+                bodies = [b"\xc1", pack([]), pack({"benches": 3, "builds": None}), b""]
+                responder.answer_bytes(status, self._random.choice(bodies))
+                return
+            responder.answer(status, value)
+
+    def _happens(self, share: float) -> bool:
+        return share > 0 and self._random.random() < share
+
+    def _execute(self, request: HttpMessage) -> tuple[int, Any]:
+        url = urlsplit(request.target)
+        if url.path == "/machine_types":
+            return 200, {"builds": [self._priced(x) for x in self._types.values()]}
+        if request.method == "GET" and url.path == "/rentals":
+            return self._list({x: y[0] for x, y in parse_qs(url.query).items()})
+        body = unpack(request.body)
+        if request.method != "POST" or not isinstance(body, dict):
+            return 400, {"error": "malformed"}
+        if url.path == "/rentals":
+            return self._rent(body)
+        if url.path == "/rentals/release":
+            return self._release(body["benches"])
+        return 400, {"error": "malformed"}
+
+    def _priced(self, machine_type: dict[str, Any]) -> dict[str, Any]:
+        price = machine_type["market_price"] * self._random.uniform(2 / 3, 4 / 3)
+        return {**machine_type, "market_price": price}
+
+    def _rent(self, body: dict[str, Any]) -> tuple[int, Any]:
+        name = body["hire"]
+        if name not in self._rentals:
+            kind = (body["build"], body["room"], body["loaners"])
+            count = min(body["how_many"], RENTAL_MACHINES, self._free(kind))
+            if count <= 0:
+                return 503, {"error": "no capacity"}
+            self._rentals[name] = [self._create(*kind).name for _ in range(count)]
+        return 200, {"benches": self._rentals[name]}
+
+    def _free(self, kind: tuple[str, str, bool]) -> int:
+        used = sum(1 for x in self.machines.values() if x.kind == kind and x.gone_at_s is None)
+        return self.capacity.get(kind, RENTAL_MACHINES + used) - used
+
+    def _create(self, sku: str, zone: str, is_spot: bool) -> Machine:
+        number = len(self.machines)
+        name, address = f"host-{number:06d}", f"10.1.{number // ADDRESSES}.{number % ADDRESSES + 1}"
+        host = Host("agent", name, address)
+        self._network.add_host(host)
+        machine = Machine(host, self._types[sku], zone, is_spot, self._loop.time())
+        self.machines[name] = machine
+        if not self._happens(self.troubles.never_boots):
+            self._loop.call_later(self._boot_s(machine), self._boot, machine)
+        return machine
+
+    def _boot_s(self, machine: Machine) -> float:
+        if self._happens(self.troubles.instant_boots):
+            return self._random.uniform(0.05, 2.0)
+        is_late = self._happens(self.troubles.late_boots)
+        factor = self._random.uniform(*(LATE_BOOT_FACTORS if is_late else BOOT_FACTORS))
+        return float(machine.machine_type["startup_s"] * factor)
+
+    def _boot(self, machine: Machine) -> None:
+        if machine.gone_at_s is None and machine.failed_at_s is None:
+            machine.up_at_s = self._loop.time()
+            self.on_up(machine)
+
+    def _release(self, names: list[str]) -> tuple[int, Any]:
+        if len(names) > RELEASE_MACHINES:
+            return 400, {"error": "too many"}
+        for name in names:
+            if name in self.machines:
+                self.take_back(self.machines[name])
+        return 200, {}
+
+    # the list
+
+    def _list(self, query: dict[str, str]) -> tuple[int, Any]:
+        at_s = self._loop.time() - self._list_lag_s * self._random.uniform(0.5, 1.5)
+        after = query.get("from", "")
+        limit = min(int(query.get("limit", LIST_MACHINES)), LIST_MACHINES)
+        listed = [x for x in self.machines.values() if x.name > after and _is_listed(x, at_s)]
+        page = [self._entry(x, at_s) for x in listed[:limit]]
+        return 200, {"benches": page, "more": len(listed) > limit}
+
+    def _entry(self, machine: Machine, at_s: float) -> dict[str, Any]:
+        status = "booting"
+        if machine.up_at_s is not None and machine.up_at_s <= at_s:
+            status = "running"
+        if machine.failed_at_s is not None and machine.failed_at_s + DEATH_UNSEEN_S <= at_s:
+            status = "failed"
+        return {
+            "ref": machine.name,
+            "endpoint": f"{machine.host.address}:{AGENT_PORT}",
+            "build": machine.machine_type["sku"],
+            "room": machine.zone,
+            "loaners": machine.is_spot,
+            "status": status,
+            "age_s": at_s - machine.rented_at_s,
+        }
+
+
+def _is_listed(machine: Machine, at_s: float) -> bool:
+    is_there = machine.gone_at_s is None or machine.gone_at_s > at_s
+    return machine.rented_at_s <= at_s and is_there
--- /dev/null
+++ b/tests/tools/compare_versions.py
@@ -0,0 +1,102 @@
+"""Checks that the working tree's package behaves like that of a commit.
+
+    python -m tests.tools.compare_versions COMMIT [--seeds 1 2 3] [--scenario NAME ...] [--jobs N]
+
+The same seeded scenarios are played on both, and everything that leaves the controllers is
+compared: every message with its time, its sender, its destination and its bytes. The exit code is
+1 if anything differs, 2 if a version can not be had, and 0 otherwise.
+"""
+
+from __future__ import annotations
+
+import argparse
+import pathlib
+import sys
+import tempfile
+from concurrent.futures import ThreadPoolExecutor
+
+from tests.tools.comparison import Comparison, compare_records
+from tests.tools.scenarios import SCENARIOS
+from tests.tools.versions import (
+    PlayError,
+    VersionError,
+    copy_working_tree,
+    extract_commit,
+    play_on,
+)
+
+DEFAULT_SEEDS = [1]
+DEFAULT_JOBS = 2
+
+
+def compare(
+    first: pathlib.Path, second: pathlib.Path, scenario: str, seed: int, records: pathlib.Path
+) -> Comparison:
+    """Play a scenario on the packages in two directories and compare what leaves them."""
+    paths = []
+    for name, version in (("first", first), ("second", second)):
+        paths.append(records / f"{scenario}-{seed}-{name}.record")
+        try:
+            play_on(version, scenario, seed, paths[-1])
+        except PlayError as error:
+            return Comparison(difference=[f"  the {name} version can not be played: {error}"])
+    comparison = compare_records(*paths)
+    for path in paths:
+        path.unlink()
+    return comparison
+
+
+def _compare_all(commit: str, scenarios: list[str], seeds: list[int], jobs: int) -> bool:
+    """Compare the working tree with a commit; whether all is the same."""
+    with tempfile.TemporaryDirectory(prefix="compare-versions-") as name:
+        directory = pathlib.Path(name)
+        first, second, records = (directory / x for x in ("first", "second", "records"))
+        for path in (first, second, records):
+            path.mkdir()
+        extract_commit(commit, first)
+        copy_working_tree(second)
+        plays = [(scenario, seed) for scenario in scenarios for seed in seeds]
+        with ThreadPoolExecutor(jobs) as pool:
+            results = pool.map(
+                lambda play: compare(first, second, play[0], play[1], records), plays
+            )
+            is_same = True
+            for (scenario, seed), comparison in zip(plays, results, strict=True):
+                print(f"{scenario} seed {seed}: {comparison.summary()}", flush=True)
+                for line in comparison.difference:
+                    print(line, flush=True)
+                is_same = is_same and comparison.is_same
+    return is_same
+
+
+def _parser() -> argparse.ArgumentParser:
+    names = [scenario.name for scenario in SCENARIOS]
+    parser = argparse.ArgumentParser(description="Compare the behaviour of two versions.")
+    parser.add_argument("commit", nargs="?", help="the version to compare the working tree with")
+    parser.add_argument("--seeds", nargs="+", type=int, default=DEFAULT_SEEDS)
+    parser.add_argument("--scenario", nargs="+", choices=names, default=names, metavar="NAME")
+    parser.add_argument("--jobs", type=int, default=DEFAULT_JOBS, help="scenarios at once")
+    parser.add_argument("--list", action="store_true", help="only list the scenarios")
+    return parser
+
+
+def main(arguments: list[str] | None = None) -> int:
+    """Entry point; the result is the exit code."""
+    parser = _parser()
+    chosen = parser.parse_args(arguments)
+    if chosen.list:
+        for scenario in SCENARIOS:
+            print(f"{scenario.name:24}{scenario.duration_s:5.0f} s  {scenario.description}")
+        return 0
+    if chosen.commit is None:
+        parser.error("COMMIT is missing")
+    try:
+        is_same = _compare_all(chosen.commit, chosen.scenario, chosen.seeds, chosen.jobs)
+    except VersionError as error:
+        print(f"compare_versions: {error}", file=sys.stderr)
+        return 2
+    return 0 if is_same else 1
+
+
+if __name__ == "__main__":
+    sys.exit(main())
--- /dev/null
+++ b/tests/tools/controllers.py
@@ -0,0 +1,101 @@
+"""The controllers of a scenario: started, killed and started again."""
+
+from __future__ import annotations
+
+import asyncio
+import pathlib
+from typing import Any
+
+from tests.tools.messages import build_frame
+from tests.tools.network import Address, Endpoint, Network
+from tests.tools.package_under_test import run_controller
+from tests.tools.processes import Host, Process
+from tests.tools.recording import Recorder
+
+PUBLIC_PORT, FRAME_PORT = 8080, 8081
+#: how long an operator waits for the answer to a question
+STATUS_WAIT_S = 3.0
+
+
+def controller_host(number: int) -> Host:
+    """The host of a controller."""
+    return Host("controller", f"node-{number}", f"10.0.0.{number + 1}")
+
+
+class Controllers:
+    """All controllers of a scenario."""
+
+    def __init__(
+        self,
+        network: Network,
+        recorder: Recorder,
+        settings: list[dict[str, Any]],
+        policy_script: pathlib.Path | None,
+    ) -> None:
+        self._network = network
+        self._recorder = recorder
+        self._settings = settings
+        self._policy_script = policy_script
+        self.hosts = [controller_host(number) for number in range(len(settings))]
+        self._processes: dict[int, Process] = {}
+        #: the programs of all processes, also of those killed: nothing of them is torn down
+        #: while the scenario goes on
+        self._programs: list[asyncio.Task[None]] = []
+        for host in self.hosts:
+            network.add_host(host)
+
+    @property
+    def addresses(self) -> dict[str, Address]:
+        """Where users and agents reach the controllers, by name."""
+        return {host.name: (host.address, PUBLIC_PORT) for host in self.hosts}
+
+    def start(self, number: int) -> None:
+        """Start a controller, unless it runs."""
+        old = self._processes.get(number)
+        if old is not None and old.is_alive:
+            return
+        run = old.run + 1 if old is not None else 1
+        process = self._processes[number] = Process(self.hosts[number], run)
+        self._network.power_on(process.host)
+        program = self._network.loop.create_task(
+            run_controller(self._settings[number], self._policy_script), context=process.context()
+        )
+        program.add_done_callback(lambda task: self._ended(process, task))
+        self._programs.append(program)
+
+    def kill(self, number: int, is_silent: bool = False) -> None:
+        """End a controller at once; if silent, its host loses power."""
+        process = self._processes[number]
+        if process.is_alive:
+            self._network.kill(process, is_silent)
+
+    def kill_for(self, number: int, pause_s: float, is_silent: bool = False) -> None:
+        """End a controller and start it again after a pause."""
+        self.kill(number, is_silent)
+        self._network.loop.call_later(pause_s, self.start, number)
+
+    def kill_all(self) -> None:
+        """End all controllers."""
+        for number in range(len(self.hosts)):
+            self.kill(number)
+
+    def ask_status(self, number: int) -> None:
+        """Ask a controller as the operators' command line does."""
+        operator = Host("operator", "operator", "operator")
+        self._network.connect(
+            operator,
+            (self.hosts[number].address, FRAME_PORT),
+            asyncio.Protocol,
+            self._send_question,
+            lambda error: None,
+        )
+
+    def _send_question(self, endpoint: Endpoint) -> None:
+        endpoint.write(build_frame(["ask", 1, "status", "status", []]))
+        self._network.loop.call_later(STATUS_WAIT_S, endpoint.close)
+
+    def _ended(self, process: Process, program: asyncio.Task[None]) -> None:
+        """A program ended by itself, which none should."""
+        error = None if program.cancelled() else program.exception()
+        self._recorder.ended(process, type(error).__name__)
+        self._network.kill(process, is_silent=False)
--- /dev/null
+++ b/tests/tools/http_service.py
@@ -0,0 +1,169 @@
+"""HTTP servers and callers for the outside systems, driven by callbacks."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import Any, TypeAlias
+
+from tests.tools.messages import (
+    HttpMessage,
+    HttpSplitter,
+    build_request,
+    build_response,
+    pack,
+    read_http,
+)
+from tests.tools.network import Address, Attempt, Endpoint, Network
+from tests.tools.processes import Host
+
+#: status told to a caller when no response came
+NO_RESPONSE = 0
+
+
+class Responder:
+    """Answers one request; once the caller has closed the connection, this has no effect."""
+
+    def __init__(self, endpoint: Endpoint) -> None:
+        self._endpoint = endpoint
+
+    @property
+    def caller(self) -> Host:
+        """The host that the request came from."""
+        return self._endpoint.remote
+
+    def answer(self, status: int, value: Any) -> None:
+        """Answer with a value as MessagePack."""
+        self.answer_bytes(status, pack(value))
+
+    def answer_bytes(self, status: int, body: bytes) -> None:
+        """Answer with a body as it is."""
+        self._endpoint.write(build_response(status, body))
+
+
+#: handles a request of a service
+Handler: TypeAlias = Callable[[HttpMessage, Responder], None]
+
+
+class ServiceConnection(asyncio.Protocol):
+    """A connection to a service; requests are handled in order."""
+
+    def __init__(self, handler: Handler) -> None:
+        self._handler = handler
+        self._splitter = HttpSplitter()
+        self._endpoint: Endpoint | None = None
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep this end of the connection."""
+        assert isinstance(transport, Endpoint)
+        self._endpoint = transport
+
+    def data_received(self, data: bytes) -> None:
+        """Handle the requests that are complete."""
+        assert self._endpoint is not None
+        for message in self._splitter.feed(data):
+            self._handler(read_http(message), Responder(self._endpoint))
+
+
+class _CallerConnection(asyncio.Protocol):
+    """A caller's connection to a server, with at most one request under way."""
+
+    def __init__(self, on_response: Callable[[HttpMessage], None], on_lost: Callable[[], None]):
+        self._on_response = on_response
+        self._on_lost = on_lost
+        self._splitter = HttpSplitter()
+
+    def data_received(self, data: bytes) -> None:
+        """Hand over the responses that are complete."""
+        for message in self._splitter.feed(data):
+            self._on_response(read_http(message))
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Tell that no response will come."""
+        self._on_lost()
+
+
+class HttpCaller:
+    """Sends one request at a time, over a connection that is kept while the address is the same."""
+
+    def __init__(self, network: Network, host: Host) -> None:
+        self._network = network
+        self._host = host
+        self._address: Address | None = None
+        self._endpoint: Endpoint | None = None
+        self._attempt: Attempt | None = None
+        self._timeout: asyncio.TimerHandle | None = None
+        self._on_answer: Callable[[int, HttpMessage | None], None] | None = None
+
+    @property
+    def is_busy(self) -> bool:
+        """Whether a request is under way."""
+        return self._on_answer is not None
+
+    def request(
+        self,
+        address: Address,
+        request: bytes,
+        timeout_s: float,
+        on_answer: Callable[[int, HttpMessage | None], None],
+    ) -> None:
+        """Send a request; its callback gets the status, NO_RESPONSE when none came in time."""
+        assert not self.is_busy
+        self._on_answer = on_answer
+        self._timeout = self._network.loop.call_later(timeout_s, self._fail)
+        if self._endpoint is not None and self._address == address:
+            self._endpoint.write(request)
+            return
+        self.close()
+        self._address = address
+        self._attempt = self._network.connect(
+            self._host,
+            address,
+            lambda: _CallerConnection(self._answered, self._lost),
+            lambda endpoint: self._opened(endpoint, request),
+            lambda _: self._fail(),
+        )
+
+    def close(self) -> None:
+        """Close the connection that is kept, if there is one."""
+        endpoint, self._endpoint = self._endpoint, None
+        if self._attempt is not None:
+            self._attempt.give_up()
+        if endpoint is not None:
+            endpoint.close()
+
+    def _opened(self, endpoint: Endpoint, request: bytes) -> None:
+        self._endpoint = endpoint
+        endpoint.write(request)
+
+    def _answered(self, response: HttpMessage) -> None:
+        if response.is_last:
+            self.close()
+        self._finish(response.status, response)
+
+    def _lost(self) -> None:
+        """A connection is lost; one that was closed here is not the one that is kept."""
+        if self._endpoint is not None and self._endpoint.is_closing():
+            self._endpoint = None
+            self._fail()
+
+    def _fail(self) -> None:
+        self.close()
+        self._finish(NO_RESPONSE, None)
+
+    def _finish(self, status: int, response: HttpMessage | None) -> None:
+        on_answer, self._on_answer = self._on_answer, None
+        if self._timeout is not None:
+            self._timeout.cancel()
+        if on_answer is not None:
+            on_answer(status, response)
+
+
+def get(path: str, is_last: bool = False) -> bytes:
+    """A GET request."""
+    return build_request("GET", path, b"", is_last)
+
+
+def post(path: str, value: Any, is_last: bool = False) -> bytes:
+    """A POST request with a value as MessagePack."""
+    return build_request("POST", path, pack(value), is_last)
--- /dev/null
+++ b/tests/tools/messages.py
@@ -0,0 +1,140 @@
+"""Messages on a connection: splitting a stream into them, building and reading them."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Any, Protocol
+
+import msgspec
+
+HEAD_END = b"\r\n\r\n"
+#: bytes of the length in front of a frame between controllers
+FRAME_LENGTH_BYTES = 4
+
+
+class Splitter(Protocol):
+    """Splits a stream of bytes into messages."""
+
+    def feed(self, data: bytes) -> list[bytes]:
+        """Take more of the stream; the messages that are complete now."""
+
+
+class HttpSplitter:
+    """Splits a stream of HTTP/1.1 messages whose bodies have a Content-Length, or none."""
+
+    def __init__(self) -> None:
+        self._buffer = b""
+
+    def feed(self, data: bytes) -> list[bytes]:
+        """Take more of the stream; the messages that are complete now."""
+        self._buffer += data
+        complete = []
+        while (size := self._size_of_first()) is not None:
+            complete.append(self._buffer[:size])
+            self._buffer = self._buffer[size:]
+        return complete
+
+    def _size_of_first(self) -> int | None:
+        """Size of the first message; None if it is not complete."""
+        head, end, body = self._buffer.partition(HEAD_END)
+        if not end:
+            return None
+        length = int(read_headers(head).get("content-length", "0"))
+        return len(head) + len(end) + length if len(body) >= length else None
+
+
+class FrameSplitter:
+    """Splits a stream of frames between controllers."""
+
+    def __init__(self) -> None:
+        self._buffer = b""
+
+    def feed(self, data: bytes) -> list[bytes]:
+        """Take more of the stream; the messages that are complete now."""
+        self._buffer += data
+        complete = []
+        while len(self._buffer) >= FRAME_LENGTH_BYTES:
+            size = FRAME_LENGTH_BYTES + int.from_bytes(self._buffer[:FRAME_LENGTH_BYTES], "big")
+            if len(self._buffer) < size:
+                break
+            complete.append(self._buffer[:size])
+            self._buffer = self._buffer[size:]
+        return complete
+
+
+def read_headers(head: bytes) -> dict[str, str]:
+    """Headers of a message's head, by their names in small letters."""
+    headers = {}
+    for line in head.decode("latin-1").split("\r\n")[1:]:
+        name, _, value = line.partition(":")
+        headers[name.strip().lower()] = value.strip()
+    return headers
+
+
+@dataclass(frozen=True)
+class HttpMessage:
+    """A request or a response."""
+
+    start_line: str
+    headers: dict[str, str]
+    body: bytes
+
+    @property
+    def status(self) -> int:
+        """Status of a response."""
+        return int(self.start_line.split(" ")[1])
+
+    @property
+    def method(self) -> str:
+        """Method of a request."""
+        return self.start_line.split(" ")[0]
+
+    @property
+    def target(self) -> str:
+        """Path and query of a request."""
+        return self.start_line.split(" ")[1]
+
+    @property
+    def is_last(self) -> bool:
+        """Whether the connection ends after this message."""
+        return self.headers.get("connection", "").lower() == "close"
+
+
+def read_http(data: bytes) -> HttpMessage:
+    """Read one complete message."""
+    head, _, body = data.partition(HEAD_END)
+    start_line = head.decode("latin-1").split("\r\n")[0]
+    return HttpMessage(start_line, read_headers(head), body)
+
+
+def build_request(method: str, path: str, body: bytes, is_last: bool) -> bytes:
+    """A request as the outside systems send it."""
+    head = f"{method} {path} HTTP/1.1\r\nHost: marblestair\r\nContent-Length: {len(body)}\r\n"
+    if is_last:
+        head += "Connection: close\r\n"
+    return head.encode("ascii") + b"\r\n" + body
+
+
+def build_response(status: int, body: bytes) -> bytes:
+    """A response as the outside systems send it."""
+    head = f"HTTP/1.1 {status} Status\r\nContent-Length: {len(body)}\r\n\r\n"
+    return head.encode("ascii") + body
+
+
+def build_frame(message: Any) -> bytes:
+    """A frame as controllers send it to each other."""
+    data = pack(message)
+    return len(data).to_bytes(FRAME_LENGTH_BYTES, "big") + data
+
+
+def pack(value: Any) -> bytes:
+    """Encode a value as MessagePack."""
+    return msgspec.msgpack.encode(value)
+
+
+def unpack(data: bytes) -> Any:
+    """Decode MessagePack; None if it is malformed."""
+    try:
+        return msgspec.msgpack.decode(data)
+    except (msgspec.DecodeError, UnicodeDecodeError):
+        return None
--- /dev/null
+++ b/tests/tools/network.py
@@ -0,0 +1,455 @@
+"""In-memory connections between simulated hosts, with delays, cuts and hosts that fall silent.
+
+Each direction of a connection delivers in order, every piece after a small random delay. The
+delays of a connection come from a generator of its own, so that what happens on one connection
+never changes the delays of another.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import contextvars
+import enum
+import random
+from collections import deque
+from collections.abc import Callable
+from typing import Any, Protocol, TypeAlias
+
+from tests.tools.processes import CURRENT_PROCESS, Host, Process
+from tests.tools.simulated_loop import SimulatedLoop
+
+Address: TypeAlias = tuple[str, int]
+
+#: bounds of the time that a packet is under way
+SHORTEST_DELAY_S, LONGEST_DELAY_S = 0.0002, 0.002
+#: the least time between two arrivals on one direction of a connection
+ORDER_GAP_S = 1e-6
+
+
+class Ending(enum.Enum):
+    """How a direction of a connection ends."""
+
+    ORDERLY = "orderly"
+    RESET = "reset"
+
+
+class Observer(Protocol):
+    """Sees what simulated processes do with their connections."""
+
+    def written(self, endpoint: Endpoint, data: bytes) -> None:
+        """A process wrote to a connection."""
+
+    def closed(self, endpoint: Endpoint) -> None:
+        """A process closed a connection."""
+
+
+class Pipe:
+    """One direction of a connection."""
+
+    def __init__(self, network: Network, receiver: Endpoint, delays: random.Random) -> None:
+        self._network = network
+        self._receiver = receiver
+        self._delays = delays
+        self._under_way: deque[tuple[float, bytes | Ending]] = deque()
+        #: nothing arrives before this time
+        self.last_arrival_s = 0.0
+
+    def send(self, item: bytes | Ending) -> None:
+        """Take a piece of data, or the end, and deliver it later."""
+        delay_s = self._delays.uniform(SHORTEST_DELAY_S, LONGEST_DELAY_S)
+        earliest_s = self.last_arrival_s + ORDER_GAP_S
+        self.last_arrival_s = max(earliest_s, self._network.loop.time() + delay_s)
+        self._under_way.append((self.last_arrival_s, item))
+        if len(self._under_way) == 1:
+            self.schedule()
+
+    def schedule(self) -> None:
+        """Wait for the arrival of what is next."""
+        arrival_s, _ = self._under_way[0]
+        self._network.loop.call_at(arrival_s, self._deliver, context=self._network.context)
+
+    def _deliver(self) -> None:
+        if self._network.is_blocked(self._receiver.remote, self._receiver.local):
+            self._network.stalled.append(self)
+            return
+        _, item = self._under_way.popleft()
+        self._receiver.receive(item)
+        if self._under_way:
+            self.schedule()
+
+
+class Endpoint(asyncio.Transport):
+    """One end of a connection."""
+
+    def __init__(
+        self, network: Network, local: Host, remote: Host, port: int, context: contextvars.Context
+    ) -> None:
+        super().__init__()
+        self._network = network
+        self.local = local
+        self.remote = remote
+        #: the port of the side that was connected to
+        self.port = port
+        self.context = context
+        self.process: Process | None = context.get(CURRENT_PROCESS)
+        self.protocol = asyncio.Protocol()
+        self._outgoing: Pipe | None = None
+        self._is_closing = False
+        self._is_paused = False
+        self._unread: deque[bytes | Ending] = deque()
+
+    def join(self, outgoing: Pipe) -> None:
+        """Set the direction on which this end writes."""
+        self._outgoing = outgoing
+
+    def open(self, protocol_factory: Callable[[], asyncio.Protocol]) -> None:
+        """Create this end's protocol and tell it that the connection stands."""
+        self.protocol = protocol_factory()
+        self.protocol.connection_made(self)
+
+    def receive(self, item: bytes | Ending) -> None:
+        """Something has arrived at this end's host."""
+        if self._is_dead:
+            self._network.refuse_for_dead(self)
+        elif not self._is_closing:
+            self._network.loop.call_soon(self._take, item, context=self.context)
+
+    def die(self, is_silent: bool) -> None:
+        """End with the process or the host; unless silent, the other end sees a reset."""
+        self._is_closing = True
+        if not is_silent:
+            self.send_ending(Ending.RESET)
+        self._network.forget(self)
+
+    def send_ending(self, ending: Ending) -> None:
+        """Let the other end see that the connection is over."""
+        if self._outgoing is not None:
+            self._outgoing.send(ending)
+
+    @property
+    def _is_dead(self) -> bool:
+        return self.process is not None and not self.process.is_alive
+
+    def _take(self, item: bytes | Ending) -> None:
+        if self._is_closing:
+            return
+        if self._is_paused:
+            self._unread.append(item)
+        elif isinstance(item, bytes):
+            self.protocol.data_received(item)
+        elif item is Ending.RESET:
+            self._is_closing = True
+            self._lose(ConnectionResetError("reset by the other end"))
+        elif not self.protocol.eof_received():
+            self.close()
+
+    def _lose(self, error: Exception | None) -> None:
+        self._network.forget(self)
+        self.protocol.connection_lost(error)
+
+    # asyncio.Transport
+
+    def write(self, data: bytes | bytearray | memoryview) -> None:
+        """Send data."""
+        if self._is_closing or self._is_dead or self._outgoing is None:
+            return
+        if self.process is not None and self._network.observer is not None:
+            self._network.observer.written(self, bytes(data))
+        self._outgoing.send(bytes(data))
+
+    def close(self) -> None:
+        """Close once what was written has been sent."""
+        if self._is_closing or self._is_dead:
+            return
+        self._is_closing = True
+        if self.process is not None and self._network.observer is not None:
+            self._network.observer.closed(self)
+        self.send_ending(Ending.ORDERLY)
+        self._network.loop.call_soon(self._lose, None, context=self.context)
+
+    def abort(self) -> None:
+        """Close at once; what was written is on its way already."""
+        self.close()
+
+    def is_closing(self) -> bool:
+        """Whether this end is closed, or about to be."""
+        return self._is_closing
+
+    def pause_reading(self) -> None:
+        """Keep back what arrives."""
+        self._is_paused = True
+
+    def resume_reading(self) -> None:
+        """Deliver what was kept back."""
+        self._is_paused = False
+        unread, self._unread = self._unread, deque()
+        for item in unread:
+            self._network.loop.call_soon(self._take, item, context=self.context)
+
+    def get_extra_info(self, name: str, default: Any = None) -> Any:
+        """The addresses of both ends; nothing else is known."""
+        known = {
+            "peername": (self.remote.address, self.port),
+            "sockname": (self.local.address, self.port),
+        }
+        return known.get(name, default)
+
+
+class Listener:
+    """Accepts connections to an address."""
+
+    def __init__(
+        self,
+        network: Network,
+        address: Address,
+        protocol_factory: Callable[[], asyncio.Protocol],
+        context: contextvars.Context,
+    ) -> None:
+        self._network = network
+        self.address = address
+        self.protocol_factory = protocol_factory
+        self.context = context
+        self.process: Process | None = context.get(CURRENT_PROCESS)
+
+    def close(self) -> None:
+        """Stop to accept."""
+        if self.process is None or self.process.is_alive:
+            self._network.stop_listening(self)
+
+
+class Attempt:
+    """An attempt to connect, until it succeeded, failed or was given up."""
+
+    def __init__(
+        self,
+        source: Host,
+        address: Address,
+        protocol_factory: Callable[[], asyncio.Protocol],
+        on_open: Callable[[Endpoint], object],
+        on_failed: Callable[[OSError], object],
+        context: contextvars.Context,
+    ) -> None:
+        self.source = source
+        self.address = address
+        self.protocol_factory = protocol_factory
+        self.on_open = on_open
+        self.on_failed = on_failed
+        self.context = context
+        self.process: Process | None = context.get(CURRENT_PROCESS)
+        self._is_given_up = False
+
+    def give_up(self) -> None:
+        """Let the attempt come to nothing, if it has not succeeded yet."""
+        self._is_given_up = True
+
+    @property
+    def is_over(self) -> bool:
+        """Whether nobody waits for the connection any more."""
+        return self._is_given_up or (self.process is not None and not self.process.is_alive)
+
+    def succeed(self, endpoint: Endpoint) -> None:
+        """Hand over this side's end of the connection."""
+        if self.is_over:
+            endpoint.close()
+            return
+        endpoint.open(self.protocol_factory)
+        self.on_open(endpoint)
+
+
+class Network:
+    """All hosts, listeners and connections, and the troubles between them."""
+
+    def __init__(self, loop: SimulatedLoop, seed: str) -> None:
+        self.loop = loop
+        loop.network = self
+        #: the context of what belongs to no process
+        self.context = contextvars.copy_context()
+        self.observer: Observer | None = None
+        #: directions that wait for a cut to end
+        self.stalled: list[Pipe] = []
+        self._seed = seed
+        self._hosts: dict[str, Host] = {}
+        self._listeners: dict[Address, Listener] = {}
+        self._endpoints: dict[Endpoint, None] = {}
+        self._connections: dict[tuple[str, Address], int] = {}
+        self._waiting: list[Attempt] = []
+        #: names of hosts that neither send nor receive, and of hosts without power
+        self._frozen: set[str] = set()
+        self._down: set[str] = set()
+        #: pairs of names (from, to) between which nothing passes, or connections are refused
+        self._cut: set[tuple[str, str]] = set()
+        self._refused: set[tuple[str, str]] = set()
+
+    # hosts and listeners
+
+    def add_host(self, host: Host) -> None:
+        """Add a host to which others can connect."""
+        self._hosts[host.address] = host
+
+    def listen(
+        self,
+        address: Address,
+        protocol_factory: Callable[[], asyncio.Protocol],
+        context: contextvars.Context | None = None,
+    ) -> Listener:
+        """Accept connections to an address."""
+        if address in self._listeners:
+            raise OSError(f"address in use: {address}")
+        listener = Listener(self, address, protocol_factory, context or self.context)
+        self._listeners[address] = listener
+        return listener
+
+    def stop_listening(self, listener: Listener) -> None:
+        """Refuse connections to a listener's address from now on."""
+        if self._listeners.get(listener.address) is listener:
+            del self._listeners[listener.address]
+
+    def kill(self, process: Process, is_silent: bool) -> None:
+        """End a process; if silent, its host loses power, and the other ends see nothing."""
+        process.is_alive = False
+        if is_silent:
+            self._down.add(process.host.name)
+        for listener in [x for x in self._listeners.values() if x.process is process]:
+            self.stop_listening(listener)
+        for endpoint in [x for x in self._endpoints if x.process is process]:
+            endpoint.die(is_silent)
+
+    def power_on(self, host: Host) -> None:
+        """Let a host answer again, if only by refusing connections."""
+        self._down.discard(host.name)
+        self._resume()
+
+    def vanish(self, host: Host) -> None:
+        """Remove a host; whoever is connected to it sees nothing."""
+        self._down.add(host.name)
+        for listener in [x for x in self._listeners.values() if x.address[0] == host.address]:
+            self.stop_listening(listener)
+        for endpoint in [x for x in self._endpoints if x.local is host]:
+            endpoint.die(is_silent=True)
+
+    def forget(self, endpoint: Endpoint) -> None:
+        """An end of a connection is closed."""
+        self._endpoints.pop(endpoint, None)
+
+    def refuse_for_dead(self, endpoint: Endpoint) -> None:
+        """Something arrived for a process that is dead: its host resets the connection."""
+        if endpoint.local.name not in self._down:
+            endpoint.send_ending(Ending.RESET)
+
+    # connecting
+
+    def connect(
+        self,
+        source: Host,
+        address: Address,
+        protocol_factory: Callable[[], asyncio.Protocol],
+        on_open: Callable[[Endpoint], object],
+        on_failed: Callable[[OSError], object],
+        context: contextvars.Context | None = None,
+    ) -> Attempt:
+        """Connect a host to an address; exactly one of the callbacks is called, or none."""
+        attempt = Attempt(
+            source, address, protocol_factory, on_open, on_failed, context or self.context
+        )
+        self._request(attempt)
+        return attempt
+
+    def _request(self, attempt: Attempt) -> None:
+        delays = self._new_delays(attempt)
+        when_s = self.loop.time() + delays.uniform(SHORTEST_DELAY_S, LONGEST_DELAY_S)
+        self.loop.call_at(when_s, self._arrive, attempt, delays, context=self.context)
+
+    def _new_delays(self, attempt: Attempt) -> random.Random:
+        pair = (attempt.source.name, attempt.address)
+        number = self._connections[pair] = self._connections.get(pair, 0) + 1
+        host, port = attempt.address
+        return random.Random(f"{self._seed}/{attempt.source.name}/{host}:{port}/{number}")
+
+    def _arrive(self, attempt: Attempt, delays: random.Random) -> None:
+        """The request to connect has reached the other host, unless something is in its way."""
+        target = self._hosts.get(attempt.address[0])
+        if attempt.is_over:
+            return
+        if target is None or target.name in self._down or self._is_cut(attempt.source, target):
+            self._waiting.append(attempt)
+            return
+        answered_s = self.loop.time() + delays.uniform(SHORTEST_DELAY_S, LONGEST_DELAY_S)
+        listener = self._listeners.get(attempt.address)
+        if listener is None or (attempt.source.name, target.name) in self._refused:
+            refusal = ConnectionRefusedError(f"refused by {target.name}")
+            self.loop.call_at(answered_s, attempt.on_failed, refusal, context=attempt.context)
+            return
+        client_end = self._join(attempt, target, listener, answered_s, delays)
+        self.loop.call_at(answered_s, attempt.succeed, client_end, context=attempt.context)
+
+    def _join(
+        self,
+        attempt: Attempt,
+        target: Host,
+        listener: Listener,
+        answered_s: float,
+        delays: random.Random,
+    ) -> Endpoint:
+        """Create both ends of a connection and open that of the listener."""
+        source, port = attempt.source, attempt.address[1]
+        server_end = Endpoint(self, target, source, port, listener.context.copy())
+        client_end = Endpoint(self, source, target, port, attempt.context.copy())
+        to_client = Pipe(self, client_end, random.Random(delays.random()))
+        to_client.last_arrival_s = answered_s
+        server_end.join(to_client)
+        client_end.join(Pipe(self, server_end, random.Random(delays.random())))
+        self._endpoints[server_end] = None
+        self._endpoints[client_end] = None
+        self.loop.call_soon(server_end.open, listener.protocol_factory, context=server_end.context)
+        return client_end
+
+    # troubles
+
+    def is_blocked(self, source: Host, target: Host) -> bool:
+        """Whether nothing passes from one host to another at present."""
+        if source.name in self._frozen or target.name in self._frozen:
+            return True
+        return (source.name, target.name) in self._cut
+
+    def _is_cut(self, first: Host, second: Host) -> bool:
+        return self.is_blocked(first, second) or self.is_blocked(second, first)
+
+    def cut(self, source: str, target: str) -> None:
+        """Hold back all that goes from one host to another, until the cut ends."""
+        self._cut.add((source, target))
+
+    def cut_both_ways(self, first: str, second: str) -> None:
+        """Hold back all that goes between two hosts, until the cut ends."""
+        self.cut(first, second)
+        self.cut(second, first)
+
+    def refuse(self, first: str, second: str) -> None:
+        """Reset all connections between two hosts and refuse new ones."""
+        pairs = [(first, second), (second, first)]
+        self._refused.update(pairs)
+        for endpoint in list(self._endpoints):
+            if (endpoint.local.name, endpoint.remote.name) in pairs:
+                endpoint.receive(Ending.RESET)
+
+    def mend(self) -> None:
+        """End all cuts and refusals; what was held back is delivered in order."""
+        self._cut.clear()
+        self._refused.clear()
+        self._resume()
+
+    def freeze(self, host: Host) -> None:
+        """Let a host neither send nor receive until it is thawed."""
+        self._frozen.add(host.name)
+
+    def thaw(self, host: Host) -> None:
+        """Let a frozen host go on; what was held back is delivered in order."""
+        self._frozen.discard(host.name)
+        self._resume()
+
+    def _resume(self) -> None:
+        stalled, self.stalled = self.stalled, []
+        for pipe in stalled:
+            pipe.schedule()
+        waiting, self._waiting = self._waiting, []
+        for attempt in waiting:
+            self._request(attempt)
--- /dev/null
+++ b/tests/tools/play.py
@@ -0,0 +1,78 @@
+"""Plays one scenario on the package that this process imports, and writes the record.
+
+Run by ``compare_versions`` in a process of its own: the package, the clock and the source of
+randomness belong to the whole process.
+"""
+
+from __future__ import annotations
+
+import argparse
+import logging
+import os
+import pathlib
+import random
+import sys
+import time
+
+from tests.tools.deployment import Deployment
+from tests.tools.package_under_test import package_directory
+from tests.tools.scenarios import find
+from tests.tools.simulated_loop import SimulatedLoop
+
+#: the time of day at simulated time 0
+EPOCH_S = 1_800_000_000.0
+LOG_FORMAT = "%(simulated_s).4f %(levelname)s %(message)s"
+
+
+def replace_clock_and_randomness(loop: SimulatedLoop, seed: str) -> None:
+    """Let the package see simulated time and seeded random bytes."""
+    source = random.Random(f"{seed}/urandom")
+    time.monotonic = loop.time
+    time.time = lambda: EPOCH_S + loop.time()
+    os.urandom = source.randbytes
+    random.seed(f"{seed}/global")
+
+
+def keep_log(loop: SimulatedLoop, path: pathlib.Path) -> None:
+    """Write what the controllers log to a file, with the simulated time."""
+    handler = logging.FileHandler(path, mode="w")
+    handler.setFormatter(logging.Formatter(LOG_FORMAT))
+
+    def add_time(record: logging.LogRecord) -> bool:
+        record.simulated_s = loop.time()
+        return True
+
+    handler.addFilter(add_time)
+    logging.basicConfig(level=logging.INFO, handlers=[handler], force=True)
+
+
+def play(name: str, seed: str, record: pathlib.Path) -> None:
+    """Play a scenario and write its record, and the log beside it."""
+    scenario = find(name)
+    seed = f"{name}/{seed}"
+    with record.open("wb") as file:
+        deployment = Deployment(scenario.plan, seed, file)
+        replace_clock_and_randomness(deployment.loop, seed)
+        keep_log(deployment.loop, record.with_suffix(".log"))
+        scenario.arrange(deployment)
+        deployment.play(scenario.duration_s)
+
+
+def main() -> int:
+    """Entry point; the result is the exit code."""
+    parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else None)
+    parser.add_argument("scenario")
+    parser.add_argument("seed")
+    parser.add_argument("record", type=pathlib.Path)
+    parser.add_argument("package", type=pathlib.Path, help="where the package must come from")
+    arguments = parser.parse_args()
+    found = package_directory()
+    if found != arguments.package.resolve():
+        print(f"the package comes from {found}, not from {arguments.package}", file=sys.stderr)
+        return 2
+    play(arguments.scenario, arguments.seed, arguments.record)
+    return 0
+
+
+if __name__ == "__main__":
+    sys.exit(main())
--- /dev/null
+++ b/tests/tools/tasks.py
@@ -0,0 +1,158 @@
+"""Tasks on an agent's machine: fetching, waiting for the gang, running, saving, ended."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+from tests.tools.workload import Job
+
+#: time that passes in one step of all tasks
+STEP_S = 0.25
+#: a task whose result is known already needs this long
+KNOWN_RESULT_S = 0.2
+
+
+class State:
+    """States of a task, as agents report them."""
+
+    FETCHING = "pulling"
+    WAITING = "waiting"
+    RUNNING = "running"
+    SAVING = "saving"
+    EXITED = "exited"
+
+
+class Cause:
+    """Why a task ended, as agents report it."""
+
+    DONE = "done"
+    STOPPED = "halted"
+    GANG_BROKEN = "mates_gone"
+    GANG_INCOMPLETE = "alone"
+    ERROR = "error"
+    NO_ROOM = "no_room"
+    IN_USE = "in_use"
+    UNKNOWN = "unknown"
+
+
+@dataclass
+class Task:
+    """One attempt of a task on one machine."""
+
+    piece: str
+    attempt: int
+    #: None: the job is not known
+    job: Job | None
+    index: int
+    state: str = State.FETCHING
+    cause: str | None = None
+    is_stored: bool | None = None
+    fetch_left_s: float = 0.0
+    waited_s: float = 0.0
+    broken_for_s: float = 0.0
+    progress_s: float = 0.0
+    save_left_s: float = 0.0
+
+    @property
+    def is_live(self) -> bool:
+        """Whether the task has not ended."""
+        return self.state != State.EXITED
+
+    @property
+    def is_on_machine(self) -> bool:
+        """Whether the task has its image and has not ended."""
+        return self.state in (State.WAITING, State.RUNNING, State.SAVING)
+
+    @property
+    def key(self) -> tuple[str, int]:
+        """What the tasks of one gang have in common."""
+        return self.piece.rpartition("/")[0], self.attempt
+
+    def end(self, cause: str) -> None:
+        """Exit."""
+        self.state, self.cause = State.EXITED, cause
+
+    def report(self) -> dict[str, Any]:
+        """The task as it appears in a report."""
+        entry: dict[str, Any] = {"piece": self.piece, "try": self.attempt, "status": self.state}
+        if self.cause is not None:
+            entry["cause"] = self.cause
+        if self.is_stored is not None:
+            entry["stored"] = self.is_stored
+        return entry
+
+    # progress
+
+    def begin(self) -> None:
+        """Go on from the saved progress."""
+        assert self.job is not None
+        self.state = State.RUNNING
+        self.progress_s = self.job.saved_s.get(self.job.progress_key(self.index), 0.0)
+
+    def run(self, passed_s: float) -> bool:
+        """Make progress; whether the task is complete."""
+        job = self.job
+        assert job is not None
+        self.progress_s += passed_s
+        if job.checkpoint_s > 0:
+            steps = int(self.progress_s / job.checkpoint_s)
+            self._save(steps * job.checkpoint_s)
+        if job.is_service:
+            return False
+        needed_s = KNOWN_RESULT_S if self.index in job.completed else job.run_s[self.index]
+        return self.progress_s >= needed_s
+
+    def complete(self) -> None:
+        """Exit with a result, which is kept."""
+        assert self.job is not None
+        self.job.completed[self.index] = True
+        self.end(Cause.DONE)
+
+    def stop(self, grace_s: float) -> None:
+        """Save if there is time for it, and exit."""
+        job = self.job
+        if self.state == State.RUNNING and job is not None and job.checkpoint_s > 0:
+            cost_s = job.description["bookmark_cost_s"]
+            if grace_s >= cost_s:
+                self.state, self.save_left_s = State.SAVING, cost_s
+                return
+        if self.state != State.SAVING or grace_s == 0:
+            self.end(Cause.STOPPED)
+
+    def save(self, passed_s: float) -> None:
+        """Go on saving; exit once that is done."""
+        self.save_left_s -= passed_s
+        if self.save_left_s <= 0:
+            self._save(self.progress_s)
+            self.is_stored = True
+            self.end(Cause.STOPPED)
+
+    def _save(self, progress_s: float) -> None:
+        assert self.job is not None
+        key = self.job.progress_key(self.index)
+        self.job.saved_s[key] = max(progress_s, self.job.saved_s.get(key, 0.0))
+
+
+class Gangs:
+    """Which tasks of gangs are there, over all machines."""
+
+    def __init__(self) -> None:
+        self._members: dict[tuple[str, int], list[tuple[Task, Callable[[], bool]]]] = {}
+
+    def join(self, task: Task, is_reachable: Callable[[], bool]) -> None:
+        """A task of a gang has begun on a machine."""
+        self._members.setdefault(task.key, []).append((task, is_reachable))
+
+    def members(self, task: Task) -> list[Task]:
+        """The live tasks of a task's gang whose machines can be reached."""
+        members = self._members.get(task.key, [])
+        members = [(x, is_reachable) for x, is_reachable in members if x.is_on_machine]
+        self._members[task.key] = members
+        return [x for x, is_reachable in members if is_reachable()]
+
+    def is_complete(self, task: Task) -> bool:
+        """Whether all tasks of a task's gang are there."""
+        assert task.job is not None
+        return len(self.members(task)) >= int(task.job.description["pieces"])
--- /dev/null
+++ b/tests/tools/users.py
@@ -0,0 +1,208 @@
+"""Users: they submit jobs through a load balancer, poll them, and withdraw some."""
+
+from __future__ import annotations
+
+import random
+from dataclasses import dataclass
+from typing import Any
+
+from tests.tools.http_service import HttpCaller, get, post
+from tests.tools.messages import HttpMessage, unpack
+from tests.tools.network import Address, Network
+from tests.tools.processes import Host
+from tests.tools.workload import Job, Workload
+
+SUBMIT_TIMEOUT_S, POLL_TIMEOUT_S, PROBE_TIMEOUT_S = 5.0, 2.0, 1.0
+POLL_S, PROBE_S = 5.0, 1.0
+#: least pause before a request is repeated, and for how long it is
+RETRY_S, GIVE_UP_S = 1.0, 60.0
+#: probes in a row that fail before a controller counts as unhealthy
+FAILED_PROBES = 2
+#: after the end of its job a user asks again, after these times
+LATE_QUESTIONS_S = (1.0, 9.0, 40.0)
+#: share of the requests after which the connection is closed
+CLOSING_SHARE = 0.3
+FINAL_STATES = ("done", "aborted")
+NOT_RETRIED = (400, 422)
+
+
+class LoadBalancer:
+    """Probes the controllers and chooses a healthy one for each connection."""
+
+    def __init__(self, network: Network, controllers: list[Address], seed: str) -> None:
+        self._network = network
+        self._random = random.Random(f"{seed}/balancer")
+        self._failures = dict.fromkeys(controllers, FAILED_PROBES)
+        host = Host("balancer", "balancer", "balancer")
+        self._callers = {address: HttpCaller(network, host) for address in controllers}
+        for address in controllers:
+            network.loop.call_later(self._random.random(), self._probe, address)
+
+    def choose(self) -> Address:
+        """A healthy controller, or any while none is healthy."""
+        healthy = [x for x, failures in self._failures.items() if failures < FAILED_PROBES]
+        return self._random.choice(healthy or list(self._failures))
+
+    def _probe(self, address: Address) -> None:
+        caller = self._callers[address]
+        caller.request(
+            address,
+            get("/healthz"),
+            PROBE_TIMEOUT_S,
+            lambda status, answer: self._probed(address, status),
+        )
+
+    def _probed(self, address: Address, status: int) -> None:
+        self._failures[address] = 0 if status == 200 else self._failures[address] + 1
+        self._network.loop.call_later(PROBE_S, self._probe, address)
+
+
+@dataclass(frozen=True)
+class Plan:
+    """What a user does besides waiting for the end of the job; times are from the submission."""
+
+    withdraw_after_s: float | None = None
+    #: withdraws as soon as a poll tells that the job runs, or that so many tasks are done
+    withdraw_at_done: int | None = None
+    submit_again_after_s: float | None = None
+
+
+class User:
+    """The user of one job."""
+
+    def __init__(
+        self, network: Network, balancer: LoadBalancer, job: Job, plan: Plan, seed: str
+    ) -> None:
+        self._network = network
+        self._loop = network.loop
+        self._balancer = balancer
+        self._job = job
+        self._plan = plan
+        self._random = random.Random(f"{seed}/user/{job.name}")
+        self._host = Host("user", job.name, f"user of {job.name}")
+        self._path = f"/v1/jobs/{job.name}"
+        self._polls = HttpCaller(network, self._host)
+        self._began_at_s = self._loop.time()
+        self._is_withdrawing = False
+        #: the last status that was told, '' before the job was accepted
+        self.status = ""
+        self._submit(self._loop.time())
+        if plan.withdraw_after_s is not None:
+            self._loop.call_later(plan.withdraw_after_s, self._withdraw, None)
+        if plan.submit_again_after_s is not None:
+            self._loop.call_later(plan.submit_again_after_s, self._submit_again)
+
+    # requests
+
+    def _send(self, request: bytes, timeout_s: float, then: Any) -> None:
+        """Send a request on a connection of its own."""
+        caller = HttpCaller(self._network, self._host)
+
+        def answered(status: int, answer: HttpMessage | None) -> None:
+            caller.close()
+            then(status, answer)
+
+        caller.request(self._balancer.choose(), request, timeout_s, answered)
+
+    def _is_last(self) -> bool:
+        return self._random.random() < CLOSING_SHARE
+
+    def _submit(self, since_s: float) -> None:
+        request = post("/v1/jobs", self._job.description, self._is_last())
+        self._send(
+            request,
+            SUBMIT_TIMEOUT_S,
+            lambda status, answer: self._submitted(status, answer, since_s),
+        )
+
+    def _submitted(self, status: int, answer: HttpMessage | None, since_s: float) -> None:
+        if status in (200, 201):
+            self._note(answer)
+            self._loop.call_later(self._random.uniform(0.1, POLL_S), self._poll)
+        elif status not in NOT_RETRIED and self._loop.time() - since_s < GIVE_UP_S:
+            self._loop.call_later(self._pause_s(answer), self._submit, since_s)
+
+    def _pause_s(self, answer: HttpMessage | None) -> float:
+        """The pause before a request is repeated."""
+        told_s = answer.headers.get("retry-after", "0") if answer is not None else "0"
+        return max(RETRY_S, float(told_s)) + self._random.random()
+
+    def _submit_again(self) -> None:
+        self._send(
+            post("/v1/jobs", self._job.description),
+            SUBMIT_TIMEOUT_S,
+            lambda status, answer: self._note(answer) if status in (200, 201) else None,
+        )
+
+    def _poll(self) -> None:
+        if self._polls.is_busy:
+            return
+        self._polls.request(
+            self._balancer.choose(), get(self._path, self._is_last()), POLL_TIMEOUT_S, self._polled
+        )
+
+    def _polled(self, status: int, answer: HttpMessage | None) -> None:
+        was_over = self.status in FINAL_STATES
+        if status == 200:
+            self._note(answer)
+        if self.status not in FINAL_STATES:
+            self._loop.call_later(POLL_S * self._random.uniform(0.9, 1.1), self._poll)
+        elif not was_over:
+            for pause_s in LATE_QUESTIONS_S:
+                self._loop.call_later(pause_s, self._poll)
+            self._loop.call_later(LATE_QUESTIONS_S[0], self._submit_again)
+
+    def _withdraw(self, since_s: float | None) -> None:
+        since_s = self._loop.time() if since_s is None else since_s
+        self._is_withdrawing = True
+        self._send(
+            post(f"{self._path}/withdraw", {}),
+            SUBMIT_TIMEOUT_S,
+            lambda status, answer: self._withdrawn(status, answer, since_s),
+        )
+
+    def _withdrawn(self, status: int, answer: HttpMessage | None, since_s: float) -> None:
+        if status == 200:
+            self._note(answer)
+        elif status not in (400, 404) and self._loop.time() - since_s < GIVE_UP_S:
+            self._loop.call_later(self._pause_s(answer), self._withdraw, since_s)
+
+    def _note(self, answer: HttpMessage | None) -> None:
+        """Remember what was told, and withdraw the job at the moment that was planned."""
+        body = unpack(answer.body) if answer is not None else None
+        if not isinstance(body, dict):
+            return
+        self.status = body.get("status", "")
+        done = body.get("done")
+        planned = self._plan.withdraw_at_done
+        if planned is not None and done is not None and not self._is_withdrawing:
+            if done >= planned and self.status == "running":
+                self._withdraw(None)
+
+
+class Users:
+    """All users of a scenario."""
+
+    def __init__(
+        self, network: Network, workload: Workload, controllers: list[Address], seed: str
+    ) -> None:
+        self._network = network
+        self._workload = workload
+        self._seed = seed
+        self.balancer = LoadBalancer(network, controllers, seed)
+        self.users: dict[str, User] = {}
+
+    def submit(self, description: dict[str, Any], plan: Plan | None = None) -> None:
+        """Submit a job now, and see to it until its end."""
+        job = self._workload.add(description)
+        self.users[job.name] = User(self._network, self.balancer, job, plan or Plan(), self._seed)
+
+    def ask(self, path: str) -> None:
+        """Ask once, with no user of a job behind it."""
+        caller = HttpCaller(self._network, Host("user", "stranger", "stranger"))
+        caller.request(
+            self.balancer.choose(),
+            get(path),
+            POLL_TIMEOUT_S,
+            lambda status, answer: caller.close(),
+        )
