--- a/tests/tools/agents.py
+++ b/tests/tools/agents.py
@@ -26,6 +26,7 @@
 #: images that a machine keeps
 CACHED_IMAGES = 3
 REPORT_PATH, COMMAND_PATH, INSPECT_PATH = "/v1/report", "/do", "/inspect"
+MALFORMED_BODY = b"\xc1"
 #: a faulty machine runs this much slower
 SLOW_SPEED = 0.15
 
@@ -75,6 +76,8 @@
         self.is_mute = False
         #: every task that starts on it fails
         self.is_failing = False
+        #: what it answers to commands and questions is malformed
+        self.is_garbled = False
         #: share of the reports of which a copy arrives late, at any controller
         self.late_copies = 0.0
         self._network.listen(
@@ -233,6 +236,9 @@
         if self.is_deaf or self.is_gone:
             return
         self._end_lease_if_due()
+        if self.is_garbled:
+            responder.answer_bytes(200, MALFORMED_BODY)
+            return
         if request.method == "GET" and request.target == INSPECT_PATH:
             responder.answer(200, self._body())
             return
--- a/tests/tools/cloud.py
+++ b/tests/tools/cloud.py
@@ -26,7 +26,10 @@
 BOOT_FACTORS, LATE_BOOT_FACTORS = (0.6, 1.5), (3.0, 8.0)
 #: a machine that died is listed as running for this long
 DEATH_UNSEEN_S = 30.0
-#: spot prices are this share of the nominal price, give or take a third
+#: bounds of the current spot price, as multiples of the nominal one
+SPOT_PRICE_FACTORS = (2 / 3, 4 / 3)
+#: bounds of a boot that takes next to no time
+INSTANT_BOOT_S = (0.05, 2.0)
 AGENT_PORT = 9000
 #: addresses in one part of the machines' network
 ADDRESSES = 250
@@ -91,6 +94,7 @@
         self.troubles = CloudTroubles()
         #: most machines by kind; what is not named has no limit
         self.capacity: dict[tuple[str, str, bool], int] = {}
+        self.list_machines = LIST_MACHINES
         #: called when a machine is up, and when it is gone
         self.on_up: Callable[[Machine], None] = lambda machine: None
         self.on_gone: Callable[[Machine], None] = lambda machine: None
@@ -157,7 +161,7 @@
         return 400, {"error": "malformed"}
 
     def _priced(self, machine_type: dict[str, Any]) -> dict[str, Any]:
-        price = machine_type["market_price"] * self._random.uniform(2 / 3, 4 / 3)
+        price = machine_type["market_price"] * self._random.uniform(*SPOT_PRICE_FACTORS)
         return {**machine_type, "market_price": price}
 
     def _rent(self, body: dict[str, Any]) -> tuple[int, Any]:
@@ -187,7 +191,7 @@
 
     def _boot_s(self, machine: Machine) -> float:
         if self._happens(self.troubles.instant_boots):
-            return self._random.uniform(0.05, 2.0)
+            return self._random.uniform(*INSTANT_BOOT_S)
         is_late = self._happens(self.troubles.late_boots)
         factor = self._random.uniform(*(LATE_BOOT_FACTORS if is_late else BOOT_FACTORS))
         return float(machine.machine_type["startup_s"] * factor)
@@ -210,7 +214,7 @@
     def _list(self, query: dict[str, str]) -> tuple[int, Any]:
         at_s = self._loop.time() - self._list_lag_s * self._random.uniform(0.5, 1.5)
         after = query.get("from", "")
-        limit = min(int(query.get("limit", LIST_MACHINES)), LIST_MACHINES)
+        limit = min(int(query.get("limit", LIST_MACHINES)), self.list_machines)
         listed = [x for x in self.machines.values() if x.name > after and _is_listed(x, at_s)]
         page = [self._entry(x, at_s) for x in listed[:limit]]
         return 200, {"benches": page, "more": len(listed) > limit}
--- a/tests/tools/deployment.py
+++ b/tests/tools/deployment.py
@@ -7,6 +7,7 @@
 import random
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from functools import partial
 from typing import Any, BinaryIO
 
 from tests.tools.agents import Agent, Agents, AgentSettings
@@ -134,9 +135,9 @@
         for number in range(plan.controllers):
             self.at(START_SPREAD_S * self.random.random(), self.controllers.start, number)
 
-    def at(self, after_s: float, action: Callable[..., object], *args: Any) -> None:
+    def at(self, after_s: float, action: Callable[..., object], *args: Any, **named: Any) -> None:
         """Do something at a time counted from the begin of the scenario."""
-        self.loop.call_at(self._began_at_s + after_s, action, *args)
+        self.loop.call_at(self._began_at_s + after_s, partial(action, *args, **named))
 
     @property
     def agents(self) -> list[Agent]:
--- a/tests/tools/network.py
+++ b/tests/tools/network.py
@@ -110,7 +110,8 @@
     def receive(self, item: bytes | Ending) -> None:
         """Something has arrived at this end's host."""
         if self._is_dead:
-            self._network.refuse_for_dead(self)
+            if isinstance(item, bytes):
+                self._network.refuse_for_dead(self)
         elif not self._is_closing:
             self._network.loop.call_soon(self._take, item, context=self.context)
 
@@ -332,7 +333,7 @@
         self._endpoints.pop(endpoint, None)
 
     def refuse_for_dead(self, endpoint: Endpoint) -> None:
-        """Something arrived for a process that is dead: its host resets the connection."""
+        """Data arrived for a process that is dead: its host resets the connection."""
         if endpoint.local.name not in self._down:
             endpoint.send_ending(Ending.RESET)
 
--- /dev/null
+++ b/tests/tools/scenarios_input.py
@@ -0,0 +1,70 @@
+"""Scenarios of bad input, and of more clients than a controller can take."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from functools import partial
+
+from tests.tools import bad_input
+from tests.tools.bad_input import Mischief
+from tests.tools.controllers import FRAME_PORT
+from tests.tools.deployment import Deployment
+from tests.tools.http_service import get, post
+from tests.tools.scenarios_jobs import submit_mix
+from tests.tools.workload import describe, job_id
+
+
+def bad_input_everywhere(deployment: Deployment) -> None:
+    """Malformed requests, reports, frames and answers, and jobs that can never run."""
+    submit_mix(deployment, 20, 70.0, first_number=0)
+    mischief = Mischief(deployment.network)
+    public = list(deployment.controllers.addresses.values())
+    inner = [(host.address, FRAME_PORT) for host in deployment.controllers.hosts]
+    requests = bad_input.odd_requests()
+    requests += [(x,) for x in bad_input.malformed_submissions()]
+    requests += [(x,) for x in bad_input.malformed_reports()]
+    for number, pieces in enumerate(requests):
+        at_s = 8.0 + 0.4 * number
+        deployment.at(at_s, partial(mischief.send, public[number % len(public)], *pieces))
+    for number, frame in enumerate(bad_input.malformed_frames()):
+        at_s = 8.0 + 0.7 * number
+        deployment.at(at_s, mischief.send, inner[number % len(inner)], frame)
+    for number, description in enumerate(bad_input.impossible_jobs(900)):
+        deployment.at(0.5 + number, deployment.users.submit, description)
+    _garble_answers(deployment)
+
+
+def _garble_answers(deployment: Deployment) -> None:
+    """The store, the cloud and agents send malformed answers for a time."""
+
+    def garble(share: float) -> None:
+        store, cloud = deployment.store, deployment.cloud
+        store.troubles = replace(store.troubles, malformed_answers=share)
+        cloud.troubles = replace(cloud.troubles, malformed_answers=share)
+        for agent in deployment.some_agents(3):
+            agent.is_garbled = share > 0
+
+    deployment.at(40.0, garble, 0.15)
+    deployment.at(60.0, garble, 0.0)
+
+
+def crowd(deployment: Deployment) -> None:
+    """Many submissions and questions at once, and more connections than are taken."""
+    submit_mix(deployment, 10, 50.0)
+    mischief = Mischief(deployment.network)
+    public = list(deployment.controllers.addresses.values())
+    for number in range(250):
+        at_s = 10.0 + 0.004 * number
+        description = describe(1000 + number, pieces=1, expected_s=1.0)
+        deployment.at(at_s, deployment.users.submit, description)
+    for number in range(300):
+        question = get(f"/v1/jobs/{job_id(5000 + number % 90)}")
+        address = public[number % len(public)]
+        deployment.at(25.0 + 0.002 * number, mischief.send, address, question)
+    for number in range(100 * len(public)):
+        address = public[number % len(public)]
+        idle = partial(mischief.send, address, get("/healthz"), kept_s=20.0)
+        deployment.at(35.0 + 0.003 * number, idle)
+    for number in range(20):
+        submission = post("/v1/jobs", describe(2000 + number, pieces=1))
+        deployment.at(38.0 + 0.1 * number, mischief.send, public[0], submission)
--- /dev/null
+++ b/tests/tools/scenarios_store.py
@@ -0,0 +1,64 @@
+"""Scenarios of troubles with the store."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from typing import Any
+
+from tests.tools.deployment import Deployment
+from tests.tools.scenarios_cancels import cancels, pipelines
+from tests.tools.scenarios_jobs import submit_mix
+
+
+def outages(deployment: Deployment) -> None:
+    """Outages shorter and longer than a lease, also for one controller alone, and with deaths."""
+    submit_mix(deployment, 25, 110.0, first_number=200)
+    cancels(deployment)
+    store, controllers = deployment.store, deployment.controllers
+
+    def begin() -> None:
+        store.troubles.is_down = True
+
+    def refuse(number: int) -> None:
+        store.refused_hosts.add(controllers.hosts[number].name)
+
+    deployment.at(12.0, begin)
+    deployment.at(14.5, store.end_outage)
+    deployment.at(24.0, begin)
+    deployment.at(40.0, store.end_outage)
+    deployment.at(50.0, refuse, 0)
+    deployment.at(53.0, store.refused_hosts.clear)
+    deployment.at(60.0, refuse, 1)
+    deployment.at(74.0, store.refused_hosts.clear)
+    deployment.at(82.0, begin)
+    deployment.at(85.0, controllers.kill_for, 2, 4.0)
+    deployment.at(96.0, store.end_outage)
+    deployment.at(108.0, refuse, 0)
+    deployment.at(109.0, begin)
+    deployment.at(122.0, store.end_outage)
+    deployment.at(130.0, store.refused_hosts.clear)
+
+
+def answers(deployment: Deployment) -> None:
+    """Slow and lost answers, late transactions, watches that must begin anew, small pages."""
+    submit_mix(deployment, 25, 110.0, first_number=200)
+    pipelines(deployment)
+    store, controllers = deployment.store, deployment.controllers
+    store.page_items = 7
+
+    def trouble(**changes: Any) -> None:
+        store.troubles = replace(store.troubles, **changes)
+
+    def forget_changes(log_limit: int) -> None:
+        store.log_limit = log_limit
+
+    deployment.at(15.0, trouble, slowness_s=0.3)
+    deployment.at(25.0, trouble, slowness_s=0.0, lost_answers=0.15)
+    deployment.at(40.0, trouble, lost_answers=0.0, late_transactions=0.25)
+    deployment.at(60.0, trouble, late_transactions=0.0, watch_lag_s=1.5)
+    deployment.at(70.0, trouble, watch_lag_s=0.0)
+    deployment.at(74.0, forget_changes, 2)
+    deployment.at(80.0, forget_changes, 1000)
+    deployment.at(84.0, trouble, late_transactions=0.1, lost_answers=0.1, slowness_s=0.1)
+    deployment.at(90.0, controllers.kill_for, 1, 8.0)
+    deployment.at(110.0, store.end_troubles)
