--- a/tests/tools/agents.py
+++ b/tests/tools/agents.py
@@ -70,7 +70,7 @@
         self.speed = self._random.uniform(0.9, 1.1)
         self.is_gone = False
         self.is_hung = False
-        #: answers and commands do not reach it
+        #: answers and commands have no effect on it; it stays with its controller
         self.is_deaf = False
         #: its reports do not leave
         self.is_mute = False
@@ -187,12 +187,10 @@
             return
         body = unpack(answer.body) if answer is not None else None
         body = body if isinstance(body, dict) else {}
-        if status == 200 and not self.is_deaf:
+        if status == 200:
             self._schedule_next()
-            if incarnation == self._incarnation:
+            if incarnation == self._incarnation and not self.is_deaf:
                 self._accept(body, sent_s)
-        elif self.is_deaf:
-            self._loop.call_later(REPORT_TIMEOUT_S, self._turn_to, None)
         elif status == 421:
             self._turn_to(body.get("foreman"))
         else:
--- a/tests/tools/cloud.py
+++ b/tests/tools/cloud.py
@@ -33,6 +33,7 @@
 AGENT_PORT = 9000
 #: addresses in one part of the machines' network
 ADDRESSES = 250
+MALFORMED_BODIES = [b"\xc1", b"", pack([]), pack({"benches": 3, "builds": None})]
 
 
 @dataclass
@@ -137,8 +138,7 @@
             if self._happens(self.troubles.lost_answers):
                 return
             if self._happens(self.troubles.malformed_answers):
-                bodies = [b"\xc1", pack([]), pack({"benches": 3, "builds": None}), b""]
-                responder.answer_bytes(status, self._random.choice(bodies))
+                responder.answer_malformed(self._random, status, MALFORMED_BODIES)
                 return
             responder.answer(status, value)
 
--- a/tests/tools/http_service.py
+++ b/tests/tools/http_service.py
@@ -3,10 +3,12 @@
 from __future__ import annotations
 
 import asyncio
+import random
 from collections.abc import Callable
 from typing import Any, TypeAlias
 
 from tests.tools.messages import (
+    HEAD_END,
     HttpMessage,
     HttpSplitter,
     build_request,
@@ -17,6 +19,7 @@
 from tests.tools.network import Address, Attempt, Endpoint, Network
 from tests.tools.processes import Host
 
+NO_HTTP = b"nonsense\r\n\r\n"
 #: status told to a caller when no response came
 NO_RESPONSE = 0
 
@@ -40,6 +43,12 @@
         """Answer with a body as it is."""
         self._endpoint.write(build_response(status, body))
 
+    def answer_malformed(self, source: random.Random, status: int, bodies: list[bytes]) -> None:
+        """Answer with one of the bodies, or with what is no proper HTTP."""
+        response = build_response(status, source.choice(bodies))
+        closing = response.replace(HEAD_END, b"\r\nConnection: close" + HEAD_END, 1)
+        self._endpoint.write(source.choice([response, response, closing, response * 2, NO_HTTP]))
+
 
 #: handles a request of a service
 Handler: TypeAlias = Callable[[HttpMessage, Responder], None]
--- a/tests/tools/scenarios.py
+++ b/tests/tools/scenarios.py
@@ -14,6 +14,7 @@
     scenarios_jobs,
     scenarios_machines,
     scenarios_store,
+    scenarios_storm,
 )
 from tests.tools.deployment import CLUSTER, Deployment, Plan
 
@@ -47,6 +48,7 @@
 
 #: the store's limits become smaller later
 LATER_LIMITS = {**CLUSTER["state"], "next": {"value_kb": 3.0, "txn_ops": 8, "write_rps": 30.0}}
+SOME_SOCKETS = {**CLUSTER["machine_limits"], "sockets": 150.0}
 FEW_SOCKETS = {**CLUSTER["machine_limits"], "sockets": 90.0}
 
 SCENARIOS: list[Scenario] = [
@@ -63,9 +65,10 @@
     *_in_all_sizes("cut-pipelines", 130.0, scenarios_failures.cut_pipelines),
     *_in_all_sizes("store-outages", 160.0, scenarios_store.outages),
     *_in_all_sizes("store-answers", 160.0, scenarios_store.answers),
-    *_in_all_sizes("machines", 180.0, scenarios_machines.machines),
+    *_in_all_sizes("machines", 180.0, scenarios_machines.machines, machine_limits=SOME_SOCKETS),
     *_in_all_sizes("cloud", 160.0, scenarios_machines.cloud_troubles),
     *_in_all_sizes("spot", 140.0, scenarios_machines.spot),
+    *_in_all_sizes("storm", 180.0, scenarios_storm.storm),
     *_in_all_sizes("bad-input", 100.0, scenarios_input.bad_input_everywhere),
     *_in_all_sizes("crowd", 80.0, scenarios_input.crowd, machine_limits=FEW_SOCKETS),
 ]
--- a/tests/tools/scenarios_cancels.py
+++ b/tests/tools/scenarios_cancels.py
@@ -66,6 +66,7 @@
     _submit_together(deployment, 16.0, _diamond(deployment, 110), doomed)
     fan = [describe(120)] + [describe(x, awaits=[job_id(120)], pieces=1) for x in range(121, 145)]
     _submit_together(deployment, 22.0, fan, [Plan(withdraw_after_s=2.5)] + [Plan()] * 24)
+    deployment.at(24.0, deployment.controllers.ask_status, 0)
     late = [
         describe(150, awaits=[job_id(0)]),
         describe(151, awaits=[job_id(10)]),
--- a/tests/tools/scenarios_machines.py
+++ b/tests/tools/scenarios_machines.py
@@ -23,7 +23,7 @@
     _for_some(deployment, 18.0, 12.0, 2, Agent.hang, Agent.resume)
     _for_some(deployment, 26.0, 4.0, 3, Agent.hang, Agent.resume)
     _for_some(deployment, 30.0, 1.0, 2, Agent.restart, None)
-    _for_some(deployment, 36.0, 25.0, 2, _deaf(True), _deaf(False))
+    _for_some(deployment, 36.0, 80.0, 4, _deaf(True), _deaf(False))
     _for_some(deployment, 40.0, 20.0, 2, _mute(True), _mute(False))
     _for_some(deployment, 44.0, 40.0, 3, _failing(True), _failing(False))
     _for_some(deployment, 50.0, 60.0, 2, _at_speed(SLOW_SPEED), _at_speed(1.0))
--- a/tests/tools/store.py
+++ b/tests/tools/store.py
@@ -28,6 +28,13 @@
 SHORTEST_WORK_S, LONGEST_WORK_S = 0.001, 0.008
 #: bounds of the delay of a transaction that is carried out late
 SHORTEST_LATENESS_S, LONGEST_LATENESS_S = 0.5, 20.0
+MALFORMED_BODIES = [
+    b"\xc1",
+    b"",
+    pack([]),
+    pack({}),
+    pack({"items": 3, "value": 4, "stamp": "x"}),
+]
 
 
 @dataclass
@@ -136,14 +143,10 @@
         if self._happens(self.troubles.lost_answers):
             return
         if self._happens(self.troubles.malformed_answers):
-            status, body = self._malformed(status, value)
-            responder.answer_bytes(status, body)
-            return
-        responder.answer(status, value)
-
-    def _malformed(self, status: int, value: Any) -> tuple[int, bytes]:
-        bodies = [b"\xc1", pack([]), pack({}), pack({"items": 3, "value": 4, "stamp": "x"}), b""]
-        return self._random.choice([status, status, 500, 404]), self._random.choice(bodies)
+            status = self._random.choice([status, status, 500, 404])
+            responder.answer_malformed(self._random, status, MALFORMED_BODIES)
+        else:
+            responder.answer(status, value)
 
     def _happens(self, share: float) -> bool:
         return share > 0 and self._random.random() < share
