--- a/tests/tools/scenarios_machines.py
+++ b/tests/tools/scenarios_machines.py
@@ -28,6 +28,7 @@
     _for_some(deployment, 44.0, 40.0, 3, _failing(True), _failing(False))
     _for_some(deployment, 50.0, 60.0, 2, _at_speed(SLOW_SPEED), _at_speed(1.0))
     _for_some(deployment, 20.0, 100.0, 6, _copying(0.2), _copying(0.0))
+    deployment.at(48.0, deployment.controllers.kill_for, 1, 8.0)
     _for_some(deployment, 70.0, 1.0, 2, lambda agent: _fail(deployment, agent), None)
     _for_some(deployment, 90.0, 35.0, 3, Agent.hang, Agent.resume)
 
--- a/tests/tools/versions.py
+++ b/tests/tools/versions.py
@@ -44,8 +44,12 @@
 
 def play_on(version: pathlib.Path, scenario: str, seed: int, record: pathlib.Path) -> None:
     """Play a scenario on the package in a directory, in a process of its own."""
-    path = os.pathsep.join([str(version), str(ROOT)])
-    environment = {**os.environ, "PYTHONHASHSEED": "0", "PYTHONPATH": path}
+    path = [str(version), str(ROOT), os.environ.get("PYTHONPATH", "")]
+    environment = {
+        **os.environ,
+        "PYTHONHASHSEED": "0",
+        "PYTHONPATH": os.pathsep.join(x for x in path if x),
+    }
     arguments = [scenario, str(seed), str(record), str(version / PACKAGE)]
     # -P: the working tree's package must not be found by way of the current directory.
     played = subprocess.run(
