--- a/marblestair/core/jobs/answers.py
+++ b/marblestair/core/jobs/answers.py
@@ -1,9 +1,9 @@
-"""What users may be told of a job: the one place that every answer about a state comes from.
+"""What users may be answered about a job: the one place that every such answer comes from.
 
-An answer never goes back: once any node has told a final state of a job, no answer to a request
-that began later, at any node, is another one. So a state that is not final is told only with a
-proof that no final state can have been told before the request came in; what a node merely
-remembers is none. Final states are told once they are committed, and may be remembered.
+An answer never goes back: once any node has answered with a final state of a job, no answer to a
+request that began later, at any node, is another one. So a state that is not final is given only
+with a proof that no final state can have been given before the request came in; what a node merely
+remembers is none. Final states are given once they are committed, and may be remembered.
 """
 
 from __future__ import annotations
@@ -74,8 +74,8 @@
         """What may be answered about a job that was found in a status; None when nothing may be.
 
         Every answer to a user, whatever the request, passes here last. Between the commit of a
-        cancel and its confirmation neither "cancelled" nor what was before is told: another node
-        may have told the one already, and the other is not so yet.
+        cancel and its confirmation neither "cancelled" nor what was before is answered: another node
+        may have answered the one already, and the other is not so yet.
         """
         if job in self._final_states:
             return JobStatus(self._final_states[job])
@@ -95,7 +95,7 @@
         return found.status
 
     def status_from_memory(self, job: str) -> JobStatus | None:
-        """The status of a job if this node may tell it from memory."""
+        """The status of a job if this node may answer it from memory."""
         return self.answerable_status(job, self._managed_status(job))
 
     def _managed_status(self, job: str) -> ProvenStatus | None:
@@ -106,7 +106,7 @@
         if not self._leadership.is_leader(managed.shard_id):
             return None
         if not managed.is_record_known:
-            # The end may be committed already, and others may have told it.
+            # The end may be committed already, and others may have answered with it.
             return None
         if record.is_blocked and not self._dependencies.knows_ancestors(job):
             return None
@@ -118,14 +118,14 @@
     # --- lookups ---------------------------------------------------------------------------
 
     def lookup(self, job: str) -> Coroutine[JobStatus | None]:
-        """The status of any job: UNKNOWN, or None when it cannot be told now."""
+        """The status of any job: UNKNOWN, or None when it cannot be given now."""
         known = self.status_from_memory(job)
         if known is not None:
             return known
         return (yield from self._lookups.find(job, self.search))
 
     def search(self, job: str) -> Coroutine[JobStatus | None]:
-        """The status of a job that this node does not manage, from its manager or a fresh read."""
+        """The status of a job that this node does not manage, from its manager or a new read."""
         record = self._view.jobs.get(job)
         self._cancellations.propagate_in_background(job)
         if record is not None:
@@ -151,7 +151,7 @@
         return self.answerable_status(job, ProvenStatus(status, Proof.PEER))
 
     def read_status(self, job: str, lane: Lane = Lane.ACCEPTANCE) -> Coroutine[JobStatus | None]:
-        """A job's status from a fresh read: UNKNOWN, or None when it cannot be told now."""
+        """A job's status from a new read: UNKNOWN, or None when it cannot be given now."""
         found = yield from self._reader.read_record(job, lane)
         if found is None or found == UNKNOWN:
             return found
--- a/marblestair/core/jobs/cancel_registry.py
+++ b/marblestair/core/jobs/cancel_registry.py
@@ -23,13 +23,13 @@
     __slots__ = ("applied_terms", "is_confirmed", "is_propagating", "known_since", "revision")
 
     def __init__(self, revision: int, now: float) -> None:
-        #: a revision at which the record held the entry
+        #: a revision at which the record had the entry
         self.revision = revision
         #: when this node first knew of it
         self.known_since = now
         #: shard -> term under which its leader said that it has the entry
         self.applied_terms: dict[int, int] = {}
-        #: users may be told
+        #: users may be answered so
         self.is_confirmed = False
         #: it is being propagated while nobody waits
         self.is_propagating = False
@@ -56,7 +56,7 @@
         self._dependents: DependentJobs | None = None
 
     def notify(self, dependents: DependentJobs) -> None:
-        """Have the jobs that depend on others told of each cancel."""
+        """Call the jobs that depend on others with each cancel."""
         self._dependents = dependents
 
     def get(self, job: str) -> CancelEntry | None:
@@ -91,7 +91,7 @@
         return entry
 
     def mark_confirmed(self, job: str, revision: int) -> None:
-        """A user may be told, here or by another node that has said so."""
+        """Users may be answered so, here or as another node has announced."""
         entry = self.record(job, revision)
         if not entry.is_confirmed:
             entry.is_confirmed = True
@@ -104,7 +104,7 @@
         if record is None:
             entry = self._entries.get(job)
             if entry is not None and self._view.revision >= entry.revision:
-                # The job has ended; its final state tells the rest.
+                # The job has ended: from here on its final state answers.
                 self._forget(job)
         elif record.is_cancelled:
             self.record(job, self._view.version(keys.JOBS + job))
@@ -132,7 +132,7 @@
 
     @property
     def unconfirmed_count(self) -> int:
-        """Committed cancels that users may not be told of yet."""
+        """Committed cancels that users may not be answered with yet."""
         return sum(not entry.is_confirmed for entry in self._entries.values())
 
     @property
--- a/marblestair/core/jobs/cancellations.py
+++ b/marblestair/core/jobs/cancellations.py
@@ -1,9 +1,9 @@
-"""Cancels from the commit of their entry until users may be told.
+"""Cancels from the commit of their entry until users may be answered so.
 
 Three moments differ. A cancel is *committed* once its entry is in the job's change list, *applied*
 once every controller that may act for the job, as leader of a slice's shard or of its manager
-shard, has the entry (it launches nothing more of the job, has begun to stop it, and tells nobody
-that it runs), and *confirmed* once a user may be told. The paper's coordinator (Algorithm 3)
+shard, has the entry (it launches nothing more of the job, has begun to stop it, and answers nobody
+that it runs), and *confirmed* once a user may be answered so. The paper's coordinator (Algorithm 3)
 releases its exclusive lock only after the change was made at every active server; here nobody
 answers that a job is cancelled before that, whoever is asked and by whichever request. A leader
 that may act is one that holds its lease and a recent enough view, or promises of all the others:
@@ -77,7 +77,7 @@
     def shards_without_entry(self, job: str) -> list[int] | None:
         """List the shards whose leaders may act without the entry.
 
-        None when that cannot be told, because leaders may have changed before the entry was
+        None when that is not known, because leaders may have changed before the entry was
         committed and are not in the view yet.
         """
         view = self._view
@@ -120,7 +120,7 @@
         return self._context.now - entry.known_since > KNOWN_EVERYWHERE_LEASES * agent_lease_s
 
     def is_confirmed(self, job: str) -> bool:
-        """Whether users may be told that the job is cancelled; marks it so when they may."""
+        """Whether users may be answered that the job is cancelled; marks it so when they may."""
         entry = self._cancels.get(job)
         if entry is None:
             return False
@@ -239,4 +239,4 @@
         if response.status == 200:
             self._view.record_commit(swap, response.revision)
             self._view.publish_changes()
-        # In doubt or outrun: the next request reads the record afresh.
+        # Uncertain or outrun: the next request reads the record again.
--- a/marblestair/core/jobs/completion_records.py
+++ b/marblestair/core/jobs/completion_records.py
@@ -22,7 +22,7 @@
 from marblestair.core.state import keys
 from marblestair.core.state.store_view import StoreView
 
-#: a manager from which nothing came for this many heartbeat intervals is told by way of the record
+#: a manager from which nothing came for this many heartbeat intervals learns of it by the record
 SILENT_INTERVALS = 3.0
 #: pause after a commit that was refused
 RETRY_PAUSE_S = 0.3
@@ -63,7 +63,7 @@
                 self._context.spawn(self._record(shard, batch))
 
     def _is_due(self, shard: Shard, job: str, job_slice: JobSlice) -> bool:
-        """Whether a slice is complete, and its manager is to be told by way of the record."""
+        """Whether a slice is complete, and its manager is to learn of it by the record."""
         if not job_slice.size or job_slice.done_count != job_slice.size:
             return False
         if job_slice.is_cancelled or job_slice.migrating_ranges:
--- a/marblestair/core/jobs/dependencies.py
+++ b/marblestair/core/jobs/dependencies.py
@@ -10,7 +10,7 @@
 it is queued (``answers.py``). The cancel of the ancestor is confirmed only after the managers of
 all its live descendants have its entry (``cancellations.py``).
 
-The index is kept per changed record, at every node alike, and walked without recursion: chains may
+The index is updated per changed record, at every node alike, and walked without recursion: chains may
 be long, and both parents and dependents may be many.
 """
 
@@ -101,14 +101,14 @@
     def must_end(self, job: str) -> bool:
         """Whether the end of a blocked job has been due for so long that it must not be late.
 
-        Users are to be told within ``cancel_s``, however much else there is to write.
+        Users are to be answered so within ``cancel_s``, however much else there is to write.
         """
         since = self._may_end.get(job)
         cancel_s = self._context.settings.cluster.workers.cancel_s
         return since is not None and self._context.now - since > PATIENCE * cancel_s
 
     def may_answer_cancelled(self, job: str) -> bool:
-        """Whether users may be told that a blocked job is cancelled, before its end is written.
+        """Whether users may be answered that a blocked job is cancelled, before its end is written.
 
         Its manager knows, since the cancel above it is confirmed. Another node proves "queued" by
         a read only with a view younger than an agent's lease: after that time every such view
@@ -151,7 +151,7 @@
         """Whether this node would know if an ancestor of a blocked job had been cancelled.
 
         Its view must hold all that was committed before the job's record: an ancestor may have
-        been cancelled before the job was accepted, and a node that acts on promises may not learn
+        been cancelled before the job was accepted, and a node that leads by promises may not learn
         of it for long. And it must know how each ancestor ended that is gone from the view.
         """
         if self._view.revision < self._view.job_version(job):
--- a/marblestair/core/jobs/dependency_reads.py
+++ b/marblestair/core/jobs/dependency_reads.py
@@ -56,7 +56,7 @@
         return found
 
     def may_answer_blocked(self, record: JobRecord, lane: Lane) -> Coroutine[bool]:
-        """Whether users may be told that a job is still blocked, whose record was just read.
+        """Whether users may be answered that a job is still blocked, whose record was just read.
 
         The record alone does not show the cancel of an ancestor. This node's view does, unless
         it is too old, or an ancestor is gone from it.
--- a/marblestair/core/jobs/final_states.py
+++ b/marblestair/core/jobs/final_states.py
@@ -34,7 +34,7 @@
         self._dependents: DependentJobs | None = None
 
     def notify(self, dependents: DependentJobs) -> None:
-        """Have the jobs that depend on others told of each end."""
+        """Call the jobs that depend on others with each end."""
         self._dependents = dependents
 
     def __contains__(self, job: object) -> bool:
--- a/marblestair/core/jobs/job_managers.py
+++ b/marblestair/core/jobs/job_managers.py
@@ -182,7 +182,7 @@
             self._apply_change(managed, record, step, swap, response)
         elif response.status == 409:
             # The record moved on: by an earlier try of ours, or the shard has a new leader.
-            # Whatever was in doubt is known once it has been read.
+            # Whatever was uncertain is known once it has been read.
             if (yield from self._reader.refresh(managed.job)):
                 managed.is_uncertain = False
             yield Sleep(CONFLICT_PAUSE_S)
--- a/marblestair/core/jobs/job_status.py
+++ b/marblestair/core/jobs/job_status.py
@@ -1,4 +1,4 @@
-"""What users are told of a job, and the proofs that it is not older than an earlier answer."""
+"""What users are answered about a job, and the proofs that no earlier answer was newer."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class JobStatus(msgspec.Struct, frozen=True, array_like=True):
-    """What users are told of a job: its state, and for display its tasks done and running."""
+    """The answer about a job: its state, and for display its tasks done and running."""
 
     state: JobState
     done: int | None = None
@@ -29,8 +29,8 @@
 class Proof(enum.Enum):
     """Why a status is not older than anything that was answered before the request came in."""
 
-    #: the leader of the job's manager shard acts, and no change of the record that it sent is on
-    #: its way or in doubt: it alone can commit a final state
+    #: the leader of the job's manager shard may act, and no change of the record that it sent is
+    #: on its way or uncertain: it alone can commit a final state
     MANAGER = enum.auto()
     #: a read of the store, sent after the request came in
     READ = enum.auto()
--- a/marblestair/core/jobs/lookups.py
+++ b/marblestair/core/jobs/lookups.py
@@ -19,7 +19,7 @@
 #: reads under way at once, at the least
 LEAST_READS = 4
 
-#: finds the status of a job; None when it cannot be told now
+#: finds the status of a job; None when it cannot be given now
 Search: TypeAlias = Callable[[str], Coroutine[JobStatus | None]]
 
 
@@ -37,8 +37,8 @@
         """The status of a job by a search, which those who ask at the same time share."""
         following = self._searches.get(job)
         if following is not None:
-            # What the search under way has read may be older than what this user was told by
-            # another node before asking here: only a search that begins later may answer.
+            # What the search under way has read may be older than what another node answered this
+            # user before it asked here: only a search that begins later may answer.
             status: JobStatus | None = yield following
             return status
         return (yield from self._search(job, search))
--- a/marblestair/core/jobs/managed_job.py
+++ b/marblestair/core/jobs/managed_job.py
@@ -31,8 +31,8 @@
     def is_record_known(self) -> bool:
         """Whether the record is surely as this node knows it, but for changes by others.
 
-        A change may be carried out, seen by the other nodes' watches and told by them to users
-        long before its response is back here. So the record counts as unknown from before a change
+        A change may be carried out, seen by the other nodes' watches and answered by them to
+        users long before its response is back here. So the record counts as unknown from before a change
         is sent.
         """
         return not self.is_uncertain and not self._changes_under_way
--- a/marblestair/core/jobs/manager_steps.py
+++ b/marblestair/core/jobs/manager_steps.py
@@ -15,7 +15,7 @@
 class ManagerStep(enum.Enum):
     """A step of a job's manager; all but one change the job's record."""
 
-    #: write the record as it is, so that a change in doubt is either found applied or can never be
+    #: write the record as it is, so that an uncertain change is either found applied or can never be
     REWRITE = enum.auto()
     #: have a committed cancel applied by every leader that may act
     PROPAGATE_CANCEL = enum.auto()
@@ -60,7 +60,7 @@
         if shard_map is None:
             return None
         if managed.is_uncertain and not managed.is_migrating:
-            # A change is in doubt that nobody follows up.
+            # A change is uncertain that nobody follows up.
             return ManagerStep.REWRITE
         if record.is_cancelled:
             return self._next_cancelled_step(managed, record, shard_map)
--- a/marblestair/core/jobs/migration_locks.py
+++ b/marblestair/core/jobs/migration_locks.py
@@ -108,7 +108,7 @@
         updated = msgspec.structs.replace(record, slices=slices, complete_shards=complete)
         value_kb = self._context.settings.cluster.state.value_kb
         if exceeds_value_limit(updated, value_kb, RECORD_SHARE):
-            # So many small ranges would outgrow the record; the source keeps its tasks.
+            # So many small ranges would outgrow the record; the tasks stay with the source.
             return None
         return updated
 
--- a/marblestair/core/jobs/parents.py
+++ b/marblestair/core/jobs/parents.py
@@ -34,7 +34,7 @@
     CANCELLED = enum.auto()
     #: one of them was never accepted
     UNKNOWN = enum.auto()
-    #: it could not be told now
+    #: it is not known now
     UNDECIDED = enum.auto()
 
 
@@ -92,7 +92,7 @@
         return Parents(ParentsState.ACCEPTED, unfinished)
 
     def _status(self, job: str) -> Coroutine[JobStatus | None]:
-        """One parent's status as far as it matters here; None when it cannot be told now."""
+        """One parent's status as far as it matters here; None when it is not known now."""
         if job not in self._final_states and job not in self._view.jobs:
             read = self._reader.read_final_first(job, Lane.LOOKUP)
             status = yield from self._lookups.bounded(read)
--- a/marblestair/core/jobs/progress_reports.py
+++ b/marblestair/core/jobs/progress_reports.py
@@ -91,7 +91,7 @@
             self._record(progress)
 
     def _is_due(self, shard: Shard, job: str, progress: SliceProgress) -> bool:
-        """Whether a manager elsewhere has to be told of a slice now."""
+        """Whether a slice has to be reported to a manager elsewhere now."""
         sent = self._sent.get((shard.shard_id, job))
         if sent is None:
             return True
--- a/marblestair/core/jobs/record_announcements.py
+++ b/marblestair/core/jobs/record_announcements.py
@@ -1,4 +1,4 @@
-"""Tells the other nodes of records that this one has committed, ahead of their watches.
+"""Announces records that this node has committed to the others, ahead of their watches.
 
 They can start what was released, and know an accepted job when another one depends on it.
 """
--- a/marblestair/core/jobs/record_reader.py
+++ b/marblestair/core/jobs/record_reader.py
@@ -19,7 +19,7 @@
     """The reads of one node.
 
     Each returns the status as the store has it, UNKNOWN, or None when it could not be read. What is
-    read is taken into the view; whether users may be told of it is for the caller to ask.
+    read is applied to the view; whether users may be answered with it is for the caller to decide.
     """
 
     def __init__(
--- a/marblestair/core/jobs/server_manager.py
+++ b/marblestair/core/jobs/server_manager.py
@@ -23,7 +23,7 @@
         self.shared: set[Hashable] = set()
         self.short: Hashable | None = None
         self.exclusive: Hashable | None = None
-        #: a modification that waits keeps new migrations out, so that it cannot starve
+        #: modifications that wait; while any does, no new migration begins, so that none starves
         self.waiting: set[Hashable] = set()
 
     def request_migration(self, holder: Hashable) -> bool:
--- a/marblestair/core/messaging/__init__.py
+++ b/marblestair/core/messaging/__init__.py
@@ -1,1 +1,1 @@
-"""What controllers tell and ask one another: one struct per message."""
+"""The messages between controllers: one struct per message."""
--- a/marblestair/core/messaging/messages.py
+++ b/marblestair/core/messaging/messages.py
@@ -24,7 +24,7 @@
 
 
 class SliceProgress(msgspec.Struct, frozen=True, array_like=True):
-    """What the owner of a part last told the manager about its slice of a job."""
+    """What the leader of a shard last reported to the manager about its slice of a job."""
 
     job: str
     shard_id: int
@@ -34,7 +34,7 @@
     #: tasks on machines or perhaps so; -1 while that is not known
     placed_tasks: int
     size: int
-    #: the owner has applied the job's cancel
+    #: the leader has applied the job's cancel
     is_cancelled: bool = False
 
 
@@ -52,13 +52,13 @@
 
 
 class ProgressReport(PeerMessage, frozen=True):
-    """What the leader of a shard tells the managers of jobs of their slices there."""
+    """What the leader of a shard reports to the managers of jobs about their slices there."""
 
     slices: list[SliceProgress]
 
 
 class CancelConfirmed(PeerMessage, frozen=True):
-    """Users may be told that a job is cancelled, whose record held the entry at a revision."""
+    """Users may be told that a job is cancelled, whose record had the entry at a revision."""
 
     job: str
     revision: int
--- a/marblestair/core/messaging/shard_summary.py
+++ b/marblestair/core/messaging/shard_summary.py
@@ -1,4 +1,4 @@
-"""What the leader of a shard tells the others about it, a few times a second."""
+"""What the leader of a shard publishes about it, a few times a second."""
 
 from __future__ import annotations
 
@@ -8,35 +8,35 @@
 
 
 class ShardSummary(msgspec.Struct, array_like=True):
-    """What a node tells the others about one of its parts."""
+    """What the other controllers need to know of a shard; amounts are in fixed point."""
 
     shard_id: int
     term: int
-    #: free room by machine: type, zone, spot, cpus, gpus, memory
+    #: free capacity by machine: type, zone, spot, cpus, gpus, memory
     free_capacity: list[tuple[str, str, bool, int, int, int]]
-    #: the same, for what a hurried gang of high priority may have by stopping arrays
+    #: the same, with what a latency-sensitive gang of high priority could preempt there
     preemptible_capacity: list[tuple[str, str, bool, int, int, int]]
     backlog_cpus: int
-    #: room left under each team's share
+    #: team -> cpus and gpus of its quota here that are not in use
     free_quota: dict[str, list[int]]
-    #: team -> cpus and gpus that waiting tasks lack in this part's share
+    #: team -> cpus and gpus that its pending tasks lack in its quota here
     lacking_quota: dict[str, list[int]]
-    #: job, tasks waiting, tasks on machines
+    #: job, tasks pending, tasks on machines
     pending_jobs: list[tuple[str, int, int]]
-    #: machines with tasks, and how much of them is in use
+    #: machines with tasks, and how many of their cpus are in use
     busy_machines: list[tuple[str, int]]
-    #: machines without tasks, and for how long
+    #: machines without tasks, and for how many seconds
     idle_machines: list[tuple[str, float]]
-    #: jobs whose tasks must start together and that no part has room for as it is
+    #: jobs whose tasks must start together and that the shard has no capacity for as it is
     jobs_lacking_capacity: list[str]
     #: machines that run gangs
     gang_machines: list[str]
     #: machines that are not to be counted on
     leaving_machines: list[str]
-    #: machines that fell silent together with many, and for which is waited
+    #: machines that fell silent together with many others, and are waited for
     absent_machines: list[str]
-    #: team -> what the whole share must hold for the first waiting unit (a task, or a gang) that
-    #: it is too small for
+    #: team -> cpus and gpus that its whole quota here must have for the first pending unit (a task,
+    #: or a gang) that it is too small for
     starved_teams: dict[str, list[int]]
     #: jobs of which nothing succeeded, and on how many machines nothing else fails
     failing_jobs: list[tuple[str, int]] = []
--- a/marblestair/core/runtime/cloud_requests.py
+++ b/marblestair/core/runtime/cloud_requests.py
@@ -24,7 +24,7 @@
 
 
 class ReleaseMachines(msgspec.Struct, frozen=True):
-    """Give machines back."""
+    """Give machines back to the cloud."""
 
     machines: list[str]
 
@@ -52,9 +52,11 @@
 
 
 class CloudResponse(msgspec.Struct, frozen=True):
-    """Answer of the cloud."""
+    """A response of the cloud."""
 
+    #: HTTP status; 0 when no response came
     status: int
+    #: a rental was refused because there is no machine of the kind
     no_capacity: bool = False
     machine_types: list[MachineType] = []
     machines: list[str] = []
--- a/marblestair/core/runtime/coroutines.py
+++ b/marblestair/core/runtime/coroutines.py
@@ -1,8 +1,8 @@
 """Coroutines of the core: generators that wait for responses from outside.
 
-A coroutine yields a request and is resumed with the response. The runner keeps no clock and does
-no I/O: it collects the requests to send and is given the responses, so a test can answer them in
-any order, late, or never.
+A coroutine yields a request and is resumed with the response. The runner reads no clock and
+does no I/O: it collects the requests to send and is given the responses, so a test can answer them
+in any order, late, or never.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 
 
 class CoroutineRunner:
-    """Drives coroutines; the requests that they make are collected until taken."""
+    """Drives coroutines; the requests that they make are collected until they are sent."""
 
     def __init__(self) -> None:
         self._next_request = 1
         self._waiting: dict[int, Coroutine[None]] = {}
         #: when a sleep is over, and its number
         self._sleeping: list[tuple[float, int]] = []
-        #: requests that were made and not taken yet, by their numbers
+        #: requests that were made and not sent yet, by their numbers
         self.requests: list[tuple[int, OutsideRequest]] = []
         self.now = 0.0
         #: called with the error that ended a coroutine, which must not end the process
--- a/marblestair/core/runtime/decision_log.py
+++ b/marblestair/core/runtime/decision_log.py
@@ -1,8 +1,8 @@
-"""Why this node started, stopped, told or forgot something: bounded log lines, and counts.
+"""Why this node started, stopped, answered or forgot something: bounded log lines, and counts.
 
 Each line names the kind of decision, what was decided, and the facts that it rested on (revision
 of the view, term, proof), so that a timeline can be drawn up afterwards. A decision is one line
-for a job or a lease, never one for a task or a worker's report: those are only counted.
+for a job or a lease, never one for a task or a heartbeat: those are only counted.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
     RECORD = "record"
     #: the final state of a job became known here
     END = "end"
-    #: orders to start tasks
+    #: commands to start tasks
     LAUNCH = "launch"
-    #: orders to stop tasks
+    #: commands to stop tasks
     STOP = "stop"
-    #: what users were told of a job, by its proof
+    #: answers to users about a job, by their proof
     ANSWER = "answer"
 
 
@@ -43,7 +43,7 @@
         #: takes a level and a line
         self._write = write
         self.counts: Counter[str] = Counter()
-        self._second = -1
+        self._second: int | None = None
         self._written: Counter[Decision] = Counter()
 
     def count(self, kind: Decision, what: str, number: int = 1) -> None:
@@ -58,11 +58,11 @@
         self._written[kind] += 1
         if self._written[kind] > LINES_PER_S:
             return
-        told = " ".join(f"{name}={value}" for name, value in facts.items())
-        self._write("info", f"{kind} {what}: {told}")
+        described = " ".join(f"{name}={value}" for name, value in facts.items())
+        self._write("info", f"{kind} {what}: {described}")
 
     def _begin_second(self, second: int) -> None:
-        """Tell how many lines of the last second were left out."""
+        """Log how many lines of the last second were left out."""
         for kind, number in self._written.items():
             if number > LINES_PER_S:
                 left_out = number - LINES_PER_S
--- a/marblestair/core/runtime/store_requests.py
+++ b/marblestair/core/runtime/store_requests.py
@@ -51,7 +51,10 @@
 
 
 class CompareAndSwap(msgspec.Struct, frozen=True):
-    """An atomic change, carried out if every guard key has its version."""
+    """An atomic change, carried out if every key of the preconditions has its version.
+
+    Version 0 stands for a key that does not exist.
+    """
 
     preconditions: list[tuple[str, int]]
     puts: list[Put] = []
@@ -107,8 +110,9 @@
 
 
 class StoreResponse(msgspec.Struct, frozen=True):
-    """Answer of the state service."""
+    """A response of the store."""
 
+    #: HTTP status; 0 when no response came, NOT_SENT when the request was not sent
     status: int
     value: Any = None
     version: int = 0
--- a/marblestair/core/state/machine_catalog.py
+++ b/marblestair/core/state/machine_catalog.py
@@ -12,5 +12,5 @@
         self.types: dict[str, MachineType] = {}
 
     def update(self, machine_types: list[MachineType]) -> None:
-        """Take in the types as the cloud or the store tell them."""
+        """Replace the types by those that the cloud or the store has sent."""
         self.types = {machine_type.name: machine_type for machine_type in machine_types}
--- a/marblestair/core/state/records.py
+++ b/marblestair/core/state/records.py
@@ -24,17 +24,17 @@
 
 
 class JobRecord(msgspec.Struct, array_like=True):
-    """A live job as the state service keeps it."""
+    """A live job as the store has it."""
 
     spec: JobSpec
-    #: part whose owner is the job's ServerManager
+    #: shard whose leader runs the job's ServerManager
     manager_shard: int
-    #: ActiveServers: part -> index ranges [a, b) it holds
+    #: ActiveServers: shard -> ranges [start, end) of the task numbers that it has
     slices: dict[str, list[list[int]]]
-    #: change list: ``["cancel", seq]``, and ``["release", seq, wall-clock time]`` for a job that
-    #: awaits others
+    #: ``["cancel", sequence]``, and ``["release", sequence, wall-clock time]`` for a job that
+    #: depends on others
     change_list: list[list[Any]]
-    #: parts that recorded their slices here as complete, because the manager did not hear them
+    #: shards that recorded their slices here as complete, because the manager did not reply
     complete_shards: list[int] = []
 
     @property
@@ -44,12 +44,12 @@
 
     @property
     def is_blocked(self) -> bool:
-        """Whether no task may start yet, because the job awaits others."""
+        """Whether no task may start yet, because the job depends on others."""
         return bool(self.spec.depends_on) and self._released_at is None
 
     @property
     def startable_since(self) -> float:
-        """Wall-clock time since which tasks may start; that of acceptance if none was awaited."""
+        """Wall-clock time since which tasks may start; that of acceptance if it depends on none."""
         released_at = self._released_at
         return self.spec.accepted_at if released_at is None else released_at
 
@@ -72,15 +72,15 @@
 
 
 def exceeds_value_limit(record: JobRecord, value_kb: float, share: float) -> bool:
-    """Whether a record takes more than a share of what the state service keeps in one value."""
+    """Whether a record takes more than a share of what the store takes in one value."""
     return len(msgspec.msgpack.encode(record)) > share * value_kb * 1024
 
 
 def with_cancel(record: JobRecord, value_kb: float) -> JobRecord:
     """Return the record with the entry of a cancel.
 
-    One that was kept under larger limits than now comes out smaller: nothing of a cancelled job is
-    placed any more, so the machine types that it may use need not be kept.
+    One that was stored under larger limits than now comes out smaller: nothing of a cancelled job
+    is placed any more, so the machine types that it may use need not be in it.
     """
     entered = record.with_entry(ChangeKind.CANCEL)
     if not exceeds_value_limit(entered, value_kb, 1.0):
@@ -91,7 +91,7 @@
 
 
 def with_release(record: JobRecord, wall: float) -> JobRecord:
-    """Return the record of a job all of whose awaited jobs are done; they need not be kept."""
+    """Return the record of a job whose parents are all done; they need not be in it any more."""
     entered = record.with_entry(ChangeKind.RELEASE, round(wall, 3))
     return msgspec.structs.replace(
         entered, spec=msgspec.structs.replace(record.spec, depends_on=[])
@@ -99,25 +99,25 @@
 
 
 class ShardRecord(msgspec.Struct, array_like=True):
-    """One part: its owner (node and incarnation), its term and its share of each team's limit."""
+    """One shard: its leader (node and incarnation), its term and its quota of each team."""
 
     leader: str
     incarnation: int
     term: int
     quotas: dict[str, list[int]]
-    #: term under which the owner took the part; a raise of the term leaves it
+    #: term under which the leader acquired the shard; a raise of the term leaves it
     acquired_term: int = 0
 
 
 class ShardMap(msgspec.Struct, array_like=True):
-    """The whole split; ``counter`` is the highest term ever given out."""
+    """All shards; ``last_term`` is the highest term ever given out."""
 
     last_term: int
     shards: list[ShardRecord]
 
 
 class MachineRecord(msgspec.Struct, array_like=True):
-    """Membership of a machine in a part."""
+    """The shard that a machine belongs to."""
 
     shard_id: int
     machine_type: str
--- a/marblestair/core/state/store_view.py
+++ b/marblestair/core/state/store_view.py
@@ -1,4 +1,7 @@
-"""A controller's mirror of what the state service says, fed by a watch and by its own commits."""
+"""A controller's copy of the keys that it follows in the store.
+
+It is updated by a listing, a watch, reads of single keys, and the controller's own commits.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,7 @@
 
 
 class ListedRange(msgspec.Struct, frozen=True):
-    """The keys that one page of a listing tells of, as of its revision."""
+    """The keys that one page of a listing covers, as of its revision."""
 
     after_key: str
     #: the last of them; None when the page reaches to the end
@@ -31,30 +34,30 @@
 
 
 class StoreView:
-    """The followed keys, each with its version, as of revision ``rev``.
+    """The followed keys, each with its version, as of ``revision``.
 
     What arrives here may be late: a read that was carried out before a deletion which the watch
-    has passed since, or the answer to a commit whose effect others have already undone. One rule
+    has passed since, or the response to a commit whose effect others have already undone. One rule
     holds for all ways in: nothing older than what is known of its key changes anything, and a
-    key that the view lacks is known not to exist as of ``rev``.
+    key that the view lacks is known not to exist as of ``revision``.
     """
 
     def __init__(self) -> None:
         self.revision = -1
         #: steady time as of which everything committed before is known; None before the first load
-        self.fresh_as_of: float | None = None
+        self.current_as_of: float | None = None
         self.shard_map: ShardMap | None = None
         self.nodes: dict[str, int] = {}
         self.machines: dict[str, MachineRecord] = {}
         self.jobs: dict[str, JobRecord] = {}
         self.versions: dict[str, int] = {}
-        #: revisions at which keys are known not to exist, until ``rev`` has reached them
+        #: revisions at which keys are known not to exist, until ``revision`` has reached them
         self._absent_at: dict[str, int] = {}
-        #: pages of the latest listing, until ``rev`` has reached them
+        #: pages of the latest listing, until ``revision`` has reached them
         self._listed_ranges: list[ListedRange] = []
-        #: machines that are gone for good; their late reports are ignored
+        #: machines that are gone for good; their late heartbeats are ignored
         self.gone_machines: OrderedDict[str, None] = OrderedDict()
-        #: jobs, machines and parts changed since they were last taken
+        #: what has changed since the listeners last applied it
         self.changed_jobs: set[str] = set()
         self.changed_machines: set[str] = set()
         self.shard_map_changed = False
@@ -69,14 +72,14 @@
         for listener in self._listeners:
             listener()
 
-    def note_fresh(self, as_of: float) -> None:
+    def note_current(self, as_of: float) -> None:
         """Everything that was committed before a steady time is known."""
-        if self.fresh_as_of is None or as_of > self.fresh_as_of:
-            self.fresh_as_of = as_of
+        if self.current_as_of is None or as_of > self.current_as_of:
+            self.current_as_of = as_of
 
     def age_s(self, now: float) -> float:
         """For how long a change may have been committed without being known here."""
-        return math.inf if self.fresh_as_of is None else now - self.fresh_as_of
+        return math.inf if self.current_as_of is None else now - self.current_as_of
 
     def version(self, key: str) -> int:
         """Version of a key as known here; 0 when it does not exist."""
@@ -87,7 +90,7 @@
         return self.version(keys.JOBS + job)
 
     def load_listing(self, pages: list[StoreResponse]) -> None:
-        """Replace everything by a fresh listing, each page of which has a revision of its own.
+        """Replace everything by a new listing, each page of which has a revision of its own.
 
         The view is then as of the first page; later changes come by the watch from there on.
         """
@@ -108,40 +111,40 @@
         self._listed_ranges = ranges
         self._advance(pages[0].revision)
 
-    def apply_changes(self, events: list[KeyChange], rev: int) -> None:
-        """Take in what a watch returned."""
-        for change in events:
+    def apply_changes(self, changes: list[KeyChange], revision: int) -> None:
+        """Apply what a watch returned."""
+        for change in changes:
             if change.version > max(self.version(change.key), self._absent_since(change.key)):
                 self._set(change.key, change.value, change.version)
-        self._advance(rev)
+        self._advance(revision)
 
     def record_read(self, key: str, value: Any, version: int) -> None:
-        """Take in one key as a read has found it."""
+        """Apply one key as a read has found it."""
         if self._is_newer(key, version):
             self._set(key, value, version)
 
-    def record_absence(self, key: str, rev: int) -> None:
-        """Take in that a read at a revision has found no such key."""
-        if key not in self.versions or rev < self.versions[key]:
+    def record_absence(self, key: str, revision: int) -> None:
+        """Apply that a read at a revision has found no such key."""
+        if key not in self.versions or revision < self.versions[key]:
             return
-        self._note_absence(key, rev)
-        self._set(key, None, rev)
-
-    def record_commit(self, commit: CompareAndSwap, rev: int) -> None:
-        """Take in an own commit, ahead of the watch or behind it."""
-        for put in commit.puts:
-            if put.key.startswith(keys.VIEW) and self._is_newer(put.key, rev):
-                self._set(put.key, msgspec.to_builtins(put.value), rev)
-        for k in commit.deletes:
-            if k.startswith(keys.VIEW) and rev > self.version(k):
-                self._note_absence(k, rev)
-                self._set(k, None, rev)
+        self._note_absence(key, revision)
+        self._set(key, None, revision)
+
+    def record_commit(self, swap: CompareAndSwap, revision: int) -> None:
+        """Apply an own commit, ahead of the watch or behind it."""
+        for put in swap.puts:
+            if put.key.startswith(keys.VIEW) and self._is_newer(put.key, revision):
+                self._set(put.key, msgspec.to_builtins(put.value), revision)
+        for key in swap.deletes:
+            if key.startswith(keys.VIEW) and revision > self.version(key):
+                self._note_absence(key, revision)
+                self._set(key, None, revision)
 
     def _is_newer(self, key: str, version: int) -> bool:
         """Whether a version of a key is newer than what is known of it.
 
         A deletion leaves no version behind: that of a key which the view lacks must be newer
-        than the view itself. Else a late read, or a late answer to an own commit, would put a
+        than the view itself. Else a late read, or a late response to an own commit, would put a
         deleted record back in, and the watch, already past the deletion, would never remove it.
         """
         if key in self.versions:
@@ -149,21 +152,29 @@
         return version > max(self.revision, self._absent_since(key))
 
     def _absent_since(self, key: str) -> int:
-        """Revision beyond ``rev`` at which a key that the view lacks is known not to exist."""
-        listed = max((r.revision for r in self._listed_ranges if r.covers(key)), default=0)
-        return max(listed, self._absent_at.get(key, 0))
-
-    def _note_absence(self, key: str, rev: int) -> None:
-        if rev > self.revision:
-            self._absent_at[key] = max(rev, self._absent_at.get(key, 0))
-
-    def _advance(self, rev: int) -> None:
-        """The view is as of a revision: what is known beyond it alone is kept."""
-        self.revision = max(self.revision, rev)
+        """Revision beyond ``revision`` at which a key is known not to exist."""
+        listed_at = max(
+            (listed.revision for listed in self._listed_ranges if listed.covers(key)), default=0
+        )
+        return max(listed_at, self._absent_at.get(key, 0))
+
+    def _note_absence(self, key: str, revision: int) -> None:
+        if revision > self.revision:
+            self._absent_at[key] = max(revision, self._absent_at.get(key, 0))
+
+    def _advance(self, revision: int) -> None:
+        """The view is as of a revision: forget what was known ahead of it."""
+        self.revision = max(self.revision, revision)
         if self._absent_at:
-            self._absent_at = {k: at for k, at in self._absent_at.items() if at > self.revision}
+            self._absent_at = {
+                key: absent_at
+                for key, absent_at in self._absent_at.items()
+                if absent_at > self.revision
+            }
         if self._listed_ranges:
-            self._listed_ranges = [r for r in self._listed_ranges if r.revision > self.revision]
+            self._listed_ranges = [
+                listed for listed in self._listed_ranges if listed.revision > self.revision
+            ]
 
     def _set(self, key: str, value: Any, version: int) -> None:
         """Set a key to a version, or remove it with a value of None."""
