--- a/tests/core/capacity/test_late_machines.py
+++ b/tests/core/capacity/test_late_machines.py
@@ -2,102 +2,101 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
+
 import pytest
 
 from marblestair.core.shard.machine import Machine
 from marblestair.core.state.records import MachineRecord
-from tests.fakes.deployment import TYPES, spec
-from tests.fakes.worker import Worker
-from tests.fakes.world import World
-from tests.helpers import owner
-
-KIND = TYPES[0]
-
-
-class Boots:
-    """Delays the boots of the first machines of a world; a delay of None is for ever."""
-
-    def __init__(self, monkeypatch: pytest.MonkeyPatch, delay_boots: float | None) -> None:
-        self.first: list[Worker] = []
-        self.open = True
-        plain = Worker.boot
-
-        def boot(machine: Worker) -> None:
-            if not self.open:
-                plain(machine)
-                return
-            self.first.append(machine)
-            if delay_boots is not None:
-                late_s = delay_boots * machine.type.boot_s - (machine.world.now - machine.rented)
-                machine.world.at(late_s, lambda: plain(machine))
-
-        monkeypatch.setattr(Worker, "boot", boot)
-
-
-def test_work_does_not_wait_for_machines_that_never_come(monkeypatch: pytest.MonkeyPatch) -> None:
-    world = World(460, 3)
-    world.run(4.0)
-    boots = Boots(monkeypatch, None)
-    job = world.submit(spec(1, task_count=8, estimated_run_s=4.0))
-    assert world.until(lambda: bool(boots.first), 20.0)
-    world.run(3.0)
-    boots.open = False
-    machine = boots.first[0]
-    rented = set(world.workers)
-    assert world.until(lambda: bool(world.workers.keys() - rented), 60.0)
-    assert world.now - machine.rented < 2.2 * machine.type.boot_s
-    assert world.finish(job, 40.0)
-    # What never came is given back in the end.
-    assert world.until(lambda: all(worker.deleted for worker in boots.first), 60.0)
-    assert not world.broken
-
-
-def test_a_machine_that_comes_late_is_used(monkeypatch: pytest.MonkeyPatch) -> None:
-    world = World(461, 3)
-    world.capacity = 1
-    world.run(4.0)
-    boots = Boots(monkeypatch, 2.6)
-    job = world.submit(spec(1, task_count=4, estimated_run_s=3.0))
-    assert world.finish(job, 60.0)
-    assert {name for _, _, _, name, _ in world.starts} == {boots.first[0].name}
-    assert not world.broken
-
-
-def test_the_machines_of_a_part_that_changes_hands_are_counted_on() -> None:
-    """Found by the full score: the others rented in place of a part whose new owner had not heard
-    its machines yet.
+from tests.fakes.agent import FakeAgent
+from tests.fakes.samples import MACHINE_TYPES, job_spec
+from tests.fakes.simulated_deployment import SimulatedDeployment
+from tests.helpers import START_UP_S, leader_of, started
+
+SMALL_TYPE = MACHINE_TYPES[0]
+
+
+class DelayedBoots:
+    """Delays the boots of machines, by a ratio of their usual time or for ever."""
+
+    def __init__(self, monkeypatch: pytest.MonkeyPatch, ratio: float | None) -> None:
+        self.agents: list[FakeAgent] = []
+        self.is_active = True
+        self._ratio = ratio
+        self._boot: Callable[[FakeAgent], None] = FakeAgent.boot
+        monkeypatch.setattr(FakeAgent, "boot", lambda agent: self._delay(agent))
+
+    def _delay(self, agent: FakeAgent) -> None:
+        if not self.is_active:
+            self._boot(agent)
+            return
+        self.agents.append(agent)
+        if self._ratio is not None:
+            waited_s = agent.deployment.now - agent.rented_at
+            delay_s = self._ratio * agent.machine_type.boot_s - waited_s
+            agent.deployment.schedule(delay_s, lambda: self._boot(agent))
+
+
+def test_work_does_not_wait_for_machines_that_never_boot(monkeypatch: pytest.MonkeyPatch) -> None:
+    deployment = started(460)
+    boots = DelayedBoots(monkeypatch, None)
+    job = deployment.users.submit(job_spec(1, task_count=8, estimated_run_s=4.0))
+    assert deployment.run_until(lambda: bool(boots.agents), 20.0)
+    deployment.run(3.0)
+    boots.is_active = False
+    agent = boots.agents[0]
+    rented = set(deployment.agents)
+    assert deployment.run_until(lambda: bool(deployment.agents.keys() - rented), 60.0)
+    assert deployment.now - agent.rented_at < 2.2 * agent.machine_type.boot_s
+    assert deployment.users.wait_until_done(job, 40.0)
+    # What never booted is returned in the end.
+    assert deployment.run_until(lambda: all(agent.is_released for agent in boots.agents), 60.0)
+    assert not deployment.rules.violations
+
+
+def test_a_machine_that_boots_late_is_used(monkeypatch: pytest.MonkeyPatch) -> None:
+    deployment = SimulatedDeployment(461, 3)
+    deployment.cloud.capacity = 1
+    deployment.run(START_UP_S)
+    boots = DelayedBoots(monkeypatch, 2.6)
+    job = deployment.users.submit(job_spec(1, task_count=4, estimated_run_s=3.0))
+    assert deployment.users.wait_until_done(job, 60.0)
+    assert deployment.tasks.machines_of(job) == {boots.agents[0].name}
+    assert not deployment.rules.violations
+
+
+def test_the_machines_of_a_shard_that_fails_over_are_counted_on() -> None:
+    """Found by the full score: the others rented in place of a shard with a new leader.
+
+    No heartbeat of its machines had come to the new leader yet.
     """
-    world = World(462, 3, teams=[{"name": "red", "cpus": 40.0, "cpus_max": 80.0}])
-    world.run(4.0)
-    world.submit(spec(1, task_count=20, cpus=4.0, estimated_run_s=300.0))
-    world.run(30.0)
-    controller = world.cores["n0"]
-    assert controller is not None
-    machines = set(controller.view.machines)
+    deployment = started(462, teams=[{"name": "red", "cpus": 40.0, "cpus_max": 80.0}])
+    deployment.users.submit(job_spec(1, task_count=20, cpus=4.0, estimated_run_s=300.0))
+    deployment.run(30.0)
+    machines = set(deployment.nodes.controller("n0").view.machines)
     assert len(machines) >= 6
-    dead = owner(world, 1)
-    world.kill(dead, back_after=60.0)
-    left: set[str] = set()
+    killed = leader_of(deployment, 1)
+    deployment.nodes.kill(killed, restart_after_s=60.0)
+    leaving: set[str] = set()
     for _ in range(40):
-        world.run(0.25)
-        for name, other in world.cores.items():
-            if other is not None and name != dead:
-                left |= {x for _, told in other.summaries.values() for x in told.leaving_machines}
-    assert not left & machines
-    assert not world.broken
-
-
-def test_a_machine_that_has_just_moved_to_another_part_is_counted_on() -> None:
-    world = World(463, 1)
-    world.run(4.0)
-    controller = world.cores["n0"]
-    assert controller is not None
-    world.set_time(controller)
+        deployment.run(0.25)
+        for controller in deployment.nodes.running:
+            for _, summary in controller.summaries.values():
+                leaving.update(summary.leaving_machines)
+    assert not leaving & machines
+    assert not deployment.rules.violations
+
+
+def test_a_machine_that_has_just_moved_to_another_shard_is_counted_on() -> None:
+    deployment = started(463, 1)
+    controller = deployment.nodes.current("n0")
+    context = controller.context
     shard = controller.leadership.led_shards()[0]
-    machine = Machine("host-900", KIND.name, "a", False, controller.context.now)
+    machine = Machine("host-900", SMALL_TYPE.name, "a", False, context.now)
     shard.add_machine(machine)
-    machine.set_machine_type(KIND)
-    controller.view.machines["host-900"] = MachineRecord(shard.shard_id, KIND.name, "a", False, 0.0)
+    machine.set_machine_type(SMALL_TYPE)
+    record = MachineRecord(shard.shard_id, SMALL_TYPE.name, "a", False, 0.0)
+    controller.view.machines["host-900"] = record
     assert controller.summarizer.summarize(shard).leaving_machines == []
-    controller.set_time(controller.context.now + 1.7 * KIND.boot_s, controller.context.wall_time)
+    controller.set_time(context.now + 1.7 * SMALL_TYPE.boot_s, context.wall_time)
     assert controller.summarizer.summarize(shard).leaving_machines == ["host-900"]
--- a/tests/core/capacity/test_rentals.py
+++ b/tests/core/capacity/test_rentals.py
@@ -2,125 +2,108 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 import pytest
 
 from marblestair.core.leadership import progress_pages
-from marblestair.core.runtime.cloud_requests import RentMachines
+from marblestair.core.runtime.cloud_requests import CloudRequest, CloudResponse, RentMachines
 from marblestair.core.state import keys
-from tests.fakes.deployment import spec
-from tests.fakes.world import World
-from tests.helpers import owner, warm
-
-
-def test_a_rental_in_doubt_is_finished_by_the_next_owner() -> None:
-    world = warm(19)
-    world.cloud_down = True
-    world.submit(spec(1, task_count=6, estimated_run_s=30.0))
-    # Kill every node after the intents were written and before the cloud answered.
-    assert world.until(lambda: any("/h/" in k for k in world.state.data), 10.0)
-    for x in world.node_names:
-        world.kill(x, back_after=1.0)
-    world.cloud_down = False
-    assert world.finish("job-000001", 200.0)
-    world.run(120.0)
-    assert not [
-        worker.name for worker in world.workers.values() if worker.up and not worker.deleted
-    ]
-    assert not [k for k in world.state.data if "/h/" in k]
-    assert not world.broken
-
-
-class Rentals:
-    """Records the names of the rental requests that reach the cloud."""
-
-    def __init__(self, world: World) -> None:
-        self.names: list[str] = []
-        self._plain = world.cloud
-        world.cloud = self._cloud  # type: ignore[method-assign]
-
-    def _cloud(self, call: Any) -> Any:
-        if isinstance(call, RentMachines):
-            self.names.append(call.name)
-        return self._plain(call)
-
-
-def test_what_is_of_no_use_is_deleted_however_busy_a_part_is(
+from tests.fakes.samples import job_spec
+from tests.fakes.simulated_deployment import SimulatedDeployment
+from tests.helpers import START_UP_S, leader_of, started
+
+
+def test_a_rental_left_uncertain_is_finished_by_the_next_leader() -> None:
+    deployment = started(19)
+    store = deployment.store
+    deployment.cloud.is_down = True
+    job = deployment.users.submit(job_spec(1, task_count=6, estimated_run_s=30.0))
+    # Kill every node after the intents were written and before the cloud responded.
+    assert deployment.run_until(lambda: bool(store.keys_with(keys.RENTAL_INTENTS)), 10.0)
+    deployment.nodes.kill_all(restart_after_s=1.0)
+    deployment.cloud.is_down = False
+    assert deployment.users.wait_until_done(job, 200.0)
+    deployment.run(120.0)
+    assert not deployment.serving_agents
+    assert not store.keys_with(keys.RENTAL_INTENTS)
+    assert not deployment.rules.violations
+
+
+def test_obsolete_intents_are_deleted_however_busy_a_shard_is(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    world = World(450, 1)
-    world.run(4.0)
-    world.submit(spec(1, task_count=4, estimated_run_s=300.0))
-    world.run(15.0)
-    controller = world.cores["n0"]
-    assert controller is not None
+    deployment = started(450, 1)
+    deployment.users.submit(job_spec(1, task_count=4, estimated_run_s=300.0))
+    deployment.run(15.0)
+    controller = deployment.nodes.controller("n0")
     shard = controller.leadership.led_shards()[0]
     for number in range(20):
-        world.state.rev += 1
         key = keys.rental_intent(shard.shard_id, f"r-0-{number}")
-        world.state.data[key] = (
-            ["t4", "a", False, 2, controller.context.wall_time],
-            world.state.rev,
-            None,
-        )
-        shard.obsolete_keys[key] = world.state.rev
-    slices = list(shard.slices.values())
+        intent = ["t4", "a", False, 2, controller.context.wall_time]
+        shard.obsolete_keys[key] = deployment.store.put(key, intent)
     # There is always progress to write.
-    endless = [progress_pages.DirtyPage(slices[0], 0)]
+    endless = [progress_pages.DirtyPage(next(iter(shard.slices.values())), 0)]
     monkeypatch.setattr(progress_pages, "dirty_pages", lambda shard, now: endless)
-    world.run(60.0)
-    assert not [key for key in world.state.data if key.startswith(f"{keys.RENTAL_INTENTS}0/r-0-")]
-    assert not world.broken
+    deployment.run(60.0)
+    assert not deployment.store.keys_with(f"{keys.RENTAL_INTENTS}0/r-0-")
+    assert not deployment.rules.violations
 
 
-@pytest.mark.parametrize(("age_s", "sent"), [(300.0, False), (30.0, False), (5.0, True)])
-def test_a_new_owner_does_not_send_old_refused_rentals_again(age_s: float, sent: bool) -> None:
-    """Found on simulated days with a crash: a new owner sent every refused request of minutes
-    before, one after the other, and got machines for them long after the need was over.
+class RentalRecorder:
+    """Records the names of the rental requests that reach the cloud."""
+
+    def __init__(self, deployment: SimulatedDeployment) -> None:
+        self.names: list[str] = []
+        self._execute = deployment.cloud.execute
+        deployment.cloud.execute = self._record
+
+    def _record(self, request: CloudRequest) -> CloudResponse:
+        if isinstance(request, RentMachines):
+            self.names.append(request.name)
+        return self._execute(request)
+
+
+@pytest.mark.parametrize(("age_s", "is_sent"), [(300.0, False), (30.0, False), (5.0, True)])
+def test_a_new_leader_does_not_send_old_refused_rentals_again(age_s: float, is_sent: bool) -> None:
+    """Found on simulated days with a crash: a new leader sent refused requests of minutes before.
+
+    It sent one after the other, and got machines for them long after the demand was over.
     """
-    world = World(451, 3)
-    world.capacity = 100
-    world.run(4.0)
-    controller = world.cores["n0"]
-    assert controller is not None
-    for number in range(20):
-        intent = ["t4", "a", False, 2, controller.context.wall_time - age_s]
-        world.state.rev += 1
-        key = keys.rental_intent(0, f"r-1-{900 + number}")
-        world.state.data[key] = (intent, world.state.rev, None)
-    rentals = Rentals(world)
-    world.kill(owner(world, 0), back_after=60.0)
-    world.run(40.0)
-    again = [name for name in rentals.names if name.startswith("r-1-9")]
-    assert bool(again) is sent
-    assert len(world.workers) == (40 if sent else 0)
+    deployment = SimulatedDeployment(451, 3)
+    deployment.cloud.capacity = 100
+    deployment.run(START_UP_S)
+    wall_time = deployment.nodes.controller("n0").context.wall_time
+    for number in range(900, 920):
+        key = keys.rental_intent(0, f"r-1-{number}")
+        deployment.store.put(key, ["t4", "a", False, 2, wall_time - age_s])
+    recorder = RentalRecorder(deployment)
+    deployment.nodes.kill(leader_of(deployment, 0), restart_after_s=60.0)
+    deployment.run(40.0)
+    sent = [name for name in recorder.names if name.startswith("r-1-9")]
+    assert bool(sent) is is_sent
+    assert len(deployment.agents) == (40 if is_sent else 0)
     # None is left behind.
-    assert not [key for key in world.state.data if key.startswith(f"{keys.RENTAL_INTENTS}0/r-1-9")]
-    assert not world.broken
-
-
-def test_a_rental_of_the_moment_of_a_fall_is_carried_out() -> None:
-    world = World(452, 3)
-    world.run(4.0)
-    plain = world.cloud
-    lost: list[str] = []
-
-    def unanswered(call: Any) -> Any:
-        result = plain(call)
-        if isinstance(call, RentMachines) and call.name not in lost:
-            # Carried out, but the process falls before it hears of it.
-            lost.append(call.name)
-            for name in world.node_names:
-                if world.cores[name] is not None:
-                    world.kill(name, back_after=1.0)
-        return result
-
-    world.cloud = unanswered  # type: ignore[method-assign]
-    world.submit(spec(1, task_count=4, estimated_run_s=5.0))
-    assert world.until(lambda: bool(lost), 20.0)
-    world.cloud = plain  # type: ignore[method-assign]
-    first = set(world.hires[lost[0]])
-    assert world.finish("job-000001", 90.0)
-    assert first & {name for _, _, _, name, _ in world.starts}
-    assert not world.broken
+    assert not deployment.store.keys_with(f"{keys.RENTAL_INTENTS}0/r-1-9")
+    assert not deployment.rules.violations
+
+
+def test_a_rental_whose_response_is_lost_in_a_crash_is_used() -> None:
+    deployment = started(452)
+    execute = deployment.cloud.execute
+    unanswered: list[str] = []
+
+    def crash_before_the_response(request: CloudRequest) -> CloudResponse:
+        response = execute(request)
+        if isinstance(request, RentMachines) and request.name not in unanswered:
+            unanswered.append(request.name)
+            for name in deployment.nodes.running_names:
+                deployment.nodes.kill(name, restart_after_s=1.0)
+        return response
+
+    deployment.cloud.execute = crash_before_the_response
+    job = deployment.users.submit(job_spec(1, task_count=4, estimated_run_s=5.0))
+    assert deployment.run_until(lambda: bool(unanswered), 20.0)
+    deployment.cloud.execute = execute
+    rented = set(deployment.cloud.rentals[unanswered[0]])
+    assert deployment.users.wait_until_done(job, 90.0)
+    assert rented & deployment.tasks.machines_of(job)
+    assert not deployment.rules.violations
--- a/tests/core/jobs/test_acceptance.py
+++ b/tests/core/jobs/test_acceptance.py
@@ -2,107 +2,113 @@
 
 from __future__ import annotations
 
-from tests.fakes.deployment import spec
-from tests.helpers import sessions, warm
+from tests.fakes.samples import job_spec
+from tests.helpers import incarnations, started
 
 
-def test_ambiguous_commits_are_settled() -> None:
-    world = warm(12)
-    world.lose_answers = 0.2
-    world.late_commits = 0.05
-    jobs = [world.submit(spec(i, task_count=4, estimated_run_s=4.0)) for i in range(1, 6)]
-    world.cancel(jobs[0])
-    assert all(world.finish(j, 300.0) for j in jobs[1:])
-    assert world.state_of(jobs[0]) in ("cancelled", "")
-    assert not world.broken
+def test_jobs_end_well_though_responses_are_lost_and_commits_come_late() -> None:
+    deployment = started(12)
+    users = deployment.users
+    deployment.store_link.lost_response_ratio = 0.2
+    deployment.store_link.late_commit_ratio = 0.05
+    cancelled, *others = [
+        users.submit(job_spec(number, task_count=4, estimated_run_s=4.0)) for number in range(1, 6)
+    ]
+    users.cancel(cancelled)
+    assert all(users.wait_until_done(job, 300.0) for job in others)
+    assert users.state_of(cancelled) in ("cancelled", "")
+    assert not deployment.rules.violations
 
 
-def test_repeats_of_a_submission_make_one_job() -> None:
-    world = warm(13)
-    s = spec(1, task_count=3)
-    world.specs[s.id] = s
-    outs = [world.ask(x, "submit", s) for x in world.node_names for _ in range(2)]
-    world.run(2.0)
-    assert all(o and o[0].status in (200, 201) for o in outs)
-    assert sum(o[0].status == 201 for o in outs) == 1
-    assert world.finish(s.id, 60.0)
-    assert len({(j, i) for _, j, i, _, _ in world.starts}) == len(world.starts) == 3
-    again = world.ask("n1", "submit", s)
-    world.run(2.0)
-    assert again[0].status == 200 and again[0].state == "done"
+def test_repeated_submissions_make_one_job() -> None:
+    deployment = started(13)
+    users, tasks = deployment.users, deployment.tasks
+    spec = job_spec(1, task_count=3)
+    asked = [
+        users.request(name, "submit", spec) for name in deployment.nodes.names for _ in range(2)
+    ]
+    deployment.run(2.0)
+    assert all(replies and replies[0].status in (200, 201) for replies in asked)
+    assert sum(replies[0].status == 201 for replies in asked) == 1
+    assert users.wait_until_done(spec.id, 60.0)
+    started_tasks = {(start.job, start.task_index) for start in tasks.starts}
+    assert len(started_tasks) == len(tasks.starts) == 3
+    repeated = users.request("n1", "submit", spec)
+    deployment.run(2.0)
+    assert repeated[0].status == 200
+    assert repeated[0].state == "done"
 
 
-def test_unknown_and_impossible_jobs() -> None:
-    world = warm(14)
-    out = world.ask("n0", "query", "job-999999")
-    world.run(2.0)
-    assert out[0].status == 404
-    for s in (
-        spec(1, team="nobody"),
-        spec(2, cpus=9.0),
-        spec(3, kind="gang", task_count=25),
-        spec(4, machine_types=["t4"], cpus=5.0),
-        spec(5, zone="nowhere"),
+def test_unknown_jobs_and_infeasible_submissions_are_refused_for_good() -> None:
+    deployment = started(14)
+    users = deployment.users
+    replies = users.request("n0", "query", "job-999999")
+    deployment.run(2.0)
+    assert replies[0].status == 404
+    for spec in (
+        job_spec(1, team="nobody"),
+        job_spec(2, cpus=9.0),
+        job_spec(3, kind="gang", task_count=25),
+        job_spec(4, machine_types=["t4"], cpus=5.0),
+        job_spec(5, zone="nowhere"),
     ):
-        world.specs[s.id] = s
-        outs = [world.ask(x, "submit", s) for x in world.node_names]
-        world.run(2.0)
-        assert [o[0].status for o in outs] == [422, 422, 422]
+        asked = [users.request(name, "submit", spec) for name in deployment.nodes.names]
+        deployment.run(2.0)
+        assert [replies[0].status for replies in asked] == [422, 422, 422]
 
 
-def test_state_outage_refuses_at_once_and_loses_nothing() -> None:
-    world = warm(15)
-    jobs = [world.submit(spec(i, task_count=6, estimated_run_s=8.0)) for i in range(1, 4)]
-    world.run(8.0)
-    world.state.outage(True, world.now)
-    world.run(6.0)
-    s = spec(50)
-    world.specs[s.id] = s
-    out = world.ask("n0", "submit", s)
-    world.run(3.0)
-    assert out[0].status == 503 and out[0].retry_after_s >= 1
-    world.run(12.0)
-    world.state.outage(False, world.now)
-    assert all(world.finish(j, 200.0) for j in jobs)
-    assert not world.broken
+def test_a_store_outage_refuses_submissions_for_now_and_loses_nothing() -> None:
+    deployment = started(15)
+    users = deployment.users
+    jobs = [
+        users.submit(job_spec(number, task_count=6, estimated_run_s=8.0)) for number in range(1, 4)
+    ]
+    deployment.run(8.0)
+    deployment.store.start_outage()
+    deployment.run(6.0)
+    replies = users.request("n0", "submit", job_spec(50))
+    deployment.run(3.0)
+    assert replies[0].status == 503
+    assert replies[0].retry_after_s >= 1
+    deployment.run(12.0)
+    deployment.store.end_outage()
+    assert all(users.wait_until_done(job, 200.0) for job in jobs)
+    assert not deployment.rules.violations
 
 
-def test_cloud_outage_at_the_start_does_not_block_acceptance() -> None:
-    world = warm(16)
-    world.run(3.0)
-    world.cloud_down = True
-    for x in world.node_names:
-        world.kill(x, back_after=1.0)
-    world.run(5.0)
-    job = world.submit(spec(1))
-    world.cloud_down = False
-    assert world.finish(job, 120.0)
-    assert not world.broken
+def test_a_cloud_outage_at_the_start_does_not_block_acceptance() -> None:
+    deployment = started(16)
+    deployment.run(3.0)
+    deployment.cloud.is_down = True
+    deployment.nodes.kill_all(restart_after_s=1.0)
+    deployment.run(5.0)
+    job = deployment.users.submit(job_spec(1))
+    deployment.cloud.is_down = False
+    assert deployment.users.wait_until_done(job, 120.0)
+    assert not deployment.rules.violations
 
 
-def test_a_flood_is_refused_at_once_while_reports_go_on() -> None:
-    world = warm(41)
-    job = world.submit(spec(1, task_count=12, estimated_run_s=30.0))
-    world.run(12.0)
-    asked = world.now
-    outs = []
-    for n in range(100, 400):
-        s = spec(n, task_count=2)
-        world.specs[s.id] = s
-        outs.append(world.ask(world.node_names[n % 3], "submit", s))
-    refused = [o[0] for o in outs if o and o[0].status == 429]
+def test_a_flood_of_submissions_is_refused_at_once_while_heartbeats_go_on() -> None:
+    deployment = started(41)
+    users, names = deployment.users, deployment.nodes.names
+    job = users.submit(job_spec(1, task_count=12, estimated_run_s=30.0))
+    deployment.run(12.0)
+    begun = deployment.now
+    asked = [
+        users.request(names[number % 3], "submit", job_spec(number, task_count=2))
+        for number in range(100, 400)
+    ]
+    refusals = [replies[0] for replies in asked if replies and replies[0].status == 429]
     # Refused in the same instant, each with the time after which to come back.
-    assert world.now == asked and len(refused) > 200
-    assert all(1 <= r.retry_after_s <= 30 for r in refused)
-    world.run(3.0)
-    assert all(o and o[0].status in (201, 429) for o in outs)
-    # Workers are answered all the while, and what was accepted is done.
-    assert set(sessions(world)) == {1}
-    assert all(
-        world.now - worker.renewed < 3.0
-        for worker in world.workers.values()
-        if worker.up and not worker.deleted
-    )
-    accepted = [s for s, at in world.accepted.items()]
-    assert job in accepted and all(world.finish(j, 600.0) for j in accepted)
-    assert not world.broken
+    assert deployment.now == begun
+    assert len(refusals) > 200
+    assert all(1 <= reply.retry_after_s <= 30 for reply in refusals)
+    deployment.run(3.0)
+    assert all(replies and replies[0].status in (201, 429) for replies in asked)
+    # Agents get their responses all the while, and what was accepted is done.
+    assert incarnations(deployment) == {1}
+    assert all(deployment.now - agent.lease_renewed_at < 3.0 for agent in deployment.serving_agents)
+    accepted = list(deployment.rules.accepted_at)
+    assert job in accepted
+    assert all(users.wait_until_done(job, 600.0) for job in accepted)
+    assert not deployment.rules.violations
--- a/tests/core/jobs/test_cancellations.py
+++ b/tests/core/jobs/test_cancellations.py
@@ -2,48 +2,49 @@
 
 from __future__ import annotations
 
-from typing import Any
+from tests.fakes.network import STORE
+from tests.fakes.samples import job_spec
+from tests.helpers import started
 
-from tests.fakes.deployment import spec
-from tests.helpers import warm
 
-
-def test_cancel_racing_launches_and_a_takeover() -> None:
-    world = warm(7)
-    jobs = [world.submit(spec(i, task_count=12, estimated_run_s=20.0)) for i in range(1, 4)]
-    world.run(6.0)
-    world.kill("n0", back_after=6.0)
-    states = [world.cancel(j) for j in jobs[:2]]
-    assert states == ["cancelled", "cancelled"]
-    world.run(60.0)
-    assert [world.state_of(j) for j in jobs[:2]] == ["cancelled", "cancelled"]
-    left = [
+def test_cancels_that_race_launches_and_a_failover() -> None:
+    deployment = started(7)
+    users = deployment.users
+    *cancelled, other = [
+        users.submit(job_spec(number, task_count=12, estimated_run_s=20.0))
+        for number in range(1, 4)
+    ]
+    deployment.run(6.0)
+    deployment.nodes.kill("n0", restart_after_s=6.0)
+    assert [users.cancel(job) for job in cancelled] == ["cancelled", "cancelled"]
+    deployment.run(60.0)
+    assert [users.state_of(job) for job in cancelled] == ["cancelled", "cancelled"]
+    assert not [
         task
-        for worker in world.workers.values()
-        if not worker.deleted
-        for task in worker.live.values()
+        for agent in deployment.agents.values()
+        if not agent.is_released
+        for job in cancelled
+        for task in agent.tasks_of(job)
     ]
-    assert not [task for task in left if task.job in jobs[:2]]
-    assert world.finish(jobs[2], 200.0)
-    assert not world.broken
+    assert users.wait_until_done(other, 200.0)
+    assert not deployment.rules.violations
 
 
-def test_a_cancel_by_the_record_waits_for_an_owner_that_may_still_act() -> None:
-    world = warm(72)
-    controller = world.cores["n0"]
-    assert controller is not None
-    job = world.submit(spec(1, task_count=12, estimated_run_s=120.0), "n0")
-    world.run(14.0)
-    # n0 still answers its workers while its lease lasts, and cannot see the entry.
-    world.isolate("n0", "state", "n1", "n2")
-    world.cancel_asked.add(job)
-    outs: list[list[Any]] = []
-    while not any(o and o[0].status == 200 for o in outs):
-        assert len(outs) < 200
-        outs.append(world.ask("n1", "cancel", job))
-        world.run(0.25)
-        if any(o and o[0].status == 200 for o in outs):
-            assert not controller.leadership.led_shards()
-    world.heal()
-    world.run(world.cancel_s + 2.0)
-    assert not world.broken
+def test_a_cancel_by_the_record_waits_for_a_leader_that_may_still_lead() -> None:
+    deployment = started(72)
+    controller = deployment.nodes.controller("n0")
+    job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=120.0), "n0")
+    deployment.run(14.0)
+    # n0 still responds to its agents while its lease lasts, and cannot see the entry.
+    deployment.network.isolate("n0", STORE, "n1", "n2")
+    is_confirmed = False
+    cancels = []
+    while not is_confirmed:
+        assert len(cancels) < 200
+        cancels.append(deployment.users.request("n1", "cancel", job))
+        deployment.run(0.25)
+        is_confirmed = any(replies and replies[0].status == 200 for replies in cancels)
+    assert not controller.leadership.led_shards()
+    deployment.network.heal()
+    deployment.run(deployment.cancel_s + 2.0)
+    assert not deployment.rules.violations
--- a/tests/core/jobs/test_dependency_answers.py
+++ b/tests/core/jobs/test_dependency_answers.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 import pytest
 
 from marblestair.core.domain.jobs import JobState
@@ -11,142 +9,144 @@
 from marblestair.core.runtime.store_requests import CompareAndSwap, Get, Lane
 from marblestair.core.state import keys
 from tests.core.jobs.pipelines import (
-    all_cancelled,
-    cancelled_with_ends_held_back,
-    hold_ends_back,
-    list_of,
+    block_final_states,
+    cancel_parent_with_final_states_blocked,
+    chain_after,
+    parent_and_child,
     poll_all,
+    stored_record,
+    submit_all,
     submit_chain_managed_apart,
+    wait_until_all_cancelled,
 )
-from tests.fakes.deployment import spec
-from tests.helpers import manager, running, warm
+from tests.fakes.nodes import OutputKind
+from tests.fakes.samples import job_spec
+from tests.helpers import manager_of, started
 
 
-@pytest.mark.parametrize("falls", ["", "n0", "n1"])
-def test_a_far_descendant_is_not_called_queued_once_the_job_between_is_over(falls: str) -> None:
-    """The manager of a grandchild loses its peers and the state service during a cancel.
+@pytest.mark.parametrize("killed", ["", "n0", "n1"])
+def test_a_far_descendant_is_not_called_queued_once_the_job_between_is_over(killed: str) -> None:
+    """The manager of a grandchild loses its peers and the store during a cancel.
 
-    It acts on promises afterwards. The job between ends first, and its record with it; the cancel
-    may still not be told before the grandchild's manager has it or can act no more.
+    It leads under promises afterwards. The job between ends first, and its record with it; the
+    cancel may still not be confirmed before the grandchild's manager has it or leads no more.
     """
-    world = warm()
-    chain = submit_chain_managed_apart(world)
-    world.run(2.0)
-    world.isolate("n2", "n0", "n1")
-    world.state.refused_nodes.add("n2")
-    world.cancel_asked.add(chain[0].id)
-    world.ask("n0", "cancel", chain[0].id)
-    world.run(0.25)
-    if falls:
-        world.kill(falls, 0.1)
+    deployment = started()
+    chain = submit_chain_managed_apart(deployment)
+    top = chain[0].id
+    deployment.run(2.0)
+    deployment.network.isolate("n2", "n0", "n1")
+    deployment.store.refused_nodes.add("n2")
+    deployment.users.request("n0", "cancel", top)
+    deployment.run(0.25)
+    if killed:
+        deployment.nodes.kill(killed, 0.1)
     for _ in range(5):
-        world.run(0.4)
-        world.ask("n0", "cancel", chain[0].id)
-    world.state.outage(True, world.now)
-    world.heal()
-    poll_all(world, chain[2:], 2.0 * world.cancel_s)
-    world.state.refused_nodes.clear()
-    world.calm()
-    assert world.cancel(chain[0].id) == "cancelled"
-    assert all_cancelled(world, chain, world.cancel_s)
-    assert world.broken == []
+        deployment.run(0.4)
+        deployment.users.request("n0", "cancel", top)
+    deployment.store.start_outage()
+    deployment.network.heal()
+    poll_all(deployment, chain[2:], 2.0 * deployment.cancel_s)
+    deployment.store.refused_nodes.clear()
+    deployment.end_failures()
+    assert deployment.users.cancel(top) == "cancelled"
+    assert wait_until_all_cancelled(deployment, chain, deployment.cancel_s)
+    assert not deployment.rules.violations
 
 
 def test_a_read_that_the_end_of_a_waiting_job_overtakes_does_not_call_it_queued() -> None:
     """What the read found is older than the view by the time at which it arrives."""
-    world = warm()
-    child, other = cancelled_with_ends_held_back(world)
-    world.lost |= {"query", "ended"}
-    world.answer_late = lambda node, call: (
-        0.9
-        if node == other and isinstance(call, Get) and call.key == keys.JOBS + child.id
-        else None
+    deployment = started()
+    child, other = cancel_parent_with_final_states_blocked(deployment)
+    key = keys.JOBS + child.id
+    deployment.network.dropped_tags |= {"query", "ended"}
+    deployment.store_link.response_delay_s = lambda node, request: (
+        0.9 if node == other and isinstance(request, Get) and request.key == key else None
     )
-    world.late = lambda _node, _commit: None
+    deployment.store_link.commit_delay_s = lambda _node, _commit: None
     for _ in range(20):
-        world.ask(other, "query", child.id)
-        world.run(0.1)
-    world.run(2.0)
-    assert keys.JOBS + child.id not in world.state.data
-    world.answer_late = lambda _node, _call: None
-    assert world.state_of(child.id, other) == "cancelled"
-    assert world.broken == []
-
-
-def test_what_waits_for_a_cancelled_job_is_told_so_before_its_end_is_written() -> None:
-    world = warm()
-    child, _ = cancelled_with_ends_held_back(world)
-    for name in world.node_names:
-        assert world.state_of(child.id, name) == "cancelled"
-    assert world.cancel(child.id) == "cancelled"
-    for name in world.node_names:
-        world.kill(name, 0.5)
-    world.run(12.0)
-    assert world.until(lambda: world.state_of(child.id) == "cancelled", 20.0)
-    assert world.broken == []
-
-
-def test_it_is_not_told_so_while_another_node_may_still_call_it_queued() -> None:
-    """By a fresh read, with a view that is younger than a worker's lease."""
-    world = warm()
-    parent = spec(1, task_count=1, estimated_run_s=100.0)
-    child = spec(2, depends_on=[parent.id])
-    world.submit(parent)
-    world.submit(child)
-    world.run(1.0)
-    hold_ends_back(world)
-    late = next(name for name in world.node_names if name != manager(world, child.id))
-    world.watch_lag[late] = 0.7 * world.lease_s
-    world.lost |= {"query", "confirmed"}
-    assert world.cancel(parent.id) == "cancelled"
-    until = world.now + 2.0 * world.lease_s
-    while world.now < until:
-        for name in world.node_names:
-            world.ask(name, "query", child.id)
-        world.run(0.2)
-    assert world.told[child.id] == "cancelled"
-    assert world.broken == []
-
-
-def test_the_end_of_a_descendant_goes_ahead_of_progress_once_it_is_due() -> None:
-    """However much else there is to write, users are told of it within cancel_s."""
-    world = warm()
-    lanes: list[tuple[float, int]] = []
-
-    def note(what: str, _node: str, call: Any) -> None:
-        if what == "call" and isinstance(call, CompareAndSwap):
-            if any(put.key == keys.FINALS + "job-000002" for put in call.puts):
-                lanes.append((world.now, call.lane))
-
-    world.on_point = note
-    cancelled_with_ends_held_back(world)
-    told = world.cancel_told["job-000001"]
-    assert lanes[0][1] == Lane.PROGRESS
-    due = [at - told for at, lane in lanes if lane == Lane.FINAL_STATE]
-    assert 0.1 * world.cancel_s < due[0] < 0.3 * world.cancel_s
-    assert all(lane == Lane.FINAL_STATE for at, lane in lanes if at > told + due[0])
-    assert world.broken == []
-
-
-def test_no_node_calls_a_job_queued_that_it_knows_to_wait_for_a_cancelled_one() -> None:
+        deployment.users.request(other, "query", child.id)
+        deployment.run(0.1)
+    deployment.run(2.0)
+    assert key not in deployment.store.data
+    deployment.store_link.response_delay_s = lambda _node, _request: None
+    assert deployment.users.state_of(child.id, other) == "cancelled"
+    assert not deployment.rules.violations
+
+
+def test_a_descendant_is_called_cancelled_before_its_final_state_is_written() -> None:
+    deployment = started()
+    users = deployment.users
+    child = cancel_parent_with_final_states_blocked(deployment).spec.id
+    for name in deployment.nodes.names:
+        assert users.state_of(child, name) == "cancelled"
+    assert users.cancel(child) == "cancelled"
+    deployment.nodes.kill_all(restart_after_s=0.5)
+    deployment.run(12.0)
+    assert deployment.run_until(lambda: users.state_of(child) == "cancelled", 20.0)
+    assert not deployment.rules.violations
+
+
+def test_a_descendant_is_not_called_cancelled_while_another_node_may_call_it_queued() -> None:
+    """By a read, with a view that is younger than an agent's lease."""
+    deployment = started()
+    parent, child = parent_and_child(100.0)
+    submit_all(deployment, parent, child)
+    deployment.run(1.0)
+    block_final_states(deployment)
+    manager = manager_of(deployment, child.id)
+    lagging = next(name for name in deployment.nodes.names if name != manager)
+    deployment.store_link.watch_lag_s[lagging] = 0.7 * deployment.lease_s
+    deployment.network.dropped_tags |= {"query", "confirmed"}
+    assert deployment.users.cancel(parent.id) == "cancelled"
+    end = deployment.now + 2.0 * deployment.lease_s
+    while deployment.now < end:
+        for name in deployment.nodes.names:
+            deployment.users.request(name, "query", child.id)
+        deployment.run(0.2)
+    assert deployment.rules.last_state[child.id] == "cancelled"
+    assert not deployment.rules.violations
+
+
+def test_the_final_state_of_a_descendant_goes_ahead_of_progress_once_it_is_due() -> None:
+    """However much else there is to write, users learn of it within cancel_s."""
+    deployment = started()
+    tries: list[tuple[float, Lane]] = []
+
+    def record_lane(_kind: OutputKind, _node: str, output: object) -> None:
+        if isinstance(output, CompareAndSwap):
+            if any(put.key == keys.FINALS + "job-000002" for put in output.puts):
+                tries.append((deployment.now, output.lane))
+
+    deployment.nodes.on_output = record_lane
+    cancel_parent_with_final_states_blocked(deployment)
+    confirmed_at = deployment.rules.cancel_confirmed_at["job-000001"]
+    assert tries[0][1] == Lane.PROGRESS
+    due_at = next(at for at, lane in tries if lane == Lane.FINAL_STATE)
+    assert 0.1 * deployment.cancel_s < due_at - confirmed_at < 0.3 * deployment.cancel_s
+    assert all(lane == Lane.FINAL_STATE for at, lane in tries if at > due_at)
+    assert not deployment.rules.violations
+
+
+def test_no_node_calls_a_job_queued_that_it_knows_to_depend_on_a_cancelled_one() -> None:
     """Also when another node still does, by an older view."""
-    world = warm()
-    child, other = cancelled_with_ends_held_back(world, 0.1)
-    controller = running(world, other)
+    deployment = started()
+    child, other = cancel_parent_with_final_states_blocked(deployment, 0.1)
+    controller = deployment.nodes.current(other)
     queued = ProvenStatus(JobStatus(JobState.QUEUED, 0, 0), Proof.PEER)
     assert controller.answers.answerable_status(child.id, queued) is None
 
 
-def test_who_reads_a_waiting_job_looks_for_the_ends_of_all_its_ancestors() -> None:
-    """The parent is found alive by a read, and its own parent is over and was cancelled."""
-    world = warm()
-    first, second, third = (spec(n, depends_on=[f"job-{n - 1:06d}"][: n - 1]) for n in (1, 2, 3))
-    version = world.state.rev + 1000
-    world.state.data[keys.FINALS + first.id] = ("cancelled", version, None)
-    for job in (second, third):
-        record = [list_of(job), 0, {"0": [[0, 6]]}, []]
-        world.state.data[keys.JOBS + job.id] = (record, version, None)
-    world.specs |= {job.id: job for job in (first, second, third)}
-    world.lost.add("query")
-    for name in world.node_names:
-        assert world.state_of(third.id, name) != "queued"
+def test_a_read_of_a_waiting_job_leads_to_reads_of_its_ancestors_final_states() -> None:
+    """The parent is found live by a read, and its own parent is over and was cancelled."""
+    deployment = started()
+    first = job_spec(1)
+    second, third = chain_after(first, range(2, 4))
+    version = deployment.store.revision + 1000
+    deployment.store.put(keys.FINALS + first.id, "cancelled", version)
+    for spec in (second, third):
+        deployment.store.put(keys.JOBS + spec.id, stored_record(spec), version)
+    deployment.tasks.specs |= {spec.id: spec for spec in (first, second, third)}
+    deployment.network.dropped_tags.add("query")
+    for name in deployment.nodes.names:
+        assert deployment.users.state_of(third.id, name) != "queued"
--- a/tests/core/jobs/test_dependency_releases.py
+++ b/tests/core/jobs/test_dependency_releases.py
@@ -2,132 +2,95 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 import pytest
 
 from marblestair.core.runtime.store_requests import CompareAndSwap
 from marblestair.core.state import keys
-from tests.core.jobs.pipelines import all_cancelled, all_done, first_start, submit_pipeline
-from tests.fakes.deployment import spec
-from tests.helpers import manager, warm
-
-
-def test_a_job_released_after_a_takeover_does_not_wait_for_silent_machines() -> None:
-    world = warm()
-    parent = spec(1, task_count=1, estimated_run_s=16.0)
-    child = spec(2, task_count=2, estimated_run_s=1.0, depends_on=[parent.id])
-    holding = [spec(n, task_count=8, estimated_run_s=60.0) for n in (3, 4)]
-    for job in [parent, child, *holding]:
-        world.submit(job)
-    world.until(lambda: first_start(world, parent.id) > 0 and len(world.starts) >= 12, 30.0)
-    ran = {name for _, job, _, name, _ in world.starts if job == parent.id}
-    # One machine falls silent with the restart: its part settles only when its lease is over.
-    silent = next(
-        worker for worker in world.workers.values() if worker.live and worker.name not in ran
-    )
-    silent.hung = True
-    for name in world.node_names:
-        world.kill(name, 0.5)
-    world.run(2.0)
-    assert world.until(
-        lambda: any(
-            shard.unreconciled_machines
-            for controller in world.cores.values()
-            if controller
-            for shard in controller.leadership.led_shards()
-        ),
-        8.0,
-    )
-    waiting = [
-        shard.slices[child.id]
-        for controller in world.cores.values()
-        if controller
-        for shard in controller.leadership.led_shards()
-        if shard.unreconciled_machines and child.id in shard.slices
-    ]
-    assert all(not job_slice.is_unreconciled for job_slice in waiting)
-    silent.hung = False
-    assert world.finish(child.id, 60.0)
-    assert world.broken == []
-
-
-@pytest.mark.parametrize("back", [0.2, 6.0])
-def test_a_takeover_between_the_parent_s_end_and_the_release(back: float) -> None:
-    world = warm()
-    parent = spec(1, task_count=1, estimated_run_s=3.0)
-    child = spec(2, task_count=2, estimated_run_s=1.0, depends_on=[parent.id])
-    world.submit(parent)
-    world.submit(child)
-    world.lost.add("ended")
-    world.until(lambda: keys.FINALS + parent.id in world.state.data, 40.0)
-    world.kill(manager(world, child.id), back)
-    assert world.finish(child.id, 60.0)
-    assert world.broken == []
+from tests.core.jobs.pipelines import (
+    chain_after,
+    parent_and_child,
+    submit_all,
+    submit_pipeline,
+    wait_until_all_cancelled,
+    wait_until_all_done,
+)
+from tests.fakes.nodes import OutputKind
+from tests.fakes.samples import job_spec
+from tests.helpers import manager_of, started
+
+
+@pytest.mark.parametrize("restart_after_s", [0.2, 6.0])
+def test_a_failover_between_the_parents_end_and_the_release(restart_after_s: float) -> None:
+    deployment = started()
+    parent, child = parent_and_child(3.0, child_tasks=2, child_run_s=1.0)
+    submit_all(deployment, parent, child)
+    deployment.network.dropped_tags.add("ended")
+    deployment.run_until(lambda: keys.FINALS + parent.id in deployment.store.data, 40.0)
+    deployment.nodes.kill(manager_of(deployment, child.id), restart_after_s)
+    assert deployment.users.wait_until_done(child.id, 60.0)
+    assert not deployment.rules.violations
 
 
 @pytest.mark.parametrize("is_cancelled", [False, True])
 @pytest.mark.parametrize("number", range(1, 11))
-def test_a_node_falls_with_each_commit_of_a_pipeline(number: int, is_cancelled: bool) -> None:
+def test_a_controller_ends_with_each_commit_of_a_pipeline(number: int, is_cancelled: bool) -> None:
     """Its commit is carried out; who takes over finds what it left."""
-    world = warm(number)
-    chain = [spec(1, task_count=1, estimated_run_s=4.0)]
-    for n in (2, 3):
-        chain.append(spec(n, task_count=2, estimated_run_s=1.0, depends_on=[chain[-1].id]))
-    for job in chain:
-        world.submit(job)
-    left = iter(range(number - 1, -1, -1))
-
-    def fall(what: str, node: str, call: Any) -> None:
-        if what != "call" or not isinstance(call, CompareAndSwap):
+    deployment = started(number)
+    users = deployment.users
+    first = job_spec(1, task_count=1, estimated_run_s=4.0)
+    chain = [first, *chain_after(first, range(2, 4), task_count=2, estimated_run_s=1.0)]
+    submit_all(deployment, *chain)
+    ids = tuple(spec.id for spec in chain)
+    remaining = iter(range(number - 1, -1, -1))
+
+    def kill_at_commit(_kind: OutputKind, node: str, output: object) -> None:
+        if not isinstance(output, CompareAndSwap):
             return
-        changed = [*(put.key for put in call.puts), *call.deletes]
-        if any(key.endswith(job.id) for key in changed for job in chain) and next(left, 1) == 0:
-            world.at(0.0, lambda: world.kill(node, 0.3 if number % 2 else 8.0))
+        changed = [*(put.key for put in output.puts), *output.deletes]
+        if any(key.endswith(ids) for key in changed) and next(remaining, 1) == 0:
+            restart_after_s = 0.3 if number % 2 else 8.0
+            deployment.schedule(0.0, lambda: deployment.nodes.kill(node, restart_after_s))
 
-    world.on_point = fall
+    deployment.nodes.on_output = kill_at_commit
     if is_cancelled:
-        world.run(0.5 * number)
-        state = world.cancel(chain[0].id)
-        assert all_cancelled(world, chain[1:], world.cancel_s) if state == "cancelled" else True
-    for job in chain:
-        end = "cancelled" if world.told.get(chain[0].id) == "cancelled" else "done"
-        assert world.until(lambda j=job, e=end: world.state_of(j.id) == e, 60.0), (
-            job.id,
-            world.told,
-        )
-    assert world.broken == []
-
-
-def test_notes_of_ends_and_releases_may_all_be_lost() -> None:
-    world = warm()
-    world.lost |= {"ended", "record"}
-    jobs = submit_pipeline(world)
-    assert all_done(world, jobs)
-    assert world.broken == []
-
-
-def test_a_release_whose_answer_is_lost_or_that_comes_late_is_not_repeated() -> None:
-    world = warm()
-    parent = spec(1, task_count=1, estimated_run_s=2.0)
-    child = spec(2, task_count=2, estimated_run_s=1.0, depends_on=[parent.id])
-    world.submit(parent)
-    world.submit(child)
-    late = iter([2.0])
-
-    def delay(_node: str, commit: CompareAndSwap) -> float | None:
+        deployment.run(0.5 * number)
+        if users.cancel(first.id) == "cancelled":
+            assert wait_until_all_cancelled(deployment, chain[1:], deployment.cancel_s)
+    for job in ids:
+        is_first_cancelled = deployment.rules.last_state.get(first.id) == "cancelled"
+        expected = "cancelled" if is_first_cancelled else "done"
+        assert deployment.run_until(
+            lambda job=job, expected=expected: users.state_of(job) == expected, 60.0
+        ), (job, deployment.rules.last_state)
+    assert not deployment.rules.violations
+
+
+def test_messages_of_final_states_and_releases_may_all_be_lost() -> None:
+    deployment = started()
+    deployment.network.dropped_tags |= {"ended", "record"}
+    specs = submit_pipeline(deployment)
+    assert wait_until_all_done(deployment, specs)
+    assert not deployment.rules.violations
+
+
+def test_a_release_that_comes_late_and_without_a_response_is_not_repeated() -> None:
+    deployment = started()
+    parent, child = parent_and_child(2.0, child_tasks=2, child_run_s=1.0)
+    submit_all(deployment, parent, child)
+    delays = iter([2.0])
+
+    def delay_first_release(_node: str, commit: CompareAndSwap) -> float | None:
         is_release = any(put.key == keys.JOBS + child.id for put in commit.puts)
-        return next(late, None) if is_release else None
+        return next(delays, None) if is_release else None
 
-    world.late = delay
-    assert world.finish(child.id, 60.0)
-    assert world.broken == []
+    deployment.store_link.commit_delay_s = delay_first_release
+    assert deployment.users.wait_until_done(child.id, 60.0)
+    assert not deployment.rules.violations
 
 
-def test_all_nodes_at_once_while_jobs_wait() -> None:
-    world = warm()
-    jobs = submit_pipeline(world)
-    for name in world.node_names:
-        world.kill(name, 1.0)
-    assert all_done(world, jobs, 120.0)
-    assert world.broken == []
+def test_all_controllers_restart_while_jobs_wait_for_others() -> None:
+    deployment = started()
+    specs = submit_pipeline(deployment)
+    deployment.nodes.kill_all(restart_after_s=1.0)
+    assert wait_until_all_done(deployment, specs, 120.0)
+    assert not deployment.rules.violations
--- a/tests/core/leadership/test_connectivity.py
+++ b/tests/core/leadership/test_connectivity.py
@@ -2,169 +2,187 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 import pytest
 
+from marblestair.core.runtime.outbox import UserReply
 from marblestair.core.state import keys
-from tests.fakes.deployment import spec
-from tests.fakes.world import World
-from tests.helpers import apart, busy, owner, warm
-
-
-def test_a_node_cut_from_all_but_the_state_service_gives_its_part_away() -> None:
-    world = warm(36)
-    world.submit(spec(1, task_count=12, estimated_run_s=60.0))
-    world.run(12.0)
-    world.isolate("n0", "n1", "n2", "users", *world.workers)
-    world.run(9.0)
-    assert owner(world, 0) != "n0"
-    controller = world.cores["n0"]
-    assert controller is not None and not controller.leadership.led_shards()
-    world.heal()
-    assert world.finish("job-000001", 300.0)
-    # The machines' leases were kept: nothing was started twice, not even one after the other.
-    assert len(world.starts) == 12
-    assert owner(world, 0) == "n0"
-    assert not world.broken
-
-
-def test_parts_stay_where_they_are_when_all_machines_fall_silent() -> None:
-    """Found in an incident: with all machines hanging, nodes passed parts around in vain."""
-    world = warm(37)
-    world.submit(spec(1, task_count=12, estimated_run_s=60.0))
-    world.run(12.0)
-    for worker in world.workers.values():
-        worker.hung = True
-    world.run(8.0)
-    assert [owner(world, i) for i in range(3)] == ["n0", "n1", "n2"]
-    assert world.state.data[keys.SHARD_MAP][0][0] == 3
-    for worker in world.workers.values():
-        worker.hung = False
-    assert world.finish("job-000001", 300.0)
-    assert not world.broken
-
-
-def test_controllers_that_cannot_reach_each_other_serve_by_the_state_service() -> None:
-    world = warm(70)
-    old = [world.submit(spec(n, task_count=9, estimated_run_s=8.0)) for n in range(1, 4)]
-    world.run(10.0)
-    apart(world)
-    world.run(4.0)
-    new = [
-        world.submit(spec(10 + i, task_count=6, estimated_run_s=5.0), x)
-        for i, x in enumerate(world.node_names)
+from tests.fakes.network import STORE, USERS
+from tests.fakes.samples import job_spec
+from tests.fakes.simulated_deployment import SimulatedDeployment
+from tests.helpers import isolate_controllers, leader_of, leaders, started
+
+#: one team that may use a whole fleet
+ONE_TEAM = [{"name": "red", "cpus": 40.0, "cpus_max": 80.0}]
+
+
+def test_a_leader_cut_from_all_but_the_store_transfers_its_shard() -> None:
+    deployment = started(36)
+    job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=60.0))
+    deployment.run(12.0)
+    deployment.network.isolate("n0", "n1", "n2", USERS, *deployment.agents)
+    deployment.run(9.0)
+    assert leader_of(deployment, 0) != "n0"
+    assert not deployment.nodes.controller("n0").leadership.led_shards()
+    deployment.network.heal()
+    assert deployment.users.wait_until_done(job, 300.0)
+    # No agent's lease ran out: nothing was started twice, not even one after the other.
+    assert len(deployment.tasks.starts) == 12
+    assert leader_of(deployment, 0) == "n0"
+    assert not deployment.rules.violations
+
+
+def test_shards_stay_with_their_leaders_when_no_agent_responds() -> None:
+    """Found in an incident: with all agents unresponsive, nodes passed shards around in vain."""
+    deployment = started(37)
+    job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=60.0))
+    deployment.run(12.0)
+    for agent in deployment.agents.values():
+        agent.is_unresponsive = True
+    deployment.run(8.0)
+    assert leaders(deployment) == ["n0", "n1", "n2"]
+    assert deployment.store.value(keys.SHARD_MAP)[0] == 3
+    for agent in deployment.agents.values():
+        agent.is_unresponsive = False
+    assert deployment.users.wait_until_done(job, 300.0)
+    assert not deployment.rules.violations
+
+
+def cancel_at(deployment: SimulatedDeployment, node: str, job: str) -> UserReply:
+    """Cancel a job at one node, with retries for 30 s; the reply that has a state."""
+    replies: list[UserReply] = []
+    begun = deployment.now
+    while not (replies and replies[0].status == 200):
+        replies = deployment.users.request(node, "cancel", job)
+        deployment.run_until(lambda replies=replies: bool(replies), 5.0)
+        deployment.run(1.0)
+        assert deployment.now - begun < 30.0
+    return replies[0]
+
+
+def test_controllers_that_cannot_reach_each_other_serve_by_the_store() -> None:
+    deployment = started(70)
+    nodes, users = deployment.nodes, deployment.users
+    before = [
+        users.submit(job_spec(number, task_count=9, estimated_run_s=8.0)) for number in range(1, 4)
+    ]
+    deployment.run(10.0)
+    isolate_controllers(deployment)
+    deployment.run(4.0)
+    after = [
+        users.submit(job_spec(10 + index, task_count=6, estimated_run_s=5.0), name)
+        for index, name in enumerate(nodes.names)
     ]
-    # Every node tells of every job, and a job whose slices lie in several parts is done.
-    for job in old + new:
-        assert all(world.state_of(job, x) for x in world.node_names)
-    assert all(world.finish(j, 60.0) for j in old + new)
-    long = [world.submit(spec(20 + i, task_count=6, estimated_run_s=300.0), "n0") for i in range(3)]
-    world.run(8.0)
-    for job, x in zip(long, world.node_names, strict=True):
-        world.cancel_asked.add(job)
-        told: list[Any] = []
-        asked = world.now
-        while not (told and told[0].status == 200):
-            told = world.ask(x, "cancel", job)
-            world.until(lambda o=told: bool(o), 5.0)
-            world.run(1.0)
-            assert world.now - asked < 30.0
-        assert told[0].state == "cancelled"
-    world.run(world.cancel_s + 2.0)
-    assert not world.broken
-    world.heal()
-    assert not world.unanswered()
-    assert not world.broken
-
-
-def test_a_controller_left_with_its_workers_only_is_relieved() -> None:
-    world = warm(71)
-    job = world.submit(spec(1, task_count=12, estimated_run_s=40.0))
-    world.run(12.0)
-    controller = world.cores["n1"]
-    assert controller is not None and controller.is_healthy()
-    world.isolate("n1", "state", "n0", "n2")
-    world.run(8.0)
-    assert (
-        owner(world, 1) != "n1"
-        and not controller.leadership.led_shards()
-        and not controller.is_healthy()
-    )
-    # Workers and users are refused at once: no 200, no name, nothing held back.
-    worker = busy(world)[0]
-    world.set_time(controller)
-    status, _, commands, _ = controller.receive_heartbeat(worker.body())
-    assert status in (421, 503) and not commands
-    for what, arg in (("submit", spec(2)), ("query", job), ("cancel", job)):
-        world.specs["job-000002"] = spec(2)
-        asked = world.now
-        out = world.ask("n1", what, arg)
-        assert out and out[0].status == 503 and world.now == asked and out[0].retry_after_s
-    world.heal()
-    assert world.finish(job, 200.0)
-    world.run(15.0)
-    assert controller.is_healthy() and controller.leadership.led_shards()
-    assert world.state_of(job, "n1") == "done"
-    assert not world.broken
-
-
-def parts_of(world: World, node: str) -> list[int]:
-    """Parts that the latest split record gives to a node."""
-    views = [
-        controller.view.shard_map for controller in world.cores.values() if controller is not None
+    # Every node answers for every job, and a job whose slices are in several shards is done.
+    for job in before + after:
+        assert all(users.state_of(job, name) for name in nodes.names)
+    assert all(users.wait_until_done(job, 60.0) for job in before + after)
+    long_jobs = [
+        users.submit(job_spec(20 + index, task_count=6, estimated_run_s=300.0), "n0")
+        for index in range(3)
     ]
-    newest = max((view for view in views if view is not None), key=lambda view: view.last_term)
-    return [number for number, shard in enumerate(newest.shards) if shard.leader == node]
+    deployment.run(8.0)
+    for job, name in zip(long_jobs, nodes.names, strict=True):
+        assert cancel_at(deployment, name, job).state == "cancelled"
+    deployment.run(deployment.cancel_s + 2.0)
+    assert not deployment.rules.violations
+    deployment.network.heal()
+    assert not users.unanswered_jobs()
+    assert not deployment.rules.violations
+
+
+def test_a_controller_that_reaches_only_its_agents_fails_over() -> None:
+    deployment = started(71)
+    job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=40.0))
+    deployment.run(12.0)
+    controller = deployment.nodes.controller("n1")
+    assert controller.is_healthy()
+    deployment.network.isolate("n1", STORE, "n0", "n2")
+    deployment.run(8.0)
+    assert leader_of(deployment, 1) != "n1"
+    assert not controller.leadership.led_shards()
+    assert not controller.is_healthy()
+    # Agents and users are refused at once: no 200, no leader named, nothing delayed.
+    agent = deployment.busy_agents[0]
+    deployment.nodes.set_time(controller)
+    response = controller.receive_heartbeat(agent.next_heartbeat())
+    assert response.status in (421, 503)
+    assert not response.commands
+    begun = deployment.now
+    for kind, argument in (("submit", job_spec(2)), ("query", job), ("cancel", job)):
+        [reply] = deployment.users.request("n1", kind, argument)
+        assert reply.status == 503
+        assert reply.retry_after_s
+        assert deployment.now == begun
+    deployment.network.heal()
+    assert deployment.users.wait_until_done(job, 200.0)
+    deployment.run(15.0)
+    assert controller.is_healthy()
+    assert controller.leadership.led_shards()
+    assert deployment.users.state_of(job, "n1") == "done"
+    assert not deployment.rules.violations
+
+
+def shards_led_by(deployment: SimulatedDeployment, node: str) -> list[int]:
+    """The shards that the latest shard map known to any controller gives to a node."""
+    views = [controller.view.shard_map for controller in deployment.nodes.running]
+    latest = max((view for view in views if view is not None), key=lambda view: view.last_term)
+    return [index for index, shard in enumerate(latest.shards) if shard.leader == node]
+
+
+def a_leader(deployment: SimulatedDeployment) -> str:
+    """The first node that leads a shard."""
+    return next(name for name in deployment.nodes.names if shards_led_by(deployment, name))
 
 
 @pytest.mark.parametrize("seed", [440, 441, 442])
-def test_no_part_goes_to_a_controller_that_has_lost_its_workers(seed: int) -> None:
-    """Found on a simulated day: the part was given away, another came back at once, and its
-    workers' leases ran out because a new owner that hears nobody did not notice.
+def test_no_shard_goes_to_a_controller_that_has_lost_its_agents(seed: int) -> None:
+    """Found on a simulated day: the shard was transferred, and another came back at once.
+
+    Its agents' leases ran out, since a new leader that receives no heartbeat did not notice.
     """
-    world = World(seed, 3, teams=[{"name": "red", "cpus": 40.0, "cpus_max": 80.0}])
-    world.run(4.0)
-    jobs = [world.submit(spec(n, task_count=10, cpus=4.0, estimated_run_s=120.0)) for n in (1, 2)]
-    world.run(15.0)
-    running = {
-        name: worker.session
-        for name, worker in world.workers.items()
-        if worker.live and not worker.deleted
+    deployment = started(seed, teams=ONE_TEAM)
+    jobs = [
+        deployment.users.submit(job_spec(number, task_count=10, cpus=4.0, estimated_run_s=120.0))
+        for number in (1, 2)
+    ]
+    deployment.run(15.0)
+    before = {
+        name: agent.incarnation
+        for name, agent in deployment.agents.items()
+        if agent.live_tasks and not agent.is_released
     }
-    assert running
-    node = next(n for n in world.node_names if parts_of(world, n))
-    world.isolate(node, *world.workers)
-    world.run(8.0)
-    assert parts_of(world, node) == []
+    assert before
+    node = a_leader(deployment)
+    deployment.network.isolate(node, *deployment.agents)
+    deployment.run(8.0)
+    assert shards_led_by(deployment, node) == []
     for _ in range(27):
-        world.run(1.0)
-        assert parts_of(world, node) == []
-    # No lease of a worker ran out.
-    assert {name: world.workers[name].session for name in running} == running
-    world.heal()
-    world.run(60.0)
-    assert parts_of(world, node) != []
-    assert all(world.finish(job, 200.0) for job in jobs)
-    assert not world.broken
-
-
-def test_a_controller_without_a_part_accepts_jobs_for_the_others() -> None:
-    """Found on the same day: it turned every submission away for as long as it had no part."""
-    world = World(443, 3, teams=[{"name": "red", "cpus": 40.0, "cpus_max": 80.0}])
-    world.run(4.0)
-    keeping = world.submit(spec(1, task_count=10, cpus=4.0, estimated_run_s=60.0))
-    world.run(15.0)
-    node = next(n for n in world.node_names if parts_of(world, n))
-    world.isolate(node, *world.workers)
-    assert world.until(lambda: parts_of(world, node) == [], 10.0)
-    for number in range(2, 8):
-        job = spec(number, task_count=2, estimated_run_s=3.0)
-        world.specs[job.id] = job
-        answer = world.ask(node, "submit", job)
-        world.run(0.3)
-        assert answer and answer[0].status == 201
-        assert world.state_of(job.id, node) in ("queued", "running")
-    assert all(world.finish(f"job-{number:06d}", 60.0) for number in range(2, 8))
-    assert world.finish(keeping, 200.0)
-    assert not world.broken
+        deployment.run(1.0)
+        assert shards_led_by(deployment, node) == []
+    # No agent lost its lease.
+    assert {name: deployment.agents[name].incarnation for name in before} == before
+    deployment.network.heal()
+    deployment.run(60.0)
+    assert shards_led_by(deployment, node) != []
+    assert all(deployment.users.wait_until_done(job, 200.0) for job in jobs)
+    assert not deployment.rules.violations
+
+
+def test_a_controller_that_leads_no_shard_accepts_jobs_for_the_others() -> None:
+    """Found on the same day: it refused every submission for as long as it led no shard."""
+    deployment = started(443, teams=ONE_TEAM)
+    long_job = deployment.users.submit(job_spec(1, task_count=10, cpus=4.0, estimated_run_s=60.0))
+    deployment.run(15.0)
+    node = a_leader(deployment)
+    deployment.network.isolate(node, *deployment.agents)
+    assert deployment.run_until(lambda: shards_led_by(deployment, node) == [], 10.0)
+    specs = [job_spec(number, task_count=2, estimated_run_s=3.0) for number in range(2, 8)]
+    for spec in specs:
+        replies = deployment.users.request(node, "submit", spec)
+        deployment.run(0.3)
+        assert replies
+        assert replies[0].status == 201
+        assert deployment.users.state_of(spec.id, node) in ("queued", "running")
+    assert all(deployment.users.wait_until_done(spec.id, 60.0) for spec in specs)
+    assert deployment.users.wait_until_done(long_job, 200.0)
+    assert not deployment.rules.violations
--- a/tests/core/leadership/test_failover.py
+++ b/tests/core/leadership/test_failover.py
@@ -4,98 +4,114 @@
 
 import pytest
 
-from tests.fakes.deployment import spec
-from tests.helpers import owner, warm
+from tests.fakes.network import STORE
+from tests.fakes.samples import job_spec
+from tests.helpers import incarnations, leader_of, leaders, started
 
 
-def test_killed_owner_runs_no_task_twice() -> None:
-    world = warm(2)
-    jobs = [world.submit(spec(i, task_count=9, estimated_run_s=12.0)) for i in range(1, 4)]
-    world.run(12.0)
-    assert world.starts
-    world.kill("n1", back_after=8.0)
-    assert all(world.finish(j, 200.0) for j in jobs)
-    assert not world.broken
-    world.run(30.0)
-    # Parts went back to the node that returned.
-    assert sorted(owner(world, i) for i in range(3)) == ["n0", "n1", "n2"]
+def test_failover_of_a_killed_leader_runs_no_task_twice() -> None:
+    deployment = started(2)
+    jobs = [
+        deployment.users.submit(job_spec(number, task_count=9, estimated_run_s=12.0))
+        for number in range(1, 4)
+    ]
+    deployment.run(12.0)
+    assert deployment.tasks.starts
+    deployment.nodes.kill("n1", restart_after_s=8.0)
+    assert all(deployment.users.wait_until_done(job, 200.0) for job in jobs)
+    assert not deployment.rules.violations
+    deployment.run(30.0)
+    # Shards went back to the node that returned.
+    assert sorted(leaders(deployment)) == ["n0", "n1", "n2"]
 
 
-def test_all_nodes_killed_nothing_forgotten() -> None:
-    world = warm(3)
-    jobs = [world.submit(spec(i, task_count=5, estimated_run_s=10.0)) for i in range(1, 5)]
-    world.run(9.0)
-    for x in world.node_names:
-        world.kill(x, back_after=5.0)
-    world.run(6.0)
-    assert all(world.finish(j, 200.0) for j in jobs)
-    assert all(world.state_of(j) == "done" for j in jobs)
-    assert not world.broken
+def test_no_job_is_forgotten_when_all_controllers_are_killed() -> None:
+    deployment = started(3)
+    jobs = [
+        deployment.users.submit(job_spec(number, task_count=5, estimated_run_s=10.0))
+        for number in range(1, 5)
+    ]
+    deployment.run(9.0)
+    deployment.nodes.kill_all(restart_after_s=5.0)
+    deployment.run(6.0)
+    assert all(deployment.users.wait_until_done(job, 200.0) for job in jobs)
+    assert all(deployment.users.state_of(job) == "done" for job in jobs)
+    assert not deployment.rules.violations
 
 
-def test_restart_within_a_fraction_of_a_second() -> None:
-    world = warm(4)
-    jobs = [world.submit(spec(i, task_count=8, estimated_run_s=10.0)) for i in range(1, 4)]
-    world.run(9.0)
-    running = len(world.starts)
-    for x in world.node_names:
-        world.kill(x, back_after=0.2)
-        world.run(1.5)
-    assert all(world.finish(j, 200.0) for j in jobs)
-    assert not world.broken
-    # Running tasks went on: their machines kept their leases.
-    assert all(
-        worker.session == 1 for worker in world.workers.values() if worker.up and not worker.deleted
-    )
-    assert running
+def test_controllers_restart_within_a_fraction_of_a_second() -> None:
+    deployment = started(4)
+    jobs = [
+        deployment.users.submit(job_spec(number, task_count=8, estimated_run_s=10.0))
+        for number in range(1, 4)
+    ]
+    deployment.run(9.0)
+    assert deployment.tasks.starts
+    for name in deployment.nodes.names:
+        deployment.nodes.kill(name, restart_after_s=0.2)
+        deployment.run(1.5)
+    assert all(deployment.users.wait_until_done(job, 200.0) for job in jobs)
+    assert not deployment.rules.violations
+    # Running tasks went on: no agent lost its lease.
+    assert incarnations(deployment) == {1}
 
 
-def test_late_report_and_late_command_of_an_earlier_owner() -> None:
-    world = warm(5)
-    jobs = [world.submit(spec(i, task_count=9, estimated_run_s=15.0)) for i in range(1, 4)]
-    world.run(10.0)
-    # Everything to and from n0 is held back, while another node takes its part.
-    world.isolate("n0", hold=True)
-    world.run(20.0)
-    world.heal()
-    assert all(world.finish(j, 300.0) for j in jobs)
-    assert not world.broken
+def test_late_heartbeats_and_commands_of_an_earlier_leader_change_nothing() -> None:
+    deployment = started(5)
+    jobs = [
+        deployment.users.submit(job_spec(number, task_count=9, estimated_run_s=15.0))
+        for number in range(1, 4)
+    ]
+    deployment.run(10.0)
+    # All that goes to and from n0 is delayed, while another node takes its shard.
+    deployment.network.isolate("n0", delay=True)
+    deployment.run(20.0)
+    deployment.network.heal()
+    assert all(deployment.users.wait_until_done(job, 300.0) for job in jobs)
+    assert not deployment.rules.violations
 
 
-def test_cut_node_with_an_old_token_does_not_act() -> None:
-    world = warm(6)
-    jobs = [world.submit(spec(i, task_count=9, estimated_run_s=15.0)) for i in range(1, 4)]
-    world.run(8.0)
-    # n2 still reaches its workers, but not the state service: its authority must end.
-    world.isolate("n2", "state", "n0", "n1")
-    world.run(9.0)
-    controller = world.cores["n2"]
-    assert controller is not None
-    assert controller.leadership.led_shards() == []
-    assert owner(world, 2) != "n2"
-    world.heal()
-    assert all(world.finish(j, 300.0) for j in jobs)
-    assert not world.broken
+def test_a_leader_cut_from_store_and_peers_stops_leading() -> None:
+    deployment = started(6)
+    jobs = [
+        deployment.users.submit(job_spec(number, task_count=9, estimated_run_s=15.0))
+        for number in range(1, 4)
+    ]
+    deployment.run(8.0)
+    # n2 still reaches its agents, but its authority must end.
+    deployment.network.isolate("n2", STORE, "n0", "n1")
+    deployment.run(9.0)
+    assert deployment.nodes.controller("n2").leadership.led_shards() == []
+    assert leader_of(deployment, 2) != "n2"
+    deployment.network.heal()
+    assert all(deployment.users.wait_until_done(job, 300.0) for job in jobs)
+    assert not deployment.rules.violations
 
 
 @pytest.mark.parametrize("seed", range(80, 83))
-def test_processes_back_at_once_amid_takeovers_with_late_messages(seed: int) -> None:
-    world = warm(seed)
-    world.late_commits, world.lose_answers, world.copies = 0.1, 0.05, 0.2
-    jobs = [world.submit(spec(n, task_count=9, estimated_run_s=10.0)) for n in range(1, 5)]
-    for n in range(10):
-        world.heal()
-        x = world.node_names[n % 3]
-        world.isolate(x, hold=True)
-        world.run(world.rng.uniform(0.5, 5.0))
-        # The one that would take over dies in the middle of it, and so does the cut one.
-        for y in world.node_names:
-            if world.rng.random() < 0.6:
-                world.kill(y, back_after=world.rng.uniform(0.05, 0.4))
-        world.run(world.rng.uniform(0.1, 1.5))
-        assert not world.broken
-    world.heal()
-    world.late_commits = world.lose_answers = world.copies = 0.0
-    assert not world.unanswered()
-    assert all(world.finish(j, 300.0) for j in jobs)
-    assert not world.broken
+def test_controllers_restart_at_once_amid_failovers_with_late_messages(seed: int) -> None:
+    deployment = started(seed)
+    rng = deployment.rng
+    deployment.store_link.late_commit_ratio = 0.1
+    deployment.store_link.lost_response_ratio = 0.05
+    deployment.agent_link.duplicate_ratio = 0.2
+    jobs = [
+        deployment.users.submit(job_spec(number, task_count=9, estimated_run_s=10.0))
+        for number in range(1, 5)
+    ]
+    for round_number in range(10):
+        deployment.network.heal()
+        deployment.network.isolate(deployment.nodes.names[round_number % 3], delay=True)
+        deployment.run(rng.uniform(0.5, 5.0))
+        # The one that would take over ends in the middle of it, and so does the isolated one.
+        for name in deployment.nodes.names:
+            if rng.random() < 0.6:
+                deployment.nodes.kill(name, restart_after_s=rng.uniform(0.05, 0.4))
+        deployment.run(rng.uniform(0.1, 1.5))
+        assert not deployment.rules.violations
+    deployment.network.heal()
+    deployment.store_link.end_failures()
+    deployment.agent_link.duplicate_ratio = 0.0
+    assert not deployment.users.unanswered_jobs()
+    assert all(deployment.users.wait_until_done(job, 300.0) for job in jobs)
+    assert not deployment.rules.violations
--- a/tests/core/leadership/test_pauses.py
+++ b/tests/core/leadership/test_pauses.py
@@ -12,169 +12,212 @@
 
 import pytest
 
+from marblestair.core.domain.agents import CommandVerb
 from marblestair.core.runtime.requests import PeerRequest
 from marblestair.core.runtime.store_requests import CompareAndSwap
 from marblestair.core.state import keys
-from tests.fakes.deployment import spec
-from tests.fakes.world import World
-from tests.helpers import Recorder, manager_of, owner, warm
+from tests.fakes.nodes import OutputKind
+from tests.fakes.samples import job_spec
+from tests.fakes.simulated_deployment import SimulatedDeployment
+from tests.helpers import leader_of, manager_of, started
+from tests.recorder import Recorder
 
 
-def is_commit(what: str, value: Any) -> bool:
-    return what == "call" and isinstance(value, CompareAndSwap)
+def is_commit(kind: OutputKind, output: Any) -> bool:
+    return kind == OutputKind.REQUEST and isinstance(output, CompareAndSwap)
 
 
-def is_takeover(what: str, value: Any) -> bool:
-    return is_commit(what, value) and any(p.key.startswith(keys.FENCES) for p in value.puts)
+def is_failover(kind: OutputKind, output: Any) -> bool:
+    return is_commit(kind, output) and any(put.key.startswith(keys.FENCES) for put in output.puts)
 
 
-def is_acceptance(what: str, value: Any) -> bool:
-    return is_commit(what, value) and any(
-        k.startswith(keys.JOBS) and not v for k, v in value.preconditions
+def is_acceptance(kind: OutputKind, output: Any) -> bool:
+    return is_commit(kind, output) and any(
+        key.startswith(keys.JOBS) and not version for key, version in output.preconditions
     )
 
 
-def is_answer(what: str, value: Any) -> bool:
-    return what == "answer" and value[0] == 200
+def is_heartbeat_response(kind: OutputKind, output: Any) -> bool:
+    return kind == OutputKind.HEARTBEAT_RESPONSE and output.status == 200
 
 
-def is_launch(what: str, value: Any) -> bool:
-    return is_answer(what, value) and any(o.verb == "start" for o in value[2])
+def is_launch(kind: OutputKind, output: Any) -> bool:
+    return is_heartbeat_response(kind, output) and any(
+        command.verb == CommandVerb.START for command in output.commands
+    )
 
 
-def is_promise(what: str, value: Any) -> bool:
+def is_promise(kind: OutputKind, output: Any) -> bool:
     # A promise is a list of the cancels that the asker may lack; a refusal is None.
-    return what == "reply" and value[0] == "promise" and value[1] is not None
+    is_reply = kind == OutputKind.PEER_REPLY and output.tag == "promise"
+    return is_reply and output.value is not None
+
 
+def is_peer_request(kind: OutputKind, output: Any) -> bool:
+    return kind == OutputKind.REQUEST and isinstance(output, PeerRequest)
 
-POINTS: dict[str, Callable[[str, Any], bool]] = {
+
+CRITICAL_POINTS: dict[str, Callable[[OutputKind, Any], bool]] = {
     "commit": is_commit,
-    "takeover": is_takeover,
+    "failover": is_failover,
     "acceptance": is_acceptance,
-    "answer": is_answer,
+    "heartbeat response": is_heartbeat_response,
     "launch": is_launch,
     "promise": is_promise,
-    "question": lambda what, value: what == "call" and isinstance(value, PeerRequest),
+    "peer request": is_peer_request,
 }
 
 
-@pytest.mark.parametrize("point", sorted(POINTS))
+class PauseAt:
+    """Freezes a node for some leases at an occurrence of a critical point."""
+
+    def __init__(
+        self, deployment: SimulatedDeployment, point: str, occurrence: int, leases: float
+    ) -> None:
+        self.has_paused = False
+        self._deployment = deployment
+        self._is_at_point = CRITICAL_POINTS[point]
+        self._remaining = occurrence
+        self._leases = leases
+
+    def __call__(self, kind: OutputKind, node: str, output: Any) -> None:
+        """Freeze the node if the output is the one to be delayed."""
+        if self.has_paused or not self._is_at_point(kind, output):
+            return
+        self._remaining -= 1
+        if self._remaining <= 0:
+            self.has_paused = True
+            self._deployment.nodes.freeze(node, self._leases * self._deployment.lease_s)
+
+
+def pause_at_a_critical_point(point: str, leases: float, seed: int) -> None:
+    deployment = started(3000 + 10 * seed)
+    users = deployment.users
+    deployment.agent_link.duplicate_ratio, deployment.store_link.late_commit_ratio = 0.1, 0.02
+    occurrence = 1 if point == "failover" else random.Random(seed).randint(1, 4)
+    pause = PauseAt(deployment, point, occurrence, leases)
+    jobs = [
+        users.submit(job_spec(number, task_count=8, estimated_run_s=8.0)) for number in range(1, 4)
+    ]
+    cancelled = users.submit(job_spec(4, task_count=8, estimated_run_s=60.0))
+    deployment.run(4.0)
+    deployment.nodes.on_output = pause
+    if point == "failover":
+        deployment.nodes.kill("n1", restart_after_s=25.0)
+    elif point == "promise":
+        # Unlike after an outage, leases do not get their full time again.
+        deployment.store.is_down = True
+        deployment.schedule(
+            0.7 * deployment.lease_s, lambda: setattr(deployment.store, "is_down", False)
+        )
+    elif point == "acceptance":
+        jobs += [
+            users.submit(job_spec(number, task_count=4, estimated_run_s=5.0))
+            for number in range(10, 15)
+        ]
+    deployment.run(1.5)
+    if point != "promise":
+        assert users.cancel(cancelled) == "cancelled"
+    if point == "peer request":
+        # A poll at another node than the manager's is a request between controllers.
+        for _ in range(20):
+            if not pause.has_paused:
+                users.state_of(jobs[0])
+    deployment.run((leases + 1.0) * deployment.lease_s)
+    assert pause.has_paused, "the test never came to its point"
+    deployment.nodes.on_output = None
+    assert all(users.wait_until_done(job, 150.0) for job in jobs)
+    deployment.run(deployment.cancel_s)
+    assert not deployment.rules.violations, seed
+    assert not users.unanswered_jobs()
+
+
+@pytest.mark.parametrize("point", sorted(CRITICAL_POINTS))
 @pytest.mark.parametrize("leases", [0.25, 0.8, 1.6])
 def test_after_a_pause_nothing_is_done_under_an_authority_that_ended(
     point: str, leases: float
 ) -> None:
     for seed in range(3):
-        world = warm(3000 + 10 * seed)
-        world.copies, world.late_commits = 0.1, 0.02
-        rng = random.Random(seed)
-        #: the pause comes at this occurrence of the point
-        left = [1 if point == "takeover" else rng.randint(1, 4)]
-        hit: list[str] = []
-
-        def pause(
-            what: str, node: str, value: Any, world: World = world, left: Any = left, hit: Any = hit
-        ):
-            if POINTS[point](what, value) and not hit:
-                left[0] -= 1
-                if left[0] <= 0:
-                    hit.append(node)
-                    world.freeze(node, leases * world.lease_s)
-
-        jobs = [world.submit(spec(n, task_count=8, estimated_run_s=8.0)) for n in range(1, 4)]
-        gone = world.submit(spec(4, task_count=8, estimated_run_s=60.0))
-        world.run(4.0)
-        world.on_point = pause
-        if point == "takeover":
-            world.kill("n1", back_after=25.0)
-        if point == "promise":
-            world.state.down = True
-            world.at(0.7 * world.lease_s, lambda w=world: setattr(w.state, "down", False))
-        elif point == "acceptance":
-            jobs += [
-                world.submit(spec(n, task_count=4, estimated_run_s=5.0)) for n in range(10, 15)
-            ]
-        world.run(1.5)
-        if point != "promise":
-            assert world.cancel(gone) == "cancelled"
-        for _ in range(20):
-            # A poll at another node than the manager's is a question between controllers.
-            if point == "question" and not hit:
-                world.state_of(jobs[0])
-        world.run((leases + 1.0) * world.lease_s)
-        assert hit, "the test never came to its point"
-        world.on_point = None
-        assert all(world.finish(j, 150.0) for j in jobs)
-        world.run(world.cancel_s)
-        assert not world.broken, (seed, world.broken[:3])
-        assert not world.unanswered()
-
-
-def test_a_node_that_wakes_owns_nothing_until_it_has_read_afresh() -> None:
-    world = warm(3100)
-    job = world.submit(spec(1, task_count=12, estimated_run_s=60.0))
-    world.run(6.0)
-    name = owner(world, 0)
-    controller = world.cores[name]
-    assert controller is not None and controller.leadership.is_leader(0)
-    world.freeze(name, 1.5 * world.lease_s)
-    world.run(1.5 * world.lease_s - 0.01)
-    # Others have taken the part over. On waking, before anything is read, nothing is held.
-    world.set_time(controller)
-    assert (
-        not controller.leadership.led_shards()
-        and not controller.leadership.is_leader(0)
-        and owner(world, 0) != name
+        pause_at_a_critical_point(point, leases, seed)
+
+
+def test_a_node_that_wakes_leads_nothing_until_it_has_read_the_shard_map() -> None:
+    deployment = started(3100)
+    job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=60.0))
+    deployment.run(6.0)
+    name = leader_of(deployment, 0)
+    controller = deployment.nodes.controller(name)
+    assert controller.leadership.is_leader(0)
+    deployment.nodes.freeze(name, 1.5 * deployment.lease_s)
+    deployment.run(1.5 * deployment.lease_s - 0.01)
+    # Others have taken the shard over. On waking, before anything is read, it leads none.
+    deployment.nodes.set_time(controller)
+    assert not controller.leadership.led_shards()
+    assert not controller.leadership.is_leader(0)
+    assert leader_of(deployment, 0) != name
+    deployment.run(20.0)
+    assert not deployment.rules.violations
+    assert deployment.users.wait_until_done(job, 200.0)
+
+
+def changed_keys(commit: CompareAndSwap) -> list[str]:
+    """The keys that a commit puts or deletes."""
+    return [put.key for put in commit.puts] + commit.deletes
+
+
+def is_commit_for_a_shard(commit: CompareAndSwap) -> bool:
+    """Whether a commit changes no key that belongs to no shard: a node's own, machine types."""
+    return not any(
+        key.startswith((keys.NODES, keys.TYPES)) or key == keys.SHARD_MAP
+        for key in changed_keys(commit)
     )
-    world.run(20.0)
-    assert not world.broken
-    assert world.finish(job, 200.0)
 
 
-def test_whatever_an_owner_committed_before_a_pause_is_refused_after_a_takeover() -> None:
-    world = warm(3101)
-    name = owner(world, 0)
-    sent: list[CompareAndSwap] = []
+def test_commits_of_a_leader_from_before_a_pause_are_refused_after_a_failover() -> None:
+    deployment = started(3101)
+    name = leader_of(deployment, 0)
+    commits: list[CompareAndSwap] = []
 
-    def seen(what: str, node: str, value: Any) -> None:
-        if node == name and isinstance(value, CompareAndSwap):
-            own = [put.key for put in value.puts] + value.deletes
-            # A node's own key and the machine types belong to no part.
-            if not any(k.startswith((keys.NODES, keys.TYPES)) or k == keys.SHARD_MAP for k in own):
-                sent.append(value)
+    def record_commit(_kind: OutputKind, node: str, output: Any) -> None:
+        if node == name and isinstance(output, CompareAndSwap) and is_commit_for_a_shard(output):
+            commits.append(output)
 
-    world.on_point = seen
+    deployment.nodes.on_output = record_commit
     jobs = [
-        world.submit(spec(n, task_count=8, estimated_run_s=3.0), node=name) for n in range(1, 7)
+        deployment.users.submit(job_spec(number, task_count=8, estimated_run_s=3.0), node=name)
+        for number in range(1, 7)
     ]
-    assert all(world.finish(j, 60.0) for j in jobs)
-    world.run(30.0)
-    world.on_point = None
-    world.freeze(name, 3 * world.lease_s)
-    assert world.until(lambda: owner(world, 0) != name, 2 * world.lease_s)
-    kinds = {k.rsplit("/", 1)[0] for c in sent for k in (*c.deletes, *(put.key for put in c.puts))}
-    assert len(sent) > 10 and len(kinds) >= 4
+    assert all(deployment.users.wait_until_done(job, 60.0) for job in jobs)
+    deployment.run(30.0)
+    deployment.nodes.on_output = None
+    deployment.nodes.freeze(name, 3 * deployment.lease_s)
+    assert deployment.run_until(lambda: leader_of(deployment, 0) != name, 2 * deployment.lease_s)
+    kinds = {key.rsplit("/", 1)[0] for commit in commits for key in changed_keys(commit)}
+    assert len(commits) > 10
+    assert len(kinds) >= 4
     # Each of them, sent late or once more.
-    assert [world.state.execute(c, name, world.now).status for c in sent] == [409] * len(sent)
-    world.run(3 * world.lease_s)
-    assert not world.broken
+    statuses = [deployment.store.execute(commit, name).status for commit in commits]
+    assert statuses == [409] * len(commits)
+    deployment.run(3 * deployment.lease_s)
+    assert not deployment.rules.violations
 
 
 @pytest.mark.parametrize("leases", [0.3, 0.8, 2.5])
-def test_waking_does_not_burst_into_the_state_service_or_the_cloud(leases: float) -> None:
+def test_a_node_that_wakes_sends_no_burst_to_the_store_or_the_cloud(leases: float) -> None:
     """All timers of a frozen node fall due together when it goes on."""
-    world = warm(480, teams=[{"name": "red", "cpus": 40.0, "cpus_max": 60.0}])
-    job = world.submit(spec(1, task_count=30, estimated_run_s=120.0))
-    world.run(20.0)
-    node = manager_of(world, job)
-    recorder = Recorder(world, node)
-    world.run(10.0)
-    usual = recorder.outside()
+    deployment = started(480, teams=[{"name": "red", "cpus": 40.0, "cpus_max": 60.0}])
+    job = deployment.users.submit(job_spec(1, task_count=30, estimated_run_s=120.0))
+    deployment.run(20.0)
+    node = manager_of(deployment, job)
+    recorder = Recorder(deployment, node)
+    deployment.run(10.0)
+    usual = recorder.count_outside()
     assert usual > 0
-    world.freeze(node, leases * world.lease_s)
-    world.run(leases * world.lease_s)
-    recorder.calls.clear()
-    world.run(2.0)
+    deployment.nodes.freeze(node, leases * deployment.lease_s)
+    deployment.run(leases * deployment.lease_s)
+    recorder.requests.clear()
+    deployment.run(2.0)
     # In the two seconds after it goes on no more than in ten ordinary ones.
-    assert recorder.outside() <= usual
-    assert world.finish(job, 300.0)
-    assert not world.broken
+    assert recorder.count_outside() <= usual
+    assert deployment.users.wait_until_done(job, 300.0)
+    assert not deployment.rules.violations
--- a/tests/core/leadership/test_promises.py
+++ b/tests/core/leadership/test_promises.py
@@ -2,87 +2,89 @@
 
 from __future__ import annotations
 
-from tests.fakes.deployment import spec
-from tests.helpers import owner, sessions, warm
+from tests.fakes.samples import job_spec
+from tests.fakes.simulated_deployment import SimulatedDeployment
+from tests.helpers import all_lead, incarnations, leader_of, started
 
 
-def test_an_outage_longer_than_a_lease_loses_no_task_while_all_talk() -> None:
-    world = warm(30)
-    job = world.submit(spec(1, task_count=12, estimated_run_s=60.0))
-    world.run(14.0)
-    world.state.outage(True, world.now)
-    world.run(35.0)
-    assert all(
-        controller is not None and controller.leadership.led_shards()
-        for controller in world.cores.values()
-    )
-    world.state.outage(False, world.now)
-    assert world.finish(job, 200.0)
-    assert set(sessions(world)) == {1}
-    assert len(world.starts) == 12
-    assert not world.broken
+def test_an_outage_longer_than_a_lease_loses_no_task_while_controllers_reach_each_other() -> None:
+    deployment = started(30)
+    job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=60.0))
+    deployment.run(14.0)
+    deployment.store.start_outage()
+    deployment.run(35.0)
+    assert all_lead(deployment)
+    deployment.store.end_outage()
+    assert deployment.users.wait_until_done(job, 200.0)
+    assert incarnations(deployment) == {1}
+    assert len(deployment.tasks.starts) == 12
+    assert not deployment.rules.violations
+
+
+def test_a_leader_that_the_store_refuses_alone_gets_no_promise_and_fails_over() -> None:
+    deployment = started(31)
+    job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=60.0))
+    deployment.run(10.0)
+    deployment.store.refused_nodes.add("n1")
+    deployment.run(8.0)
+    assert not deployment.nodes.controller("n1").leadership.led_shards()
+    assert leader_of(deployment, 1) != "n1"
+    deployment.store.refused_nodes.clear()
+    assert deployment.users.wait_until_done(job, 300.0)
+    assert incarnations(deployment) == {1}
+    assert not deployment.rules.violations
 
 
-def test_a_node_refused_alone_gets_no_promise_and_is_relieved() -> None:
-    world = warm(31)
-    world.submit(spec(1, task_count=12, estimated_run_s=60.0))
-    world.run(10.0)
-    world.state.refused_nodes.add("n1")
-    world.run(8.0)
-    controller = world.cores["n1"]
-    assert controller is not None and not controller.leadership.led_shards()
-    assert owner(world, 1) != "n1"
-    world.state.refused_nodes.clear()
-    assert world.finish("job-000001", 300.0)
-    assert set(sessions(world)) == {1}
-    assert not world.broken
+def run_into_an_outage_with_a_peer_missing(*, is_isolated: bool) -> None:
+    """Isolate or restart one of three controllers in an outage: none gets all promises."""
+    deployment = started(32)
+    job = deployment.users.submit(job_spec(1, task_count=6, estimated_run_s=30.0))
+    deployment.run(10.0)
+    deployment.store.start_outage()
+    if is_isolated:
+        deployment.network.isolate("n2", "n0", "n1")
+    else:
+        deployment.nodes.kill("n2", restart_after_s=0.5)
+    deployment.run(9.0)
+    assert len(deployment.nodes.running) == 3
+    assert not any(item.leadership.led_shards() for item in deployment.nodes.running)
+    deployment.network.heal()
+    deployment.store.end_outage()
+    assert deployment.users.wait_until_done(job, 300.0)
+    assert not deployment.rules.violations
 
 
-def test_no_promises_when_a_peer_is_cut_or_restarted_in_the_outage() -> None:
-    for cut in (True, False):
-        world = warm(32)
-        world.submit(spec(1, task_count=6, estimated_run_s=30.0))
-        world.run(10.0)
-        world.state.outage(True, world.now)
-        if cut:
-            world.isolate("n2", "n0", "n1")
-        else:
-            world.kill("n2", back_after=0.5)
-        world.run(9.0)
-        assert all(
-            controller is not None and not controller.leadership.led_shards()
-            for controller in world.cores.values()
-        )
-        world.heal()
-        world.state.outage(False, world.now)
-        assert world.finish("job-000001", 300.0)
-        assert not world.broken
+def test_no_promises_when_a_peer_is_isolated_or_restarted_in_the_outage() -> None:
+    run_into_an_outage_with_a_peer_missing(is_isolated=True)
+    run_into_an_outage_with_a_peer_missing(is_isolated=False)
 
 
-def test_a_promise_is_kept_after_the_outage_and_by_a_node_that_restarts() -> None:
-    world = warm(33)
-    world.submit(spec(1, task_count=12, estimated_run_s=40.0))
-    world.run(10.0)
-    world.state.outage(True, world.now)
-    assert world.until(
-        lambda: all(
-            c is not None and c.promise_ledger.are_valid(c.context.now)
-            for c in world.cores.values()
-        ),
-        10.0,
+def have_all_promises(deployment: SimulatedDeployment) -> bool:
+    """Whether every controller runs and has valid promises of all others."""
+    controllers = deployment.nodes.controllers.values()
+    return all(
+        controller is not None and controller.promise_ledger.are_valid(controller.context.now)
+        for controller in controllers
     )
-    # n0 goes on acting on its promises; the others get the state service back, and one of them
-    # restarts. Nobody may take n0's part while n0 may act.
-    world.state.refused_nodes.add("n0")
-    world.state.outage(False, world.now)
-    world.kill("n1", back_after=0.2)
+
+
+def test_a_promise_holds_after_the_outage_and_for_a_controller_that_restarts() -> None:
+    deployment = started(33)
+    job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=40.0))
+    deployment.run(10.0)
+    deployment.store.start_outage()
+    assert deployment.run_until(lambda: have_all_promises(deployment), 10.0)
+    # n0 goes on under its promises; the others reach the store again, and one of them restarts.
+    # Nobody may take n0's shard while n0 may lead it.
+    deployment.store.refused_nodes.add("n0")
+    deployment.store.end_outage()
+    deployment.nodes.kill("n1", restart_after_s=0.2)
     for _ in range(60):
-        world.run(0.2)
-        core = world.cores["n0"]
-        assert core is not None
-        if owner(world, 0) != "n0":
-            assert not core.leadership.is_leader(0)
-    assert owner(world, 0) != "n0"
-    world.state.refused_nodes.clear()
-    assert world.finish("job-000001", 300.0)
-    assert not world.broken
+        deployment.run(0.2)
+        controller = deployment.nodes.controller("n0")
+        if leader_of(deployment, 0) != "n0":
+            assert not controller.leadership.is_leader(0)
+    assert leader_of(deployment, 0) != "n0"
+    deployment.store.refused_nodes.clear()
+    assert deployment.users.wait_until_done(job, 300.0)
+    assert not deployment.rules.violations
--- a/tests/core/leadership/test_shard_recovery.py
+++ b/tests/core/leadership/test_shard_recovery.py
@@ -7,55 +7,58 @@
 from marblestair.core.leadership import shard_map
 from marblestair.core.runtime.store_requests import Lane, ListKeys
 from marblestair.core.state import keys
-from tests.fakes.deployment import spec
-from tests.helpers import Recorder, manager_of, warm
+from tests.fakes.samples import job_spec
+from tests.helpers import manager_of, started
+from tests.recorder import Recorder
 
 
-def test_a_part_lost_and_given_back_is_rebuilt_even_if_only_the_split_is_read() -> None:
-    """Found by a hunt: a node that had been cut read the split ahead of its view, took the part
-    that was given back to it for the one it had lost, and started what ran elsewhere.
+def test_a_shard_lost_and_regained_is_rebuilt_even_if_only_the_shard_map_is_read() -> None:
+    """Found by a hunt: a node that had been cut off read the shard map ahead of its view.
+
+    It took the shard that came back to it for the one it had lost, and started what ran elsewhere.
     """
-    world = warm(34)
-    world.submit(spec(1, task_count=9, estimated_run_s=30.0))
-    world.run(8.0)
-    controller = world.cores["n0"]
-    assert controller is not None and controller.view.shard_map is not None
-    before = controller.leadership.shards[0]
-    assert before.is_ready
-    other = shard_map.assign_shards(controller.view.shard_map, [0], "n1", 7)
-    back = shard_map.assign_shards(other, [0], *controller.context.identity)
-    version = controller.view.version(keys.SHARD_MAP)
-    controller.view.record_read(keys.SHARD_MAP, msgspec.to_builtins(back), version + 2)
-    controller.view.publish_changes()
-    assert controller.leadership.shards[0] is not before and not controller.leadership.is_leader(0)
-    # A raise of the term alone keeps what is known.
-    kept = (
-        controller.leadership.shards[1]
-        if 1 in controller.leadership.shards
-        else controller.leadership.shards[0]
-    )
-    raised = shard_map.raise_term(back, kept.shard_id)
-    controller.view.record_read(keys.SHARD_MAP, msgspec.to_builtins(raised), version + 3)
-    controller.view.publish_changes()
-    assert controller.leadership.shards[kept.shard_id] is kept and kept.term == raised.last_term
-
-
-def test_a_takeover_reads_its_pages_ahead_of_users() -> None:
-    """Found by incident inc-40fe: the pages were read in the lane behind all others, polls of the
-    part's jobs filled it, and the workers' leases ran out before the part was ready.
+    deployment = started(34)
+    deployment.users.submit(job_spec(1, task_count=9, estimated_run_s=30.0))
+    deployment.run(8.0)
+    controller = deployment.nodes.controller("n0")
+    view, leadership = controller.view, controller.leadership
+    assert view.shard_map is not None
+    lost = leadership.shards[0]
+    assert lost.is_ready
+    other = shard_map.assign_shards(view.shard_map, [0], "n1", 7)
+    regained = shard_map.assign_shards(other, [0], *controller.context.identity)
+    version = view.version(keys.SHARD_MAP)
+    view.record_read(keys.SHARD_MAP, msgspec.to_builtins(regained), version + 2)
+    view.publish_changes()
+    assert leadership.shards[0] is not lost
+    assert not leadership.is_leader(0)
+    # A higher term alone does not forget what is known.
+    known = leadership.shards[1] if 1 in leadership.shards else leadership.shards[0]
+    raised = shard_map.raise_term(regained, known.shard_id)
+    view.record_read(keys.SHARD_MAP, msgspec.to_builtins(raised), version + 3)
+    view.publish_changes()
+    assert leadership.shards[known.shard_id] is known
+    assert known.term == raised.last_term
+
+
+def test_a_failover_reads_its_pages_ahead_of_users() -> None:
+    """Found by incident inc-40fe: the pages were read in the lane behind all others.
+
+    Polls of the shard's jobs filled that lane, and the agents' leases ran out before the shard was
+    ready.
     """
-    world = warm(415)
-    job = world.submit(spec(1, task_count=12, estimated_run_s=60.0))
-    world.run(2.0)
-    recorders = [Recorder(world, name) for name in world.node_names]
-    world.kill(manager_of(world, job), back_after=60.0)
-    world.run(8.0)
-    pages = [
-        call
+    deployment = started(415)
+    job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=60.0))
+    deployment.run(2.0)
+    recorders = [Recorder(deployment, name) for name in deployment.nodes.names]
+    deployment.nodes.kill(manager_of(deployment, job), restart_after_s=60.0)
+    deployment.run(8.0)
+    listings = [
+        request
         for recorder in recorders
-        for call in recorder.calls
-        if isinstance(call, ListKeys) and call.prefix.startswith(keys.PROGRESS)
+        for request in recorder.requests
+        if isinstance(request, ListKeys) and request.prefix.startswith(keys.PROGRESS)
     ]
-    assert pages
-    assert {call.lane for call in pages} == {Lane.LEASE}
-    assert not world.broken
+    assert listings
+    assert {request.lane for request in listings} == {Lane.LEASE}
+    assert not deployment.rules.violations
--- a/tests/core/leadership/test_store_lease.py
+++ b/tests/core/leadership/test_store_lease.py
@@ -6,40 +6,42 @@
 
 from marblestair.core.runtime.store_requests import CompareAndSwap
 from marblestair.core.state import keys
-from tests.fakes.deployment import spec
-from tests.helpers import warm
-
-
-@pytest.mark.parametrize("late", [1.4, 2.5, 3.8, 6.0])
-def test_a_late_try_for_a_nodes_key_does_not_tie_it_to_an_older_lease(late: float) -> None:
-    """The key would go with the older lease, and others take parts that their owner acts for."""
-    world = warm(4100)
-    job = world.submit(spec(1, task_count=12, estimated_run_s=60.0))
-    world.run(12.0)
-    left = [2]
-
-    def first_tries(node: str, commit: CompareAndSwap) -> float | None:
-        own = node == "n0" and any(put.key == keys.NODES + node for put in commit.puts)
-        if own and left[0]:
-            left[0] -= 1
-            return late
-        return None
-
-    world.late = first_tries
-    world.kill("n0", back_after=0.3)
-    end = world.now + 30.0
-    acted = False
-    while world.now < end:
-        world.run(0.1)
-        controller = world.cores["n0"]
-        if controller is not None:
-            world.set_time(controller)
-            if controller.leadership.led_shards():
-                acted = True
-                held = world.state.data[keys.NODES + "n0"]
-                # What it counts on ends no later than the lease that its key goes with.
-                until = controller.lease.expires_at / world.drift["n0"]
-                assert until <= world.state.leases[held[2]][1]
-    assert acted and not left[0]
-    assert world.finish(job, 200.0)
-    assert not world.broken
+from tests.fakes.samples import job_spec
+from tests.helpers import started
+
+N0_KEY = keys.NODES + "n0"
+
+
+@pytest.mark.parametrize("late_s", [1.4, 2.5, 3.8, 6.0])
+def test_a_late_commit_of_a_nodes_key_does_not_tie_it_to_an_older_lease(late_s: float) -> None:
+    """The key would end with the older lease, and others would take shards that are led."""
+    deployment = started(4100)
+    job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=60.0))
+    deployment.run(12.0)
+    delays = iter([late_s, late_s])
+
+    def delay_first_commits(node: str, commit: CompareAndSwap) -> float | None:
+        is_own_key = node == "n0" and any(put.key == N0_KEY for put in commit.puts)
+        return next(delays, None) if is_own_key else None
+
+    deployment.store_link.commit_delay_s = delay_first_commits
+    deployment.nodes.kill("n0", restart_after_s=0.3)
+    end = deployment.now + 30.0
+    has_led = False
+    while deployment.now < end:
+        deployment.run(0.1)
+        controller = deployment.nodes.controllers["n0"]
+        if controller is None:
+            continue
+        deployment.nodes.set_time(controller)
+        if controller.leadership.led_shards():
+            has_led = True
+            lease_id = deployment.store.data[N0_KEY].lease_id
+            assert lease_id is not None
+            # The authority ends no later than the lease that the key is tied to.
+            expires_at = controller.lease.expires_at / deployment.nodes.drift["n0"]
+            assert expires_at <= deployment.store.leases[lease_id].expires_at
+    assert has_led
+    assert next(delays, None) is None
+    assert deployment.users.wait_until_done(job, 200.0)
+    assert not deployment.rules.violations
--- a/tests/core/runtime/test_decision_log.py
+++ b/tests/core/runtime/test_decision_log.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 from marblestair.core.runtime.decision_log import LINES_PER_S, Decision, DecisionLog
-from tests.fakes.deployment import spec
-from tests.helpers import manager, running, warm
+from tests.fakes.samples import job_spec
+from tests.helpers import manager_of, started
 
 
 def test_lines_are_bounded_and_what_is_left_out_is_counted() -> None:
     lines: list[str] = []
     log = DecisionLog(lambda _level, text: lines.append(text))
-    for n in range(5 * LINES_PER_S):
-        log.note(10.2, Decision.CANCEL, "known", job=n)
+    for number in range(5 * LINES_PER_S):
+        log.note(10.2, Decision.CANCEL, "known", job=number)
     log.count(Decision.LAUNCH, "in an answer", 7)
     assert len(lines) == LINES_PER_S
     log.note(11.0, Decision.CANCEL, "known", job="last")
@@ -22,45 +22,52 @@
     assert log.counts == {"cancel known": 5 * LINES_PER_S + 1, "launch in an answer": 7}
 
 
-def test_the_log_tells_who_had_a_cancel_before_it_was_told_and_why_it_could_be() -> None:
-    """By answers at once, or by time where an owner could not be asked."""
-    world = warm()
-    jobs = [world.submit(spec(n, task_count=6, estimated_run_s=100.0)) for n in (1, 2)]
-    world.until(lambda: len(world.starts) == 12, 30.0)
-    assert world.cancel(jobs[0]) == "cancelled"
-    told = world.now
-    known = world.logged("cancel known", jobs[0])
-    confirmed = world.logged("cancel confirmed", jobs[0])
-    assert {name for at, name, _ in known if at <= told} == set(world.node_names)
-    assert "by=answers" in confirmed[0][2] and confirmed[0][0] <= told
-    # The second by time only: what asks the owners to apply it is lost.
-    world.lost.add("apply")
-    away = next(name for name in world.node_names if name != manager(world, jobs[1]))
-    world.watch_lag[away] = 1000.0
-    world.run(3.0)
-    world.cancel(jobs[1])
-    told = world.now
-    assert "by=time" in world.logged("cancel confirmed", jobs[1])[0][2]
-    # By then the owner with an old view acts no more, and its log says so.
-    assert [at for at, name, _ in world.logged("authority none") if name == away and at <= told]
+def test_the_log_shows_who_knew_a_cancel_before_its_confirmation_and_what_allowed_it() -> None:
+    """Answers at once, or time where a leader could not be asked."""
+    deployment = started()
+    first, second = (
+        deployment.users.submit(job_spec(number, task_count=6, estimated_run_s=100.0))
+        for number in (1, 2)
+    )
+    deployment.run_until(lambda: len(deployment.tasks.starts) == 12, 30.0)
+    assert deployment.users.cancel(first) == "cancelled"
+    known = deployment.logged("cancel known", first)
+    assert {line.node for line in known if line.at <= deployment.now} == set(deployment.nodes.names)
+    confirmed = deployment.logged("cancel confirmed", first)[0]
+    assert "by=answers" in confirmed.text
+    assert confirmed.at <= deployment.now
+    # The second by time only: the request to apply it is lost.
+    deployment.network.dropped_tags.add("apply")
+    manager = manager_of(deployment, second)
+    lagging = next(name for name in deployment.nodes.names if name != manager)
+    deployment.store_link.watch_lag_s[lagging] = 1000.0
+    deployment.run(3.0)
+    deployment.users.cancel(second)
+    assert "by=time" in deployment.logged("cancel confirmed", second)[0].text
+    # By then the leader with an old view leads no more, and its log says so.
+    assert [line for line in deployment.logged("authority none") if line.node == lagging]
 
 
 def test_the_log_tells_a_release_from_an_end_and_counts_starts_and_stops() -> None:
-    world = warm()
-    parent = world.submit(spec(1, task_count=1, estimated_run_s=2.0))
-    child = world.submit(spec(2, task_count=1, estimated_run_s=60.0, depends_on=[parent]))
-    assert world.until(lambda: any(job == child for _, job, *_ in world.starts), 60.0)
-    released = world.logged("record release", child)
-    finished = world.logged("record finish", parent)
-    assert finished[0][0] <= released[0][0] <= world.starts[-1][0]
-    assert "depends_on=1" in released[0][2]
-    world.cancel(child)
-    world.run(5.0)
+    deployment = started()
+    users = deployment.users
+    parent = users.submit(job_spec(1, task_count=1, estimated_run_s=2.0))
+    child = users.submit(job_spec(2, task_count=1, estimated_run_s=60.0, depends_on=[parent]))
+    assert deployment.run_until(lambda: deployment.tasks.has_started(child), 60.0)
+    released = deployment.logged("record release", child)[0]
+    finished = deployment.logged("record finish", parent)[0]
+    assert finished.at <= released.at <= deployment.tasks.starts[-1].at
+    assert "depends_on=1" in released.text
+    users.cancel(child)
+    deployment.run(5.0)
     counts = [
-        running(world, name).status_report.collect()["decisions"] for name in world.node_names
+        deployment.nodes.current(name).status_report.collect()["decisions"]
+        for name in deployment.nodes.names
     ]
-    assert sum(c.get("launch in an answer", 0) for c in counts) == 2
-    assert sum(c.get("stop in an answer", 0) + c.get("stop direct", 0) for c in counts) >= 1
-    shown = running(world, "n0").status_report.collect()
-    assert shown["cancels_not_confirmed"] == 0 and shown["stops_waiting"] == 0
-    assert world.broken == []
+    assert sum(count.get("launch in an answer", 0) for count in counts) == 2
+    stops = [count.get("stop in an answer", 0) + count.get("stop direct", 0) for count in counts]
+    assert sum(stops) >= 1
+    shown = deployment.nodes.current("n0").status_report.collect()
+    assert shown["cancels_not_confirmed"] == 0
+    assert shown["stops_waiting"] == 0
+    assert not deployment.rules.violations
--- a/tests/core/scheduling/test_best_effort.py
+++ b/tests/core/scheduling/test_best_effort.py
@@ -2,30 +2,35 @@
 
 from __future__ import annotations
 
+from typing import Any
+
 import pytest
 
 from marblestair.core.jobs.eligibility import rejection_reason
 from marblestair.core.leadership.shard_map import initial_shard_map
 from marblestair.core.scheduling.quota import priority_key
 from marblestair.settings import UNLIMITED, Team
-from tests.fakes.deployment import TYPES, spec
-from tests.fakes.world import World
+from tests.fakes.samples import MACHINE_TYPES, job_spec
+from tests.fakes.simulated_deployment import SimulatedDeployment
+from tests.helpers import START_UP_S, started
 
-#: a team with a guarantee and a limit, and a guest with neither
-OWNER = Team("red", 8.0, 24.0)
+GUARANTEED_TEAM = Team("red", 8.0, 24.0)
+BEST_EFFORT_TEAM = Team("guest", 0.0, 0.0)
+TEAMS = [
+    {"name": team.name, "cpus": team.cpus, "cpus_max": team.cpus_max}
+    for team in (GUARANTEED_TEAM, BEST_EFFORT_TEAM)
+]
 
 
-GUEST = Team("guest", 0.0, 0.0)
+def submit_filling_array(deployment: SimulatedDeployment, **changes: Any) -> str:
+    """An array of the best-effort team that fills the fleet for long; its id."""
+    base = dict(task_count=200, estimated_run_s=400.0, priority="low")
+    return deployment.users.submit(job_spec(1, team="guest", **{**base, **changes}))
 
 
-def deployment(seed: int, **cluster: object) -> World:
-    """Three controllers, one team with a guarantee and one guest."""
-    teams = [
-        {"name": team.name, "cpus": team.cpus, "cpus_max": team.cpus_max} for team in (OWNER, GUEST)
-    ]
-    world = World(seed, 3, teams=teams, **cluster)
-    world.run(4.0)
-    return world
+def count_live(deployment: SimulatedDeployment, job: str) -> int:
+    """How many tasks of a job are live."""
+    return sum(len(agent.tasks_of(job)) for agent in deployment.agents.values())
 
 
 @pytest.mark.parametrize(
@@ -40,97 +45,80 @@
 )
 def test_a_limit_of_zero_is_no_limit(team: str, changes: dict[str, object], accepted: bool) -> None:
     """Found by the incidents inc-40fe and inc-0582: every job of such a team was refused."""
-    job = spec(1, team=team, **changes)
-    reason = rejection_reason(job, {t.name: t for t in (OWNER, GUEST)}, TYPES)
+    teams = {item.name: item for item in (GUARANTEED_TEAM, BEST_EFFORT_TEAM)}
+    reason = rejection_reason(job_spec(1, team=team, **changes), teams, MACHINE_TYPES)
     assert (reason is None) is accepted
 
 
-def test_each_part_may_use_its_share_of_no_limit() -> None:
-    shard_map = initial_shard_map(3, [OWNER, GUEST])
-    assert sum(shard.quotas["red"][0] for shard in shard_map.shards) == 24_000_000
-    assert all(shard.quotas["guest"][0] * 4 > UNLIMITED * 1_000_000 for shard in shard_map.shards)
+def test_each_shard_has_a_quota_of_no_limit() -> None:
+    shards = initial_shard_map(3, [GUARANTEED_TEAM, BEST_EFFORT_TEAM]).shards
+    assert sum(shard.quotas["red"][0] for shard in shards) == 24_000_000
+    assert all(shard.quotas["guest"][0] * 4 > UNLIMITED * 1_000_000 for shard in shards)
+
+
+def test_best_effort_work_is_done_when_nobody_else_submits() -> None:
+    deployment = started(401, teams=TEAMS)
+    users = deployment.users
+    array = job_spec(1, team="guest", priority="low", task_count=40, estimated_run_s=6.0)
+    gang = job_spec(2, team="guest", kind="gang", task_count=2, cpus=3.0, estimated_run_s=6.0)
+    jobs = [users.submit(array), users.submit(gang)]
+    assert all(users.wait_until_done(job, 120.0) for job in jobs)
+    assert not deployment.rules.violations
+
+
+def test_best_effort_work_is_preempted_for_guaranteed_work_as_far_as_needed() -> None:
+    deployment = started(402, teams=TEAMS)
+    deployment.cloud.capacity = 6
+    filling = submit_filling_array(deployment, checkpoint_interval_s=5.0)
+    deployment.run(40.0)
+    agents = deployment.serving_agents
+    assert len(agents) == 6
+    assert sum(len(agent.live_tasks) for agent in agents) >= 24
+    urgent = deployment.users.submit(job_spec(2, task_count=8, estimated_run_s=30.0))
+    submitted_at = deployment.now
+    assert deployment.run_until(lambda: len(deployment.tasks.starts_of(urgent)) == 8, 12.0)
+    assert deployment.now - submitted_at < 12.0
+    # No more was stopped than was needed, and what was goes on afterwards.
+    assert sum(len(agent.tasks_of(filling)) for agent in agents) >= 24 - 8 - 4
+    assert not deployment.rules.violations
 
 
-def test_the_work_of_a_guest_is_done_when_nobody_else_asks() -> None:
-    world = deployment(401)
-    jobs = [
-        world.submit(spec(1, team="guest", priority="low", task_count=40, estimated_run_s=6.0)),
-        world.submit(
-            spec(2, team="guest", kind="gang", task_count=2, cpus=3.0, estimated_run_s=6.0)
-        ),
-    ]
-    assert all(world.finish(job, 120.0) for job in jobs)
-    assert not world.broken
-
-
-def test_guests_make_room_for_guaranteed_work_and_keep_a_little() -> None:
-    world = deployment(402)
-    world.capacity = 6
-    filling = world.submit(
-        spec(
-            1,
-            team="guest",
-            priority="low",
-            task_count=200,
-            estimated_run_s=400.0,
-            checkpoint_interval_s=5.0,
-        )
-    )
-    world.run(40.0)
-    full = [worker for worker in world.workers.values() if worker.up and not worker.deleted]
-    assert len(full) == 6
-    assert sum(len(worker.live) for worker in full) >= 24
-    urgent = world.submit(spec(2, task_count=8, estimated_run_s=30.0))
-    moment = world.now
-    assert world.until(lambda: sum(job == urgent for _, job, *_ in world.starts) == 8, 12.0)
-    assert world.now - moment < 12.0
-    live = [task.job for worker in full for task in worker.live.values()]
-    # No more was stopped than was needed, and what was goes on afterwards.
-    assert live.count(filling) >= 24 - 8 - 4
-    assert not world.broken
-
-
-def test_work_beyond_a_guarantee_does_not_stop_guests() -> None:
-    world = deployment(403)
-    world.capacity = 6
-    filling = world.submit(
-        spec(1, team="guest", priority="low", task_count=200, estimated_run_s=400.0)
-    )
-    world.run(40.0)
-    before = sum(job == filling for _, job, *_ in world.starts)
+def test_work_beyond_a_guarantee_does_not_preempt_best_effort_work() -> None:
+    deployment = started(403, teams=TEAMS)
+    deployment.cloud.capacity = 6
+    filling = submit_filling_array(deployment)
+    deployment.run(40.0)
+    starts_before = len(deployment.tasks.starts_of(filling))
     # Its team's guarantee is smaller than the job.
-    world.submit(spec(2, task_count=20, estimated_run_s=30.0))
-    world.run(10.0)
-    live = [task.job for worker in world.workers.values() for task in worker.live.values()]
-    assert live.count(filling) == before
-    assert not world.broken
-
-
-def test_guests_are_served_after_all_others_even_late_ones() -> None:
-    late = spec(1, deadline_s=10.0)
-    low = spec(2, priority="low")
-    guest = spec(3, team="guest", priority="high")
-    keys = [
-        priority_key(job, False, False, 1000.0, 1.0, False, job.team == "guest")
-        for job in (low, late, guest)
+    deployment.users.submit(job_spec(2, task_count=20, estimated_run_s=30.0))
+    deployment.run(10.0)
+    assert count_live(deployment, filling) == starts_before
+    assert not deployment.rules.violations
+
+
+def test_best_effort_work_is_served_after_all_other_work_even_late_one() -> None:
+    late = job_spec(1, deadline_s=10.0)
+    low = job_spec(2, priority="low")
+    best_effort = job_spec(3, team="guest", priority="high")
+    order = [
+        priority_key(spec, False, False, 1000.0, 1.0, False, spec.team == "guest")
+        for spec in (low, late, best_effort)
     ]
-    assert keys == sorted(keys)
+    assert order == sorted(order)
 
 
-def test_a_little_is_left_to_guests_whatever_is_guaranteed() -> None:
+def test_a_little_is_left_to_best_effort_work_whatever_is_guaranteed() -> None:
     teams = [
         {"name": "red", "cpus": 64.0, "cpus_max": 64.0},
         {"name": "guest", "cpus": 0.0, "cpus_max": 0.0},
     ]
-    world = World(404, 3, teams=teams)
-    world.capacity = 6
-    world.run(4.0)
-    filling = world.submit(
-        spec(1, team="guest", priority="low", task_count=200, estimated_run_s=400.0)
-    )
-    world.run(40.0)
-    world.submit(spec(2, task_count=60, estimated_run_s=60.0))
-    world.run(20.0)
-    live = [task.job for worker in world.workers.values() for task in worker.live.values()]
-    assert 1 <= live.count(filling) <= len(live) // 4
-    assert not world.broken
+    deployment = SimulatedDeployment(404, 3, teams=teams)
+    deployment.cloud.capacity = 6
+    deployment.run(START_UP_S)
+    filling = submit_filling_array(deployment)
+    deployment.run(40.0)
+    deployment.users.submit(job_spec(2, task_count=60, estimated_run_s=60.0))
+    deployment.run(20.0)
+    live = sum(len(agent.live_tasks) for agent in deployment.agents.values())
+    assert 1 <= count_live(deployment, filling) <= live // 4
+    assert not deployment.rules.violations
--- a/tests/core/scheduling/test_gangs.py
+++ b/tests/core/scheduling/test_gangs.py
@@ -7,119 +7,91 @@
 import pytest
 
 from marblestair.core.state import keys
-from tests.fakes.deployment import spec
-from tests.fakes.world import World
-from tests.helpers import warm
-from tests.scenarios.large_machines import fleet
-
-
-def test_a_gang_larger_than_a_parts_share_gets_the_room_of_the_others() -> None:
-    world = warm(9)
-    # 12 CPUs is the whole limit of the team, of which each part has a third.
-    job = world.submit(spec(1, kind="gang", team="blue", task_count=12, estimated_run_s=5.0))
-    assert world.finish(job, 120.0)
-    at = [t for t, *_ in world.starts]
-    assert len(at) == 12 and max(at) - min(at) < 3.0
-    assert not world.broken
-
-
-def test_work_does_not_wait_beside_a_machine_that_is_kept_for_gangs() -> None:
-    aims = [{"kind": "wait", "class": "g", "within_s": 6.0, "share": 0.9}]
-    world = warm(4210, objectives=aims)
-    world.capacity = 1
-    gang = world.submit(
-        spec(1, kind="gang", job_class="g", task_count=1, cpus=4.0, estimated_run_s=3.0)
+from tests.fakes.agent import FakeAgent
+from tests.fakes.samples import job_spec, wait_objective
+from tests.fakes.simulated_deployment import SimulatedDeployment
+from tests.helpers import led_shards, started
+from tests.scenarios.fleets import medium_fleet, whole_machine_gang
+
+
+def test_a_gang_larger_than_a_shards_quota_gets_that_of_the_others() -> None:
+    deployment = started(9)
+    # 12 CPUs are the whole limit of the team, of which each shard has a third.
+    gang = deployment.users.submit(
+        job_spec(1, kind="gang", team="blue", task_count=12, estimated_run_s=5.0)
     )
-    assert world.finish(gang, 60.0)
-    world.quiet_since = world.now
-    # The class may come again, and once the first array is done the only machine is kept for it.
-    world.submit(spec(2, task_count=4, estimated_run_s=8.0, deadline_s=1000.0))
-    job = world.submit(spec(3, task_count=4, estimated_run_s=3.0, deadline_s=1000.0))
-    assert world.finish("job-000002", 30.0)
-    assert all(
-        "" in controller.fleet_plan.reserved_machines.values()
-        for controller in world.cores.values()
-        if controller is not None
-    )
-    # It goes on a task at a time, so that most of the machine stays the gang's.
-    assert world.until(lambda: any(j == job for _, j, *_ in world.starts), 75.0)
-    world.run(60.0)
-    assert sum(j == job for _, j, *_ in world.starts) >= 2
-    assert world.finish(job, 150.0)
-    assert not world.broken
+    assert deployment.users.wait_until_done(gang, 120.0)
+    started_at = [start.at for start in deployment.tasks.starts]
+    assert len(started_at) == 12
+    assert max(started_at) - min(started_at) < 3.0
+    assert not deployment.rules.violations
 
 
-def test_gangs_of_whole_machines_collect_them_from_all_parts_while_arrays_fill_the_fleet() -> None:
-    world = fleet(8, 3, 9, 300.0)
+def test_whole_machine_gangs_collect_machines_from_all_shards_of_a_full_fleet() -> None:
+    deployment = medium_fleet(8, 3, 9, 300.0)
+    users, tasks = deployment.users, deployment.tasks
     arrays = [
-        world.submit(spec(n, task_count=60, estimated_run_s=12.0, mem_gb=0.5, team="red"))
-        for n in range(1, 7)
+        users.submit(job_spec(number, task_count=60, estimated_run_s=12.0, mem_gb=0.5, team="red"))
+        for number in range(1, 7)
     ]
-    world.run(15.0)
-    asked = world.now
+    deployment.run(15.0)
+    submitted_at = deployment.now
     gangs = [
-        world.submit(
-            spec(
-                n,
-                kind="gang",
-                team="blue",
-                task_count=3,
-                cpus=30.0,
-                mem_gb=20.0,
-                estimated_run_s=10.0,
-            )
-        )
-        for n in (20, 21)
+        users.submit(whole_machine_gang(number, team="blue", task_count=3, estimated_run_s=10.0))
+        for number in (20, 21)
     ]
-    assert world.until(lambda: sum(j in gangs for _, j, *_ in world.starts) == 6, 120.0)
-    for g in gangs:
-        at = [t for t, j, *_ in world.starts if j == g]
-        assert len(at) == 3 and max(at) - min(at) < 3.0 and max(at) - asked < 120.0
-    # The older one came first: they did not each hold half of what both need.
-    first = {g: min(t for t, j, *_ in world.starts if j == g) for g in gangs}
-    assert first[gangs[0]] <= first[gangs[1]]
-    assert all(world.finish(j, 300.0) for j in arrays + gangs)
-    assert not world.broken
+    assert deployment.run_until(
+        lambda: sum(len(tasks.starts_of(gang)) for gang in gangs) == 6, 120.0
+    )
+    first_start = []
+    for gang in gangs:
+        started_at = [start.at for start in tasks.starts_of(gang)]
+        assert len(started_at) == 3
+        assert max(started_at) - min(started_at) < 3.0
+        assert max(started_at) - submitted_at < 120.0
+        first_start.append(min(started_at))
+    # The older one came first: they did not each reserve half of what both need.
+    assert first_start[0] <= first_start[1]
+    assert all(users.wait_until_done(job, 300.0) for job in arrays + gangs)
+    assert not deployment.rules.violations
 
 
 def test_machines_on_their_way_to_a_gang_are_not_rented_once_more() -> None:
-    """Found on simulated rough days: while machines moved to a gang's part the plan missed them."""
-    world = fleet(12, 3, 40, 300.0)
-    job = world.submit(
-        spec(1, kind="gang", task_count=4, cpus=30.0, mem_gb=20.0, estimated_run_s=30.0)
-    )
-    world.run(12.0)
-    core, part = next(
-        (c, p) for c in world.cores.values() if c for p in c.leadership.led_shards() if p.machines
-    )
-    machine = next(iter(part.machines.values()))
+    """Found on simulated rough days: the plan missed machines that moved to a gang's shard."""
+    deployment = medium_fleet(12, 3, 40, 300.0)
+    gang = deployment.users.submit(whole_machine_gang(1, task_count=4, estimated_run_s=30.0))
+    deployment.run(12.0)
+    controller, shard = next(pair for pair in led_shards(deployment) if pair[1].machines)
+    summarize = controller.summarizer.summarize
+    machine = next(iter(shard.machines.values()))
     machine.is_draining = True
-    told = core.summarizer.summarize(part)
-    assert machine.name not in told.leaving_machines and machine.name not in [
-        n for n, _ in told.idle_machines
-    ]
+    summary = summarize(shard)
+    assert machine.name not in summary.leaving_machines
+    assert machine.name not in [name for name, _ in summary.idle_machines]
     machine.is_returning = True
-    assert machine.name in core.summarizer.summarize(part).leaving_machines
+    assert machine.name in summarize(shard).leaving_machines
     machine.is_draining = machine.is_returning = False
-    assert world.finish(job, 90.0)
-    assert sum(x.type.name == "m32" for x in world.workers.values()) == 4
-    assert not world.broken
+    assert deployment.users.wait_until_done(gang, 90.0)
+    rented_types = [agent.machine_type.name for agent in deployment.agents.values()]
+    assert rented_types.count("m32") == 4
+    assert not deployment.rules.violations
 
 
-def test_a_gang_of_a_team_at_its_limit_gets_share_and_machine() -> None:
-    """Found on a simulated steady day: a gang larger than its part's share waited for 450 s. Its
-    team's arrays held the whole limit, so no machine was planned for it, and share that came free
-    in its part was sent to where arrays had room.
+def test_a_gang_of_a_team_at_its_limit_gets_quota_and_a_machine() -> None:
+    """Found on a simulated steady day: a gang larger than its shard's quota waited for 450 s.
+
+    Its team's arrays used the whole limit, so no machine was planned for it, and quota that came
+    free in its shard went where arrays had free capacity.
     """
-    world = World(13)
-    world.run(4.0)
+    deployment = started(13)
+    users, tasks = deployment.users, deployment.tasks
     arrays = [
-        world.submit(spec(n, team="blue", task_count=150, estimated_run_s=4.0)) for n in (1, 2)
+        users.submit(job_spec(number, team="blue", task_count=150, estimated_run_s=4.0))
+        for number in (1, 2)
     ]
-    assert world.until(lambda: len(world.starts) >= 30, 60.0)
-    asked = world.now
-    gang = world.submit(
-        spec(
+    assert deployment.run_until(lambda: len(tasks.starts) >= 30, 60.0)
+    gang = users.submit(
+        job_spec(
             3,
             kind="gang",
             team="blue",
@@ -129,104 +101,126 @@
             priority="high",
         )
     )
-    assert world.until(lambda: any(j == gang for _, j, *_ in world.starts), 40.0), world.now - asked
-    assert all(world.finish(j, 500.0) for j in (*arrays, gang))
-    split = world.state.data[keys.SHARD_MAP][0]
-    assert sum(p[3]["blue"][0] for p in split[1]) == 12_000_000
-    assert not world.broken
-
-
-def test_a_machine_set_aside_for_one_gang_is_no_room_for_another() -> None:
-    world = fleet(14, 3, 9, 300.0)
-    held = world.submit(
-        spec(1, kind="gang", task_count=1, cpus=30.0, mem_gb=20.0, estimated_run_s=4.0)
-    )
-    assert world.finish(held, 60.0)
-    older = world.submit(spec(2, task_count=8, estimated_run_s=60.0))
-    world.run(12.0)
-    core, part, machine = next(
-        (c, p, machine)
-        for c in world.cores.values()
-        if c is not None
-        for p in c.leadership.led_shards()
-        for machine in p.machines.values()
-        if machine.is_usable(c.context.now) and machine.free[0] > 0
+    assert deployment.run_until(lambda: tasks.has_started(gang), 40.0)
+    assert all(users.wait_until_done(job, 500.0) for job in (*arrays, gang))
+    shards = deployment.store.value(keys.SHARD_MAP)[1]
+    assert sum(quotas["blue"][0] for _, _, _, quotas, *_ in shards) == 12_000_000
+    assert not deployment.rules.violations
+
+
+def test_a_machine_reserved_for_one_gang_is_no_free_capacity_for_another() -> None:
+    deployment = medium_fleet(14, 3, 9, 300.0)
+    users = deployment.users
+    first = users.submit(whole_machine_gang(1, task_count=1, estimated_run_s=4.0))
+    assert users.wait_until_done(first, 60.0)
+    older = users.submit(job_spec(2, task_count=8, estimated_run_s=60.0))
+    deployment.run(12.0)
+    controller, shard, machine = next(
+        (controller, shard, machine)
+        for controller, shard in led_shards(deployment)
+        for machine in shard.machines.values()
+        if machine.is_usable(controller.context.now) and machine.free[0] > 0
     )
-    world.set_time(core)
-    core.fleet_plan.reserved_machines = {machine.name: older}
-    free = machine.free[0]
-    rooms = core.summarizer.summarize(part).free_capacity
-    assert core.preemption.is_claimed(machine, "job-000003") and not core.preemption.is_claimed(
-        machine, older
+    deployment.nodes.set_time(controller)
+    controller.fleet_plan.reserved_machines = {machine.name: older}
+    free_cpus = machine.free[0]
+    while_reserved = controller.summarizer.summarize(shard).free_capacity
+    assert controller.preemption.is_claimed(machine, "job-000003")
+    assert not controller.preemption.is_claimed(machine, older)
+    controller.fleet_plan.reserved_machines = {}
+    # Published to the others, too, only once it is not reserved.
+    published = controller.summarizer.summarize(shard).free_capacity
+    assert len(published) == len(while_reserved) + 1
+    assert free_cpus in [capacity[3] for capacity in published]
+    assert users.wait_until_done(older, 200.0)
+    assert not deployment.rules.violations
+
+
+def test_work_does_not_wait_beside_a_machine_that_is_reserved_for_gangs() -> None:
+    deployment = started(4210, objectives=[wait_objective(6.0)])
+    users, tasks = deployment.users, deployment.tasks
+    deployment.cloud.capacity = 1
+    gang = users.submit(
+        job_spec(1, kind="gang", job_class="g", task_count=1, cpus=4.0, estimated_run_s=3.0)
     )
-    core.fleet_plan.reserved_machines = {}
-    # Told to the others, too, only once it is nobody's.
-    now = core.summarizer.summarize(part).free_capacity
-    assert len(now) == len(rooms) + 1 and free in [r[3] for r in now]
-    assert world.finish(older, 200.0)
-    assert not world.broken
+    assert users.wait_until_done(gang, 60.0)
+    deployment.rules.failures_ended_at = deployment.now
+    # The class may come again, and once the first array is done the only machine is reserved for
+    # it.
+    first = users.submit(job_spec(2, task_count=4, estimated_run_s=8.0, deadline_s=1000.0))
+    second = users.submit(job_spec(3, task_count=4, estimated_run_s=3.0, deadline_s=1000.0))
+    assert users.wait_until_done(first, 30.0)
+    for controller in deployment.nodes.running:
+        assert "" in controller.fleet_plan.reserved_machines.values()
+    # It goes on a task at a time, so that most of the machine stays the gang's.
+    assert deployment.run_until(lambda: tasks.has_started(second), 75.0)
+    deployment.run(60.0)
+    assert len(tasks.starts_of(second)) >= 2
+    assert users.wait_until_done(second, 150.0)
+    assert not deployment.rules.violations
+
+
+def fail_at_random(deployment: SimulatedDeployment, agent: FakeAgent, rng: random.Random) -> None:
+    """Have an agent fail for good or for a while, or restart."""
+    failure = rng.choice(["die", "hang", "cut", "back"])
+    if failure == "die":
+        agent.is_unresponsive = True
+    elif failure == "hang":
+        agent.hang(rng.uniform(2.0, 14.0))
+    elif failure == "cut":
+        deployment.network.isolate(agent.name, delay=True)
+        deployment.schedule(rng.uniform(2.0, 16.0), deployment.network.heal)
+    else:
+        agent.restart()
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_a_gang_is_never_left_half_started(seed: int) -> None:
-    """Some of its machines fall at any moment between the first launch and the end: it is
-    completed, started again whole, or stopped whole, and what it holds comes free.
+    """Some of its agents fail at any moment between the first launch and the end.
+
+    It is completed, started again whole, or stopped whole, and what it uses comes free.
     """
     rng = random.Random(seed)
-    world = warm(3200 + seed)
-    world.copies = 0.05
-    gang = world.submit(
-        spec(
+    deployment = started(3200 + seed)
+    users = deployment.users
+    deployment.agent_link.duplicate_ratio = 0.05
+    gang = users.submit(
+        job_spec(
             1, kind="gang", task_count=4, cpus=4.0, estimated_run_s=12.0, checkpoint_interval_s=4.0
         )
     )
-    assert world.until(lambda: any(j == gang for _, j, *_ in world.starts), 60.0)
-    world.run(rng.uniform(0.0, 14.0))
-    for worker in [
-        worker for worker in world.workers.values() if worker.live and not worker.deleted
-    ]:
+    assert deployment.run_until(lambda: deployment.tasks.has_started(gang), 60.0)
+    deployment.run(rng.uniform(0.0, 14.0))
+    for agent in deployment.busy_agents:
         if rng.random() < 0.4:
-            how = rng.choice(["die", "hang", "cut", "back"])
-            if how == "die":
-                worker.hung = True
-            elif how == "hang":
-                worker.hung = True
-                world.at(rng.uniform(2.0, 14.0), lambda m=worker: setattr(m, "hung", False))
-            elif how == "cut":
-                world.isolate(worker.name, hold=True)
-                world.at(rng.uniform(2.0, 16.0), world.heal)
-            else:
-                worker.back_at_once()
+            fail_at_random(deployment, agent, rng)
     if rng.random() < 0.3:
-        world.kill(rng.choice(world.node_names), back_after=rng.uniform(0.2, 8.0))
+        name = rng.choice(deployment.nodes.names)
+        deployment.nodes.kill(name, restart_after_s=rng.uniform(0.2, 8.0))
     half_since: float | None = None
-    end = world.now + 240.0
-    while world.now < end and world.state_of(gang) != "done":
-        world.run(0.5)
-        heard = [
+    end = deployment.now + 240.0
+    while deployment.now < end and users.state_of(gang) != "done":
+        deployment.run(0.5)
+        responsive = [
             task
-            for worker in world.workers.values()
-            if not worker.deleted and not worker.hung
-            for task in worker.live.values()
-            if task.job == gang
+            for agent in deployment.agents.values()
+            if not agent.is_released and not agent.is_unresponsive
+            for task in agent.tasks_of(gang)
         ]
-        if 0 < len(heard) < 4:
-            half_since = world.now if half_since is None else half_since
+        if 0 < len(responsive) < 4:
+            half_since = deployment.now if half_since is None else half_since
             # The wait for the rest is bounded: by a lease, and the time the others may take.
-            assert world.now - half_since < 2.5 * world.lease_s + 30.0, [
-                task.state for task in heard
-            ]
+            assert deployment.now - half_since < 2.5 * deployment.lease_s + 30.0
         else:
             half_since = None
-    assert world.state_of(gang) == "done"
-    world.run(5.0)
-    held = [
-        task
-        for worker in world.workers.values()
-        if not worker.hung
-        for task in worker.live.values()
-        if task.job == gang
+    assert users.state_of(gang) == "done"
+    deployment.run(5.0)
+    assert not [
+        agent.name
+        for agent in deployment.agents.values()
+        if not agent.is_unresponsive and agent.tasks_of(gang)
     ]
-    assert not held and not world.broken
-    # What it held serves others.
-    assert world.finish(world.submit(spec(2, task_count=12, estimated_run_s=3.0)), 120.0)
+    assert not deployment.rules.violations
+    # What it used serves others.
+    other = users.submit(job_spec(2, task_count=12, estimated_run_s=3.0))
+    assert users.wait_until_done(other, 120.0)
--- a/tests/core/scheduling/test_placement.py
+++ b/tests/core/scheduling/test_placement.py
@@ -2,16 +2,20 @@
 
 from __future__ import annotations
 
-from tests.fakes.deployment import spec
-from tests.helpers import warm
+from tests.fakes.samples import job_spec
+from tests.helpers import started
 
 
-def test_together_and_scatter() -> None:
-    world = warm(10)
-    a = world.submit(spec(1, task_count=8, single_zone=True))
-    b = world.submit(spec(2, task_count=5, spread_zones=True, kind="gang", zone=None))
-    c = world.submit(spec(3, task_count=3, zone="b"))
-    assert world.finish(a, 120.0) and world.finish(c, 120.0) and world.finish(b, 200.0)
-    assert not world.broken
-    # Five tasks apart: three at most in one zone, so two zones were used.
-    assert len({world.workers[m].zone for _, j, _, m, _ in world.starts if j == b}) == 2
+def test_jobs_of_one_zone_and_gangs_spread_over_zones() -> None:
+    deployment = started(10)
+    users = deployment.users
+    together = users.submit(job_spec(1, task_count=8, single_zone=True))
+    spread = users.submit(job_spec(2, task_count=5, spread_zones=True, kind="gang", zone=None))
+    in_zone_b = users.submit(job_spec(3, task_count=3, zone="b"))
+    assert users.wait_until_done(together, 120.0)
+    assert users.wait_until_done(in_zone_b, 120.0)
+    assert users.wait_until_done(spread, 200.0)
+    assert not deployment.rules.violations
+    # Five tasks spread over zones: three at most in one, so two zones were used.
+    machines = deployment.tasks.machines_of(spread)
+    assert len({deployment.agents[name].zone for name in machines}) == 2
--- a/tests/core/scheduling/test_preemption.py
+++ b/tests/core/scheduling/test_preemption.py
@@ -2,50 +2,75 @@
 
 from __future__ import annotations
 
-from typing import Any
+from collections.abc import Sequence
 
-import msgspec
+from marblestair.core.domain.agents import CommandVerb, TaskCommand
+from tests.fakes.samples import job_spec, wait_objective
+from tests.helpers import started
+from tests.scenarios.fleets import FLEET_AGENTS, TEAM_NAMES, large_fleet, submit_arrays
 
-from tests.fakes.deployment import spec
-from tests.helpers import warm
-from tests.scenarios.fleets import WORKERS, fill, fleet
 
-
-def test_a_hurried_gang_of_higher_priority_stops_arrays_on_its_machine() -> None:
-    aims = [{"kind": "wait", "class": "g", "within_s": 4.0, "share": 0.9}]
-    world = warm(38, objectives=aims)
-    world.capacity = 1
-    low = world.submit(spec(1, task_count=16, estimated_run_s=60.0, machine_types=["t8"]))
-    assert world.until(lambda: len(world.starts) >= 8, 30.0)
-    world.run(3.0)
-    asked = world.now
-    gang = world.submit(
-        spec(2, kind="gang", task_count=2, cpus=4.0, job_class="g", priority="high")
+def test_a_latency_sensitive_gang_of_higher_priority_preempts_arrays() -> None:
+    deployment = started(38, objectives=[wait_objective(4.0)])
+    users, tasks = deployment.users, deployment.tasks
+    deployment.cloud.capacity = 1
+    low = users.submit(job_spec(1, task_count=16, estimated_run_s=60.0, machine_types=["t8"]))
+    assert deployment.run_until(lambda: len(tasks.starts) >= 8, 30.0)
+    deployment.run(3.0)
+    submitted_at = deployment.now
+    gang = users.submit(
+        job_spec(2, kind="gang", task_count=2, cpus=4.0, job_class="g", priority="high")
+    )
+    assert users.wait_until_done(gang, 60.0)
+    starts = tasks.starts_of(gang)
+    assert len(starts) == 2
+    assert max(start.at for start in starts) - submitted_at < 8.0
+    assert users.wait_until_done(low, 400.0)
+    # Work of the same priority is not preempted.
+    count = len(tasks.starts)
+    same = users.submit(
+        job_spec(3, task_count=8, estimated_run_s=40.0, machine_types=["t8"], priority="high")
     )
-    assert world.finish(gang, 60.0)
-    at = [t for t, job, *_ in world.starts if job == gang]
-    assert len(at) == 2 and max(at) - asked < 8.0
-    assert world.finish(low, 400.0)
-    # Work of the same priority is not stopped.
-    n = len(world.starts)
-    low = world.submit(
-        spec(3, task_count=8, estimated_run_s=40.0, machine_types=["t8"], priority="high")
+    assert deployment.run_until(lambda: len(tasks.starts) >= count + 8, 30.0)
+    submitted_at = deployment.now
+    gang = users.submit(
+        job_spec(4, kind="gang", task_count=2, cpus=4.0, job_class="g", priority="high")
     )
-    assert world.until(lambda: len(world.starts) >= n + 8, 30.0)
-    asked = world.now
-    gang = world.submit(
-        spec(4, kind="gang", task_count=2, cpus=4.0, job_class="g", priority="high")
+    assert users.wait_until_done(gang, 200.0)
+    assert min(start.at for start in tasks.starts_of(gang)) - submitted_at > 15.0
+    assert len(tasks.starts_of(same)) == 8
+    assert not deployment.rules.violations
+
+
+def test_a_latency_sensitive_gang_gets_quota_from_its_teams_own_arrays() -> None:
+    """Found on a simulated steady day: arrays used their team's whole limit.
+
+    The team's urgent gangs waited for minutes. The class had two objectives, too, and only the
+    longer one counted.
+    """
+    deployment = started(42, objectives=[wait_objective(4.0), wait_objective(60.0, 0.97)])
+    users, tasks = deployment.users, deployment.tasks
+    arrays = users.submit(job_spec(1, team="blue", task_count=40, estimated_run_s=60.0))
+    assert deployment.run_until(lambda: len(tasks.starts) >= 12, 40.0)
+    deployment.run(3.0)
+    submitted_at = deployment.now
+    gang = users.submit(
+        job_spec(
+            2, kind="gang", team="blue", task_count=1, cpus=4.0, job_class="g", priority="high"
+        )
     )
-    assert world.finish(gang, 200.0)
-    assert min(t for t, job, *_ in world.starts if job == gang) - asked > 15.0
-    assert sum(job == low for _, job, *_ in world.starts) == 8
-    assert not world.broken
+    assert deployment.run_until(lambda: tasks.has_started(gang), 12.0)
+    assert deployment.now - submitted_at < 12.0
+    assert users.wait_until_done(gang, 60.0)
+    assert users.wait_until_done(arrays, 500.0)
+    assert not deployment.rules.violations
 
 
-def test_a_spot_notice_saves_what_can_be_saved_and_settles_the_rest_early() -> None:
-    world = warm(39)
-    saves = world.submit(
-        spec(
+def test_a_reclaim_notice_saves_checkpoints_and_reconciles_the_rest_early() -> None:
+    deployment = started(39)
+    users, tasks = deployment.users, deployment.tasks
+    with_checkpoints = users.submit(
+        job_spec(
             1,
             kind="gang",
             task_count=2,
@@ -55,76 +80,67 @@
             checkpoint_save_s=2.0,
         )
     )
-    plain = world.submit(spec(2, task_count=4, estimated_run_s=90.0))
-    world.run(20.0)
-    assert {j for _, j, *_ in world.starts} == {saves, plain}
-    began = len(world.starts)
-    orders: list[Any] = []
-    for worker in world.workers.values():
-        worker.notice = world.now + 10.0
-        obey = worker.obey
-        worker.obey = lambda o, obey=obey: (orders.extend(o), obey(o))[1]  # type: ignore[method-assign]
-        world.at(10.0, lambda m=worker: (setattr(m, "deleted", True), m.tasks.clear()))
-    world.run(9.9)
-    stops = [o for o in orders if o.verb == "stop"]
-    assert {(o.job, o.grace_s) for o in stops} == {(saves, 2.0)}
-    assert len({o.index for o in stops}) == 2
-    gone = world.now
-    assert world.until(lambda: len(world.starts) >= began + 6, 30.0)
-    # The arrays' tasks did not have to wait for their machines' leases to run out.
-    again = [t for t, j, *_ in world.starts[began:] if j == plain]
-    assert min(again) - gone < world.lease_s + 3.0
-    assert world.finish(saves, 300.0) and world.finish(plain, 300.0)
-    assert not world.broken
+    without = users.submit(job_spec(2, task_count=4, estimated_run_s=90.0))
+    deployment.run(20.0)
+    assert {start.job for start in tasks.starts} == {with_checkpoints, without}
+    starts_before = len(tasks.starts)
+    commands: list[TaskCommand] = []
+    for agent in deployment.agents.values():
+        execute = agent.execute_commands
 
+        def record(received: Sequence[TaskCommand], execute=execute) -> None:
+            commands.extend(received)
+            execute(received)
 
-def test_a_hurried_gang_gets_its_teams_share_from_the_teams_own_arrays() -> None:
-    """Found on a simulated steady day: a team's arrays held its whole limit, and its urgent gangs
-    waited for minutes. The class had two aims, too, and only the longer one was looked at.
-    """
-    aims = [
-        {"kind": "wait", "class": "g", "within_s": 4.0, "share": 0.9},
-        {"kind": "wait", "class": "g", "within_s": 60.0, "share": 0.97},
-    ]
-    world = warm(42, objectives=aims)
-    low = world.submit(spec(1, team="blue", task_count=40, estimated_run_s=60.0))
-    assert world.until(lambda: len(world.starts) >= 12, 40.0)
-    world.run(3.0)
-    asked = world.now
-    gang = world.submit(
-        spec(2, kind="gang", team="blue", task_count=1, cpus=4.0, job_class="g", priority="high")
-    )
-    assert world.until(lambda: any(j == gang for _, j, *_ in world.starts), 12.0)
-    assert world.now - asked < 12.0
-    assert world.finish(gang, 60.0) and world.finish(low, 500.0)
-    assert not world.broken
+        agent.execute_commands = record  # type: ignore[method-assign]
+        agent.reclaim_at = deployment.now + 10.0
+        deployment.schedule(10.0, agent.release)
+    deployment.run(9.9)
+    stops = [command for command in commands if command.verb == CommandVerb.STOP]
+    assert {(stop.job, stop.grace_s) for stop in stops} == {(with_checkpoints, 2.0)}
+    assert len({stop.index for stop in stops}) == 2
+    reclaimed_at = deployment.now
+    assert deployment.run_until(lambda: len(tasks.starts) >= starts_before + 6, 30.0)
+    # The arrays' tasks did not have to wait for their agents' leases to expire.
+    restarts = [start.at for start in tasks.starts[starts_before:] if start.job == without]
+    assert min(restarts) - reclaimed_at < deployment.lease_s + 3.0
+    assert users.wait_until_done(with_checkpoints, 300.0)
+    assert users.wait_until_done(without, 300.0)
+    assert not deployment.rules.violations
 
 
-def test_a_cleared_machine_takes_its_gang_with_the_report_that_shows_it() -> None:
-    """Found on simulated days: once reports filled their own machine, one that was being cleared
-    for an urgent gang was passed over, and the gang waited for a tick and one more report.
+def test_a_cleared_machine_starts_its_gang_with_the_heartbeat_that_shows_it() -> None:
+    """Found on simulated days: a machine that was being cleared for an urgent gang was passed over.
+
+    That was once heartbeats filled their own machine; the gang waited for a tick and one more
+    heartbeat.
     """
-    aims = [{"kind": "wait", "class": "g", "within_s": 6.0, "share": 0.9}]
-    teams = [{"name": n, "cpus": 90.0, "cpus_max": 200.0} for n in ("red", "blue")]
-    world = fleet(26, 6, 1, objectives=aims, teams=teams)
-    arrays = fill(world, 1, 6, 200, estimated_run_s=30.0, deadline_s=None, allows_spot=False)
-    world.run(40.0)
-    waits = []
-    for n in range(50, 56):
-        s = spec(
-            n,
-            kind="gang",
-            job_class="g",
-            task_count=1,
-            cpus=15.0,
-            mem_gb=20.0,
-            estimated_run_s=15.0,
+    teams = [{"name": name, "cpus": 90.0, "cpus_max": 200.0} for name in TEAM_NAMES]
+    deployment = large_fleet(26, 6, 1, objectives=[wait_objective(6.0)], teams=teams)
+    arrays = submit_arrays(
+        deployment, 1, 6, 200, estimated_run_s=30.0, deadline_s=None, allows_spot=False
+    )
+    deployment.run(40.0)
+    waits: list[float] = []
+    for number in range(50, 56):
+        gang = deployment.users.submit(
+            job_spec(
+                number,
+                kind="gang",
+                job_class="g",
+                task_count=1,
+                cpus=15.0,
+                mem_gb=20.0,
+                estimated_run_s=15.0,
+                priority="high",
+                team=TEAM_NAMES[number % 2],
+            )
         )
-        s = msgspec.structs.replace(s, priority="high", team=("red", "blue")[n % 2])
-        gang, asked = world.submit(s), world.now
-        world.run(20.0)
-        waits += [t - asked for t, j, *_ in world.starts if j == gang]
-    assert len(waits) == 6, "each found room by stopping arrays"
-    # The stop goes out at once, the worker reports the change half a second later.
-    assert sorted(waits)[3] < 0.4 * WORKERS["report_s"], waits
-    assert all(world.finish(j, 600.0) for j in arrays) and not world.broken
+        submitted_at = deployment.now
+        deployment.run(20.0)
+        waits += [start.at - submitted_at for start in deployment.tasks.starts_of(gang)]
+    assert len(waits) == 6, "each preempts arrays"
+    # The stop goes out at once, the agent reports the change half a second later.
+    assert sorted(waits)[3] < 0.4 * FLEET_AGENTS["report_s"]
+    assert all(deployment.users.wait_until_done(job, 600.0) for job in arrays)
+    assert not deployment.rules.violations
--- a/tests/core/scheduling/test_quota.py
+++ b/tests/core/scheduling/test_quota.py
@@ -2,17 +2,18 @@
 
 from __future__ import annotations
 
-from tests.fakes.deployment import spec
-from tests.helpers import warm
+from tests.fakes.samples import job_spec
+from tests.helpers import started
 
 
-def test_quota_holds_across_handovers() -> None:
-    world = warm(8)
+def test_the_limit_of_a_team_holds_across_failovers() -> None:
+    deployment = started(8)
     jobs = [
-        world.submit(spec(i, team="blue", task_count=20, estimated_run_s=8.0)) for i in range(1, 3)
+        deployment.users.submit(job_spec(number, team="blue", task_count=20, estimated_run_s=8.0))
+        for number in (1, 2)
     ]
-    for n in range(6):
-        world.run(7.0)
-        world.kill(world.node_names[n % 3], back_after=2.0)
-    assert all(world.finish(j, 400.0) for j in jobs)
-    assert not world.broken
+    for number in range(6):
+        deployment.run(7.0)
+        deployment.nodes.kill(deployment.nodes.names[number % 3], restart_after_s=2.0)
+    assert all(deployment.users.wait_until_done(job, 400.0) for job in jobs)
+    assert not deployment.rules.violations
--- a/tests/core/scheduling/test_starvation.py
+++ b/tests/core/scheduling/test_starvation.py
@@ -5,69 +5,72 @@
 from marblestair.core.domain.machines import MachineType
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
-from tests.fakes.deployment import spec
-from tests.fakes.world import World
-from tests.helpers import warm
+from tests.fakes.samples import job_spec
+from tests.fakes.simulated_deployment import SimulatedDeployment
+from tests.helpers import started
+
+#: task counts of the jobs of a flood, in turn
+FLOOD_SIZES = [4, 4, 4, 4, 30]
+#: time in which the largest jobs have to begin
+MAX_WAIT_S = 240.0
 
 
 def test_in_a_flood_the_largest_jobs_begin_and_every_job_stays_known() -> None:
-    world = warm(90)
-    world.capacity = 3
-    sizes = [4, 4, 4, 4, 30]
-    jobs: dict[str, int] = {}
-    # Several times what the fleet can do, all of it dated, the large ones hopeless from the start.
-    for n in range(1, 61):
-        size = sizes[n % 5]
-        s = spec(
-            n, task_count=size, estimated_run_s=12.0, deadline_s=30.0, team=["red", "blue"][n % 2]
+    deployment = started(90)
+    deployment.cloud.capacity = 3
+    # Several times what the fleet can do, all with deadlines, which the large ones never meet.
+    sizes = {}
+    for number in range(1, 61):
+        size = FLOOD_SIZES[number % 5]
+        job = deployment.users.submit(
+            job_spec(
+                number,
+                task_count=size,
+                estimated_run_s=12.0,
+                deadline_s=30.0,
+                team=["red", "blue"][number % 2],
+            )
         )
-        jobs[world.submit(s)] = size
-        world.run(2.0)
-    world.run(200.0)
-    began: dict[str, float] = {}
-    for t, job, *_ in world.starts:
-        began.setdefault(job, t)
-    large = [j for j, n in jobs.items() if n == 30 and world.now - world.accepted[j] > 240.0]
+        sizes[job] = size
+        deployment.run(2.0)
+    deployment.run(200.0)
+    accepted_at = deployment.rules.accepted_at
+    large = [
+        job
+        for job, size in sizes.items()
+        if size == 30 and deployment.now - accepted_at[job] > MAX_WAIT_S
+    ]
     assert len(large) >= 8
-    assert all(began.get(j, 1e9) - world.accepted[j] < 240.0 for j in large)
-    assert not world.unanswered()
-    assert not world.broken
+    for job in large:
+        assert deployment.tasks.starts_of(job)[0].at - accepted_at[job] < MAX_WAIT_S
+    assert not deployment.users.unanswered_jobs()
+    assert not deployment.rules.violations
+
 
+def test_jobs_that_waited_long_share_a_quarter_of_the_free_capacity() -> None:
+    """Found on simulated days of a team at its limit: large old jobs delayed all others.
 
-def test_what_has_waited_long_shares_its_quarter_of_the_room() -> None:
-    """Found on simulated days of a team at its limit: each old slice could take the whole quarter
-    from a machine that reported, and so large old jobs kept the rest from ending in time.
+    Each old slice could take the whole quarter from a machine whose heartbeat came.
     """
-    world = World(25, 1, teams=[{"name": "red", "cpus": 0.0, "cpus_max": 64.0}])
-    world.run(3.0)
-    controller = world.cores["n0"]
-    assert controller is not None
-    world.set_time(controller)
+    deployment = SimulatedDeployment(25, 1, teams=[{"name": "red", "cpus": 0.0, "cpus_max": 64.0}])
+    deployment.run(3.0)
+    controller = deployment.nodes.current("n0")
+    context = controller.context
     shard = controller.leadership.led_shards()[0]
-    machine = Machine("host-1", "t64", "a", False, controller.context.now)
+    machine = Machine("host-1", "t64", "a", False, context.now)
     machine.set_machine_type(MachineType("t64", 64.0, 0.0, 256.0, 50.0, 1.0, 1.0, 0.3, 5.0, ["a"]))
     shard.add_machine(machine)
-    machine.is_reconciled, machine.last_heartbeat_at = True, controller.context.now
-    for n in range(1, 9):
-        job_slice = JobSlice(
-            spec(n, task_count=160, accepted_at=controller.context.wall_time - 200.0)
-        )
+    machine.is_reconciled, machine.last_heartbeat_at = True, context.now
+    for number in range(1, 9):
+        spec = job_spec(number, task_count=160, accepted_at=context.wall_time - 200.0)
+        job_slice = shard.slices[spec.id] = JobSlice(spec)
         job_slice.ranges, job_slice.size = [[0, 160]], 160
         job_slice.pending.add(0, 160)
-        shard.slices[job_slice.spec.id] = job_slice
     machine.free[0] = 0
     controller.dispatcher.place_all(shard)
     assert not machine.tasks
     machine.free[0] = 30_000_000
     controller.dispatcher.fill_machine(shard, machine)
-    # A quarter of 64 for the first helpings, a task for each that got none; then the usual order.
-    assert [len(job_slice.placed_on) for job_slice in shard.slices.values()] == [
-        18,
-        6,
-        1,
-        1,
-        1,
-        1,
-        1,
-        1,
-    ]
+    # A quarter of 64 goes to the first ones, a task to each that got none; then the usual order.
+    placed = [len(job_slice.placed_on) for job_slice in shard.slices.values()]
+    assert placed == [18, 6, 1, 1, 1, 1, 1, 1]
--- a/tests/core/shard/test_boot_times.py
+++ b/tests/core/shard/test_boot_times.py
@@ -5,33 +5,33 @@
 import pytest
 
 from marblestair.core.shard.boot_times import MOST_RATIO, BootTimes
-from tests.fakes.deployment import TYPES
+from tests.fakes.samples import MACHINE_TYPES
 
-KIND = TYPES[0]
+SMALL_TYPE, LARGE_TYPE = MACHINE_TYPES
 
 
 def test_a_machine_is_overdue_after_the_usual_time_and_a_half() -> None:
-    boots = BootTimes()
-    assert not boots.is_overdue(KIND, 1.5 * KIND.boot_s, 0.0)
-    assert boots.is_overdue(KIND, 1.7 * KIND.boot_s, 0.0)
-    assert boots.give_up_after_s(KIND, 0.0) == 3.0 * KIND.boot_s
-
-
-def test_boots_that_take_longer_are_expected_to_for_a_while() -> None:
-    boots = BootTimes()
-    for at in range(8):
-        boots.record(KIND, 3.0 * KIND.boot_s, float(at))
-    assert not boots.is_overdue(KIND, 4.0 * KIND.boot_s, 10.0)
-    assert boots.give_up_after_s(KIND, 10.0) == pytest.approx(6.0 * KIND.boot_s)
+    boot_times = BootTimes()
+    assert not boot_times.is_overdue(SMALL_TYPE, 1.5 * SMALL_TYPE.boot_s, 0.0)
+    assert boot_times.is_overdue(SMALL_TYPE, 1.7 * SMALL_TYPE.boot_s, 0.0)
+    assert boot_times.give_up_after_s(SMALL_TYPE, 0.0) == 3.0 * SMALL_TYPE.boot_s
+
+
+def test_slow_boots_are_expected_for_a_while_after_some_were_slow() -> None:
+    boot_times = BootTimes()
+    for second in range(8):
+        boot_times.record(SMALL_TYPE, 3.0 * SMALL_TYPE.boot_s, float(second))
+    assert not boot_times.is_overdue(SMALL_TYPE, 4.0 * SMALL_TYPE.boot_s, 10.0)
+    assert boot_times.give_up_after_s(SMALL_TYPE, 10.0) == pytest.approx(6.0 * SMALL_TYPE.boot_s)
     # Other types are not concerned, and it is forgotten.
-    assert boots.is_overdue(TYPES[1], 4.0 * TYPES[1].boot_s, 10.0)
-    assert boots.is_overdue(KIND, 4.0 * KIND.boot_s, 100.0)
+    assert boot_times.is_overdue(LARGE_TYPE, 4.0 * LARGE_TYPE.boot_s, 10.0)
+    assert boot_times.is_overdue(SMALL_TYPE, 4.0 * SMALL_TYPE.boot_s, 100.0)
 
 
 def test_what_is_learned_is_bounded() -> None:
-    boots = BootTimes()
-    boots.record(KIND, 1000.0 * KIND.boot_s, 0.0)
-    assert boots.expected_ratio(KIND, 1.0) == MOST_RATIO
-    boots = BootTimes()
-    boots.record(KIND, 0.0, 0.0)
-    assert boots.expected_ratio(KIND, 1.0) == 1.0
+    boot_times = BootTimes()
+    boot_times.record(SMALL_TYPE, 1000.0 * SMALL_TYPE.boot_s, 0.0)
+    assert boot_times.expected_ratio(SMALL_TYPE, 1.0) == MOST_RATIO
+    boot_times = BootTimes()
+    boot_times.record(SMALL_TYPE, 0.0, 0.0)
+    assert boot_times.expected_ratio(SMALL_TYPE, 1.0) == 1.0
--- a/tests/core/test_peer_service.py
+++ b/tests/core/test_peer_service.py
@@ -2,16 +2,15 @@
 
 from __future__ import annotations
 
-from tests.fakes.peer_wire import WireMessage, deliver
+from tests.fakes.peer_wire import deliver
+from tests.fakes.simulated_deployment import SimulatedDeployment
+from tests.fakes.wire_message import WireMessage
 
 
-def test_malformed_notes_do_not_end_the_core() -> None:
-    from tests.fakes.world import World
-
-    world = World(1)
-    world.run(3.0)
-    controller = world.cores["n0"]
-    assert controller is not None
+def test_malformed_messages_do_not_end_the_controller() -> None:
+    deployment = SimulatedDeployment(1)
+    deployment.run(3.0)
+    controller = deployment.nodes.controller("n0")
     for tag, arguments in (
         ("summaries", []),
         ("summaries", [controller.view.nodes["n1"], [["x"]]]),
@@ -22,4 +21,4 @@
     lines = controller.context.outbox.log_lines
     assert sum(line.level == "error" for line in lines) == 3
     lines.clear()
-    world.run(1.0)
+    deployment.run(1.0)
--- a/tests/core/test_status.py
+++ b/tests/core/test_status.py
@@ -4,35 +4,39 @@
 
 from typing import Any
 
-from tests.fakes.deployment import spec
-from tests.fakes.peer_wire import WireMessage, deliver_request
-from tests.helpers import manager_of, running, warm
+from tests.fakes.peer_wire import deliver_request
+from tests.fakes.samples import job_spec
+from tests.fakes.wire_message import WireMessage
+from tests.helpers import manager_of, started
 
 
-def test_the_status_view_shows_parts_terms_shares_and_backlog() -> None:
-    world = warm(35)
-    world.submit(spec(1, task_count=9, estimated_run_s=30.0))
-    world.run(3.0)
-    controller = world.cores["n1"]
-    assert controller is not None
-    out: list[Any] = []
-    world._waiters[999_999] = out.append
-    deliver_request(controller, 999_999, "operator", WireMessage("status", []))
-    world.flush("n1")
-    s = out[0]
-    assert s["node"] == "n1" and s["acts_for"] == [1] and s["live_jobs"] == 1
-    assert [p["owner"] for p in s["parts"]] == ["n0", "n1", "n2"]
-    assert sum(p["shares_cpus"]["red"] for p in s["parts"]) == 24.0
-    assert all(p["term"] > 0 and p["backlog_cpus"] is not None for p in s["parts"])
+def test_the_status_shows_shards_terms_quotas_and_backlog() -> None:
+    deployment = started(35)
+    deployment.users.submit(job_spec(1, task_count=9, estimated_run_s=30.0))
+    deployment.run(3.0)
+    controller = deployment.nodes.controller("n1")
+    replies: list[Any] = []
+    number = deployment.peer_link.expect_reply(replies.append, "status")
+    deliver_request(controller, number, "operator", WireMessage("status", []))
+    deployment.nodes.flush("n1")
+    [status] = replies
+    assert status["node"] == "n1"
+    assert status["acts_for"] == [1]
+    assert status["live_jobs"] == 1
+    shards = status["parts"]
+    assert [shard["owner"] for shard in shards] == ["n0", "n1", "n2"]
+    assert sum(shard["shares_cpus"]["red"] for shard in shards) == 24.0
+    assert all(shard["term"] > 0 for shard in shards)
+    assert all(shard["backlog_cpus"] is not None for shard in shards)
     assert "operator" not in controller.connectivity.last_received_at
 
 
-def test_operators_see_what_a_waiting_job_waits_for() -> None:
-    world = warm()
-    parent = world.submit(spec(1, task_count=1, estimated_run_s=60.0))
-    child = world.submit(spec(2, depends_on=[parent]))
-    world.run(1.0)
-    shown = running(world, manager_of(world, child)).status_report.collect()["waiting"]
-    assert shown == [
+def test_the_status_shows_what_a_waiting_job_depends_on() -> None:
+    deployment = started()
+    parent = deployment.users.submit(job_spec(1, task_count=1, estimated_run_s=60.0))
+    child = deployment.users.submit(job_spec(2, depends_on=[parent]))
+    deployment.run(1.0)
+    manager = deployment.nodes.current(manager_of(deployment, child))
+    assert manager.status_report.collect()["waiting"] == [
         {"job": child, "awaits": [parent], "awaits_in_all": 1, "ancestor_cancelled": False}
     ]
--- /dev/null
+++ b/tests/fakes/agent.py
@@ -0,0 +1,369 @@
+"""An agent of the simulated deployment, on its rented machine, with its tasks."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from marblestair.core.domain.agents import (
+    CommandVerb,
+    ExitReason,
+    Heartbeat,
+    TaskCommand,
+    TaskState,
+    TaskStatus,
+)
+from marblestair.core.domain.jobs import JobKind
+from marblestair.core.domain.machines import MachineType
+from marblestair.core.shard.heartbeat_response import HeartbeatResponse
+
+if TYPE_CHECKING:
+    from tests.fakes.simulated_deployment import SimulatedDeployment
+
+#: pace at which tasks go on
+STEP_S = 0.25
+#: how often an unresponsive agent tries again what it cannot do now
+UNRESPONSIVE_RETRY_S = 0.5
+#: pause between two heartbeats: at least, at most
+MIN_HEARTBEAT_PAUSE_S, MAX_HEARTBEAT_PAUSE_S = 0.75, 1.25
+#: time after which an agent gives up on a response
+RESPONSE_TIMEOUT_S = 4.0
+#: pause before the next node after a refusal or a timeout
+NEXT_NODE_PAUSE_S = 1.0
+#: longest pause before the node that a refusal names
+MAX_REDIRECT_PAUSE_S = 0.5
+#: pause before the first heartbeat of a new incarnation: after a lost lease, and after a restart
+LEASE_LOST_PAUSE_S = 0.1
+MIN_RESTART_S, MAX_RESTART_S = 0.05, 0.5
+#: class of the jobs whose tasks all fail
+FAILING_CLASS = "bad"
+
+
+class FakeTask:
+    """A task on an agent's machine."""
+
+    def __init__(self, job: str, index: int, attempt: int) -> None:
+        self.job, self.index, self.attempt = job, index, attempt
+        self.state = TaskState.FETCHING
+        self.exit_reason = ExitReason.NONE
+        self.remaining_s = 0.0
+        self.fetch_remaining_s = 0.0
+        #: how long it has waited for the other tasks of its gang
+        self.gang_wait_s = 0.0
+
+    def exit(self, reason: ExitReason) -> None:
+        """End the task."""
+        self.state, self.exit_reason = TaskState.EXITED, reason
+
+    @property
+    def is_live(self) -> bool:
+        """Whether the task has not ended."""
+        return self.state != TaskState.EXITED
+
+
+class FakeAgent:
+    """One rented machine with its agent."""
+
+    def __init__(
+        self,
+        deployment: SimulatedDeployment,
+        name: str,
+        machine_type: MachineType,
+        zone: str,
+        spot: bool,
+    ) -> None:
+        self.deployment = deployment
+        self.name, self.machine_type, self.zone, self.spot = name, machine_type, zone, spot
+        self.address = f"{name}:9000"
+        self.rented_at = deployment.now
+        self.is_up = False
+        self.is_released = False
+        #: sends nothing, receives nothing, and its tasks stand still
+        self.is_unresponsive = False
+        #: heartbeats arrive, but their responses and direct commands do not
+        self.inbound_partitioned = False
+        #: heartbeats do not leave, while direct commands arrive
+        self.outbound_partitioned = False
+        self.incarnation, self.sequence, self.fencing_token = 1, 0, 0
+        self.tasks: dict[tuple[str, int], FakeTask] = {}
+        self.lease_renewed_at = 0.0
+        #: place of the controller that heartbeats go to, counted on and on
+        self._node_index = 0
+        #: number of the heartbeat whose response counts
+        self._heartbeat_number = 0
+        #: when a spot machine goes, if that is known
+        self.reclaim_at: float | None = None
+        #: whether every task fails at once
+        self.fails_tasks = False
+
+    @property
+    def is_serving(self) -> bool:
+        """Whether the machine is rented and has booted."""
+        return self.is_up and not self.is_released
+
+    @property
+    def live_tasks(self) -> dict[tuple[str, int], FakeTask]:
+        """Tasks that have not ended, by job and index."""
+        return {key: task for key, task in self.tasks.items() if task.is_live}
+
+    def tasks_of(self, job: str) -> list[FakeTask]:
+        """The tasks of a job that have not ended."""
+        return [task for task in self.live_tasks.values() if task.job == job]
+
+    def boot(self) -> None:
+        """Begin to run tasks and to send heartbeats."""
+        if self.is_released:
+            return
+        self.is_up = True
+        self.lease_renewed_at = self.deployment.now
+        self._advance()
+        self.send_heartbeat()
+
+    def release(self) -> None:
+        """The cloud takes the machine back; nothing on it goes on."""
+        self.is_released = True
+        self.tasks = {}
+
+    def hang(self, seconds: float) -> None:
+        """Be unresponsive for some seconds."""
+        self.is_unresponsive = True
+        self.deployment.schedule(seconds, lambda: setattr(self, "is_unresponsive", False))
+
+    def partition_inbound(self, seconds: float) -> None:
+        """Receive nothing for some seconds, while heartbeats arrive."""
+        self.inbound_partitioned = True
+        self.deployment.schedule(seconds, lambda: setattr(self, "inbound_partitioned", False))
+
+    def partition_outbound(self, seconds: float) -> None:
+        """Have no heartbeat arrive for some seconds, while direct commands do."""
+        self.outbound_partitioned = True
+        self.deployment.schedule(seconds, lambda: setattr(self, "outbound_partitioned", False))
+
+    def end_failures(self) -> None:
+        """Be reached again, and respond again."""
+        self.is_unresponsive = self.inbound_partitioned = self.outbound_partitioned = False
+
+    def next_heartbeat(self) -> Heartbeat:
+        """A heartbeat of this moment, under the next number."""
+        self.sequence += 1
+        tasks = [
+            TaskStatus(task.job, task.index, task.attempt, task.state, task.exit_reason)
+            for task in self.tasks.values()
+        ]
+        reclaim_in_s = None
+        if self.reclaim_at is not None:
+            reclaim_in_s = max(0.0, self.reclaim_at - self.deployment.now)
+        return Heartbeat(
+            self.name,
+            self.address,
+            self.machine_type.name,
+            self.zone,
+            self.spot,
+            self.incarnation,
+            self.sequence,
+            self.fencing_token,
+            reclaim_in_s,
+            tasks,
+        )
+
+    def send_heartbeat(self) -> None:
+        """Send a heartbeat, and the next one after its response."""
+        deployment = self.deployment
+        if self.is_released:
+            return
+        if self.is_unresponsive:
+            deployment.schedule(UNRESPONSIVE_RETRY_S, self.send_heartbeat)
+            return
+        heartbeat, sent_at = self.next_heartbeat(), deployment.now
+        self._heartbeat_number += 1
+        number = self._heartbeat_number
+        names = deployment.nodes.names
+        node = names[self._node_index % len(names)]
+
+        def receive(response: HeartbeatResponse) -> None:
+            if not self.is_released and number == self._heartbeat_number:
+                self._receive_response(response, node, heartbeat, sent_at)
+
+        def time_out() -> None:
+            if not self.is_released and number == self._heartbeat_number:
+                self._heartbeat_number += 1
+                self._turn_to_next_node()
+
+        deployment.schedule(RESPONSE_TIMEOUT_S, time_out)
+        deployment.agent_link.send_heartbeat(node, heartbeat, receive)
+
+    def _receive_response(
+        self, response: HeartbeatResponse, node: str, heartbeat: Heartbeat, sent_at: float
+    ) -> None:
+        """Take the response to the latest heartbeat, which was sent to a node."""
+        deployment = self.deployment
+        self._heartbeat_number += 1
+        if self.is_unresponsive:
+            deployment.schedule(UNRESPONSIVE_RETRY_S, self.send_heartbeat)
+            return
+        names, leader = deployment.nodes.names, response.leader
+        if response.status == 200:
+            is_same_incarnation = heartbeat.agent_incarnation == self.incarnation
+            if is_same_incarnation and response.fencing_token >= self.fencing_token:
+                self.fencing_token = response.fencing_token
+                self.lease_renewed_at = max(self.lease_renewed_at, sent_at)
+                self.execute_commands(response.commands)
+            pause_s = deployment.rng.uniform(MIN_HEARTBEAT_PAUSE_S, MAX_HEARTBEAT_PAUSE_S)
+            deployment.schedule(pause_s, self.send_heartbeat)
+        elif response.status == 421 and leader in names and leader != node:
+            self._node_index = names.index(leader)
+            pause_s = deployment.rng.uniform(0.0, MAX_REDIRECT_PAUSE_S)
+            deployment.schedule(pause_s, self.send_heartbeat)
+        else:
+            self._turn_to_next_node()
+
+    def _turn_to_next_node(self) -> None:
+        self._node_index += 1
+        self.deployment.schedule(NEXT_NODE_PAUSE_S, self.send_heartbeat)
+
+    def receive_direct_commands(
+        self, fencing_token: int, incarnation: int, commands: list[TaskCommand]
+    ) -> None:
+        """Take direct commands, which may be late."""
+        if not self.is_serving:
+            return
+        if self.is_unresponsive:
+            self.deployment.schedule(
+                UNRESPONSIVE_RETRY_S,
+                lambda: self.receive_direct_commands(fencing_token, incarnation, commands),
+            )
+            return
+        self._check_lease()
+        if fencing_token < self.fencing_token or incarnation != self.incarnation:
+            return
+        self.fencing_token = fencing_token
+        assert all(command.verb != CommandVerb.START for command in commands), (
+            "a launch by direct command"
+        )
+        self.execute_commands(commands)
+
+    def execute_commands(self, commands: list[TaskCommand] | tuple[TaskCommand, ...]) -> None:
+        """Start, stop and forget tasks."""
+        for command in commands:
+            key = (command.job, command.index)
+            task = self.tasks.get(key)
+            is_same_attempt = task is not None and task.attempt == command.attempt
+            if command.verb == CommandVerb.START:
+                if not is_same_attempt:
+                    self.start_task(command, task)
+            elif task is None or not is_same_attempt:
+                continue
+            elif command.verb == CommandVerb.STOP:
+                if task.is_live:
+                    task.exit(ExitReason.STOPPED)
+            elif not task.is_live:
+                del self.tasks[key]
+
+    def start_task(self, command: TaskCommand, previous: FakeTask | None) -> None:
+        """Start a task in place of its previous attempt, which must have ended."""
+        ledger = self.deployment.tasks
+        free = self.free_capacity()
+        if previous is not None and previous.is_live:
+            return
+        task = FakeTask(command.job, command.index, command.attempt)
+        self.tasks[(command.job, command.index)] = task
+        ledger.record_agent(command.job, self)
+        spec = ledger.specs[command.job]
+        if any(need > room for need, room in zip(spec.resources, free, strict=True)):
+            task.exit(ExitReason.NO_ROOM)
+            return
+        if self.fails_tasks or spec.job_class == FAILING_CLASS:
+            task.exit(ExitReason.ERROR)
+            return
+        self.deployment.rules.check_start(self, task)
+        task.remaining_s = ledger.run_time_s(command.job, command.index)
+        task.fetch_remaining_s = ledger.fetch_s
+
+    def free_capacity(self) -> list[int]:
+        """Cpus, gpus and memory that no live task takes, in fixed point."""
+        specs = self.deployment.tasks.specs
+        used = [specs[task.job].resources for task in self.live_tasks.values()]
+        return [
+            amount - sum(resources[index] for resources in used)
+            for index, amount in enumerate(self.machine_type.capacity)
+        ]
+
+    def _is_lease_over(self) -> bool:
+        return self.deployment.now - self.lease_renewed_at > self.deployment.lease_s
+
+    def _check_lease(self) -> None:
+        """Drop all tasks once the lease is over, and go on as a new incarnation."""
+        if self._is_lease_over():
+            self._begin_incarnation()
+            self.deployment.schedule(LEASE_LOST_PAUSE_S, self.send_heartbeat)
+
+    def restart(self) -> None:
+        """Restart within a fraction of a second: a new incarnation, without tasks."""
+        self._begin_incarnation()
+        self.deployment.schedule(
+            self.deployment.rng.uniform(MIN_RESTART_S, MAX_RESTART_S), self.send_heartbeat
+        )
+
+    def _begin_incarnation(self) -> None:
+        self.tasks = {}
+        self.incarnation += 1
+        self.lease_renewed_at = self.deployment.now
+        self._heartbeat_number += 1
+
+    def _advance(self) -> None:
+        """Let the tasks go on by one step."""
+        if self.is_released:
+            return
+        self.deployment.schedule(STEP_S, self._advance)
+        if self.is_unresponsive:
+            if self._is_lease_over():
+                self.tasks = {}
+            return
+        self._check_lease()
+        for task in list(self.tasks.values()):
+            if task.state == TaskState.FETCHING:
+                self._fetch(task)
+            elif task.state == TaskState.WAITING:
+                self._wait_for_gang(task)
+            elif task.state == TaskState.RUNNING:
+                self._run(task)
+
+    def _is_in_gang(self, task: FakeTask) -> bool:
+        return self.deployment.tasks.specs[task.job].kind == JobKind.GANG
+
+    def _fetch(self, task: FakeTask) -> None:
+        """Fetch the image of a task."""
+        if task.fetch_remaining_s > 0.0:
+            task.fetch_remaining_s -= STEP_S
+        else:
+            task.state = TaskState.WAITING if self._is_in_gang(task) else TaskState.RUNNING
+
+    def _wait_for_gang(self, task: FakeTask) -> None:
+        """Begin to run a gang once all its tasks wait."""
+        deployment = self.deployment
+        task.gang_wait_s += STEP_S
+        gang = deployment.tasks.gang(task)
+        is_complete = len(gang) == deployment.tasks.specs[task.job].task_count
+        if is_complete and all(member.task.state == TaskState.WAITING for member in gang):
+            for member in gang:
+                member.task.state = TaskState.RUNNING
+        elif task.gang_wait_s > deployment.agent_settings.gang_wait_s:
+            task.exit(ExitReason.ALONE)
+
+    def _run(self, task: FakeTask) -> None:
+        """Run a task, unless its gang is not whole."""
+        ledger = self.deployment.tasks
+        gang = ledger.gang(task) if self._is_in_gang(task) else []
+        if self._is_in_gang(task) and (
+            len(gang) < ledger.specs[task.job].task_count
+            or any(member.agent.is_unresponsive for member in gang)
+        ):
+            task.gang_wait_s += STEP_S
+            if task.gang_wait_s > self.deployment.agent_settings.gang_peer_s:
+                task.exit(ExitReason.PEERS)
+            return
+        task.gang_wait_s = 0.0
+        task.remaining_s -= STEP_S
+        if task.remaining_s <= 0:
+            for done in [member.task for member in gang] or [task]:
+                done.exit(ExitReason.DONE)
+                ledger.record_done(done)
--- a/tests/fakes/peer_wire.py
+++ b/tests/fakes/peer_wire.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import Any, NamedTuple
+from typing import Any
 
 from marblestair.core.runtime.requests import PeerMessage
 from marblestair.wire.peers import (
@@ -12,24 +12,15 @@
     decode_request,
     tag_of,
 )
-from tests.fakes.production import ProductionController, over_the_wire
+from tests.fakes.production import ProductionController
+from tests.fakes.wire_message import WireMessage, over_the_wire
 
 
-class WireMessage(NamedTuple):
-    """A message on the wire: its tag and its arguments as plain values."""
-
-    tag: str
-    arguments: list[Any]
-
-
-def encode(message: PeerMessage | WireMessage) -> WireMessage:
+def encode(message: PeerMessage) -> WireMessage:
     """A message as it goes over the wire; one of production's is that already."""
     if isinstance(message, WireMessage):
         return message
-    if isinstance(message, PeerMessage):
-        return WireMessage(tag_of(message), over_the_wire(arguments_of(message)))
-    tag, arguments = message
-    return WireMessage(tag, arguments)
+    return WireMessage(tag_of(message), over_the_wire(arguments_of(message)))
 
 
 def deliver(controller: Any, sender: str, message: WireMessage) -> None:
--- a/tests/fakes/production.py
+++ b/tests/fakes/production.py
@@ -25,10 +25,11 @@
 
 import msgspec
 
-from marblestair.core.runtime.outbox import LogLine, PeerReply
+from marblestair.core.runtime.outbox import LogLine, OutgoingMessage, PeerReply
 from marblestair.core.runtime.requests import PeerRequest
 from marblestair.core.runtime.store_requests import Put
 from marblestair.core.shard.heartbeat_response import HeartbeatResponse
+from tests.fakes.wire_message import WireMessage, over_the_wire
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
 PACKAGE = "marblestair"
@@ -66,7 +67,7 @@
     "core.split.MachineRecord": "core.state.records.MachineRecord",
     "core.fleet.RentalIntent": "core.state.records.RentalIntent",
 }
-#: the same the other way round
+#: names now -> names in production
 PRODUCTION_STRUCTS = {present: old for old, present in STRUCTS.items()}
 
 
@@ -212,11 +213,6 @@
     return kind(**fields)
 
 
-def over_the_wire(value: Any) -> Any:
-    """What arrives of a value that goes between two controllers."""
-    return msgspec.msgpack.decode(msgspec.msgpack.encode(value))
-
-
 class _Requests:
     """The requests of a production core's coroutines, as the present version's."""
 
@@ -235,7 +231,8 @@
 def _present_request(call: Any) -> Any:
     if type(call).__name__ == "PeerCall":
         # What goes to another controller passes as it is on the wire.
-        return PeerRequest(call.node, (call.tag, over_the_wire(call.args)), call.timeout_s)
+        message = WireMessage(call.tag, over_the_wire(call.args))
+        return PeerRequest(call.node, message, call.timeout_s)
     return to_present(call)
 
 
@@ -264,7 +261,7 @@
     @property
     def messages(self) -> list[Any]:
         return [
-            SimpleNamespace(node=note.node, message=(note.tag, over_the_wire(note.args)))
+            OutgoingMessage(note.node, WireMessage(note.tag, over_the_wire(note.args)))
             for note in self._core.notes
         ]
 
--- a/tests/fakes/deployment.py
+++ b/tests/fakes/samples.py
@@ -8,13 +8,14 @@
 from marblestair.core.domain.jobs import JobSpec
 from marblestair.core.domain.machines import MachineType
 
+#: wall-clock time at which a deployment begins
 EPOCH = 1_000_000.0
 
 
-def spec(n: int, **changes: Any) -> JobSpec:
+def job_spec(number: int, **changes: Any) -> JobSpec:
     """A small job, with changes."""
     base: dict[str, Any] = dict(
-        id=f"job-{n:06d}",
+        id=f"job-{number:06d}",
         job_class="c",
         team="red",
         kind="array",
@@ -39,16 +40,16 @@
     return JobSpec(**base)
 
 
-def settings(me: int, n: int = 3, **cluster: Any) -> st.Settings:
+def node_settings(index: int, count: int = 3, **cluster: Any) -> st.Settings:
     """Settings of one node of a small deployment."""
-    return st.parse(raw_settings(me, n, **cluster))
+    return st.parse(raw_node_settings(index, count, **cluster))
 
 
-def raw_settings(me: int, n: int = 3, **cluster: Any) -> dict[str, Any]:
-    """The same as the file holds them."""
-    names = [f"n{i}" for i in range(n)]
+def raw_node_settings(index: int, count: int = 3, **cluster: Any) -> dict[str, Any]:
+    """The settings of one node, as its file holds them."""
+    names = [f"n{place}" for place in range(count)]
     base: dict[str, Any] = dict(
-        size=n,
+        size=count,
         zones=["a"],
         skew_ms=100.0,
         teams=[
@@ -63,21 +64,35 @@
     )
     base.update(cluster)
     return dict(
-        node=names[me],
-        public_addr=f"10.0.0.{me + 1}:8080",
-        cluster_listen=f"10.0.0.{me + 1}:8081",
+        node=names[index],
+        public_addr=f"10.0.0.{index + 1}:8080",
+        cluster_listen=f"10.0.0.{index + 1}:8081",
         others=[
-            dict(node=x, address=f"10.0.0.{i + 1}:8081") for i, x in enumerate(names) if i != me
+            dict(node=name, address=f"10.0.0.{place + 1}:8081")
+            for place, name in enumerate(names)
+            if place != index
         ],
         external=dict(cloud="10.2.0.2:1", state="10.2.0.1:1"),
         cluster=base,
     )
 
 
-TYPES = [
+#: machine types that the cloud rents
+MACHINE_TYPES = [
     MachineType("t4", 4.0, 0.0, 16.0, 50.0, 1.0, 0.4, 0.15, 5.0, ["a", "b"]),
     MachineType("t8", 8.0, 0.0, 32.0, 50.0, 1.0, 0.8, 0.3, 5.0, ["a", "b"]),
 ]
 
+#: the store's limits, and the smaller ones that it will have
+STORE_LIMITS_NOW: dict[str, Any] = dict(rps=100.0, write_rps=40.0, value_kb=4.0, txn_ops=12)
+STORE_LIMITS_LATER: dict[str, Any] = dict(value_kb=2.0, txn_ops=4, write_rps=30.0)
+
 #: timing of agents in tests of single components
-WORKERS = st.Workers(report_s=1.0, lease_s=10.0, gang_wait_s=30.0, gang_peer_s=5.0, cancel_s=30.0)
+AGENT_SETTINGS = st.Workers(
+    report_s=1.0, lease_s=10.0, gang_wait_s=30.0, gang_peer_s=5.0, cancel_s=30.0
+)
+
+
+def wait_objective(within_s: float, ratio: float = 0.9) -> dict[str, Any]:
+    """The objective that a ratio of the jobs of class g start within some seconds."""
+    return {"kind": "wait", "class": "g", "within_s": within_s, "share": ratio}
--- /dev/null
+++ b/tests/fakes/tasks.py
@@ -0,0 +1,117 @@
+"""The jobs of a simulated deployment, and where and when their tasks ran."""
+
+from __future__ import annotations
+
+import random
+from typing import TYPE_CHECKING, NamedTuple
+
+from marblestair.core.domain.agents import TaskState
+from marblestair.core.domain.jobs import JobKind, JobSpec
+from tests.fakes.event_queue import EventQueue
+
+if TYPE_CHECKING:
+    from tests.fakes.agent import FakeAgent, FakeTask
+
+#: run time of a task that was done before
+REPEATED_RUN_S = 0.2
+#: ratios of an array's estimate between which the run time of a task is drawn
+MIN_RUN_RATIO, MAX_RUN_RATIO = 0.5, 1.5
+
+
+class TaskStart(NamedTuple):
+    """A start of a task, as its agent saw it."""
+
+    at: float
+    job: str
+    task_index: int
+    machine: str
+    attempt: int
+
+
+class GangMember(NamedTuple):
+    """A task of a gang, and the agent that runs it."""
+
+    agent: FakeAgent
+    task: FakeTask
+
+
+class TaskLedger:
+    """What every job is, what of it started where, and what of it is done."""
+
+    def __init__(self, rng: random.Random, events: EventQueue) -> None:
+        self._rng = rng
+        self._events = events
+        self.specs: dict[str, JobSpec] = {}
+        self.starts: list[TaskStart] = []
+        #: (job, task index) of tasks that are done
+        self.done: set[tuple[str, int]] = set()
+        #: when the last task of a job was done
+        self.done_at: dict[str, float] = {}
+        #: (job, task index) -> run time, where a test sets it
+        self.run_times_s: dict[tuple[str, int], float] = {}
+        #: time that the fetch of an image takes
+        self.fetch_s = 0.0
+        #: job -> the agents, by name, that ever had to start a task of it
+        self._agents_by_job: dict[str, dict[str, FakeAgent]] = {}
+
+    def record_agent(self, job: str, agent: FakeAgent) -> None:
+        """Remember that an agent had to start a task of a job."""
+        self._agents_by_job.setdefault(job, {})[agent.name] = agent
+
+    def record_start(self, task: FakeTask, machine: str) -> None:
+        """Remember that a task started on a machine."""
+        self.starts.append(TaskStart(self._events.now, task.job, task.index, machine, task.attempt))
+
+    def record_done(self, task: FakeTask) -> None:
+        """Remember that a task is done."""
+        self.done.add((task.job, task.index))
+        self.done_at[task.job] = self._events.now
+
+    def agents_of(self, job: str) -> list[FakeAgent]:
+        """The agents that ever had to start a task of a job."""
+        return list(self._agents_by_job.get(job, {}).values())
+
+    def starts_of(self, job: str) -> list[TaskStart]:
+        """The starts of a job's tasks."""
+        return [start for start in self.starts if start.job == job]
+
+    def has_started(self, job: str) -> bool:
+        """Whether a task of a job started."""
+        return any(start.job == job for start in self.starts)
+
+    def machines_of(self, job: str) -> set[str]:
+        """The machines on which tasks of a job started."""
+        return {start.machine for start in self.starts if start.job == job}
+
+    def is_done(self, job: str) -> bool:
+        """Whether all tasks of a job are done."""
+        return all((job, index) in self.done for index in range(self.specs[job].task_count))
+
+    def undone(self, job: str) -> list[int]:
+        """The tasks of a job that are not done."""
+        return [
+            index for index in range(self.specs[job].task_count) if (job, index) not in self.done
+        ]
+
+    def run_time_s(self, job: str, index: int) -> float:
+        """How long a task runs."""
+        if (job, index) in self.done:
+            return REPEATED_RUN_S
+        return self.run_times_s.get((job, index)) or self._drawn_run_time_s(self.specs[job])
+
+    def _drawn_run_time_s(self, spec: JobSpec) -> float:
+        if spec.kind == JobKind.GANG:
+            return spec.estimated_run_s
+        return spec.estimated_run_s * self._rng.uniform(MIN_RUN_RATIO, MAX_RUN_RATIO)
+
+    def gang(self, task: FakeTask) -> list[GangMember]:
+        """The members of a task's gang that are there, of the same attempt."""
+        return [
+            GangMember(agent, other)
+            for agent in self.agents_of(task.job)
+            if not agent.is_released
+            for other in agent.tasks.values()
+            if other.job == task.job
+            and other.attempt == task.attempt
+            and other.state in (TaskState.WAITING, TaskState.RUNNING)
+        ]
