--- a/marblestair/cli.py
+++ b/marblestair/cli.py
@@ -10,7 +10,7 @@
 from marblestair import __version__
 from marblestair.policy import Policy, PolicyError
 from marblestair.policy import load as load_policy
-from marblestair.settings import SettingsError, load, split_addr
+from marblestair.settings import SettingsError, load, split_address
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
@@ -42,7 +42,7 @@
     from marblestair.net.peers import Link
 
     try:
-        split_addr(address)
+        split_address(address)
     except ValueError as e:
         print(f"marblestair: --status: {e}", file=sys.stderr)
         return 2
--- a/marblestair/core/capacity/plan_inputs.py
+++ b/marblestair/core/capacity/plan_inputs.py
@@ -13,7 +13,7 @@
 from marblestair.core.state.machine_catalog import MachineCatalog
 from marblestair.core.state.records import JobRecord
 from marblestair.core.state.store_view import StoreView
-from marblestair.settings import Team
+from marblestair.settings.model import Team
 
 #: boots of the fastest type that the jobs may still run whose successors are rented for
 SOON_BOOTS = 2.0
--- a/marblestair/core/controller.py
+++ b/marblestair/core/controller.py
@@ -81,7 +81,7 @@
 from marblestair.core.state.store_view import StoreView
 from marblestair.core.status import StatusReport
 from marblestair.core.view_synchronizer import ViewSynchronizer
-from marblestair.settings import Settings
+from marblestair.settings.model import Settings
 
 #: pause between two turns of summaries and migrations, and of quota transfers, in seconds
 SUMMARY_PAUSE_S, REBALANCE_PAUSE_S = 0.4, 1.0
--- a/marblestair/core/scheduling/quota.py
+++ b/marblestair/core/scheduling/quota.py
@@ -7,7 +7,7 @@
 from marblestair.core.domain.amounts import fixed_point_down, fixed_point_up
 from marblestair.core.domain.jobs import PRIORITY_RANKS, JobSpec, Priority
 from marblestair.core.state.records import JobRecord
-from marblestair.settings import Team
+from marblestair.settings.model import Team
 
 
 def jobs_within_guarantee(
--- a/marblestair/core/shard/failures.py
+++ b/marblestair/core/shard/failures.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any, TypeVar
 
-from marblestair.settings import Workers
+from marblestair.settings.model import Workers
 
 #: machines on which nothing but one job fails after which that job is suspected
 JOB_MACHINES = 3
--- a/marblestair/core/shard/shard.py
+++ b/marblestair/core/shard/shard.py
@@ -25,7 +25,7 @@
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine, PlacedTask, StopReason, TaskKey
 from marblestair.core.state.records import JobRecord
-from marblestair.settings import Cluster
+from marblestair.settings.model import Cluster
 
 #: attempts are (term << ATTEMPT_BITS) + a count, so that no term reuses another's
 ATTEMPT_BITS = 24
--- a/marblestair/node.py
+++ b/marblestair/node.py
@@ -18,7 +18,7 @@
 from marblestair.net.peers import PeerServer
 from marblestair.outside_calls import OutsideCalls
 from marblestair.policy import Policy
-from marblestair.settings import Settings, split_addr
+from marblestair.settings import Settings, split_address
 from marblestair.wire.agents import decode_heartbeat, encode_heartbeat_response, encode_redirect
 from marblestair.wire.codec import MAX_BODY, BadRequestError, encode_error, pack
 from marblestair.wire.peers import (
@@ -89,9 +89,9 @@
 
     async def run(self) -> None:
         """Serve until cancelled."""
-        host, port = split_addr(self.settings.public_addr)
+        host, port = split_address(self.settings.public_addr)
         await self.server.listen(host, port)
-        host, port = split_addr(self.settings.cluster_listen)
+        host, port = split_address(self.settings.cluster_listen)
         await self.peers.listen(host, port)
         self._set_time()
         self.core.start()
--- /dev/null
+++ b/tests/test_settings.py
@@ -0,0 +1,66 @@
+"""The settings package: who may import what of it, and what a shard map may grow to."""
+
+from __future__ import annotations
+
+import ast
+import pathlib
+import subprocess
+import sys
+
+import msgspec
+import pytest
+
+import marblestair
+from marblestair.core.leadership.shard_map import initial_shard_map
+from marblestair.settings import checks
+from tests.fakes.deployment import settings
+
+PACKAGE = pathlib.Path(marblestair.__file__).parent
+
+
+def imported_modules(path: pathlib.Path) -> set[str]:
+    """All modules that a file imports, also inside functions."""
+    modules: set[str] = set()
+    for node in ast.walk(ast.parse(path.read_text())):
+        if isinstance(node, ast.ImportFrom) and node.module:
+            modules.add(node.module)
+        elif isinstance(node, ast.Import):
+            modules.update(alias.name for alias in node.names)
+    return modules
+
+
+def test_the_core_imports_the_types_of_the_settings_only() -> None:
+    for path in (PACKAGE / "core").rglob("*.py"):
+        used = {name for name in imported_modules(path) if name.startswith("marblestair.settings")}
+        assert used <= {"marblestair.settings.model"}, path
+
+
+def test_the_settings_import_stored_records_of_the_core_only() -> None:
+    for path in (PACKAGE / "settings").rglob("*.py"):
+        modules = imported_modules(path)
+        used = {name for name in modules if name.startswith("marblestair.core")}
+        allowed = {"marblestair.core.state.records"} if path.name == "checks.py" else set()
+        assert used <= allowed, path
+    for name in ("state/records.py", "domain/jobs.py", "domain/amounts.py"):
+        modules = imported_modules(PACKAGE / "core" / name)
+        assert not any(module.startswith("marblestair.settings") for module in modules), name
+
+
+@pytest.mark.parametrize(
+    "first", ["marblestair.settings", "marblestair.core.state.records", "marblestair.core.shard"]
+)
+def test_packages_can_be_imported_in_any_order(first: str) -> None:
+    modules = [first, "marblestair.core.leadership.shard_map", "marblestair.settings"]
+    program = "\n".join(f"import {module}" for module in modules)
+    subprocess.run([sys.executable, "-c", program], check=True, cwd=PACKAGE.parent)
+
+
+def test_the_largest_shard_map_is_larger_than_the_first_one_and_has_its_shape() -> None:
+    teams = [{"name": name, "cpus": 1.0, "cpus_max": 0.0} for name in ("red", "blue")]
+    given = settings(0, 3, size=4, teams=teams)
+    first = initial_shard_map(given.cluster.size, given.cluster.teams)
+    largest = checks._largest_shard_map(given)
+    assert [list(shard.quotas) for shard in largest.shards] == [
+        list(shard.quotas) for shard in first.shards
+    ]
+    assert len(msgspec.msgpack.encode(largest)) > len(msgspec.msgpack.encode(first))
