--- a/marblestair/core/jobs/answers.py
+++ b/marblestair/core/jobs/answers.py
@@ -74,8 +74,8 @@
         """What may be answered about a job that was found in a status; None when nothing may be.
 
         Every answer to a user, whatever the request, passes here last. Between the commit of a
-        cancel and its confirmation neither "cancelled" nor what was before is answered: another node
-        may have answered the one already, and the other is not so yet.
+        cancel and its confirmation neither "cancelled" nor what was before is answered: another
+        node may have answered the one already, and the other is not so yet.
         """
         if job in self._final_states:
             return JobStatus(self._final_states[job])
--- a/marblestair/core/jobs/dependencies.py
+++ b/marblestair/core/jobs/dependencies.py
@@ -10,8 +10,8 @@
 it is queued (``answers.py``). The cancel of the ancestor is confirmed only after the managers of
 all its live descendants have its entry (``cancellations.py``).
 
-The index is updated per changed record, at every node alike, and walked without recursion: chains may
-be long, and both parents and dependents may be many.
+The index is updated per changed record, at every node alike, and walked without recursion: chains
+may be long, and both parents and dependents may be many.
 """
 
 from __future__ import annotations
