--- a/marblestair/core/controller.py
+++ b/marblestair/core/controller.py
@@ -65,6 +65,7 @@
 from marblestair.core.scheduling.guarantees import Guarantees
 from marblestair.core.scheduling.inherited_urgency import InheritedUrgency
 from marblestair.core.scheduling.machine_transfers import MachineTransfers
+from marblestair.core.scheduling.migration_planner import MigrationPlanner
 from marblestair.core.scheduling.preemption import Preemption
 from marblestair.core.scheduling.quota_ledger import QuotaLedger
 from marblestair.core.scheduling.quota_transfers import QuotaTransfers
@@ -287,9 +288,11 @@
             self.summarizer,
         )
         self.slice_migrations = SliceMigrations(
+            context, view, leadership, self.migration_locks, self.reader
+        )
+        self.migration_planner = MigrationPlanner(
             context,
             view,
-            leadership,
             self.quotas,
             self.quota_transfers,
             self.summaries,
@@ -297,8 +300,7 @@
             self.arrivals,
             self.preemption,
             self.dispatcher,
-            self.migration_locks,
-            self.reader,
+            self.slice_migrations,
         )
 
     def _compose_capacity(self, tuning: Tuning) -> None:
@@ -482,7 +484,7 @@
             self._next_summary_at = now + SUMMARY_PAUSE_S
             self._publish_summaries(led_shards)
             for shard in led_shards:
-                self.slice_migrations.migrate_pending(shard)
+                self.migration_planner.migrate_pending(shard)
                 self.machine_transfers.transfer_idle_machines(shard)
         if now >= self._next_rebalance_at:
             self._next_rebalance_at = now + REBALANCE_PAUSE_S
--- a/marblestair/core/domain/jobs.py
+++ b/marblestair/core/domain/jobs.py
@@ -86,6 +86,11 @@
         """What one task takes: cpus, gpus and memory in fixed point."""
         return fixed_point_up(self.cpus), fixed_point_up(self.gpus), fixed_point_up(self.mem_gb)
 
+    @property
+    def is_indivisible(self) -> bool:
+        """Whether all tasks of the job stay in one slice."""
+        return self.kind == JobKind.GANG or self.single_zone or self.spread_zones
+
     def may_run_on(self, type_name: str, zone: str, spot: bool) -> bool:
         """Whether the job may run on a kind of machine."""
         return (
--- a/marblestair/core/scheduling/demand.py
+++ b/marblestair/core/scheduling/demand.py
@@ -1,11 +1,13 @@
-"""What the waiting work of a part lacks under its teams' limits.
+"""What the pending tasks of a shard demand beyond its quotas.
 
-Each part holds a share of every team's limit. What a part lacks is told to the other owners, which
-give it room.
+Each shard has a portion of every team's limit. What it lacks is in its summary, by which the
+leaders of other shards transfer quota to it.
 """
 
 from __future__ import annotations
 
+from typing import TypeAlias
+
 import msgspec
 
 from marblestair.core.domain.jobs import JobKind
@@ -15,64 +17,63 @@
 from marblestair.core.shard.shard import Shard
 
 #: cpus and gpus of a team, in fixed point
-Amounts = list[int]
+QuotaAmounts: TypeAlias = list[int]
 
 
 class Demand(msgspec.Struct):
-    """What waits in one part."""
+    """What the pending tasks of one shard demand."""
 
-    #: cpus of all waiting tasks
-    backlog_cpus: int
-    #: team -> what its waiting tasks lack in this part's share
-    lacking_quota: dict[str, Amounts]
-    #: team -> what the whole share must hold for the first waiting unit (a task, or a gang) that
-    #: it is too small for
-    starved_teams: dict[str, Amounts]
+    #: cpus of all pending tasks
+    backlog_cpus: int = 0
+    #: team -> what its pending tasks lack in this shard's quota
+    lacking_quota: dict[str, QuotaAmounts] = {}
+    #: team -> what the whole quota must be for the first pending unit (a task, or a gang) that it
+    #: is too small for
+    starved_teams: dict[str, QuotaAmounts] = {}
 
 
 def demanded_tasks(failures: FailureAttribution, job_slice: JobSlice) -> int:
-    """Count the tasks of a slice that room is wanted for.
+    """Count the tasks of a slice for which capacity is demanded.
 
-    A job that probably fails on every machine wants room for one task at a time; such a gang
-    wants none and tries where there is room.
+    A job that probably fails on every machine demands capacity for one task at a time; such a
+    gang demands none and is retried where there is free capacity.
     """
-    n = len(job_slice.pending)
-    if n and failures.is_quarantined(job_slice.spec.id):
+    pending = len(job_slice.pending)
+    if pending and failures.is_quarantined(job_slice.spec.id):
         return int(job_slice.spec.kind != JobKind.GANG and not job_slice.placed_on)
-    return n
+    return pending
 
 
 def measure_demand(failures: FailureAttribution, quotas: QuotaLedger, shard: Shard) -> Demand:
-    """Go through a part's waiting slices."""
-    demand = Demand(0, {}, {})
+    """Sum the demand of a shard's slices."""
+    demand = Demand()
+    demanded_by_team: dict[str, QuotaAmounts] = {}
     for job_slice in shard.slices.values():
-        n = demanded_tasks(failures, job_slice)
-        if not n or job_slice.is_cancelled:
+        task_count = demanded_tasks(failures, job_slice)
+        if not task_count or job_slice.is_cancelled:
             continue
-        demand.backlog_cpus += n * job_slice.resources[0]
-        _add(demand.lacking_quota, job_slice, n)
-        unit = n if job_slice.spec.kind == JobKind.GANG else 1
-        share = quotas.quota(shard, job_slice.spec.team)
-        if unit * job_slice.resources[0] > share[0] or unit * job_slice.resources[1] > share[1]:
-            demand.starved_teams.setdefault(
-                job_slice.spec.team, [unit * job_slice.resources[0], unit * job_slice.resources[1]]
-            )
-    demand.lacking_quota = _lacking(quotas, shard, demand.lacking_quota)
+        team = job_slice.spec.team
+        cpus, gpus, _ = job_slice.resources
+        demand.backlog_cpus += task_count * cpus
+        demanded = demanded_by_team.setdefault(team, [0, 0])
+        demanded[0] += task_count * cpus
+        demanded[1] += task_count * gpus
+        unit = task_count if job_slice.spec.kind == JobKind.GANG else 1
+        quota = quotas.quota(shard, team)
+        if unit * cpus > quota[0] or unit * gpus > quota[1]:
+            demand.starved_teams.setdefault(team, [unit * cpus, unit * gpus])
+    demand.lacking_quota = _lacking_quota(quotas, shard, demanded_by_team)
     return demand
 
 
-def _add(totals: dict[str, Amounts], job_slice: JobSlice, tasks: int) -> None:
-    total = totals.setdefault(job_slice.spec.team, [0, 0])
-    total[0] += tasks * job_slice.resources[0]
-    total[1] += tasks * job_slice.resources[1]
-
-
-def _lacking(quotas: QuotaLedger, shard: Shard, totals: dict[str, Amounts]) -> dict[str, Amounts]:
-    """What of the teams' totals is more than their shares leave free here."""
-    out = {}
-    for team, total in totals.items():
-        used, share = shard.usage(team), quotas.quota(shard, team)
-        lack = [max(0, total[i] - max(0, share[i] - used[i])) for i in range(2)]
-        if any(lack):
-            out[team] = lack
-    return out
+def _lacking_quota(
+    quotas: QuotaLedger, shard: Shard, demanded_by_team: dict[str, QuotaAmounts]
+) -> dict[str, QuotaAmounts]:
+    """What the teams demand beyond the unused quota in a shard."""
+    lacking_by_team = {}
+    for team, demanded in demanded_by_team.items():
+        used, quota = shard.usage(team), quotas.quota(shard, team)
+        lacking = [max(0, demanded[i] - max(0, quota[i] - used[i])) for i in range(2)]
+        if any(lacking):
+            lacking_by_team[team] = lacking
+    return lacking_by_team
--- a/marblestair/core/scheduling/quota_ledger.py
+++ b/marblestair/core/scheduling/quota_ledger.py
@@ -1,4 +1,4 @@
-"""What each team's tasks may use in a shard: its quota, less what is being given to others."""
+"""What each team's tasks may use in a shard: its quota, less what is being transferred away."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
     def __init__(self, view: StoreView) -> None:
         self._view = view
-        #: shard and team -> cpus and gpus that are lowered here ahead of the commit that gives them
-        #: to another shard
+        #: shard and team -> cpus and gpus, in fixed point, that are no longer used here ahead of
+        #: the commit that transfers them to another shard
         self.pending_releases: dict[tuple[int, str], list[int]] = {}
 
     def quota(self, shard: Shard, team: str) -> tuple[int, int]:
@@ -21,5 +21,5 @@
         if shard_map is None:
             return 0, 0
         cpus, gpus = shard_map.shards[shard.shard_id].quotas.get(team, [0, 0])
-        released = self.pending_releases.get((shard.shard_id, team), [0, 0])
-        return cpus - released[0], gpus - released[1]
+        pending_cpus, pending_gpus = self.pending_releases.get((shard.shard_id, team), [0, 0])
+        return cpus - pending_cpus, gpus - pending_gpus
--- a/marblestair/core/scheduling/quota_transfers.py
+++ b/marblestair/core/scheduling/quota_transfers.py
@@ -1,7 +1,7 @@
-"""Moves of room under a team's limit from a part that has it to one that lacks it.
+"""Transfers of a team's quota from a shard that can spare it to one that lacks it.
 
-Room is lowered in the giving part's memory first; then both shares change in one commit, so that
-they never add up to more than the limit.
+The quota is lowered in the giving shard's memory first; then both quotas change in one commit, so
+that they never add up to more than the team's limit.
 """
 
 from __future__ import annotations
@@ -19,16 +19,17 @@
 from marblestair.core.scheduling.shard_summary import ShardSummarizer
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
+from marblestair.core.state.records import ShardMap
 from marblestair.core.state.store_view import StoreView
 
-#: seconds for which what a part told of its wants counts
-FRESH_S = 3.0
-#: commits tried for one move, unless one of them is in doubt
-MOST_TRIES = 5
+#: seconds for which the demand in another shard's summary counts
+RECENT_SUMMARY_S = 3.0
+#: attempts at one transfer, unless the outcome of one of them is uncertain
+MAX_ATTEMPTS = 5
 
 
 class QuotaTransfers:
-    """The room that one node's parts give away."""
+    """The quota that one node's shards transfer to others."""
 
     def __init__(
         self,
@@ -49,55 +50,65 @@
         self._summarizer = summarizer
 
     def rebalance(self, led_shards: list[Shard]) -> None:
-        """Give room under a team's limit to a part that lacks it, one move at a time."""
-        record = self._view.shard_map
-        if self._quotas.pending_releases or record is None:
+        """Begin to transfer quota to a shard that lacks it, unless a transfer is in progress."""
+        current = self._view.shard_map
+        if self._quotas.pending_releases or current is None:
             return
         for shard in led_shards:
             if shard.unreconciled_machines:
                 continue
-            for number, (told_at, summary) in sorted(self._summaries.items()):
-                if number == shard.shard_id or self._context.now - told_at > FRESH_S:
+            for shard_id, (received_at, summary) in sorted(self._summaries.items()):
+                if shard_id == shard.shard_id:
                     continue
-                if summary.term == record.shards[number].term and self._begin_transfer(
-                    shard, summary
-                ):
+                if self._context.now - received_at > RECENT_SUMMARY_S:
+                    continue
+                if summary.term != current.shards[shard_id].term:
+                    continue
+                if self._begin_lacking(shard, summary):
                     return
 
-    def _begin_transfer(self, shard: Shard, other: ShardSummary) -> bool:
-        """Begin to give the first room that another part lacks and this one can spare."""
-        told = self._summaries.get(shard.shard_id)
-        own = told[1] if told is not None else self._summarizer.summarize(shard)
-        for team, want in (*other.starved_teams.items(), *other.lacking_quota.items()):
-            free = self._free(shard, team, own, other)
-            if free is None:
+    def _begin_lacking(self, shard: Shard, other: ShardSummary) -> bool:
+        """Begin to transfer the first quota that another shard lacks and this one can spare."""
+        received = self._summaries.get(shard.shard_id)
+        own = received.summary if received is not None else self._summarizer.summarize(shard)
+        for team, lacking in (*other.starved_teams.items(), *other.lacking_quota.items()):
+            spare = self._spare_quota(shard, team, own, other)
+            if spare is None:
                 continue
-            give = [max(0, min(free[i], want[i])) for i in range(2)]
-            if give[0] or give[1]:
-                self._quotas.pending_releases[(shard.shard_id, team)] = give
-                self._context.spawn(self.transfer(shard, other.shard_id, team, give))
+            amounts = [max(0, min(spare[i], lacking[i])) for i in range(2)]
+            if any(amounts):
+                self.begin(shard, other.shard_id, team, amounts)
                 return True
         return False
 
-    def _free(
+    def _spare_quota(
         self, shard: Shard, team: str, own: ShardSummary, other: ShardSummary
     ) -> list[int] | None:
-        """Room that a part can spare for another; None when it gives none of this team's."""
-        used, share = shard.usage(team), self._quotas.quota(shard, team)
-        free = [share[i] - used[i] for i in range(2)]
+        """Quota that a shard can spare for another; None when it gives none of this team's."""
+        used, quota = shard.usage(team), self._quotas.quota(shard, team)
+        unused = [quota[i] - used[i] for i in range(2)]
         if team in other.starved_teams:
-            # One of two parts that are both stuck must give way.
+            # Of two shards that are both starved one must give way.
             gives_way = team not in own.starved_teams or shard.shard_id > other.shard_id
-            return free if gives_way else None
+            return unused if gives_way else None
         if own.lacking_quota.get(team) is not None or team in own.starved_teams:
             return None
-        kept = self._pending(shard, team)
-        return [free[i] - kept[i] for i in range(2)]
+        pending = self._pending_resources(shard, team)
+        return [unused[i] - pending[i] for i in range(2)]
 
-    def largest_gang(self, shard: Shard, team: str) -> int:
-        """Return what the largest of a team's waiting gangs here needs of the share.
+    def _pending_resources(self, shard: Shard, team: str) -> list[int]:
+        """Cpus and gpus of a team's pending tasks in a shard, in fixed point."""
+        total = [0, 0]
+        for job_slice in shard.slices.values():
+            if job_slice.spec.team == team and not job_slice.is_cancelled:
+                total[0] += len(job_slice.pending) * job_slice.resources[0]
+                total[1] += len(job_slice.pending) * job_slice.resources[1]
+        return total
 
-        Given to another part, it would only have to be given back.
+    def largest_gang_cpus(self, shard: Shard, team: str) -> int:
+        """Cpus of the largest of a team's pending gangs in a shard, in fixed point.
+
+        That quota would only have to be transferred back.
         """
         return max(
             (
@@ -110,41 +121,49 @@
             default=0,
         )
 
-    def _pending(self, shard: Shard, team: str) -> list[int]:
-        """What a team's waiting tasks in a part will need of the share."""
-        needs = [0, 0]
-        for job_slice in shard.slices.values():
-            if job_slice.spec.team == team and not job_slice.is_cancelled:
-                needs[0] += len(job_slice.pending) * job_slice.resources[0]
-                needs[1] += len(job_slice.pending) * job_slice.resources[1]
-        return needs
+    def begin(self, shard: Shard, target_id: int, team: str, amounts: list[int]) -> None:
+        """Lower a quota here by some cpus and gpus, and begin to transfer them."""
+        self._quotas.pending_releases[(shard.shard_id, team)] = amounts
+        self._context.spawn(self._transfer(shard, target_id, team, amounts))
 
-    def transfer(self, shard: Shard, target: int, team: str, give: list[int]) -> Coroutine[None]:
-        """Change both shares in one commit; the room was lowered here already."""
+    def _transfer(
+        self, shard: Shard, target_id: int, team: str, amounts: list[int]
+    ) -> Coroutine[None]:
         try:
-            uncertain_version: int | None = None
-            tries = 0
-            while True:
-                tries += 1
-                record = self._view.shard_map
-                version = self._view.version(keys.SHARD_MAP)
-                if record is None or self._leadership.shards.get(shard.shard_id) is not shard:
-                    return
-                if uncertain_version not in (None, version):
-                    # Whatever was sent has been applied or cannot be any more.
-                    return
-                share = record.shards[shard.shard_id].quotas.get(team, [0, 0])
-                exceeds_quota = give[0] > share[0] or give[1] > share[1]
-                if uncertain_version is None and (exceeds_quota or tries > MOST_TRIES):
-                    return
-                new = shard_map.shift_quota(record, shard.shard_id, target, team, give[0], give[1])
-                guards = [self._leadership.fence_precondition(shard.shard_id)]
-                result = yield from self._shard_map_updates.commit(new, [], guards, version)
-                if result is UpdateResult.APPLIED:
-                    return
-                if result is UpdateResult.UNCERTAIN:
-                    uncertain_version = version
-                    yield from self._shard_map_updates.refresh()
-                yield Sleep(0.1 + 0.2 * self._context.rng.random())
+            yield from self._commit(shard, target_id, team, amounts)
         finally:
             self._quotas.pending_releases.pop((shard.shard_id, team), None)
+
+    def _commit(
+        self, shard: Shard, target_id: int, team: str, amounts: list[int]
+    ) -> Coroutine[None]:
+        """Change both quotas, until that is certainly carried out or impossible."""
+        uncertain_version: int | None = None
+        attempts = 0
+        while True:
+            attempts += 1
+            current = self._view.shard_map
+            version = self._view.version(keys.SHARD_MAP)
+            if current is None or self._leadership.shards.get(shard.shard_id) is not shard:
+                return
+            if uncertain_version not in (None, version):
+                # Whatever was sent has been applied or cannot be any more.
+                return
+            is_possible = _has_quota(current, shard.shard_id, team, amounts)
+            if uncertain_version is None and (not is_possible or attempts > MAX_ATTEMPTS):
+                return
+            changed = shard_map.shift_quota(current, shard.shard_id, target_id, team, *amounts)
+            preconditions = [self._leadership.fence_precondition(shard.shard_id)]
+            result = yield from self._shard_map_updates.commit(changed, [], preconditions, version)
+            if result is UpdateResult.APPLIED:
+                return
+            if result is UpdateResult.UNCERTAIN:
+                uncertain_version = version
+                yield from self._shard_map_updates.refresh()
+            yield Sleep(0.1 + 0.2 * self._context.rng.random())
+
+
+def _has_quota(current: ShardMap, shard_id: int, team: str, amounts: list[int]) -> bool:
+    """Whether a shard's quota of a team is at least some cpus and gpus."""
+    cpus, gpus = current.shards[shard_id].quotas.get(team, [0, 0])
+    return cpus >= amounts[0] and gpus >= amounts[1]
--- a/marblestair/core/scheduling/shard_summary.py
+++ b/marblestair/core/scheduling/shard_summary.py
@@ -1,4 +1,4 @@
-"""What the owner of a part tells the other owners about it, a few times a second."""
+"""What the leader of a shard publishes about it, a few times a second."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 from marblestair.core.scheduling.demand import demanded_tasks, measure_demand
 from marblestair.core.scheduling.dispatch import Dispatcher
 from marblestair.core.scheduling.machine_transfers import MachineTransfers
+from marblestair.core.scheduling.placement import FreeCapacity
 from marblestair.core.scheduling.preemption import Preemption
 from marblestair.core.scheduling.quota_ledger import QuotaLedger
 from marblestair.core.shard.absence import absent_machines
@@ -20,13 +21,13 @@
 
 
 class MachineUse(msgspec.Struct):
-    """The machines of a part by what they are good for."""
+    """The machines of a shard by how they are used."""
 
-    #: with tasks, and how much of them is in use
+    #: with tasks, and cpus in use in fixed point
     busy_machines: list[tuple[str, int]] = []
-    #: without tasks, and for how long
+    #: without tasks, and for how many seconds
     idle_machines: list[tuple[str, float]] = []
-    #: with gangs
+    #: with tasks of gangs
     gang_machines: list[str] = []
     #: not to be counted on
     leaving_machines: list[str] = []
@@ -54,37 +55,40 @@
         self._machine_transfers = machine_transfers
 
     def summarize(self, shard: Shard) -> ShardSummary:
-        """What the others should know about a part."""
+        """Summarize a shard for the leaders of the others."""
         demand = measure_demand(self._failures, self._quotas, shard)
-        away = absent_machines(
-            shard, self._context.settings.cluster.workers.lease_s, self._context.now
-        )
-        use = self._machine_use(shard, away)
-        ordered = self._dispatcher.pending_in_order(shard)
+        agent_lease_s = self._context.settings.cluster.workers.lease_s
+        absent = absent_machines(shard, agent_lease_s, self._context.now)
+        use = self._machine_use(shard, absent)
         return ShardSummary(
             shard_id=shard.shard_id,
             term=shard.term,
-            free_capacity=self._free_rooms(shard),
+            free_capacity=self._free_capacity(shard),
             preemptible_capacity=self._preemption.preemptible_capacity(shard),
             backlog_cpus=demand.backlog_cpus,
-            free_quota=self._shares_left(shard),
+            free_quota=self._free_quota(shard),
             lacking_quota=demand.lacking_quota,
-            pending_jobs=self._waiting(shard),
+            pending_jobs=self._pending_jobs(shard),
             busy_machines=use.busy_machines,
             idle_machines=use.idle_machines,
             jobs_lacking_capacity=[
                 job_slice.spec.id
-                for job_slice in ordered
-                if self._machine_transfers.lacks_capacity(shard, job_slice)
+                for job_slice in self._dispatcher.pending_in_order(shard)
+                if self._machine_transfers.lacks_capacity(job_slice)
             ],
             gang_machines=use.gang_machines,
             leaving_machines=use.leaving_machines,
-            absent_machines=sorted(away),
+            absent_machines=sorted(absent),
             starved_teams=demand.starved_teams,
-            failing_jobs=[x for x in self._failures.failing_jobs() if x[0] in shard.slices],
+            failing_jobs=[
+                (job, machine_count)
+                for job, machine_count in self._failures.failing_jobs()
+                if job in shard.slices
+            ],
         )
 
-    def _free_rooms(self, shard: Shard) -> list[tuple[str, str, bool, int, int, int]]:
+    def _free_capacity(self, shard: Shard) -> list[FreeCapacity]:
+        """What the usable machines have free."""
         return [
             (
                 machine.type_name,
@@ -100,44 +104,40 @@
             and not self._preemption.is_claimed(machine)
         ]
 
-    def _shares_left(self, shard: Shard) -> dict[str, list[int]]:
-        left = {}
+    def _free_quota(self, shard: Shard) -> dict[str, list[int]]:
+        """Team -> cpus and gpus of its quota that are not in use, in fixed point."""
+        free_quota = {}
         for team in self._context.teams:
-            used, share = shard.usage(team), self._quotas.quota(shard, team)
-            left[team] = [max(0, share[i] - used[i]) for i in range(2)]
-        return left
+            used, quota = shard.usage(team), self._quotas.quota(shard, team)
+            free_quota[team] = [max(0, quota[i] - used[i]) for i in range(2)]
+        return free_quota
 
-    def _waiting(self, shard: Shard) -> list[tuple[str, int, int]]:
-        waiting = []
+    def _pending_jobs(self, shard: Shard) -> list[tuple[str, int, int]]:
+        """Jobs with unfinished tasks: tasks that demand capacity, and tasks on machines."""
+        pending_jobs = []
         for job, job_slice in shard.slices.items():
             if job_slice.is_cancelled or not (
                 len(job_slice.pending) or job_slice.placed_on or job_slice.migrating_ranges
             ):
                 continue
-            moving = sum(end - start for start, end in job_slice.migrating_ranges)
-            waiting.append(
-                (job, demanded_tasks(self._failures, job_slice) + moving, len(job_slice.placed_on))
-            )
-        return waiting
+            migrating = sum(end - start for start, end in job_slice.migrating_ranges)
+            pending = demanded_tasks(self._failures, job_slice) + migrating
+            pending_jobs.append((job, pending, len(job_slice.placed_on)))
+        return pending_jobs
 
-    def _machine_use(self, shard: Shard, away: set[str]) -> MachineUse:
-        """Sort a part's machines; those that fell silent together with many are left out."""
+    def _machine_use(self, shard: Shard, absent: set[str]) -> MachineUse:
+        """Sort a shard's machines; those that are absent for a while are left out."""
         use = MachineUse()
-        with_gangs = {
-            machine.name
-            for job_slice in shard.slices.values()
-            if job_slice.spec.kind == JobKind.GANG
-            for machine in job_slice.placed_on.values()
-        }
+        gang_machines = _gang_machines(shard)
         for machine in shard.machines.values():
             is_given_up = machine.is_releasing or machine.is_given_up or machine.is_returning
-            if machine.name in away and not is_given_up:
+            if machine.name in absent and not is_given_up:
                 continue
             if is_given_up or self._is_leaving(machine):
                 use.leaving_machines.append(machine.name)
             elif machine.is_draining:
-                # On its way to a gang's part: neither idle nor lost to the plan, which would rent
-                # once more what is there already.
+                # On its way to a gang's shard: neither idle nor lost to the plan, which would rent
+                # a second machine in its place.
                 continue
             elif (
                 machine.is_reconciled
@@ -145,15 +145,13 @@
                 and not machine.tasks
                 and not machine.unknown_tasks
             ):
-                use.idle_machines.append(
-                    (machine.name, round(self._context.now - machine.idle_since, 2))
-                )
-            elif machine.name in with_gangs:
+                idle_s = round(self._context.now - machine.idle_since, 2)
+                use.idle_machines.append((machine.name, idle_s))
+            elif machine.name in gang_machines:
                 use.gang_machines.append(machine.name)
             elif machine.machine_type is not None and machine.tasks:
-                use.busy_machines.append(
-                    (machine.name, machine.machine_type.capacity[0] - machine.free[0])
-                )
+                used_cpus = machine.machine_type.capacity[0] - machine.free[0]
+                use.busy_machines.append((machine.name, used_cpus))
         return use
 
     def _is_leaving(self, machine: Machine) -> bool:
@@ -163,7 +161,7 @@
         return self._is_overdue(machine)
 
     def _is_overdue(self, machine: Machine) -> bool:
-        """Whether a machine that was rented should have reported by now.
+        """Whether a rented machine should have sent a heartbeat by now.
 
         The time counts from its arrival in the shard: after a failover, or a transfer from another
         shard, it may have sent heartbeats elsewhere. Were it left out until it sends one here, the
@@ -174,3 +172,13 @@
         return self._boot_times.is_overdue(
             machine.machine_type, self._context.now - machine.added_at, self._context.now
         )
+
+
+def _gang_machines(shard: Shard) -> set[str]:
+    """Machines with tasks of gangs."""
+    return {
+        machine.name
+        for job_slice in shard.slices.values()
+        if job_slice.spec.kind == JobKind.GANG
+        for machine in job_slice.placed_on.values()
+    }
--- a/marblestair/core/scheduling/slice_assignment.py
+++ b/marblestair/core/scheduling/slice_assignment.py
@@ -8,13 +8,13 @@
 from marblestair.core.messaging.shard_summary import ShardSummary
 from marblestair.core.scheduling.arrivals import Arrivals
 from marblestair.core.scheduling.placement import gang_fits
-from marblestair.core.scheduling.slice_migration import reserve_capacity
+from marblestair.core.scheduling.reported_capacity import reserve_capacity
 from marblestair.core.state.records import ShardMap
 from marblestair.core.state.store_view import StoreView
 
 
 class SliceAssigner:
-    """Assigns the tasks of jobs that one node accepts."""
+    """Assigns the tasks of the jobs that one node accepts to shards."""
 
     def __init__(self, view: StoreView, summaries: ReceivedSummaries, arrivals: Arrivals) -> None:
         self._view = view
@@ -27,8 +27,8 @@
         assert current is not None
         load = self._load_by_shard(current, manager_shard)
         able = _shards_with_quota(spec, current, load) or [manager_shard]
-        if _is_whole(spec) or spec.task_count < 2 * len(able):
-            shard_id = self._shard_for_whole(spec, able, load, manager_shard)
+        if spec.is_indivisible or spec.task_count < 2 * len(able):
+            shard_id = self._shard_for_one_slice(spec, able, load, manager_shard)
             return {str(shard_id): [[0, spec.task_count]]}
         slices: dict[str, list[list[int]]] = {}
         start = 0
@@ -43,7 +43,7 @@
         return received.summary if received is not None else None
 
     def _load_by_shard(self, current: ShardMap, manager_shard: int) -> dict[int, float]:
-        """Work that waits, less free capacity, of the manager shard and those known lately."""
+        """Pending cpus less free ones, of the manager shard and those with a recent summary."""
         load: dict[int, float] = {}
         for shard_id, shard in enumerate(current.shards):
             is_recent = self._summaries.is_recent(shard_id, shard.term)
@@ -52,15 +52,15 @@
             summary = self._summary(shard_id)
             load[shard_id] = 0.0
             if summary is not None:
-                free_cpus = sum(room[3] for room in summary.free_capacity)
+                free_cpus = sum(cpus for _, _, _, cpus, _, _ in summary.free_capacity)
                 load[shard_id] = summary.backlog_cpus - free_cpus
         return load
 
-    def _shard_for_whole(
+    def _shard_for_one_slice(
         self, spec: JobSpec, able: list[int], load: dict[int, float], manager_shard: int
     ) -> int:
-        """Choose the shard for a job that stays one slice: one with capacity, and of least load."""
-        count = spec.task_count if _is_whole(spec) else 1
+        """Choose the shard for a job in one slice: one with free capacity, and of least load."""
+        count = spec.task_count if spec.is_indivisible else 1
         summaries = {
             shard_id: summary
             for shard_id in able
@@ -71,7 +71,7 @@
             candidates, key=lambda shard_id: (load[shard_id], shard_id != manager_shard, shard_id)
         )
         if best in summaries and spec.kind == JobKind.GANG:
-            # Several that come at once are not all sent to the same machine.
+            # Gangs that are accepted at the same time are not all assigned to the same machines.
             reserve_capacity(summaries[best], spec, count)
         return best
 
@@ -99,11 +99,6 @@
         ]
 
 
-def _is_whole(spec: JobSpec) -> bool:
-    """Whether a job's tasks stay in one slice."""
-    return spec.kind == JobKind.GANG or spec.single_zone or spec.spread_zones
-
-
 def _shards_with_quota(spec: JobSpec, current: ShardMap, load: dict[int, float]) -> list[int]:
     """Shards whose quota of the team holds a task, or the whole gang."""
     unit = spec.task_count if spec.kind == JobKind.GANG else 1
--- a/marblestair/core/scheduling/slice_migration.py
+++ b/marblestair/core/scheduling/slice_migration.py
@@ -1,18 +1,17 @@
-"""Migration of unstarted slices between parts: the paper's Algorithms 1, 2 and 4.
+"""Migration of pending tasks between shards: Algorithms 1, 2 and 4 of Bauer and Reichert.
 
 The source drops the task numbers first, then asks the job's ServerManager for the shared and the
-short-term lock in one call, reports the change of ActiveServers (``stay`` or ``log_off``), tells
-the target, and releases the shared lock. The manager commits the change of the record before it
-answers, so the target starts nothing that the record does not give it. Without an answer the task
-numbers belong to nobody here until the record has been read back.
+short-term lock in one call, reports the change of ActiveServers (``stay`` or ``log_off``),
+notifies the target, and releases the shared lock. The manager commits the change of the record
+before it replies, so the target starts nothing that the record does not give it. Without a reply
+no shard starts the task numbers until the record has been read back.
 """
 
 from __future__ import annotations
 
-from typing import Any
+from typing import NamedTuple
 
 from marblestair.core.domain.index_ranges import Ranges
-from marblestair.core.domain.jobs import JobKind, JobSpec
 from marblestair.core.jobs.migration_locks import MigrationLocks, UpdateReply
 from marblestair.core.jobs.record_reader import RecordReader
 from marblestair.core.jobs.server_manager import LOG_OFF, STAY
@@ -24,315 +23,130 @@
     SendChangeEntries,
     UpdateSlices,
 )
-from marblestair.core.messaging.received_summaries import ReceivedSummaries
-from marblestair.core.messaging.shard_summary import ShardSummary
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import PeerRequest, Sleep
-from marblestair.core.scheduling.arrivals import Arrivals
-from marblestair.core.scheduling.dispatch import Dispatcher
-from marblestair.core.scheduling.placement import capacity_by_zone, gang_fits, placeable_tasks
-from marblestair.core.scheduling.preemption import Preemption
-from marblestair.core.scheduling.quota_ledger import QuotaLedger
-from marblestair.core.scheduling.quota_transfers import QuotaTransfers
-from marblestair.core.shard.failures import FailureAttribution
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
 from marblestair.core.state.store_view import StoreView
 
 #: time for a manager, and for the target, to reply, in seconds
-MANAGER_S, TARGET_S = 1.5, 0.5
-#: migrations under way at once, per node
-MOST = 4
-#: seconds for which what another part told of its room counts
-SUMMARY_FRESH_S = 1.5
-#: seconds that a slice waits in its part before it looks elsewhere
-LEAST_WAIT_S = 0.3
+MANAGER_TIMEOUT_S, TARGET_TIMEOUT_S = 1.5, 0.5
+#: migrations in progress at once, per node
+MAX_ACTIVE_MIGRATIONS = 4
+#: attempts to get the locks of a job, and the pause between two, in seconds
+MAX_LOCK_ATTEMPTS, LOCK_RETRY_S = 8, 0.1
+#: pause between two attempts to learn the outcome of an update, in seconds
+OUTCOME_RETRY_S = 0.2
 
 
-def reserve_capacity(summary: ShardSummary, spec: JobSpec, n: int) -> None:
-    """What is on its way to a part is not free there any more."""
-    need = spec.resources
-    share = summary.free_quota.get(spec.team, [0, 0])
-    for i in range(2):
-        share[i] -= n * need[i]
-    for rooms in (summary.free_capacity, summary.preemptible_capacity):
-        for k, told in enumerate(rooms):
-            if n <= 0:
-                return
-            take = min(n, sum(capacity_by_zone(spec, need, [told]).values()))
-            if take > 0:
-                n -= take
-                free = [f - take * x for f, x in zip(told[3:], need, strict=True)]
-                rooms[k] = (told[0], told[1], told[2], free[0], free[1], free[2])
-
-
-class ReportedCapacity:
-    """What other parts told of their free room, counted once per shape of task.
-
-    Many jobs have the same shape.
-    """
-
-    def __init__(self) -> None:
-        self._known: dict[tuple[Any, ...], int] = {}
-
-    def forget(self) -> None:
-        """Something is on its way there: count anew."""
-        self._known.clear()
-
-    def fitting(self, summary: ShardSummary, job_slice: JobSlice) -> int:
-        """How many tasks fit into a part's told rooms."""
-        shape = (summary.shard_id, _kinds(job_slice.spec), job_slice.resources)
-        count = self._known.get(shape)
-        if count is None:
-            count = sum(
-                capacity_by_zone(
-                    job_slice.spec, job_slice.resources, summary.free_capacity
-                ).values()
-            )
-            self._known[shape] = count
-        return count
-
-    def fits_whole(
-        self, summary: ShardSummary, job_slice: JobSlice, count: int, with_held: bool
-    ) -> bool:
-        """Whether so many tasks fit together, also by what may be stopped if ``with_held``."""
-        spec = job_slice.spec
-        how = (spec.single_zone, spec.spread_zones, spec.task_count, with_held)
-        shape = (summary.shard_id, _kinds(spec), job_slice.resources, count, how)
-        fits = self._known.get(shape)
-        if fits is None:
-            rooms = (
-                summary.free_capacity + summary.preemptible_capacity
-                if with_held
-                else summary.free_capacity
-            )
-            fits = self._known[shape] = int(gang_fits(spec, job_slice.resources, rooms, count))
-        return bool(fits)
-
-
-def _kinds(spec: JobSpec) -> tuple[Any, ...]:
-    """The kinds of machine that a job may run on."""
-    types = None if spec.machine_types is None else tuple(spec.machine_types)
-    return types, spec.zone, spec.allows_spot
+class Migration(NamedTuple):
+    """A migration in progress."""
 
+    shard: Shard
+    job_slice: JobSlice
+    target_id: int
+    #: name under which it has the job's locks; no other migration has the same
+    holder: str
 
-def _is_whole(spec: JobSpec) -> bool:
-    """Whether a job's tasks stay in one slice."""
-    return spec.kind == JobKind.GANG or spec.single_zone or spec.spread_zones
-
-
-def _most_share_left(others: list[ShardSummary]) -> dict[str, int]:
-    """Team -> the most cpus that one of the other parts has left of its share."""
-    left: dict[str, int] = {}
-    for summary in others:
-        for team, free in summary.free_quota.items():
-            left[team] = max(left.get(team, 0), free[0])
-    return left
+    @property
+    def job(self) -> str:
+        """The job whose tasks migrate."""
+        return self.job_slice.spec.id
 
 
 class SliceMigrations:
-    """The migrations from one node's parts."""
+    """The migrations from one node's shards."""
 
     def __init__(
         self,
         context: NodeContext,
         view: StoreView,
         leadership: Leadership,
-        quotas: QuotaLedger,
-        quota_transfers: QuotaTransfers,
-        summaries: ReceivedSummaries,
-        failures: FailureAttribution,
-        arrivals: Arrivals,
-        preemption: Preemption,
-        dispatcher: Dispatcher,
         migration_locks: MigrationLocks,
         reader: RecordReader,
     ) -> None:
         self._context = context
         self._view = view
         self._leadership = leadership
-        self._quotas = quotas
-        self._quota_transfers = quota_transfers
-        self._summaries = summaries
-        self._failures = failures
-        self._arrivals = arrivals
-        self._preemption = preemption
-        self._dispatcher = dispatcher
         self._migration_locks = migration_locks
         self._reader = reader
         self.active_count = 0
         self.completed_count = 0
+        #: migrations of this process, for the names of lock holders
         self._count = 0
 
-    # --- source ----------------------------------------------------------------------------
-
     def start(
-        self, shard: Shard, job_slice: JobSlice, ranges: list[list[int]], target: int
+        self, shard: Shard, job_slice: JobSlice, ranges: list[list[int]], target_id: int
     ) -> bool:
-        """Begin to migrate pending tasks of a slice, unless too much is under way."""
+        """Begin to migrate pending tasks of a slice, unless too many migrations are in progress.
+
+        Raises
+        ------
+        ValueError
+            When one of the tasks is not pending.
+        """
         if (
-            self.active_count >= MOST
+            self.active_count >= MAX_ACTIVE_MIGRATIONS
             or job_slice.migrating_ranges
             or job_slice.is_cancelled
             or job_slice.is_unreconciled
         ):
             return False
-        for a, b in ranges:
-            for i in range(a, b):
-                if not job_slice.pending.discard(i):
+        for start, end in ranges:
+            for index in range(start, end):
+                if not job_slice.pending.discard(index):
                     raise ValueError("only pending tasks migrate")
         self.active_count += 1
         self._count += 1
         holder = f"{self._context.node}-{self._context.incarnation}-{self._count}"
-        job_slice.migrating_ranges = [list(r) for r in ranges]
+        job_slice.migrating_ranges = [list(pair) for pair in ranges]
         job_slice.migration_holder = holder
-        self._context.spawn(self._migrate(shard, job_slice, target, holder))
+        self._context.spawn(self._migrate(Migration(shard, job_slice, target_id, holder)))
         return True
 
-    def migrate_pending(self, shard: Shard) -> None:
-        """Find room elsewhere for what cannot start here."""
-        others = [] if shard.unreconciled_machines else self._recent_summaries(shard)
-        if not others:
-            return
-        rooms = ReportedCapacity()
-        survey = self._preemption.survey(shard)
-        #: team -> whether its share here is not all in use
-        spare: dict[str, bool] = {}
-        left = _most_share_left(others)
-        for job_slice in self._dispatcher.pending_in_order(shard):
-            if self.active_count >= MOST:
+    def _migrate(self, migration: Migration) -> Coroutine[None]:
+        try:
+            if not (yield from self._lock(migration)):
+                yield from self._abort(migration)
                 return
-            if not self._may_leave(job_slice):
-                continue
-            hurried = job_slice.spec.kind == JobKind.GANG and self._arrivals.is_latency_sensitive(
-                job_slice.spec
-            )
-            if hurried:
-                share = self._quotas.quota(shard, job_slice.spec.team)
-                if self._preemption.make_room(shard, job_slice, share, False, survey):
-                    continue
-            best, count = None, 0
-            if left.get(job_slice.spec.team, 0) >= job_slice.resources[0]:
-                best, count = self._best_target(job_slice, others, rooms, hurried)
-            if best is None:
-                self._offer_quota(shard, job_slice, others, rooms, spare)
-            elif self.start(shard, job_slice, job_slice.pending.tail(count), best.shard_id):
-                reserve_capacity(best, job_slice.spec, count)
-                rooms.forget()
-
-    def _recent_summaries(self, shard: Shard) -> list[ShardSummary]:
-        """What the owners of the other parts told just now."""
-        shard_map = self._view.shard_map
-        if shard_map is None:
-            return []
-        return [
-            summary
-            for number, (told_at, summary) in sorted(self._summaries.items())
-            if number != shard.shard_id
-            and self._context.now - told_at < SUMMARY_FRESH_S
-            and number < len(shard_map.shards)
-            and summary.term == shard_map.shards[number].term
-        ]
-
-    def _may_leave(self, job_slice: JobSlice) -> bool:
-        """Whether tasks of a slice may look for room in another part."""
-        if job_slice.is_unreconciled or job_slice.migrating_ranges or job_slice.is_stopping_gang:
-            return False
-        if self._failures.is_quarantined(job_slice.spec.id):
-            return False
-        if self._context.now - job_slice.pending_since < LEAST_WAIT_S:
-            return False
-        return not (_is_whole(job_slice.spec) and (job_slice.placed_on or job_slice.done_count))
-
-    def _best_target(
-        self,
-        job_slice: JobSlice,
-        others: list[ShardSummary],
-        rooms: ReportedCapacity,
-        hurried: bool,
-    ) -> tuple[ShardSummary | None, int]:
-        """Choose the part that takes most of a slice's waiting tasks, and how many."""
-        best, most = None, 0
-        for summary in others:
-            count = self._most_accepted(job_slice, summary, rooms, hurried)
-            if count > most:
-                best, most = summary, count
-        return best, most
-
-    def _most_accepted(
-        self, job_slice: JobSlice, summary: ShardSummary, rooms: ReportedCapacity, hurried: bool
-    ) -> int:
-        """How many of a slice's waiting tasks a part has room and share for."""
-        spec = job_slice.spec
-        count = len(job_slice.pending)
-        share = summary.free_quota.get(spec.team, [0, 0])
-        for have, amount in zip(share, job_slice.resources, strict=False):
-            if amount > 0:
-                count = min(count, have // amount)
-        if _is_whole(spec):
-            whole = count == len(job_slice.pending) and rooms.fits_whole(
-                summary, job_slice, count, hurried
-            )
-            return count if whole else 0
-        return min(count, rooms.fitting(summary, job_slice)) if count > 0 else 0
-
-    def _offer_quota(
-        self,
-        shard: Shard,
-        job_slice: JobSlice,
-        others: list[ShardSummary],
-        rooms: ReportedCapacity,
-        spare: dict[str, bool],
-    ) -> None:
-        """Send share to a part with room for a slice's tasks, if some of it is not in use."""
-        team = job_slice.spec.team
-        if team not in spare:
-            used, share = shard.usage(team), self._quotas.quota(shard, team)
-            spare[team] = any(u < x for u, x in zip(used, share, strict=True))
-        if spare[team] and not self._quotas.pending_releases:
-            self._send_quota(shard, job_slice, others, rooms)
-
-    def _send_quota(
-        self, shard: Shard, job_slice: JobSlice, others: list[ShardSummary], rooms: ReportedCapacity
-    ) -> None:
-        """Send share to a part whose machines have room for the team's tasks.
-
-        The tasks follow by migration. Room under the limit that no machine here can use
-        would else be lost to the team.
-        """
-        team, need = job_slice.spec.team, job_slice.resources
-        used, share = shard.usage(team), self._quotas.quota(shard, team)
-        if job_slice.spec.kind != JobKind.GANG:
-            share = (share[0] - self._quota_transfers.largest_gang(shard, team), share[1])
-            if share[0] <= used[0]:
+            if not _has_dropped_tasks(migration):
+                # The record no longer gives them to this shard.
+                yield from self._ask_manager(ReleaseSlices(migration.job, migration.holder))
                 return
-        here = -1
-        for summary in others:
-            fitting = rooms.fitting(summary, job_slice)
-            if fitting <= 0:
-                continue
-            if here < 0:
-                here = placeable_tasks(shard, job_slice.spec, self._context.now)
-            if _is_whole(job_slice.spec) and not rooms.fits_whole(
-                summary, job_slice, len(job_slice.pending), False
-            ):
-                continue
-            count = min(fitting, len(job_slice.pending) - here)
-            there = summary.free_quota.get(team, [0, 0])
-            give = [max(0, min(share[i] - used[i], count * need[i] - there[i])) for i in range(2)]
-            if count > 0 and any(give):
-                self._quotas.pending_releases[(shard.shard_id, team)] = give
-                self._context.spawn(
-                    self._quota_transfers.transfer(shard, summary.shard_id, team, give)
-                )
+            reply = yield from self._ask_manager(_update_message(migration))
+            if reply is False:
+                yield from self._abort(migration)
                 return
+            if isinstance(reply, list):
+                self.completed_count += 1
+                yield from self._notify_target(migration, int(reply[0]))
+            yield from self._await_outcome(migration)
+        finally:
+            self.active_count -= 1
+
+    def _lock(self, migration: Migration) -> Coroutine[bool]:
+        """Get the locks of the job; False when they were not given in some attempts."""
+        shard, job_slice, _, holder = migration
+        job = migration.job
+        for _ in range(MAX_LOCK_ATTEMPTS):
+            if (yield from self._ask_manager(LockSlices(job, holder))) is True:
+                return True
+            if job_slice.is_cancelled or shard.slices.get(job) is not job_slice:
+                return False
+            yield Sleep(LOCK_RETRY_S)
+        return False
+
+    def _abort(self, migration: Migration) -> Coroutine[None]:
+        """End a migration that has certainly changed nothing."""
+        self._restore(migration.shard, migration.job_slice, migration.holder)
+        yield from self._ask_manager(ReleaseSlices(migration.job, migration.holder))
 
     def _ask_manager(
         self, message: LockSlices | UpdateSlices | ReleaseSlices
     ) -> Coroutine[UpdateReply]:
-        """Ask the job's ServerManager, wherever it is."""
+        """Ask the job's ServerManager, wherever it runs; None without a reply."""
         record = self._view.jobs.get(message.job)
         if record is None:
             return None
@@ -341,110 +155,91 @@
             return (yield from self._migration_locks.handle(message))
         if manager is None:
             return None
-        reply: UpdateReply = yield PeerRequest(manager, message, MANAGER_S)
+        reply: UpdateReply = yield PeerRequest(manager, message, MANAGER_TIMEOUT_S)
         return reply
 
-    def _migrate(
-        self, shard: Shard, job_slice: JobSlice, target: int, holder: str
-    ) -> Coroutine[None]:
-        job = job_slice.spec.id
-        try:
-            locked = False
-            for _ in range(8):
-                locked = (yield from self._ask_manager(LockSlices(job, holder))) is True
-                if locked or job_slice.is_cancelled or shard.slices.get(job) is not job_slice:
-                    break
-                yield Sleep(0.1)
-            if not locked:
-                self._restore(shard, job_slice, holder)
-                yield from self._ask_manager(ReleaseSlices(job, holder))
-                return
-            if not job_slice.migrating_ranges or job_slice.migration_holder != holder:
-                # The record no longer gives them to this part.
-                yield from self._ask_manager(ReleaseSlices(job, holder))
-                return
-            left = Ranges(job_slice.ranges)
-            for a, b in job_slice.migrating_ranges:
-                for i in range(a, b):
-                    left.discard(i)
-            option = STAY if len(left) else LOG_OFF
-            update = UpdateSlices(
-                job,
-                holder,
-                shard.shard_id,
-                shard.term,
-                option,
-                target,
-                [list(pair) for pair in job_slice.migrating_ranges],
-            )
-            got = yield from self._ask_manager(update)
-            if got is False:
-                self._restore(shard, job_slice, holder)
-                yield from self._ask_manager(ReleaseSlices(job, holder))
-                return
-            if isinstance(got, list):
-                self.completed_count += 1
-                yield from self._notify_target(job, target, int(got[0]))
-            yield from self._await_outcome(shard, job_slice, holder)
-        finally:
-            self.active_count -= 1
-
-    def _notify_target(self, job: str, target: int, version: int) -> Coroutine[None]:
-        """Tell the target of a migration.
+    def _notify_target(self, migration: Migration, version: int) -> Coroutine[None]:
+        """Announce a migration to the leader of its target.
 
-        It names the last change entry that it knows of the job, and gets only later ones
+        That replies with the last change entry of the job that it knows, and gets only later ones
         (Algorithm 4).
         """
-        owner = self._leadership.leader_of(target)
-        if owner is None or owner == self._context.node:
+        job = migration.job
+        leader = self._leadership.leader_of(migration.target_id)
+        if leader is None or leader == self._context.node:
             return
-        known = yield PeerRequest(owner, AnnounceMigration(job, version), TARGET_S)
+        known = yield PeerRequest(leader, AnnounceMigration(job, version), TARGET_TIMEOUT_S)
         record = self._view.jobs.get(job)
         if isinstance(known, int) and record is not None and len(record.change_list) > known:
-            version_now = self._view.version(keys.JOBS + job)
+            current_version = self._view.version(keys.JOBS + job)
             entries = record.change_list[known:]
-            later = SendChangeEntries(job, known, entries, version_now)
-            yield PeerRequest(owner, later, TARGET_S)
+            later = SendChangeEntries(job, known, entries, current_version)
+            yield PeerRequest(leader, later, TARGET_TIMEOUT_S)
 
-    def _await_outcome(self, shard: Shard, job_slice: JobSlice, holder: str) -> Coroutine[None]:
+    def _await_outcome(self, migration: Migration) -> Coroutine[None]:
         """Wait until the record shows what became of the task numbers that were dropped.
 
-        They may be pending here again only once the manager has given the holder's locks up, so
+        They may be pending here again only once the manager has released the holder's locks, so
         that an update that is still on its way will be refused, and only after the record has
-        been read afresh.
+        been read again.
         """
-        job = job_slice.spec.id
-        released = False
+        shard, job_slice, _, holder = migration
+        job = migration.job
+        is_released = False
         while True:
-            released = (yield from self._ask_manager(ReleaseSlices(job, holder))) is True
-            here = (
+            is_released = (yield from self._ask_manager(ReleaseSlices(job, holder))) is True
+            is_here = (
                 self._leadership.shards.get(shard.shard_id) is shard
                 and shard.slices.get(job) is job_slice
             )
-            # Once this migration is settled, the slice may be in the middle of the next one,
-            # whose dropped numbers are not this one's to restore.
-            if not here or not job_slice.migrating_ranges or job_slice.migration_holder != holder:
-                if released or not here:
+            # Once the outcome of this migration is known, the slice may be in the middle of the
+            # next one, whose dropped numbers are not this one's to restore.
+            if not is_here or not _has_dropped_tasks(migration):
+                if is_released or not is_here:
                     return
-            elif released and (yield from self._reader.refresh(job)):
+            elif is_released and (yield from self._reader.refresh(job)):
                 self._restore(shard, job_slice, holder)
                 return
             if job not in self._view.jobs:
                 return
-            yield Sleep(0.2)
+            yield Sleep(OUTCOME_RETRY_S)
 
     def _restore(self, shard: Shard, job_slice: JobSlice, holder: str) -> None:
-        """The task numbers that were dropped and are still this part's are pending again."""
+        """Make the task numbers that were dropped, and are still the slice's, pending again."""
         if job_slice.migration_holder != holder:
             return
-        leaving, job_slice.migrating_ranges = job_slice.migrating_ranges, []
+        dropped, job_slice.migrating_ranges = job_slice.migrating_ranges, []
         if job_slice.is_cancelled or shard.slices.get(job_slice.spec.id) is not job_slice:
             return
-        for a, b in leaving:
-            for i in range(a, b):
+        for start, end in dropped:
+            for index in range(start, end):
                 if (
-                    job_slice.contains(i)
-                    and i not in job_slice.placed_on
-                    and not (job_slice.done_bits >> i) & 1
+                    job_slice.contains(index)
+                    and index not in job_slice.placed_on
+                    and not (job_slice.done_bits >> index) & 1
                 ):
-                    job_slice.pending.add(i, i + 1)
+                    job_slice.pending.add(index, index + 1)
+
+
+def _has_dropped_tasks(migration: Migration) -> bool:
+    """Whether the slice still lacks task numbers that this migration dropped."""
+    job_slice = migration.job_slice
+    return bool(job_slice.migrating_ranges) and job_slice.migration_holder == migration.holder
+
+
+def _update_message(migration: Migration) -> UpdateSlices:
+    """The change of the record that a migration asks for."""
+    shard, job_slice, target_id, holder = migration
+    remaining = Ranges(job_slice.ranges)
+    for start, end in job_slice.migrating_ranges:
+        for index in range(start, end):
+            remaining.discard(index)
+    return UpdateSlices(
+        migration.job,
+        holder,
+        shard.shard_id,
+        shard.term,
+        STAY if len(remaining) else LOG_OFF,
+        target_id,
+        [list(pair) for pair in job_slice.migrating_ranges],
+    )
