--- a/marblestair/core/capacity/capacity_refusals.py
+++ b/marblestair/core/capacity/capacity_refusals.py
@@ -1,4 +1,4 @@
-"""Kinds of machines of which the cloud has none, and until when they are not asked for."""
+"""Kinds of machines of which the cloud has none, and until when they are not requested."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 from marblestair.core.messaging.messages import CapacityRefusal
 from marblestair.core.runtime.context import NodeContext
 
-#: the longest time for which another controller's refusal counts, in seconds
-LONGEST_S = 300.0
+#: the longest time for which a refusal that another controller reports counts, in seconds
+MAX_REPORTED_S = 300.0
 
 #: type, zone, and whether spot
 KindKey: TypeAlias = tuple[str, str, bool]
 
 
 class CapacityRefusals:
-    """The refusals that one node met, or was told of by others."""
+    """The refusals that one node received from the cloud, or that other nodes reported."""
 
     def __init__(self, context: NodeContext) -> None:
         self._context = context
         self._until: dict[KindKey, float] = {}
 
     def refuse(self, kind: KindKey, seconds: float) -> None:
-        """The cloud has refused a kind to this node."""
+        """The cloud has refused a kind to this node, which requests it again after some time."""
         self._until[kind] = self._context.now + seconds
 
     def is_refused(self, kind: MachineKind) -> bool:
-        """Whether a kind is not to be asked for now."""
+        """Whether a kind is not to be requested now."""
         until = self._until.get(kind.key)
         return until is not None and self._context.now < until
 
@@ -46,9 +46,9 @@
         ]
 
     def receive(self, refusals: Iterable[CapacityRefusal]) -> None:
-        """What another controller was refused."""
+        """Record the refusals that another controller reports."""
         for refusal in refusals:
             kind = (refusal.machine_type, refusal.zone, refusal.spot)
-            until = self._context.now + min(refusal.remaining_s, LONGEST_S)
+            until = self._context.now + min(refusal.remaining_s, MAX_REPORTED_S)
             known = self._until.get(kind)
             self._until[kind] = until if known is None else max(until, known)
--- a/marblestair/core/capacity/catalog_updates.py
+++ b/marblestair/core/capacity/catalog_updates.py
@@ -1,4 +1,4 @@
-"""Learns the machine types: from the store first, since the cloud may be down."""
+"""Updates of the machine types: from the store first, since the cloud may be down."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 #: keys in one page of a listing
 LISTED_KEYS = 1000
-#: seconds between two questions to the cloud: at least, and the random part
+#: seconds between two requests to the cloud: at least, and the random part
 REFRESH_S, RANDOM_REFRESH_S = 60.0, 30.0
 #: the same while the cloud does not answer: with types known, and without
 RETRY_KNOWN_S, RETRY_UNKNOWN_S = 5.0, 0.8
@@ -45,7 +45,7 @@
         self._stored: dict[str, Any] = {}
 
     def maintain(self) -> Coroutine[None]:
-        """Learn the types, and their prices again and again, for good."""
+        """Read the types, and their prices again and again, without end."""
         yield from self._load_stored()
         while True:
             response: CloudResponse = yield ListMachineTypes()
@@ -62,14 +62,14 @@
                 yield Sleep(REFRESH_S + RANDOM_REFRESH_S * self._context.rng.random())
 
     def update(self, machine_types: list[MachineType]) -> None:
-        """Take in the types, and tell the machines that are here of theirs."""
+        """Replace the types, also those of the machines of the shards here."""
         self._catalog.update(machine_types)
         for shard in self._leadership.shards.values():
             for machine in shard.machines.values():
                 machine.set_machine_type(self._catalog.types.get(machine.type_name))
 
     def _load_stored(self) -> Coroutine[None]:
-        """Read what the store has, for as long as it takes."""
+        """Read the types in the store, until that succeeds."""
         while not (yield from self._read_stored()):
             yield Sleep(0.3 + 0.3 * self._context.rng.random())
         if self._stored:
@@ -83,7 +83,7 @@
         return True
 
     def _store(self, new: list[MachineType]) -> Coroutine[None]:
-        """Write types that the store lacks; each is written once, by whoever is first."""
+        """Write types that the store lacks; only the first node to write a type succeeds."""
         batch = new[: self._context.settings.cluster.state.txn_ops]
         puts = [Put(keys.TYPES + kind.name, kind) for kind in batch]
         absent = [(put.key, 0) for put in puts]
--- a/marblestair/core/capacity/fleet.py
+++ b/marblestair/core/capacity/fleet.py
@@ -26,20 +26,20 @@
 MAX_RELEASE = 100
 #: machines in one rental, by the cloud's interface
 MAX_RENT = 50
-#: pause between two turns, and between two when much is lacking and the cloud refused some of it
-TURN_PAUSE_S, SHORT_PAUSE_S = 1.0, 0.1
-#: only what has been beyond the need for this many of its boot times is emptied: need that comes
-#: back sooner would have to wait for boots
-EMPTY_BOOTS = 2.0
-#: share of the capacity that must lack before what is refused is asked for elsewhere at once, and
-#: not only with the next plan
+#: pause between two cycles, and between two when much is lacking and the cloud refused some of it
+CYCLE_PAUSE_S, SHORT_PAUSE_S = 1.0, 0.1
+#: only what has been beyond the demand for this many of its boot times is emptied: demand that
+#: comes back sooner would have to wait for machines to boot
+MIN_SURPLUS_BOOT_TIMES = 2.0
+#: share of the capacity that must lack before the next best kind is requested at once after a
+#: refusal, and not only with the next plan
 URGENT_LACK = 0.1
 #: time for which a shard's summary counts when rentals are shared out, in seconds
 RECENT_SUMMARY_S = 3.0
 
 
 class FleetManager:
-    """What one node does about the machines of its shards."""
+    """Scales the machines of the shards that one node leads."""
 
     def __init__(
         self,
@@ -62,43 +62,43 @@
         self._rentals = rentals
         self._releases = releases
         self._spending = spending
-        #: machines beyond the need, and since when without a break
+        #: machines beyond the demand, and since when without a break
         self._surplus_since: dict[str, float] = {}
 
     def manage_shard(self, shard: Shard) -> Coroutine[None]:
-        """Rent for the backlog, release what is idle or does not serve, while the shard is here."""
+        """Rent for the backlog, release what is idle or unusable, while the shard is here."""
         self._context.spawn(self._rentals.finish_recorded(shard))
-        pause_s = TURN_PAUSE_S
+        pause_s = CYCLE_PAUSE_S
         while self._leadership.shards.get(shard.shard_id) is shard:
             yield Sleep(pause_s * (0.8 + 0.4 * self._context.rng.random()))
-            pause_s = TURN_PAUSE_S
+            pause_s = CYCLE_PAUSE_S
             if not self._leadership.is_leader(shard.shard_id) or not self._catalog.types:
                 continue
-            pause_s = yield from self._take_turn(shard)
+            pause_s = yield from self._scale(shard)
 
-    def _take_turn(self, shard: Shard) -> Coroutine[float]:
-        """Do what the plan asks of a shard; the pause until the next turn."""
+    def _scale(self, shard: Shard) -> Coroutine[float]:
+        """Carry out the plan for a shard; the pause until the next cycle."""
         now = self._context.now
         agent_lease_s = self._context.settings.cluster.workers.lease_s
         self._spending.account(shard)
         for name in absent_machines(shard, agent_lease_s, now):
             shard.machines[name].is_awaited = True
-        useless = machines_to_release(shard, agent_lease_s, now)
-        plan = Plan([], []) if shard.unreconciled_machines else self._planner.compute()
-        useless += [
-            name for name in plan.releases if name in shard.machines and name not in useless
+        releases = machines_to_release(shard, agent_lease_s, now)
+        plan = Plan() if shard.unreconciled_machines else self._planner.compute()
+        releases += [
+            name for name in plan.releases if name in shard.machines and name not in releases
         ]
         self._empty_surplus(shard, plan)
         leaving = [
-            shard.machines[name] for name in useless if not shard.machines[name].is_releasing
+            shard.machines[name] for name in releases if not shard.machines[name].is_releasing
         ]
         if leaving:
             yield from self._releases.release(shard, leaving[:MAX_RELEASE])
-            return TURN_PAUSE_S
+            return CYCLE_PAUSE_S
         return (yield from self._rent(shard, plan))
 
     def _empty_surplus(self, shard: Shard, plan: Plan) -> None:
-        """Stop what runs on a machine that is nearly empty and has long been beyond the need."""
+        """Stop what runs on a machine that is nearly empty and has long been beyond the demand."""
         now = self._context.now
         since = self._surplus_since
         self._surplus_since = {name: since.get(name, now) for name in plan.surplus_machines}
@@ -107,7 +107,7 @@
             for name, surplus_since in self._surplus_since.items()
             if (machine := shard.machines.get(name)) is not None
             and machine.machine_type is not None
-            and now - surplus_since > EMPTY_BOOTS * machine.machine_type.boot_s
+            and now - surplus_since > MIN_SURPLUS_BOOT_TIMES * machine.machine_type.boot_s
         }
         for machine in nearly_empty_machines(shard, names, now)[:1]:
             machine.is_draining = machine.is_returning = True
@@ -117,10 +117,10 @@
             )
 
     def _rent(self, shard: Shard, plan: Plan) -> Coroutine[float]:
-        """Rent this shard's portion of the plan; the pause until the next turn.
+        """Rent this shard's portion of the plan; the pause until the next cycle.
 
-        All of it goes out in one turn, in as few requests as can be; where a kind is refused, the
-        next best is asked for at once if much is lacking.
+        All of it is requested in one cycle, in as few requests as possible; where a kind is
+        refused, the next best is requested at once if much is lacking.
         """
         lacks_much = plan.target_cpus > plan.capacity_cpus * (1 + URGENT_LACK)
         was_refused = False
@@ -130,15 +130,15 @@
                 request = msgspec.structs.replace(rental, count=count)
                 rented = yield from self._rentals.rent(shard, request)
                 was_refused = was_refused or rented != count
-        return SHORT_PAUSE_S if lacks_much and was_refused else TURN_PAUSE_S
+        return SHORT_PAUSE_S if lacks_much and was_refused else CYCLE_PAUSE_S
 
     def _portion(self, shard: Shard, rental: RentalRequest) -> int:
         """Count the machines of a rental that this shard rents.
 
         That is its even portion, the shards with fewest machines first, or all where a gang
-        waits here.
+        is pending here.
         """
-        if rental.shard_id >= 0:
+        if rental.shard_id is not None:
             return rental.count if rental.shard_id == shard.shard_id else 0
         shard_map = self._view.shard_map
         if shard_map is None:
--- a/marblestair/core/capacity/fleet_planner.py
+++ b/marblestair/core/capacity/fleet_planner.py
@@ -7,7 +7,7 @@
 from marblestair.core.capacity.capacity_refusals import CapacityRefusals
 from marblestair.core.capacity.plan_inputs import PlanInputs
 from marblestair.core.capacity.planning import plan
-from marblestair.core.capacity.provisioning import JobLoad, Plan, Tuning
+from marblestair.core.capacity.provisioning import UNKNOWN_BOOT_S, JobLoad, Plan, Tuning
 from marblestair.core.domain.jobs import JobKind
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.scheduling.arrivals import Arrivals
@@ -18,14 +18,12 @@
 
 #: seconds between two log lines of the plan
 LOG_S = 10.0
-#: boot time where no type is known, in seconds
-UNKNOWN_BOOT_S = 30.0
-#: share of a team's limit that is counted on for what is due
+#: share of a team's limit that is counted on for work with deadlines
 LIMIT_SHARE = 0.9
-#: of a running task, so much of its work is left on average
+#: share of a running task's work that is left on average
 RUNNING_LEFT = 0.5
-#: the least time over which the need is averaged, in seconds
-LEAST_SMOOTHING_S = 1e-6
+#: the least time over which the demand is averaged, in seconds
+MIN_SMOOTHING_S = 1e-6
 
 
 class FleetPlanner:
@@ -50,18 +48,18 @@
         self._refusals = refusals
         self._fleet_plan = fleet_plan
         self._tuning = tuning
-        #: when the arrays' need for capacity was last averaged, and the average in cpus
+        #: when the arrays' demand for capacity was last averaged, and the average in cpus
         self._averaged_at = 0.0
         self._average: float | None = None
         self._logged_at: float | None = None
 
     def compute(self) -> Plan:
-        """Compute the plan, and set what placement goes by."""
+        """Compute the plan, and pass what concerns placement on to it."""
         live = sorted(
             self._view.jobs.values(), key=lambda record: (record.startable_since, record.spec.id)
         )
         reported = self._inputs.reported_state()
-        loads = self._inputs.loads(reported, live, self._tuning.patience)
+        loads = self._inputs.loads(reported, live, self._tuning.undated_run_times)
         machines = self._inputs.machines(reported)
         self._arrivals.record_jobs(live)
         computed = plan(
@@ -81,21 +79,21 @@
         return computed
 
     def _smooth_target(self, target: float) -> float:
-        """The arrays' need for capacity, averaged over some boot times."""
+        """The arrays' demand for capacity in cpus, averaged over some boot times."""
         now = self._context.now
         types = self._catalog.types.values()
         boot_s = min((kind.boot_s for kind in types), default=UNKNOWN_BOOT_S)
         if self._average is None:
             value = target
         else:
-            smoothing_s = max(LEAST_SMOOTHING_S, self._tuning.smooth_boots * boot_s)
+            smoothing_s = max(MIN_SMOOTHING_S, self._tuning.smoothing_boot_times * boot_s)
             weight = 1 - math.exp(-(now - self._averaged_at) / smoothing_s)
             value = self._average + weight * (target - self._average)
         self._averaged_at, self._average = now, value
         return value
 
     def _find_infeasible(self, loads: list[JobLoad]) -> set[str]:
-        """Jobs that are put off, so that as many others as possible are done when due."""
+        """Jobs that are deferred, so that as many others as possible are done by their deadline."""
         #: team -> seconds until due, cpu seconds left, and the job
         due_work: dict[str, list[tuple[float, float, str]]] = {}
         used_cpus: dict[str, float] = {}
--- a/marblestair/core/capacity/machine_registry.py
+++ b/marblestair/core/capacity/machine_registry.py
@@ -1,6 +1,6 @@
 """Machines that belong to no shard: found by their heartbeats or in the cloud's list.
 
-They are taken into a shard, or released when they may not go on.
+They are registered in a shard, or released when they may not continue.
 """
 
 from __future__ import annotations
@@ -27,25 +27,25 @@
 LISTING_SHARD = 0
 #: pause between two listings: at least, and as a ratio to the list's lag
 LEAST_LISTING_PAUSE_S, LISTING_PAUSE_LAGS = 2.0, 1.2
-#: a listed machine is taken in once it is so old, and so many lags of the list older: its rental
-#: may be under way, and in nobody's shard yet
+#: a listed machine is registered once it is so old, and so many lags of the list older: its rental
+#: may be in progress, and in no shard yet
 LEAST_LISTED_AGE_S, LISTED_AGE_LAGS = 15.0, 2
 #: lags for which the list must have shown a machine: one that is gone is listed for a while
 LISTED_LAGS = 2
-#: pause before a machine that did not answer is asked again, or released again
+#: pause before a machine that did not respond is inspected again, or released again
 RETRY_PAUSE_S = 1.0
 #: state of a machine in the cloud's list that has stopped by itself
 FAILED = "failed"
 
 
 class MachineRegistry:
-    """What one node does about machines of no shard."""
+    """Registers or releases machines of no shard, on one node."""
 
     def __init__(self, context: NodeContext, view: StoreView, leadership: Leadership) -> None:
         self._context = context
         self._view = view
         self._leadership = leadership
-        #: machines that are being taken in, and those that are being released
+        #: machines that are being registered, and those that are being released
         self._registering: set[str] = set()
         self._releasing: set[str] = set()
 
@@ -61,7 +61,7 @@
         if not led_shards or shard_map is None:
             return HeartbeatResponse(503)
         if heartbeat.tasks:
-            # Dropped from the view earlier, yet alive with tasks: it may not go on.
+            # Removed from the view earlier, yet alive with tasks: it may not continue.
             self._releasing.add(name)
             self._context.spawn(self._release([name]))
             return HeartbeatResponse(503)
@@ -82,9 +82,9 @@
         return counts
 
     def _register_inspected(self, heartbeat: Heartbeat, shard: Shard) -> Coroutine[None]:
-        """Take in a machine that belongs to nobody, if it is there.
+        """Register a machine that belongs to no shard, if it exists.
 
-        The heartbeat may be a late copy from a machine that was released or taken.
+        The heartbeat may be a late copy from a machine that was released or reclaimed.
         """
         inspected: Heartbeat | None = yield InspectAgent(heartbeat.address)
         if inspected is None or inspected.machine != heartbeat.machine:
@@ -117,7 +117,7 @@
     # --- by the cloud's list ---------------------------------------------------------------
 
     def watch_machine_list(self) -> Coroutine[None]:
-        """Go through the cloud's list for machines that nobody has, for good."""
+        """Go through the cloud's list for machines of no shard, without end."""
         lag_s = self._context.settings.cluster.cloud.list_lag_s
         first_listed: dict[str, float] = {}
         pause_s = max(LEAST_LISTING_PAUSE_S, LISTING_PAUSE_LAGS * lag_s)
@@ -137,7 +137,7 @@
             for machine in listed:
                 listed_s = now - first_listed[machine.name]
                 if self._is_unregistered(machine, lag_s) and listed_s >= LISTED_LAGS * lag_s:
-                    self._take_in(machine)
+                    self._register_listed(machine)
 
     def _has_silent_machines(self) -> bool:
         return any(
@@ -147,7 +147,7 @@
         )
 
     def _is_unregistered(self, machine: ListedMachine, lag_s: float) -> bool:
-        """Whether a listed machine is in nobody's shard, and not about to be."""
+        """Whether a listed machine is in no shard, and not about to be."""
         name = machine.name
         if name in self._view.machines or name in self._view.gone_machines:
             return False
@@ -155,7 +155,7 @@
             return False
         return machine.age_s >= LEAST_LISTED_AGE_S + LISTED_AGE_LAGS * lag_s
 
-    def _take_in(self, machine: ListedMachine) -> None:
+    def _register_listed(self, machine: ListedMachine) -> None:
         if machine.state == FAILED:
             self._context.spawn(self._release([machine.name]))
         elif machine.name not in self._registering:
@@ -165,7 +165,7 @@
             self._context.spawn(self._register(machine.name, record))
 
     def _mark_failed(self, listed: list[ListedMachine]) -> None:
-        """What has stopped by itself will not be back."""
+        """Mark the machines that have stopped by themselves; they will not be back."""
         failed = {machine.name for machine in listed if machine.state == FAILED}
         if not failed:
             return
--- a/marblestair/core/capacity/releases.py
+++ b/marblestair/core/capacity/releases.py
@@ -1,4 +1,4 @@
-"""Releases: machines given back to the cloud, and what is known once it has confirmed that."""
+"""Releases of machines to the cloud, and the removal of their records once it has confirmed."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 #: pause after a release that the cloud did not confirm
 RETRY_PAUSE_S = 0.5
-#: share of ``cancel_s`` after which a machine that still holds a cancelled task is given up
+#: share of ``cancel_s`` after which a machine that still has a cancelled task is given up
 GIVE_UP_SHARE = 0.5
 
 
@@ -36,7 +36,7 @@
         self._follower = follower
 
     def release(self, shard: Shard, machines: list[Machine]) -> Coroutine[None]:
-        """Give machines back. Their tasks are gone once the cloud has said so, not before."""
+        """Release machines; their tasks have ended once the cloud has confirmed, not before."""
         for machine in machines:
             machine.is_releasing = True
         names = [machine.name for machine in machines]
@@ -46,7 +46,7 @@
             self._context.spawn(self._remove(shard, names))
             return
         for machine in machines:
-            # A late copy of the request may still take the machine; it is asked for again.
+            # A late copy of the request may still end the machine; its release is requested again.
             machine.is_releasing = machine.is_given_up
             if not machine.tasks:
                 machine.idle_since = self._context.now
@@ -79,7 +79,7 @@
             yield Sleep(0.3 + 0.3 * self._context.rng.random())
 
     def enforce_cancel_deadline(self, shard: Shard) -> None:
-        """Stop answering machines that hold a cancelled task for too long.
+        """Stop responding to machines that have had a cancelled task for too long.
 
         Without 200 responses the agent's lease expires, and the machine is released, so that
         both the lease and the cloud end the task.
--- a/marblestair/core/capacity/rentals.py
+++ b/marblestair/core/capacity/rentals.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from marblestair.core.capacity.capacity_refusals import CapacityRefusals
-from marblestair.core.capacity.provisioning import RentalRequest
+from marblestair.core.capacity.provisioning import UNKNOWN_BOOT_S, RentalRequest
 from marblestair.core.leadership.leadership import Leadership
 from marblestair.core.runtime.cloud_requests import CloudResponse, RentMachines
 from marblestair.core.runtime.context import NodeContext
@@ -27,12 +27,10 @@
 
 #: agents' leases within which a new leader carries out what an earlier one meant to rent
 RECENT_LEASES = 2.0
-#: boot time of a machine of an unknown type, in seconds
-UNKNOWN_BOOT_S = 30.0
-#: boot times for which a kind is not asked for after a refusal, and the least time in seconds
-REFUSED_BOOTS, LEAST_REFUSED_S = 0.5, 5.0
-#: pause before a request without an answer is repeated: at first, its growth, and the longest
-FIRST_PAUSE_S, PAUSE_GROWTH, LONGEST_PAUSE_S = 0.5, 1.6, 4.0
+#: boot times for which a kind is not requested after a refusal, and the least time in seconds
+REFUSED_BOOT_TIMES, MIN_REFUSED_S = 0.5, 5.0
+#: pause before a request without a response is repeated: at first, its growth, and the longest
+FIRST_PAUSE_S, PAUSE_GROWTH, MAX_PAUSE_S = 0.5, 1.6, 4.0
 #: intents in one page of a listing, and the pause before a listing is tried again
 LISTED_INTENTS, LISTING_PAUSE_S = 200, 0.5
 
@@ -60,7 +58,7 @@
         return self._leadership.shards.get(shard.shard_id) is shard
 
     def rent(self, shard: Shard, rental: RentalRequest) -> Coroutine[int]:
-        """Rent machines; how many the cloud gave, all of them where that is not known."""
+        """Rent machines; how many the cloud granted, all of them where that is not known."""
         self._count += 1
         name = f"r-{shard.term}-{self._count}"
         key = keys.rental_intent(shard.shard_id, name)
@@ -84,7 +82,7 @@
     def _rent_recorded(
         self, shard: Shard, name: str, rental: RentalRequest, intent_version: int
     ) -> Coroutine[int]:
-        """Rent under a recorded name, for as long as it takes to know the answer; how many."""
+        """Rent under a recorded name, until the cloud has responded; how many machines."""
         machines = yield from self._request(shard, name, rental, intent_version)
         if machines is None:
             return 0
@@ -98,7 +96,7 @@
     def _request(
         self, shard: Shard, name: str, rental: RentalRequest, intent_version: int
     ) -> Coroutine[list[str] | None]:
-        """Ask the cloud until it answers: the machines, or None when there are none for us."""
+        """Repeat a request until the cloud responds: the machines, or None when it refuses."""
         pause_s = FIRST_PAUSE_S
         while True:
             response: CloudResponse = yield RentMachines(
@@ -107,20 +105,20 @@
             if response.status == 200:
                 return response.machines
             if response.status == 400 or (response.status == 503 and response.no_capacity):
-                self._refuse(rental, LEAST_REFUSED_S)
+                self._refuse(rental, MIN_REFUSED_S)
                 shard.obsolete_keys[keys.rental_intent(shard.shard_id, name)] = intent_version
                 return None
             if not self._is_current(shard):
                 return None
             yield Sleep(pause_s * (0.8 + 0.4 * self._context.rng.random()))
-            pause_s = min(LONGEST_PAUSE_S, pause_s * PAUSE_GROWTH)
+            pause_s = min(MAX_PAUSE_S, pause_s * PAUSE_GROWTH)
 
     def _refuse(self, rental: RentalRequest, least_s: float) -> None:
-        """The cloud has no more of a kind: it is not asked for a while."""
+        """The cloud has no more of a kind: it is not requested for a while."""
         kind = self._catalog.types.get(rental.machine_type)
         boot_s = kind.boot_s if kind is not None else UNKNOWN_BOOT_S
         key = (rental.machine_type, rental.zone, rental.spot)
-        self._refusals.refuse(key, max(least_s, REFUSED_BOOTS * boot_s))
+        self._refusals.refuse(key, max(least_s, REFUSED_BOOT_TIMES * boot_s))
 
     def _record_machines(
         self,
@@ -140,8 +138,8 @@
                 Put(keys.MACHINES + machine, self._machine_record(shard, rental))
                 for machine in batch
             ]
-            # A try that is carried out only after the machine was released again leaves a record
-            # of a machine that never sends a heartbeat: it is dropped like one that fell.
+            # An attempt that is carried out only after the machine was released again leaves a
+            # record of a machine that never sends a heartbeat: it is removed like a failed one.
             preconditions = [(put.key, 0) for put in puts]
             preconditions.append(self._leadership.fence_precondition(shard.shard_id))
             preconditions.append((intent_key, intent_version))
@@ -155,7 +153,7 @@
             if not self._is_current(shard):
                 return
             if response.status == 409:
-                # Recorded by an earlier try, or taken in by somebody in between.
+                # Recorded by an earlier attempt, or registered by another node in between.
                 remaining = [machine for machine in remaining if self._is_unknown(machine)]
                 if not remaining:
                     shard.obsolete_keys[intent_key] = None
@@ -181,7 +179,7 @@
 
         The same name gives the same machines, so none is left unused and paid for. Older
         intents were refused, or their machines are recorded, listed or sending heartbeats by now;
-        sending them again would rent machines that nobody needs any more.
+        requesting them again would rent machines for which there is no demand any more.
         """
         prefix = f"{keys.RENTAL_INTENTS}{shard.shard_id}/"
         after_key = ""
--- /dev/null
+++ b/marblestair/core/capacity/reported_state.py
@@ -0,0 +1,53 @@
+"""The summaries of all shards, put together for the plan of the fleet."""
+
+from __future__ import annotations
+
+from marblestair.core.messaging.received_summaries import ReceivedSummaries
+from marblestair.core.messaging.shard_summary import ReceivedSummary
+from marblestair.core.runtime.context import NodeContext
+
+#: a shard without a summary for this many of the agents' leases is left out
+RECENT_SUMMARY_LEASES = 1.5
+
+
+class ReportedState:
+    """What the leaders of all shards reported last.
+
+    Through a failover the last summary of a shard is still nearly right; only of one without any
+    for longer are neither the work nor the machines counted.
+    """
+
+    def __init__(self, context: NodeContext, summaries: ReceivedSummaries) -> None:
+        #: job -> its pending tasks, and its tasks on machines
+        self.tasks: dict[str, tuple[int, int]] = {}
+        #: job -> a shard that has tasks of it
+        self.shard_of_job: dict[str, int] = {}
+        #: machine -> seconds without any task
+        self.idle_machines: dict[str, float] = {}
+        self.leaving_machines: set[str] = set()
+        self.absent_machines: set[str] = set()
+        self.gang_machines: set[str] = set()
+        #: machine -> cpus in use, in fixed point
+        self.used_cpus: dict[str, int] = {}
+        max_age_s = RECENT_SUMMARY_LEASES * context.settings.cluster.workers.lease_s
+        #: shards with a recent summary
+        self.recent_shards = {
+            shard_id
+            for shard_id, (received_at, _) in summaries.items()
+            if context.now - received_at <= max_age_s
+        }
+        for shard_id in sorted(self.recent_shards):
+            self._add(shard_id, summaries[shard_id], context.now)
+
+    def _add(self, shard_id: int, received: ReceivedSummary, now: float) -> None:
+        received_at, summary = received
+        for job, pending, placed in summary.pending_jobs:
+            pending_elsewhere, placed_elsewhere = self.tasks.get(job, (0, 0))
+            self.tasks[job] = (pending_elsewhere + pending, placed_elsewhere + placed)
+            self.shard_of_job[job] = shard_id
+        self.gang_machines.update(summary.gang_machines)
+        self.used_cpus.update(summary.busy_machines)
+        for name, idle_s in summary.idle_machines:
+            self.idle_machines[name] = idle_s + (now - received_at)
+        self.leaving_machines.update(summary.leaving_machines)
+        self.absent_machines.update(summary.absent_machines)
--- /dev/null
+++ b/marblestair/core/capacity/team_headroom.py
@@ -0,0 +1,38 @@
+"""How much more work the limits of the teams allow to run."""
+
+from __future__ import annotations
+
+from marblestair.core.capacity.reported_state import ReportedState
+from marblestair.core.domain.jobs import JobKind
+from marblestair.core.state.records import JobRecord
+from marblestair.settings import Team
+
+
+class TeamHeadroom:
+    """Cpus that the teams' limits leave, as pending work is counted against them job by job."""
+
+    def __init__(
+        self, teams: dict[str, Team], reported: ReportedState, live: list[JobRecord]
+    ) -> None:
+        self._cpus = {name: team.cpu_limit for name, team in teams.items()}
+        # What arrays use of a limit is free for a gang before long.
+        self._gang_cpus = dict(self._cpus)
+        for record in live:
+            spec = record.spec
+            _, placed = reported.tasks.get(spec.id, (0, 0))
+            self._use(spec.team, placed * spec.cpus, spec.kind == JobKind.GANG)
+
+    def _use(self, team: str, cpus: float, is_gang: bool) -> None:
+        self._cpus[team] = self._cpus.get(team, 0.0) - cpus
+        if is_gang:
+            self._gang_cpus[team] = self._gang_cpus.get(team, 0.0) - cpus
+
+    def allow(self, record: JobRecord, pending: int) -> int:
+        """Count a job's pending tasks against the limit; how many of them it allows to run."""
+        spec = record.spec
+        is_gang = spec.kind == JobKind.GANG
+        left = self._gang_cpus if is_gang else self._cpus
+        fitting = int(left[spec.team] // spec.cpus) if spec.cpus else pending
+        allowed = max(0, min(pending, fitting))
+        self._use(spec.team, allowed * spec.cpus, is_gang)
+        return allowed
--- a/marblestair/policy.py
+++ b/marblestair/policy.py
@@ -18,17 +18,28 @@
 from marblestair.core.capacity.provisioning import Tuning
 from marblestair.settings import Settings
 
-#: what a value of each tunable may be
-RANGES: dict[str, tuple[float, float]] = {
-    "margin": (0.0, 5.0),
-    "reserve": (0.0, 20.0),
-    "spare_gangs": (0, 100),
-    "spot_risk": (0.0, 100.0),
-    "idle_boots": (0.0, 100.0),
-    "smooth_boots": (0.0, 100.0),
-    "keep": (0.0, 100.0),
-    "haste": (0.05, 1.0),
-    "patience": (1.0, 100.0),
+
+class Tunable(msgspec.Struct, frozen=True):
+    """A weight that operators may set: its field, and the bounds of its values."""
+
+    #: name of the field of Tuning
+    field: str
+    low: float
+    high: float
+    is_whole: bool = False
+
+
+#: the operators' names of the weights of the plan
+TUNABLES: dict[str, Tunable] = {
+    "margin": Tunable("capacity_margin", 0.0, 5.0),
+    "reserve": Tunable("headroom_jobs", 0.0, 20.0),
+    "spare_gangs": Tunable("standby_gangs", 0, 100, is_whole=True),
+    "spot_risk": Tunable("spot_risk_premium", 0.0, 100.0),
+    "idle_boots": Tunable("min_idle_boot_times", 0.0, 100.0),
+    "smooth_boots": Tunable("smoothing_boot_times", 0.0, 100.0),
+    "keep": Tunable("release_surplus", 0.0, 100.0),
+    "haste": Tunable("deadline_share", 0.05, 1.0),
+    "patience": Tunable("undated_run_times", 1.0, 100.0),
 }
 
 
@@ -63,22 +74,23 @@
     """What a script asks for, by the functions that it may call."""
 
     def __init__(self) -> None:
-        self.tuned: dict[str, Any] = {}
+        #: field of Tuning -> its value
+        self.tuned: dict[str, float] = {}
         self.lead_s: dict[str, float] = {}
 
     def tune(self, **values: Any) -> None:
-        """Set figures of the plan of the fleet."""
+        """Set weights of the plan of the fleet, by the operators' names."""
         for name, value in values.items():
-            if name not in RANGES:
+            tunable = TUNABLES.get(name)
+            if tunable is None:
                 raise ValueError(f"tune: no such setting: {name}")
-            low, high = RANGES[name]
-            whole = name == "spare_gangs"
-            kinds = (int,) if whole else (int, float)
+            low, high, is_whole = tunable.low, tunable.high, tunable.is_whole
+            kinds = (int,) if is_whole else (int, float)
             if isinstance(value, bool) or not isinstance(value, kinds):
-                raise ValueError(f"tune: {name} must be a {'whole ' if whole else ''}number")
+                raise ValueError(f"tune: {name} must be a {'whole ' if is_whole else ''}number")
             if not (math.isfinite(value) and low <= value <= high):
                 raise ValueError(f"tune: {name} must be from {low} to {high}")
-            self.tuned[name] = value if whole else float(value)
+            self.tuned[tunable.field] = value if is_whole else float(value)
 
     def lead(self, cls: Any, seconds: Any) -> None:
         """Serve a class earlier by some seconds."""
--- a/tests/test_overlapping_troubles.py
+++ b/tests/test_overlapping_troubles.py
@@ -785,9 +785,11 @@
 
 def test_work_bound_to_a_zone_gets_machines_there_though_others_stand_elsewhere() -> None:
     kind = {machine_type.name: machine_type for machine_type in TYPES}
-    have = [AvailableMachine(f"a{i}", kind["t8"], "a", False, False, 5.0, 100.0) for i in range(5)]
+    have = [
+        AvailableMachine(f"a{i}", kind["t8"], "a", False, False, 5.0, 100.0, 0) for i in range(5)
+    ]
     have.append(
-        AvailableMachine("b0", kind["t4"], "b", False, False, -1.0, 100.0, used_cpus=4_000_000)
+        AvailableMachine("b0", kind["t4"], "b", False, False, None, 100.0, 0, used_cpus=4_000_000)
     )
     load = JobLoad(spec(1, task_count=40, zone="b", estimated_run_s=10.0), 36, 4, 20.0, 10.0, 36)
     out = plan([load], have, kind, lambda k: False, 0.0, {}, Tuning())
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -22,7 +22,8 @@
         'lead("urgent", 30)\n'
     )
     p = load(str(f), settings(0))
-    assert (p.tuning.margin, p.tuning.reserve, p.tuning.spare_gangs) == (0.2, 1.0, 2)
+    tuning = p.tuning
+    assert (tuning.capacity_margin, tuning.headroom_jobs, tuning.standby_gangs) == (0.2, 1.0, 2)
     assert p.lead_s == {"urgent": 30.0}
     # A class with a lead is served as if it were due that much earlier.
     a, b = spec(1, deadline_s=100.0), spec(2, deadline_s=110.0)
