--- a/marblestair/wire/agents.py
+++ b/marblestair/wire/agents.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from collections.abc import Sequence
+
 import msgspec
 
 from marblestair.core.domain.agents import (
@@ -65,6 +67,28 @@
     pieces: list[_Task] = []
 
 
+class _Command(msgspec.Struct):
+    verb: str
+    piece: str
+    attempt: int = msgspec.field(name="try")
+    wind_down_s: float | msgspec.UnsetType = msgspec.UNSET
+
+
+class _HeartbeatResponse(msgspec.Struct):
+    baton: int
+    orders: list[_Command]
+
+
+class _Redirect(msgspec.Struct):
+    foreman: str | msgspec.UnsetType = msgspec.UNSET
+
+
+class _DirectCommand(msgspec.Struct):
+    baton: int
+    shift: int
+    orders: list[_Command]
+
+
 _heartbeat_decoder = msgspec.msgpack.Decoder(_Heartbeat)
 
 
@@ -107,35 +131,25 @@
     )
 
 
-def _command(command: TaskCommand) -> dict[str, object]:
-    fields: dict[str, object] = {
-        "verb": _VERBS[command.verb],
-        "piece": f"{command.job}/{command.index}",
-        "try": command.attempt,
-    }
-    if command.verb is CommandVerb.STOP:
-        fields["wind_down_s"] = command.grace_s
-    return fields
+def _command(command: TaskCommand) -> _Command:
+    grace_s = command.grace_s if command.verb is CommandVerb.STOP else msgspec.UNSET
+    piece = f"{command.job}/{command.index}"
+    return _Command(_VERBS[command.verb], piece, command.attempt, grace_s)
 
 
-def encode_heartbeat_response(fencing_token: int, commands: list[TaskCommand]) -> bytes:
+def encode_heartbeat_response(fencing_token: int, commands: Sequence[TaskCommand]) -> bytes:
     """Encode the body of a 200 to a heartbeat."""
-    return pack({"baton": fencing_token, "orders": [_command(command) for command in commands]})
+    return pack(_HeartbeatResponse(fencing_token, [_command(command) for command in commands]))
 
 
 def encode_redirect(node: str | None) -> bytes:
     """Encode the body of a 421 to a heartbeat: the node to turn to, if it is known."""
-    return pack({"foreman": node} if node else {})
+    return pack(_Redirect(node or msgspec.UNSET))
 
 
 def encode_direct_command(
     fencing_token: int, agent_incarnation: int, commands: list[TaskCommand]
 ) -> bytes:
     """Encode the body of a direct command."""
-    return pack(
-        {
-            "baton": fencing_token,
-            "shift": agent_incarnation,
-            "orders": [_command(command) for command in commands],
-        }
-    )
+    encoded = [_command(command) for command in commands]
+    return pack(_DirectCommand(fencing_token, agent_incarnation, encoded))
--- a/marblestair/wire/cloud.py
+++ b/marblestair/wire/cloud.py
@@ -18,7 +18,7 @@
 )
 from marblestair.wire.codec import HttpRequest, pack
 
-#: the error with which the cloud says that it has no machine of a kind
+#: the error of a rental for which the cloud has no machine of the type
 NO_CAPACITY = "no capacity"
 
 
@@ -58,6 +58,18 @@
     more: bool = False
 
 
+class _Rental(msgspec.Struct):
+    hire: str
+    build: str
+    room: str
+    loaners: bool
+    how_many: int
+
+
+class _Release(msgspec.Struct):
+    benches: list[str]
+
+
 def encode_cloud_request(request: CloudRequest) -> HttpRequest:
     """Encode a request to the cloud."""
     if isinstance(request, ListMachineTypes):
@@ -65,21 +77,21 @@
     if isinstance(request, RentMachines):
         return HttpRequest("POST", "/rentals", pack(_rental(request)))
     if isinstance(request, ReleaseMachines):
-        return HttpRequest("POST", "/rentals/release", pack({"benches": request.machines}))
+        return HttpRequest("POST", "/rentals/release", pack(_Release(request.machines)))
     path = f"/rentals?limit={request.limit}"
     if request.after_name:
         path += "&from=" + quote(request.after_name)
     return HttpRequest("GET", path)
 
 
-def _rental(request: RentMachines) -> dict[str, object]:
-    return {
-        "hire": request.name,
-        "build": request.machine_type,
-        "room": request.zone,
-        "loaners": request.spot,
-        "how_many": request.count,
-    }
+def _rental(request: RentMachines) -> _Rental:
+    return _Rental(
+        hire=request.name,
+        build=request.machine_type,
+        room=request.zone,
+        loaners=request.spot,
+        how_many=request.count,
+    )
 
 
 def decode_cloud_response(request: CloudRequest, status: int, body: bytes) -> CloudResponse:
@@ -102,7 +114,7 @@
 def _decode_success(request: CloudRequest, body: bytes) -> CloudResponse:
     if isinstance(request, ListMachineTypes):
         types = msgspec.msgpack.decode(body, type=_Types)
-        return CloudResponse(200, machine_types=[_machine_type(kind) for kind in types.builds])
+        return CloudResponse(200, machine_types=[_machine_type(build) for build in types.builds])
     if isinstance(request, RentMachines):
         rented = msgspec.msgpack.decode(body, type=_Rented)
         return CloudResponse(200, machines=rented.benches)
@@ -113,18 +125,18 @@
     return CloudResponse(200)
 
 
-def _machine_type(kind: _Type) -> MachineType:
+def _machine_type(build: _Type) -> MachineType:
     return MachineType(
-        name=kind.sku,
-        cpus=kind.cpus,
-        gpus=kind.gpus,
-        mem_gb=kind.mem_gb,
-        cache_gb=kind.local_gb,
-        fetch_gb_per_s=kind.fetch_gb_per_s,
-        price=kind.hourly,
-        spot_price=kind.market_price,
-        boot_s=kind.startup_s,
-        zones=kind.rooms,
+        name=build.sku,
+        cpus=build.cpus,
+        gpus=build.gpus,
+        mem_gb=build.mem_gb,
+        cache_gb=build.local_gb,
+        fetch_gb_per_s=build.fetch_gb_per_s,
+        price=build.hourly,
+        spot_price=build.market_price,
+        boot_s=build.startup_s,
+        zones=build.rooms,
     )
 
 
--- a/marblestair/wire/store.py
+++ b/marblestair/wire/store.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from typing import Any
+from collections.abc import Mapping
+from typing import Any, TypeAlias
 from urllib.parse import quote
 
 import msgspec
@@ -22,6 +23,29 @@
 )
 from marblestair.wire.codec import HttpRequest, pack
 
+#: a decoded body: a map of which only the fields that are read are checked
+_Fields: TypeAlias = Mapping[str, Any]
+
+
+class _Put(msgspec.Struct):
+    set: str
+    value: Any
+    tenancy: int | msgspec.UnsetType = msgspec.UNSET
+
+
+class _Delete(msgspec.Struct):
+    delete: str
+
+
+class _Guard(msgspec.Struct):
+    path: str
+    stamp: int
+
+
+class _Transaction(msgspec.Struct):
+    guards: list[_Guard]
+    apply: list[_Put | _Delete] | msgspec.UnsetType = msgspec.UNSET
+
 
 def encode_store_request(request: StoreRequest) -> HttpRequest:
     """Encode a request to the store."""
@@ -54,21 +78,16 @@
     return quote(key, safe="/")
 
 
-def _transaction(request: CompareAndSwap) -> dict[str, object]:
-    changes = [_put(put) for put in request.puts]
-    changes += [{"delete": key} for key in request.deletes]
-    guards = [{"path": key, "stamp": version} for key, version in request.preconditions]
-    body: dict[str, object] = {"guards": guards}
-    if changes:
-        body["apply"] = changes
-    return body
+def _transaction(request: CompareAndSwap) -> _Transaction:
+    changes: list[_Put | _Delete] = [_put(put) for put in request.puts]
+    changes += [_Delete(key) for key in request.deletes]
+    guards = [_Guard(key, version) for key, version in request.preconditions]
+    return _Transaction(guards, changes or msgspec.UNSET)
 
 
-def _put(put: Put) -> dict[str, object]:
-    fields = {"set": put.key, "value": put.value}
-    if put.lease_id is not None:
-        fields["tenancy"] = put.lease_id
-    return fields
+def _put(put: Put) -> _Put:
+    lease_id = msgspec.UNSET if put.lease_id is None else put.lease_id
+    return _Put(put.key, put.value, lease_id)
 
 
 def decode_store_response(request: StoreRequest, status: int, body: bytes) -> StoreResponse:
@@ -85,42 +104,43 @@
         return StoreResponse(status if status == 429 or status >= 500 else 0)
 
 
-def _decode_success(request: StoreRequest, fields: dict[str, Any]) -> StoreResponse:
+def _decode_success(request: StoreRequest, fields: _Fields) -> StoreResponse:
     if isinstance(request, Get):
         return StoreResponse(200, value=fields["value"], version=int(fields["stamp"]))
     if isinstance(request, ListKeys):
-        items = [
-            StoredKey(item["path"], item["value"], int(item["stamp"])) for item in fields["items"]
-        ]
+        items = [_stored_key(item) for item in fields["items"]]
         has_more = bool(fields.get("more"))
-        return StoreResponse(
-            200, items=items, has_more=has_more, revision=int(fields["ledger_rev"])
-        )
+        revision = int(fields["ledger_rev"])
+        return StoreResponse(200, items=items, has_more=has_more, revision=revision)
     if isinstance(request, Watch):
         changes = [_key_change(change) for change in fields["log"]]
         return StoreResponse(200, events=changes, revision=int(fields["ledger_rev"]))
     if isinstance(request, GrantLease):
         return StoreResponse(200, lease_id=int(fields["tenancy"]))
     if isinstance(request, CompareAndSwap):
-        # Without the revision nobody could tell whether something newer is known already.
+        # Without the revision it would be unknown whether something newer has been read already.
         return StoreResponse(200, revision=int(fields["ledger_rev"]))
     return _decode_plain(200, fields)
 
 
-def _decode_failure(request: StoreRequest, status: int, fields: dict[str, Any]) -> StoreResponse:
+def _decode_failure(request: StoreRequest, status: int, fields: _Fields) -> StoreResponse:
     if isinstance(request, Get) and status == 404:
         # As above: an absence without its revision proves nothing.
         return StoreResponse(404, revision=int(fields["ledger_rev"]))
     return _decode_plain(status, fields)
 
 
-def _decode_plain(status: int, fields: dict[str, Any]) -> StoreResponse:
+def _decode_plain(status: int, fields: _Fields) -> StoreResponse:
     failed_keys = list(fields.get("failed") or [])
     revision = int(fields.get("ledger_rev") or 0)
     return StoreResponse(status, revision=revision, failed_keys=failed_keys)
 
 
-def _key_change(fields: dict[str, Any]) -> KeyChange:
+def _stored_key(fields: _Fields) -> StoredKey:
+    return StoredKey(fields["path"], fields["value"], int(fields["stamp"]))
+
+
+def _key_change(fields: _Fields) -> KeyChange:
     if fields.get("set") is not None:
         return KeyChange(fields["set"], fields["value"], int(fields["stamp"]))
     return KeyChange(fields["delete"], None, int(fields["stamp"]))
--- a/marblestair/wire/users.py
+++ b/marblestair/wire/users.py
@@ -15,8 +15,9 @@
 MAX_TASKS = 100_000
 #: the largest amount that is accepted, in any unit
 MAX_AMOUNT = 1e12
-#: bounds on names that end up in records: characters in one, and names in one submission
+#: characters in a name, at most: names end up in records
 MAX_NAME_LENGTH = 200
+#: names in one submission, at most
 MAX_NAMES = 100
 
 HEALTH_PATH = "/healthz"
@@ -87,24 +88,24 @@
         submission = _submission_decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, ValueError) as error:
         raise BadRequestError(str(error)) from None
-    _check_words(submission)
+    _check_enumerations(submission)
     _check_amounts(submission)
     _check_names(submission)
     return _job_spec(submission, _depends_on(submission))
 
 
-def _check_words(submission: _Submission) -> None:
+def _check_enumerations(submission: _Submission) -> None:
     if not is_valid_job_id(submission.ref):
         raise BadRequestError("ref: not of the form job-NUMBER")
     if submission.shape not in _KINDS:
         raise BadRequestError("shape: unknown")
     if submission.urgency not in _PRIORITIES:
         raise BadRequestError("urgency: unknown")
-    if not 1 <= submission.pieces <= MAX_TASKS:
-        raise BadRequestError(f"pieces: must be from 1 to {MAX_TASKS}")
 
 
 def _check_amounts(submission: _Submission) -> None:
+    if not 1 <= submission.pieces <= MAX_TASKS:
+        raise BadRequestError(f"pieces: must be from 1 to {MAX_TASKS}")
     amounts = [
         submission.cpus,
         submission.gpus,
@@ -134,7 +135,7 @@
 
 
 def _depends_on(submission: _Submission) -> list[str]:
-    """The jobs that a submission waits for, each once."""
+    """The jobs that a submission depends on, each once."""
     jobs = list(dict.fromkeys(submission.awaits or []))
     if not all(is_valid_job_id(job) for job in jobs):
         raise BadRequestError("awaits: not a list of ids of the form job-NUMBER")
@@ -167,19 +168,26 @@
     )
 
 
+class _JobStatus(msgspec.Struct):
+    ref: str
+    status: str
+    done: int | msgspec.UnsetType = msgspec.UNSET
+    running: int | msgspec.UnsetType = msgspec.UNSET
+
+
 def encode_job_status(
     job: str, state: str, done: int | None = None, running: int | None = None
 ) -> bytes:
-    """Encode the body that tells a user about a job."""
-    body: dict[str, object] = {"ref": job, "status": _JOB_STATES[JobState(state)]}
+    """Encode the body of a 200 or 201 to a user: the state, and the counts of tasks if known."""
+    status = _JobStatus(job, _JOB_STATES[JobState(state)])
     if done is not None:
-        body["done"] = done
-        body["running"] = running or 0
-    return pack(body)
+        status.done = done
+        status.running = running or 0
+    return pack(status)
 
 
 class RequestKind(enum.Enum):
-    """What a request line asks for."""
+    """Kinds of requests, by their request lines."""
 
     SUBMIT = enum.auto()
     QUERY = enum.auto()
@@ -198,7 +206,7 @@
 
 
 def route_request(method: str, path: str) -> Route:
-    """Map a request line to what it asks for."""
+    """Map a request line to its kind."""
     if path == HEARTBEAT_PATH:
         return _route(RequestKind.HEARTBEAT, method, "POST")
     if path == HEALTH_PATH:
