--- a/marblestair/node.py
+++ b/marblestair/node.py
@@ -67,7 +67,7 @@
             time.monotonic(),
             time.time(),
             policy.tuning,
-            policy.lead_s,
+            policy.deadline_offsets_s,
         )
         sockets = int(settings.cluster.machine_limits.sockets)
         self.server = HttpServer(
--- a/marblestair/policy.py
+++ b/marblestair/policy.py
@@ -2,10 +2,10 @@
 
 The script sees ``cluster`` (read only: ``size``, ``zones``, ``teams``) and calls
 
-- ``tune(NAME = NUMBER, ...)`` to change weights of renting (see docs/operations.md);
+- ``tune(NAME = NUMBER, ...)`` to change weights of scaling (see docs/operations.md);
 - ``lead("CLASS", SECONDS)`` to serve a class of jobs as if it were due that much earlier.
 
-A script that fails, or asks for what does not exist, is refused with its file and line.
+A script that fails, or names what does not exist, is refused with its file and line.
 """
 
 from __future__ import annotations
@@ -32,39 +32,34 @@
 }
 
 
+#: largest offset of a deadline, in seconds, earlier or later
+MAX_DEADLINE_OFFSET_S = 1e6
+
+#: how the interpreter marks, in the lines of an error, its place and its text
+_PLACE_MARK = "-->"
+_ERROR_MARK = "error:"
+#: how the lines begin that are neither: the quoted script and the call stack
+_OTHER_LINES = ("|", "Traceback", "*", "File")
+
+
 class PolicyError(Exception):
-    """A script that cannot be used; the text is one line with file and line."""
+    """A script cannot be used; the text is one line with file and line."""
 
 
 class Policy(msgspec.Struct, frozen=True):
-    """What the script asks for."""
+    """What the script has set."""
 
     tuning: Tuning = Tuning()
-    #: class -> seconds by which it is served earlier
-    lead_s: dict[str, float] = {}
-
-
-def _one_line(path: str, error: Exception) -> str:
-    text = str(error)
-    where, what = "", ""
-    for line in text.splitlines():
-        line = line.strip()
-        if line.startswith("-->"):
-            where = line[3:].strip()
-        elif line.startswith("error:"):
-            what = line[6:].strip()
-        elif not what and line and not line.startswith(("|", "Traceback", "*", "File")):
-            what = line
-    where = where or path
-    return f"{where}: {what or text.splitlines()[0]}"
+    #: job class -> seconds by which its deadlines count as earlier
+    deadline_offsets_s: dict[str, float] = {}
 
 
 class Script:
-    """What a script asks for, by the functions that it may call."""
+    """The functions that a script may call, and what its calls have set."""
 
     def __init__(self) -> None:
         self.tuned: dict[str, Any] = {}
-        self.lead_s: dict[str, float] = {}
+        self.deadline_offsets_s: dict[str, float] = {}
 
     def tune(self, **values: Any) -> None:
         """Set figures of the plan of the fleet."""
@@ -86,20 +81,20 @@
             raise ValueError("lead: the class must be a text")
         if isinstance(seconds, bool) or not isinstance(seconds, (int, float)):
             raise ValueError("lead: the seconds must be a number")
-        if not (math.isfinite(seconds) and abs(seconds) <= 1e6):
+        if not (math.isfinite(seconds) and abs(seconds) <= MAX_DEADLINE_OFFSET_S):
             raise ValueError("lead: the seconds are out of range")
-        self.lead_s[cls] = float(seconds)
+        self.deadline_offsets_s[cls] = float(seconds)
 
 
 def load(path: str, settings: Settings) -> Policy:
-    """Run a script and return what it asks for."""
-    try:
-        with open(path, encoding="utf-8") as f:
-            text = f.read()
-    except OSError as e:
-        raise PolicyError(f"{path}: {e.strerror}") from None
-    except UnicodeDecodeError as e:
-        raise PolicyError(f"{path}: {e}") from None
+    """Run a script and return what it has set.
+
+    Raises
+    ------
+    PolicyError
+        When the file cannot be read, or the script fails.
+    """
+    text = _read(path)
     # Only here: the interpreter takes memory that most deployments need not spend.
     import starlark
 
@@ -114,6 +109,32 @@
     module.add_callable("lead", script.lead)
     try:
         starlark.eval(module, starlark.parse(path, text), starlark.Globals.standard())
-    except Exception as e:
-        raise PolicyError(_one_line(path, e)) from None
-    return Policy(msgspec.structs.replace(Tuning(), **script.tuned), script.lead_s)
+    except Exception as error:
+        # The interpreter raises errors of its own and those of the functions above.
+        raise PolicyError(_one_line(path, error)) from None
+    tuning = msgspec.structs.replace(Tuning(), **script.tuned)
+    return Policy(tuning, script.deadline_offsets_s)
+
+
+def _read(path: str) -> str:
+    try:
+        with open(path, encoding="utf-8") as file:
+            return file.read()
+    except OSError as error:
+        raise PolicyError(f"{path}: {error.strerror}") from None
+    except UnicodeDecodeError as error:
+        raise PolicyError(f"{path}: {error}") from None
+
+
+def _one_line(path: str, error: Exception) -> str:
+    """The place and the text of an interpreter's error, which has several lines."""
+    text = str(error)
+    place, problem = "", ""
+    for line in map(str.strip, text.splitlines()):
+        if line.startswith(_PLACE_MARK):
+            place = line.removeprefix(_PLACE_MARK).strip()
+        elif line.startswith(_ERROR_MARK):
+            problem = line.removeprefix(_ERROR_MARK).strip()
+        elif not problem and line and not line.startswith(_OTHER_LINES):
+            problem = line
+    return f"{place or path}: {problem or text.splitlines()[0]}"
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -23,7 +23,7 @@
     )
     p = load(str(f), settings(0))
     assert (p.tuning.margin, p.tuning.reserve, p.tuning.spare_gangs) == (0.2, 1.0, 2)
-    assert p.lead_s == {"urgent": 30.0}
+    assert p.deadline_offsets_s == {"urgent": 30.0}
     # A class with a lead is served as if it were due that much earlier.
     a, b = spec(1, deadline_s=100.0), spec(2, deadline_s=110.0)
     assert priority_key(a, False, False, 0.0, 1.0) < priority_key(b, False, False, 0.0, 1.0)
