--- a/marblestair/core/domain/agents.py
+++ b/marblestair/core/domain/agents.py
@@ -1,7 +1,7 @@
-"""What agents report, and what they are told to do.
+"""Heartbeats of agents, and the commands to them.
 
 An agent is the process on one machine that runs tasks. It sends heartbeats with the status of all
-its tasks, and is given commands in the answers.
+its tasks, and receives commands in the responses.
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 
 
 class TaskState(enum.StrEnum):
-    """State of a task on a machine, as its agent reports it or as its leader expects it."""
+    """State of a task on a machine, as its agent lists it or as its leader expects it."""
 
-    #: its launch is decided, and in no answer yet
+    #: its launch is decided, and in no response yet
     PLANNED = "planned"
-    #: its launch was in an answer, and no heartbeat lists it yet
+    #: its launch was in a response, and no heartbeat lists it yet
     SENT = "sent"
     #: waits for its image
     FETCHING = "fetching"
     #: waits for the other tasks of its gang
     WAITING = "waiting"
     RUNNING = "running"
-    #: was told to stop, and saves a checkpoint
+    #: received a command to stop, and saves a checkpoint
     SAVING = "saving"
     EXITED = "exited"
     #: a state that this version does not know
@@ -54,7 +54,7 @@
 
 
 class CommandVerb(enum.StrEnum):
-    """What an agent is told to do with a task."""
+    """What an agent is to do with a task."""
 
     START = "start"
     STOP = "stop"
@@ -63,7 +63,7 @@
 
 
 class TaskStatus(msgspec.Struct, frozen=True):
-    """One task as a worker reports it."""
+    """The status of one task in a heartbeat."""
 
     job: str
     index: int
@@ -74,7 +74,11 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """A worker's report."""
+    """A heartbeat of an agent, with the status of every task on its machine.
+
+    The sequence numbers of one agent incarnation ascend; ``fencing_token`` is the last that
+    the agent accepted.
+    """
 
     machine: str
     address: str
--- a/marblestair/core/domain/amounts.py
+++ b/marblestair/core/domain/amounts.py
@@ -5,27 +5,44 @@
 import math
 from decimal import ROUND_CEILING, ROUND_FLOOR, Decimal
 from functools import lru_cache
-from typing import TypeAlias
+from typing import NamedTuple
 
 #: units of fixed point in one cpu, gpu or GB
 FIXED_POINT_UNIT = 1_000_000
 
-#: cpus, gpus and memory in fixed point
-Resources: TypeAlias = tuple[int, int, int]
+
+class Resources(NamedTuple):
+    """Amounts of the three resources, each in fixed point."""
+
+    cpus: int
+    gpus: int
+    mem_gb: int
 
 
 @lru_cache(maxsize=4096)
 def fixed_point_up(amount: float) -> int:
-    """A requested amount as fixed point, rounded up."""
+    """Convert a requested amount to fixed point, rounded up."""
     return int((Decimal(repr(amount)) * FIXED_POINT_UNIT).to_integral_value(ROUND_CEILING))
 
 
 @lru_cache(maxsize=4096)
 def fixed_point_down(amount: float) -> int:
-    """An available amount as fixed point, rounded down."""
+    """Convert an available amount to fixed point, rounded down."""
     return int((Decimal(repr(amount)) * FIXED_POINT_UNIT).to_integral_value(ROUND_FLOOR))
 
 
+@lru_cache(maxsize=4096)
+def requested_resources(cpus: float, gpus: float, mem_gb: float) -> Resources:
+    """Convert requested amounts to fixed point, each rounded up."""
+    return Resources(fixed_point_up(cpus), fixed_point_up(gpus), fixed_point_up(mem_gb))
+
+
+@lru_cache(maxsize=4096)
+def available_resources(cpus: float, gpus: float, mem_gb: float) -> Resources:
+    """Convert available amounts to fixed point, each rounded down."""
+    return Resources(fixed_point_down(cpus), fixed_point_down(gpus), fixed_point_down(mem_gb))
+
+
 def are_valid_amounts(*values: float | None) -> bool:
     """Whether every amount that is given is finite and not negative."""
     return all(value is None or (math.isfinite(value) and value >= 0) for value in values)
--- a/marblestair/core/domain/index_ranges.py
+++ b/marblestair/core/domain/index_ranges.py
@@ -1,4 +1,4 @@
-"""Sets of task numbers, kept compact: no object per task that has not started."""
+"""Compact sets of task indexes: no object for each task that has not started."""
 
 from __future__ import annotations
 
@@ -6,92 +6,106 @@
 from collections.abc import Iterable, Iterator
 
 
-class Ranges:
-    """An ordered set of whole numbers kept as ranges [a, b)."""
+class IndexRanges:
+    """An ordered set of whole numbers, stored as disjoint ranges ``[start, end)``."""
 
     __slots__ = ("count", "items")
 
     def __init__(self, items: Iterable[Iterable[int]] = ()) -> None:
+        #: the ranges in ascending order
         self.items: list[list[int]] = []
         self.count = 0
-        for a, b in items:
-            self.add(a, b)
+        for start, end in items:
+            self.add(start, end)
 
     def __len__(self) -> int:
-        """Return how many numbers the set holds."""
+        """Return how many numbers are in the set."""
         return self.count
 
     def __iter__(self) -> Iterator[int]:
         """Iterate over the numbers in ascending order."""
-        for a, b in self.items:
-            yield from range(a, b)
+        for start, end in self.items:
+            yield from range(start, end)
 
-    def __contains__(self, i: int) -> bool:
+    def __contains__(self, index: int) -> bool:
         """Whether a number is in the set."""
-        return any(a <= i < b for a, b in self.items)
+        return any(start <= index < end for start, end in self.items)
 
-    def add(self, a: int, b: int) -> None:
-        """Add [a, b)."""
-        if a >= b:
+    def add(self, start: int, end: int) -> None:
+        """Add the numbers of ``[start, end)``, merged with the ranges that they overlap or meet."""
+        if start >= end:
             return
-        out: list[list[int]] = []
-        placed = False
-        for x, y in self.items:
-            if y < a:
-                out.append([x, y])
-            elif x > b:
-                if not placed:
-                    out.append([a, b])
-                    placed = True
-                out.append([x, y])
+        merged: list[list[int]] = []
+        is_placed = False
+        for other_start, other_end in self.items:
+            if other_end < start:
+                merged.append([other_start, other_end])
+            elif other_start > end:
+                if not is_placed:
+                    merged.append([start, end])
+                    is_placed = True
+                merged.append([other_start, other_end])
             else:
-                a, b = min(a, x), max(b, y)
-        if not placed:
-            out.append([a, b])
-        self.items = out
-        self.count = sum(y - x for x, y in out)
-
-    def discard(self, i: int) -> bool:
-        """Take out one number; whether it was there."""
-        for k, (a, b) in enumerate(self.items):
-            if a <= i < b:
-                self.items[k : k + 1] = [r for r in ([a, i], [i + 1, b]) if r[0] < r[1]]
+                start, end = min(start, other_start), max(end, other_end)
+        if not is_placed:
+            merged.append([start, end])
+        self.items = merged
+        self.count = sum(last - first for first, last in merged)
+
+    def discard(self, index: int) -> bool:
+        """Remove one number, and return whether it was in the set."""
+        for position, (start, end) in enumerate(self.items):
+            if start <= index < end:
+                rest = ([start, index], [index + 1, end])
+                self.items[position : position + 1] = [pair for pair in rest if pair[0] < pair[1]]
                 self.count -= 1
                 return True
         return False
 
     def pop(self) -> int:
-        """Take out the smallest number."""
-        a, b = self.items[0]
-        if a + 1 == b:
+        """Remove the smallest number and return it.
+
+        Raises
+        ------
+        IndexError
+            The set is empty.
+        """
+        start, end = self.items[0]
+        if start + 1 == end:
             del self.items[0]
         else:
-            self.items[0][0] = a + 1
+            self.items[0][0] = start + 1
         self.count -= 1
-        return a
+        return start
 
-    def tail(self, n: int) -> list[list[int]]:
-        """The last n numbers, as ranges, left in place."""
-        out: list[list[int]] = []
-        for a, b in reversed(self.items):
-            if n <= 0:
+    def tail(self, count: int) -> list[list[int]]:
+        """Return the last numbers, up to a count, as ranges; they stay in the set."""
+        ranges: list[list[int]] = []
+        for start, end in reversed(self.items):
+            if count <= 0:
                 break
-            take = min(n, b - a)
-            out.append([b - take, b])
-            n -= take
-        return out[::-1]
+            size = min(count, end - start)
+            ranges.append([end - size, end])
+            count -= size
+        return ranges[::-1]
 
 
-#: task numbers in one page of progress
-PAGE = 8192
+#: tasks whose progress is in one page of the store
+TASKS_PER_PAGE = 8192
 
 
 def encode_bits(bits: int) -> str:
-    """A set of small numbers, held as the bits of a whole number, as text."""
+    """Encode a set of small numbers, given as the bits of a whole number, as text."""
     raw = bits.to_bytes((bits.bit_length() + 7) // 8, "little")
     return base64.b64encode(raw).decode()
 
 
 def decode_bits(text: str) -> int:
-    """The inverse of :func:`encode_bits`."""
+    """Decode what :func:`encode_bits` returned.
+
+    Raises
+    ------
+    ValueError
+        The text is not base64.
+    """
     return int.from_bytes(base64.b64decode(text, validate=True), "little")
--- a/marblestair/core/domain/jobs.py
+++ b/marblestair/core/domain/jobs.py
@@ -1,4 +1,4 @@
-"""What users submit: jobs, their kinds and priorities, and the states that users are told."""
+"""What users submit: jobs, their kinds and priorities, and the states that users can see."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from marblestair.core.domain.amounts import Resources, fixed_point_up
+from marblestair.core.domain.amounts import Resources, requested_resources
 
 
 class JobKind(enum.StrEnum):
@@ -21,7 +21,7 @@
 
 
 class Priority(enum.StrEnum):
-    """What a user says of the importance of a job."""
+    """The importance of a job, as its user gave it."""
 
     PRODUCTION = "production"
     HIGH = "high"
@@ -39,7 +39,7 @@
 
 
 class JobState(enum.StrEnum):
-    """State of a job as users are told it."""
+    """State of a job as users see it."""
 
     #: nobody submitted it
     UNKNOWN = "unknown"
@@ -53,7 +53,7 @@
 
 
 class JobSpec(msgspec.Struct, array_like=True, frozen=True):
-    """A job as its user described it, in the names used inside."""
+    """A job as its user described it, with the names of its fields in this package."""
 
     id: str
     job_class: str
@@ -83,8 +83,13 @@
 
     @property
     def resources(self) -> Resources:
-        """What one task takes: cpus, gpus and memory in fixed point."""
-        return fixed_point_up(self.cpus), fixed_point_up(self.gpus), fixed_point_up(self.mem_gb)
+        """What one task uses."""
+        return requested_resources(self.cpus, self.gpus, self.mem_gb)
+
+    @property
+    def saves_checkpoints(self) -> bool:
+        """Whether a task that is stopped can save what it has done."""
+        return self.checkpoint_interval_s > 0
 
     def may_run_on(self, type_name: str, zone: str, spot: bool) -> bool:
         """Whether the job may run on a kind of machine."""
--- a/marblestair/core/domain/machines.py
+++ b/marblestair/core/domain/machines.py
@@ -4,11 +4,11 @@
 
 import msgspec
 
-from marblestair.core.domain.amounts import Resources, fixed_point_down
+from marblestair.core.domain.amounts import Resources, available_resources
 
 
 class MachineType(msgspec.Struct, array_like=True, frozen=True):
-    """A type of machine the cloud rents."""
+    """A type of machine that the cloud rents; prices are per hour."""
 
     name: str
     cpus: float
@@ -23,13 +23,11 @@
 
     @property
     def capacity(self) -> Resources:
-        """Capacity in fixed point."""
-        return (
-            fixed_point_down(self.cpus),
-            fixed_point_down(self.gpus),
-            fixed_point_down(self.mem_gb),
-        )
+        """What tasks may use of an empty machine."""
+        return available_resources(self.cpus, self.gpus, self.mem_gb)
 
-    def can_hold(self, need: Resources) -> bool:
-        """Whether an empty machine of this type can hold one such task."""
-        return all(n <= s for n, s in zip(need, self.capacity, strict=True))
+    def can_hold(self, resources: Resources) -> bool:
+        """Whether an empty machine of this type has room for a task that uses so much."""
+        return all(
+            used <= available for used, available in zip(resources, self.capacity, strict=True)
+        )
--- a/marblestair/core/jobs/migration_locks.py
+++ b/marblestair/core/jobs/migration_locks.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from marblestair.core.domain.index_ranges import Ranges
+from marblestair.core.domain.index_ranges import IndexRanges
 from marblestair.core.jobs.cancel_registry import CancelRegistry
 from marblestair.core.jobs.managed_job import ManagedJob
 from marblestair.core.jobs.record_reader import RecordReader
@@ -185,12 +185,12 @@
     slices: dict[str, list[list[int]]], update: UpdateSlices
 ) -> dict[str, list[list[int]]] | None:
     """Slices after a migration; None when the source does not hold all that it gives."""
-    remaining = Ranges(slices.get(str(update.source), []))
+    remaining = IndexRanges(slices.get(str(update.source), []))
     for start, end in update.ranges:
         for index in range(start, end):
             if not remaining.discard(index):
                 return None
-    given = Ranges(slices.get(str(update.target), []))
+    given = IndexRanges(slices.get(str(update.target), []))
     for start, end in update.ranges:
         given.add(start, end)
     moved = {name: ranges for name, ranges in slices.items() if int(name) != update.source}
--- a/marblestair/core/leadership/store_lease.py
+++ b/marblestair/core/leadership/store_lease.py
@@ -8,6 +8,7 @@
 
 import msgspec
 
+from marblestair.core.domain.clocks import CLOCK_DRIFT
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
@@ -19,7 +20,6 @@
     RenewLease,
     StoreResponse,
 )
-from marblestair.core.shard.shard import DRIFT
 from marblestair.core.state import keys
 from marblestair.core.state.store_follower import StoreFollower
 from marblestair.core.state.store_view import StoreView
@@ -160,6 +160,6 @@
 
     def _extend(self, sent_at: float) -> None:
         self.renewed_at = sent_at
-        until = sent_at + self.ttl_s * (1 - DRIFT) - MARGIN_S
+        until = sent_at + self.ttl_s * (1 - CLOCK_DRIFT) - MARGIN_S
         if self.expires_at is None or until > self.expires_at:
             self.expires_at = until
--- a/marblestair/core/scheduling/slice_migration.py
+++ b/marblestair/core/scheduling/slice_migration.py
@@ -11,7 +11,7 @@
 
 from typing import Any
 
-from marblestair.core.domain.index_ranges import Ranges
+from marblestair.core.domain.index_ranges import IndexRanges
 from marblestair.core.domain.jobs import JobKind, JobSpec
 from marblestair.core.jobs.migration_locks import MigrationLocks, UpdateReply
 from marblestair.core.jobs.record_reader import RecordReader
@@ -363,7 +363,7 @@
                 # The record no longer gives them to this part.
                 yield from self._ask_manager(ReleaseSlices(job, holder))
                 return
-            left = Ranges(job_slice.ranges)
+            left = IndexRanges(job_slice.ranges)
             for a, b in job_slice.migrating_ranges:
                 for i in range(a, b):
                     left.discard(i)
--- a/marblestair/core/shard/job_slice.py
+++ b/marblestair/core/shard/job_slice.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from marblestair.core.domain.index_ranges import PAGE, Ranges
+from marblestair.core.domain.index_ranges import TASKS_PER_PAGE, IndexRanges
 from marblestair.core.domain.jobs import JobSpec
 from marblestair.core.shard.machine import Machine
 
@@ -15,7 +15,7 @@
         self.resources = spec.resources
         self.ranges: list[list[int]] = []
         self.size = 0
-        self.pending = Ranges()
+        self.pending = IndexRanges()
         self.placed_on: dict[int, Machine] = {}
         self.done_bits = 0
         self.done_count = 0
@@ -45,13 +45,13 @@
 
     def load_done_page(self, page: int, bits: int) -> None:
         """Take in a page of progress that the state service holds."""
-        bits <<= page * PAGE
+        bits <<= page * TASKS_PER_PAGE
         self.durable_bits |= bits
         self.done_bits |= bits
         for i in list(self.pending):
             if (bits >> i) & 1:
                 self.pending.discard(i)
-        self.done_count = sum(1 for i in Ranges(self.ranges) if (self.done_bits >> i) & 1)
+        self.done_count = sum(1 for i in IndexRanges(self.ranges) if (self.done_bits >> i) & 1)
 
     def contains(self, i: int) -> bool:
         """Whether a task number belongs to this slice."""
@@ -72,7 +72,7 @@
 
     def set_ranges(self, ranges: list[list[int]]) -> None:
         """Take in the task numbers that the job's record gives to this slice now."""
-        old, held = Ranges(self.ranges), Ranges(ranges)
+        old, held = IndexRanges(self.ranges), IndexRanges(ranges)
         self.ranges = [list(r) for r in ranges]
         self.size = sum(end - start for start, end in self.ranges)
         if not len(old):
@@ -89,13 +89,13 @@
         self._keep_migrating(held)
         self.done_count = sum(1 for index in held if (self.done_bits >> index) & 1)
 
-    def _keep_migrating(self, held: Ranges) -> None:
+    def _keep_migrating(self, held: IndexRanges) -> None:
         """What a migration has dropped stays dropped until that migration is settled.
 
         The record may be older than the update that is on its way.
         """
-        kept = Ranges()
-        for index in Ranges(self.migrating_ranges):
+        kept = IndexRanges()
+        for index in IndexRanges(self.migrating_ranges):
             if index in held:
                 kept.add(index, index + 1)
                 self.pending.discard(index)
--- a/marblestair/core/shard/shard.py
+++ b/marblestair/core/shard/shard.py
@@ -18,7 +18,8 @@
     TaskState,
     TaskStatus,
 )
-from marblestair.core.domain.index_ranges import Ranges
+from marblestair.core.domain.clocks import CLOCK_DRIFT
+from marblestair.core.domain.index_ranges import IndexRanges
 from marblestair.core.domain.jobs import JobKind, JobSpec
 from marblestair.core.shard.boot_times import BootTimes
 from marblestair.core.shard.failures import FailureAttribution
@@ -41,8 +42,6 @@
 #: share of a lease for which a machine must report as often as one that is answered, before what
 #: went unheeded earlier is forgotten
 HEARS_AGAIN = 0.5
-#: allowance for clocks that drift apart, as a share of a lease
-DRIFT = 0.002
 
 
 class Shard:
@@ -82,7 +81,7 @@
         #: keys that are of no use any more (pages, rental intents), with the version that may be
         #: deleted; None where it is to be read first
         self.obsolete_keys: dict[str, int | None] = {}
-        self.agent_lease_limit_s = cluster.workers.lease_s * (1 + DRIFT) + 0.25
+        self.agent_lease_limit_s = cluster.workers.lease_s * (1 + CLOCK_DRIFT) + 0.25
 
     # --- accounting ------------------------------------------------------------------------
 
@@ -192,7 +191,7 @@
         ):
             return
         # The members of a gang complete together: when one is done, all are.
-        for i in Ranges(job_slice.ranges) if job_slice.spec.kind == JobKind.GANG else (index,):
+        for i in IndexRanges(job_slice.ranges) if job_slice.spec.kind == JobKind.GANG else (index,):
             if not (job_slice.done_bits >> i) & 1:
                 job_slice.done_bits |= 1 << i
                 job_slice.done_count += 1
@@ -250,7 +249,7 @@
             return
         job_slice.is_cancelled = True
         job_slice.cancelled_at = now
-        job_slice.pending = Ranges()
+        job_slice.pending = IndexRanges()
         for i, machine in list(job_slice.placed_on.items()):
             task = machine.tasks.get((job, i))
             if task is None:
@@ -260,7 +259,7 @@
             else:
                 task.stop_grace_s, task.stop_reason = 0.0, StopReason.CANCELLED
                 task.stop_sent_at = -1e9
-        job_slice.pending = Ranges()
+        job_slice.pending = IndexRanges()
 
     def release_reconciled_slices(self) -> None:
         """Once every machine of the takeover is settled, what is not on one may start."""
