--- a/marblestair/core/scheduling/slice_migration.py
+++ b/marblestair/core/scheduling/slice_migration.py
@@ -11,7 +11,7 @@
 
 from typing import NamedTuple
 
-from marblestair.core.domain.index_ranges import Ranges
+from marblestair.core.domain.index_ranges import IndexRanges
 from marblestair.core.jobs.migration_locks import MigrationLocks, UpdateReply
 from marblestair.core.jobs.record_reader import RecordReader
 from marblestair.core.jobs.server_manager import LOG_OFF, STAY
@@ -230,7 +230,7 @@
 def _update_message(migration: Migration) -> UpdateSlices:
     """The change of the record that a migration asks for."""
     shard, job_slice, target_id, holder = migration
-    remaining = Ranges(job_slice.ranges)
+    remaining = IndexRanges(job_slice.ranges)
     for start, end in job_slice.migrating_ranges:
         for index in range(start, end):
             remaining.discard(index)
