--- a/tests/tools/network.py
+++ b/tests/tools/network.py
@@ -280,6 +280,8 @@
         #: pairs of names (from, to) between which nothing passes, or connections are refused
         self._cut: set[tuple[str, str]] = set()
         self._refused: set[tuple[str, str]] = set()
+        #: names of hosts that nothing passes to or from a kind of hosts, with that kind
+        self._cut_kinds: set[tuple[str, str]] = set()
 
     # hosts and listeners
 
@@ -410,6 +412,10 @@
         """Whether nothing passes from one host to another at present."""
         if source.name in self._frozen or target.name in self._frozen:
             return True
+        if (source.name, target.kind) in self._cut_kinds:
+            return True
+        if (target.name, source.kind) in self._cut_kinds:
+            return True
         return (source.name, target.name) in self._cut
 
     def _is_cut(self, first: Host, second: Host) -> bool:
@@ -424,6 +430,10 @@
         self.cut(first, second)
         self.cut(second, first)
 
+    def cut_from_kind(self, name: str, kind: str) -> None:
+        """Hold back all between a host and all hosts of a kind, also those that are yet to come."""
+        self._cut_kinds.add((name, kind))
+
     def refuse(self, first: str, second: str) -> None:
         """Reset all connections between two hosts and refuse new ones."""
         pairs = [(first, second), (second, first)]
@@ -435,6 +445,7 @@
     def mend(self) -> None:
         """End all cuts and refusals; what was held back is delivered in order."""
         self._cut.clear()
+        self._cut_kinds.clear()
         self._refused.clear()
         self._resume()
 
--- a/tests/tools/scenarios.py
+++ b/tests/tools/scenarios.py
@@ -48,6 +48,8 @@
 
 #: the store's limits become smaller later
 LATER_LIMITS = {**CLUSTER["state"], "next": {"value_kb": 3.0, "txn_ops": 8, "write_rps": 30.0}}
+#: half of the time for a cancel is over before the lease of an agent that hangs
+QUICK_CANCELS = {**CLUSTER["workers"], "cancel_s": 12.0}
 SOME_SOCKETS = {**CLUSTER["machine_limits"], "sockets": 150.0}
 FEW_SOCKETS = {**CLUSTER["machine_limits"], "sockets": 90.0}
 
@@ -57,11 +59,11 @@
     Scenario("policy-3", Plan(policy_script=POLICY_SCRIPT), 90.0, scenarios_jobs.steady),
     *_in_all_sizes("contention", 150.0, scenarios_jobs.contention),
     *_in_all_sizes("starved", 230.0, scenarios_jobs.starved),
-    *_in_all_sizes("cancels", 120.0, scenarios_cancels.cancels),
+    *_in_all_sizes("cancels", 120.0, scenarios_cancels.cancels, workers=QUICK_CANCELS),
     *_in_all_sizes("pipelines", 140.0, scenarios_cancels.pipelines, state=LATER_LIMITS),
     *_in_all_sizes("deaths", 150.0, scenarios_failures.deaths),
     *_in_all_sizes("all-at-once", 120.0, scenarios_failures.all_at_once),
-    *_in_all_sizes("cuts", 160.0, scenarios_failures.cuts),
+    *_in_all_sizes("cuts", 180.0, scenarios_failures.cuts),
     *_in_all_sizes("cut-pipelines", 130.0, scenarios_failures.cut_pipelines),
     *_in_all_sizes("store-outages", 160.0, scenarios_store.outages),
     *_in_all_sizes("store-answers", 160.0, scenarios_store.answers),
--- a/tests/tools/scenarios_cancels.py
+++ b/tests/tools/scenarios_cancels.py
@@ -51,7 +51,7 @@
 def pipelines(deployment: Deployment) -> None:
     """Chains, diamonds and fans of jobs, with parents withdrawn, unknown or done long ago."""
     submit_mix(deployment, 8, 40.0, first_number=300)
-    chains = [_chain(deployment, 10 * number, 3 + number % 3) for number in range(5)]
+    chains = [_chain(deployment, 10 * number, 3 + number % 3) for number in range(8)]
     for number, chain in enumerate(chains):
         plans = [Plan()] * len(chain)
         if number == 1:
@@ -60,12 +60,14 @@
             plans[1] = Plan(withdraw_after_s=3.0)
         if number == 3:
             plans[0] = Plan(withdraw_at_done=0)
-        _submit_together(deployment, 4.0 + 9.0 * number, chain, plans)
+        _submit_together(deployment, 4.0 + 5.0 * number, chain, plans)
     _submit_together(deployment, 10.0, _diamond(deployment, 100), [Plan()] * 4)
     doomed = [Plan(), Plan(), Plan(withdraw_after_s=4.0), Plan()]
     _submit_together(deployment, 16.0, _diamond(deployment, 110), doomed)
     fan = [describe(120)] + [describe(x, awaits=[job_id(120)], pieces=1) for x in range(121, 145)]
     _submit_together(deployment, 22.0, fan, [Plan(withdraw_after_s=2.5)] + [Plan()] * 24)
+    twice = describe(156, awaits=[job_id(0), job_id(100), job_id(0)])
+    deployment.at(10.1, deployment.users.submit, twice)
     deployment.at(24.0, deployment.controllers.ask_status, 0)
     late = [
         describe(150, awaits=[job_id(0)]),
--- a/tests/tools/scenarios_failures.py
+++ b/tests/tools/scenarios_failures.py
@@ -35,7 +35,7 @@
 
 def cuts(deployment: Deployment) -> None:
     """Controllers are cut from each other, from the store, from agents, and from everything."""
-    submit_mix(deployment, 30, 110.0, first_number=200)
+    submit_mix(deployment, 36, 140.0, first_number=200)
     cancels(deployment)
     network = deployment.network
     names = [host.name for host in deployment.controllers.hosts]
@@ -53,9 +53,6 @@
         for name in names[1:]:
             network.refuse(names[0], name)
 
-    def cut_from_agents() -> None:
-        cut_from(names[1], [agent.machine.name for agent in deployment.agents])
-
     def cut_off(name: str) -> None:
         cut_from(name, [*names, STORE_HOST.name, CLOUD_HOST.name])
 
@@ -65,12 +62,12 @@
     deployment.at(42.0, network.mend)
     deployment.at(48.0, refuse_among_controllers)
     deployment.at(62.0, network.mend)
-    deployment.at(66.0, cut_from_agents)
-    deployment.at(92.0, network.mend)
-    deployment.at(98.0, cut_off, names[2])
-    deployment.at(122.0, network.mend)
-    deployment.at(126.0, cut_from, names[1], [STORE_HOST.name])
-    deployment.at(136.0, network.mend)
+    deployment.at(66.0, network.cut_from_kind, names[1], "agent")
+    deployment.at(120.0, network.mend)
+    deployment.at(126.0, cut_off, names[2])
+    deployment.at(150.0, network.mend)
+    deployment.at(154.0, cut_from, names[1], [STORE_HOST.name])
+    deployment.at(164.0, network.mend)
 
 
 def cut_pipelines(deployment: Deployment) -> None:
--- a/tests/tools/scenarios_input.py
+++ b/tests/tools/scenarios_input.py
@@ -10,9 +10,14 @@
 from tests.tools.controllers import FRAME_PORT
 from tests.tools.deployment import Deployment
 from tests.tools.http_service import get, post
+from tests.tools.messages import build_frame
+from tests.tools.network import Address
 from tests.tools.scenarios_jobs import submit_mix
 from tests.tools.workload import describe, job_id
 
+#: an outage of the store, after its answers were garbled
+OUTAGE_BEGINS_S, OUTAGE_S = 70.0, 14.0
+
 
 def bad_input_everywhere(deployment: Deployment) -> None:
     """Malformed requests, reports, frames and answers, and jobs that can never run."""
@@ -32,6 +37,17 @@
     for number, description in enumerate(bad_input.impossible_jobs(900)):
         deployment.at(0.5 + number, deployment.users.submit, description)
     _garble_answers(deployment)
+    _ask_for_promises(deployment, mischief, inner)
+
+
+def _ask_for_promises(deployment: Deployment, mischief: Mischief, addresses: list[Address]) -> None:
+    """In an outage of the store, a controller that nobody knows asks for promises."""
+    store = deployment.store
+    deployment.at(OUTAGE_BEGINS_S, store.begin_outage)
+    deployment.at(OUTAGE_BEGINS_S + OUTAGE_S, store.end_outage)
+    for number, address in enumerate(addresses):
+        frame = build_frame(["ask", 1, "node-0", "promise", ["node-0", 7, 10**6]])
+        deployment.at(OUTAGE_BEGINS_S + OUTAGE_S / 2 + number, mischief.send, address, frame)
 
 
 def _garble_answers(deployment: Deployment) -> None:
--- a/tests/tools/scenarios_jobs.py
+++ b/tests/tools/scenarios_jobs.py
@@ -73,15 +73,15 @@
 
 def starved(deployment: Deployment) -> None:
     """So few machines that most jobs wait for minutes, and the oldest are helped."""
-    limit_capacity(deployment, {"c4": 1, "c16": 0, "g8": 0})
+    limit_capacity(deployment, {"c4": 1, "c16": 1, "g8": 0})
     users, source = deployment.users, deployment.random
-    for number in range(30):
+    for number in range(50):
         description = describe(
             number,
             owner=source.choice(job_mix.TEAMS),
             urgency=source.choice(job_mix.URGENCIES),
             pieces=source.randint(4, 40),
-            expected_s=source.uniform(8.0, 25.0),
+            expected_s=source.uniform(15.0, 45.0),
             shape=source.choice(["batch", "batch", "batch", "group"]),
         )
         if description["shape"] == "group":
--- a/tests/tools/scenarios_store.py
+++ b/tests/tools/scenarios_store.py
@@ -16,25 +16,22 @@
     cancels(deployment)
     store, controllers = deployment.store, deployment.controllers
 
-    def begin() -> None:
-        store.troubles.is_down = True
-
     def refuse(number: int) -> None:
         store.refused_hosts.add(controllers.hosts[number].name)
 
-    deployment.at(12.0, begin)
+    deployment.at(12.0, store.begin_outage)
     deployment.at(14.5, store.end_outage)
-    deployment.at(24.0, begin)
+    deployment.at(24.0, store.begin_outage)
     deployment.at(40.0, store.end_outage)
     deployment.at(50.0, refuse, 0)
     deployment.at(53.0, store.refused_hosts.clear)
     deployment.at(60.0, refuse, 1)
     deployment.at(74.0, store.refused_hosts.clear)
-    deployment.at(82.0, begin)
+    deployment.at(82.0, store.begin_outage)
     deployment.at(85.0, controllers.kill_for, 2, 4.0)
     deployment.at(96.0, store.end_outage)
     deployment.at(108.0, refuse, 0)
-    deployment.at(109.0, begin)
+    deployment.at(109.0, store.begin_outage)
     deployment.at(122.0, store.end_outage)
     deployment.at(130.0, store.refused_hosts.clear)
 
--- a/tests/tools/scenarios_storm.py
+++ b/tests/tools/scenarios_storm.py
@@ -69,7 +69,7 @@
 
 def _outage(deployment: Deployment) -> Callable[[], Any]:
     """The store is out for all."""
-    deployment.store.troubles.is_down = True
+    deployment.store.begin_outage()
     return deployment.store.end_outage
 
 
--- a/tests/tools/store.py
+++ b/tests/tools/store.py
@@ -104,6 +104,10 @@
 
     # troubles
 
+    def begin_outage(self) -> None:
+        """Refuse all requests; open watches wait."""
+        self.troubles.is_down = True
+
     def end_outage(self) -> None:
         """End an outage; all leases have their full time again."""
         self.troubles.is_down = False
