--- a/marblestair/core/capacity/decommissioning.py
+++ b/marblestair/core/capacity/decommissioning.py
@@ -6,7 +6,7 @@
 from marblestair.core.domain.agents import TaskState
 from marblestair.core.domain.jobs import JobKind
 from marblestair.core.shard.absence import absent_machines
-from marblestair.core.shard.machine import Machine
+from marblestair.core.shard.machine import CordonReason, Machine
 from marblestair.core.shard.shard import Shard
 
 #: work lost by emptying a machine, against the room that would stand free meanwhile
@@ -91,7 +91,7 @@
         lost = (
             machine.is_silent
             and machine.agent_incarnation
-            and now - max(machine.last_heartbeat_at, shard.acquired_at) > 1.5 * lease_s
+            and now - machine.last_sign_of_life_at(shard.acquired_at) > 1.5 * lease_s
         )
         lost = (lost and machine.name not in waited_for) or machine.has_failed
         faulty = not machine.tasks and shard.failures.is_faulty(machine.name)
@@ -99,15 +99,21 @@
         # be gone, the cloud's word for it settles its tasks sooner than their lease would.
         taken = machine.reclaim_at is not None and (
             not machine.tasks
-            or (now > machine.reclaim_at + 1.0 and now - machine.last_heartbeat_at > 0.25 * lease_s)
+            or (
+                now > machine.reclaim_at + 1.0
+                and (
+                    machine.last_heartbeat_at is None
+                    or now - machine.last_heartbeat_at > 0.25 * lease_s
+                )
+            )
         )
         deaf = (
             machine.is_unresponsive
             and not machine.is_silent
             and alone
-            and now - machine.unresponsive_since > 1.5 * lease_s
+            and now - machine.responsiveness.unresponsive_since > 1.5 * lease_s
         )
-        emptied = machine.is_returning and not machine.tasks
+        emptied = machine.cordon is CordonReason.RETURN and not machine.tasks
         if emptied or late or lost or deaf or machine.is_given_up or faulty or taken:
             out.append(machine.name)
     return out
--- a/marblestair/core/capacity/fleet.py
+++ b/marblestair/core/capacity/fleet.py
@@ -17,7 +17,7 @@
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
 from marblestair.core.shard.absence import absent_machines
-from marblestair.core.shard.machine import StopReason
+from marblestair.core.shard.machine import CordonReason, StopReason
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state.machine_catalog import MachineCatalog
 from marblestair.core.state.store_view import StoreView
@@ -82,7 +82,7 @@
         agent_lease_s = self._context.settings.cluster.workers.lease_s
         self._spending.account(shard)
         for name in absent_machines(shard, agent_lease_s, now):
-            shard.machines[name].is_awaited = True
+            shard.machines[name].responsiveness.is_silent_with_many = True
         useless = machines_to_release(shard, agent_lease_s, now)
         plan = Plan([], []) if shard.unreconciled_machines else self._planner.compute()
         useless += [
@@ -110,7 +110,7 @@
             and now - surplus_since > EMPTY_BOOTS * machine.machine_type.boot_s
         }
         for machine in nearly_empty_machines(shard, names, now)[:1]:
-            machine.is_draining = machine.is_returning = True
+            machine.cordon = CordonReason.RETURN
             shard.stop_tasks(list(machine.tasks.values()), StopReason.MACHINE_RETURNED)
             self._context.log(
                 "info", f"emptying {machine.name}: {len(machine.tasks)} tasks run again elsewhere"
--- a/marblestair/core/controller.py
+++ b/marblestair/core/controller.py
@@ -72,9 +72,12 @@
 from marblestair.core.scheduling.shard_summary import ShardSummarizer
 from marblestair.core.scheduling.slice_assignment import SliceAssigner
 from marblestair.core.scheduling.slice_migration import SliceMigrations
+from marblestair.core.shard.agent_leases import expire_agent_leases
 from marblestair.core.shard.boot_times import BootTimes
+from marblestair.core.shard.commands import overdue_stops
 from marblestair.core.shard.failures import FailureAttribution
 from marblestair.core.shard.heartbeat_response import HeartbeatResponse
+from marblestair.core.shard.reclaimed_machines import evict_from_reclaimed_machines
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state.machine_catalog import MachineCatalog
 from marblestair.core.state.store_follower import StoreFollower
@@ -490,9 +493,10 @@
             self.quota_transfers.rebalance(led_shards)
 
     def _tick_shard(self, shard: Shard, now: float) -> None:
-        shard.tick(now)
+        evict_from_reclaimed_machines(shard, now)
+        expire_agent_leases(shard, now)
         self.dispatcher.place_all(shard)
-        for machine, commands in shard.overdue_stops(now):
+        for machine, commands in overdue_stops(shard, now):
             self.context.decisions.count(Decision.STOP, "direct", len(commands))
             command = DirectCommand(
                 machine.address, shard.term, machine.agent_incarnation, commands
--- a/marblestair/core/heartbeat_receiver.py
+++ b/marblestair/core/heartbeat_receiver.py
@@ -10,7 +10,9 @@
 from marblestair.core.runtime.decision_log import Decision
 from marblestair.core.scheduling.dispatch import Dispatcher
 from marblestair.core.scheduling.run_times import RunTimes
+from marblestair.core.shard.commands import launch_commands
 from marblestair.core.shard.heartbeat_response import HeartbeatResponse
+from marblestair.core.shard.heartbeats import receive_heartbeat
 from marblestair.core.shard.machine import Machine
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state.machine_catalog import MachineCatalog
@@ -63,7 +65,7 @@
         free_before = list(machine.free) if machine is not None else []
         if heartbeat.fencing_token > shard.term:
             return HeartbeatResponse(421)
-        commands = shard.receive_heartbeat(heartbeat, self._context.now)
+        commands = receive_heartbeat(shard, heartbeat, self._context.now)
         if commands is None:
             return HeartbeatResponse(503)
         if shard.finished_tasks:
@@ -83,7 +85,7 @@
         self, shard: Shard, machine: Machine, commands: list[TaskCommand]
     ) -> list[TaskCommand]:
         """The launches that go with other commands, counted with the stops among those."""
-        launches = shard.launch_commands(machine, self._context.now)
+        launches = launch_commands(shard, machine, self._context.now)
         stops = sum(command.verb is CommandVerb.STOP for command in commands)
         decisions = self._context.decisions
         decisions.count(Decision.STOP, "in an answer", stops)
--- a/marblestair/core/scheduling/machine_transfers.py
+++ b/marblestair/core/scheduling/machine_transfers.py
@@ -25,7 +25,7 @@
 from marblestair.core.scheduling.preemption import Preemption
 from marblestair.core.shard.failures import FailureAttribution
 from marblestair.core.shard.job_slice import JobSlice
-from marblestair.core.shard.machine import Machine
+from marblestair.core.shard.machine import CordonReason, Machine
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
 from marblestair.core.state.store_follower import StoreFollower
@@ -120,7 +120,7 @@
                 if move:
                     self._is_moving = True
                     for machine in move:
-                        machine.is_draining = True
+                        machine.cordon = CordonReason.TRANSFER
                     self._context.spawn(self._move(shard, move, i))
                     return
 
@@ -216,5 +216,5 @@
                 yield Sleep(0.1 + 0.2 * self._context.rng.random())
         finally:
             for machine in machines:
-                machine.is_draining = False
+                machine.cordon = None
             self._is_moving = False
--- a/marblestair/core/scheduling/placement.py
+++ b/marblestair/core/scheduling/placement.py
@@ -192,7 +192,7 @@
             continue
         n = zones.most(machine, min(tasks_that_fit(machine, need), budget))
         for _ in range(n):
-            shard.launch(machine, job_slice, job_slice.pending.pop(), shard.new_attempt(), now)
+            shard.launch(machine, job_slice, job_slice.pending.pop(), shard.new_attempt())
         zones.add(machine, n)
         budget -= n
         started += n
@@ -291,5 +291,5 @@
         return 0
     attempt = shard.new_attempt()
     for machine in chosen:
-        shard.launch(machine, job_slice, job_slice.pending.pop(), attempt, now)
+        shard.launch(machine, job_slice, job_slice.pending.pop(), attempt)
     return n
--- a/marblestair/core/scheduling/shard_summary.py
+++ b/marblestair/core/scheduling/shard_summary.py
@@ -15,7 +15,7 @@
 from marblestair.core.shard.absence import absent_machines
 from marblestair.core.shard.boot_times import BootTimes
 from marblestair.core.shard.failures import FailureAttribution
-from marblestair.core.shard.machine import Machine
+from marblestair.core.shard.machine import CordonReason, Machine
 from marblestair.core.shard.shard import Shard
 
 
@@ -130,12 +130,13 @@
             for machine in job_slice.placed_on.values()
         }
         for machine in shard.machines.values():
-            is_given_up = machine.is_releasing or machine.is_given_up or machine.is_returning
+            is_returning = machine.cordon is CordonReason.RETURN
+            is_given_up = machine.is_releasing or machine.is_given_up or is_returning
             if machine.name in away and not is_given_up:
                 continue
             if is_given_up or self._is_leaving(machine):
                 use.leaving_machines.append(machine.name)
-            elif machine.is_draining:
+            elif machine.cordon is not None:
                 # On its way to a gang's part: neither idle nor lost to the plan, which would rent
                 # once more what is there already.
                 continue
@@ -158,7 +159,7 @@
 
     def _is_leaving(self, machine: Machine) -> bool:
         """Whether a machine is not to be counted on."""
-        if machine.is_silent or machine.is_unresponsive or machine.reclaim_at is not None:
+        if machine.is_unresponsive or machine.reclaim_at is not None:
             return True
         return self._is_overdue(machine)
 
--- a/marblestair/core/shard/absence.py
+++ b/marblestair/core/shard/absence.py
@@ -1,17 +1,17 @@
-"""Machines that fell silent together with many others, and are waited for."""
+"""Machines that fell silent together with many others, and are given time to come back."""
 
 from __future__ import annotations
 
 from marblestair.core.shard.shard import Shard
 
-#: machines that fall silent at once and are waited for: at least, and as a share of the shard's
-LEAST_ABSENT, LEAST_ABSENT_SHARE = 3, 0.06
-#: agents' leases for which they are waited for
-ABSENT_LEASES = 3.0
+#: machines that must be silent at once: at least, and as a fraction of the shard's
+LEAST_ABSENT_MACHINES, LEAST_ABSENT_FRACTION = 3, 0.06
+#: agents' leases without a heartbeat after which a machine gets no more time
+ABSENCE_LIMIT_LEASES = 3.0
 
 
 def absent_machines(shard: Shard, agent_lease_s: float, now: float) -> set[str]:
-    """Return machines that fell silent together with many others.
+    """Return the names of machines that fell silent together with many others.
 
     That is a failure of the network rather than of the machines, and most of them will be back.
     """
@@ -20,10 +20,12 @@
         for machine in shard.machines.values()
         if machine.is_silent and machine.agent_incarnation and not machine.has_failed
     ]
-    if len(silent) < max(LEAST_ABSENT, LEAST_ABSENT_SHARE * len(shard.machines)):
+    least = max(LEAST_ABSENT_MACHINES, LEAST_ABSENT_FRACTION * len(shard.machines))
+    if len(silent) < least:
         return set()
+    limit_s = ABSENCE_LIMIT_LEASES * agent_lease_s
     return {
         machine.name
         for machine in silent
-        if now - max(machine.last_heartbeat_at, shard.acquired_at) < ABSENT_LEASES * agent_lease_s
+        if now - machine.last_sign_of_life_at(shard.acquired_at) < limit_s
     }
--- /dev/null
+++ b/marblestair/core/shard/agent_leases.py
@@ -0,0 +1,40 @@
+"""Machines that send no heartbeats: their launches are withdrawn, then their leases expire.
+
+An agent stops all its tasks when it has received no response for the time of its lease. The leader
+counts that time from the last response that the agent may have received.
+"""
+
+from __future__ import annotations
+
+from marblestair.core.shard.machine import Machine
+from marblestair.core.shard.responsiveness import Reachability
+from marblestair.core.shard.shard import Shard
+
+
+def expire_agent_leases(shard: Shard, now: float) -> None:
+    """Remove the tasks of machines whose agents' leases must have expired."""
+    acquired_at = shard.acquired_at
+    for machine in shard.machines.values():
+        last_heartbeat_at = machine.last_heartbeat_at
+        if machine.tasks and (
+            last_heartbeat_at is None or now - last_heartbeat_at >= shard.silence_limit_s
+        ):
+            # A launch that is in no response yet can go elsewhere at once.
+            shard.remove_planned_tasks(machine, now)
+        if machine.responsiveness.state is Reachability.SILENT:
+            continue
+        # Before the acquisition the earlier leader may have answered.
+        renewed_at = machine.answered_at
+        if renewed_at is None or renewed_at < acquired_at:
+            renewed_at = acquired_at
+        is_expired = now >= renewed_at + shard.agent_lease_limit_s
+        if is_expired and (
+            machine.agent_incarnation or machine.name in shard.unreconciled_machines
+        ):
+            _expire_lease(shard, machine, now)
+
+
+def _expire_lease(shard: Shard, machine: Machine, now: float) -> None:
+    machine.mark_silent(now)
+    shard.forget_tasks(machine, now)
+    shard.mark_reconciled(machine.name)
--- /dev/null
+++ b/marblestair/core/shard/commands.py
@@ -0,0 +1,120 @@
+"""Commands to agents: those in responses to heartbeats, and stops that do not wait for one."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from marblestair.core.domain.agents import CommandVerb, Heartbeat, TaskCommand, TaskState
+from marblestair.core.domain.jobs import JobKind
+from marblestair.core.shard.job_slice import JobSlice
+from marblestair.core.shard.machine import Machine, PlacedTask
+from marblestair.core.shard.shard import Shard
+
+#: launches, or stops, in one message to an agent, so that it stays well under the size limit
+MAX_COMMANDS = 400
+#: heartbeat intervals after which a stop that showed no effect is sent again
+STOP_RETRY_INTERVALS = 2
+
+
+class DirectStops(NamedTuple):
+    """Stops that are sent to an agent by a request of their own."""
+
+    machine: Machine
+    commands: list[TaskCommand]
+
+
+def task_commands(shard: Shard, machine: Machine, now: float) -> list[TaskCommand]:
+    """Return the commands, but for launches, for the response to a heartbeat just reconciled."""
+    commands: list[TaskCommand] = []
+    for (job, index), exited in machine.exited_tasks.items():
+        if not exited.is_done or not _awaits_durability(shard.slices.get(job), index):
+            commands.append(TaskCommand(CommandVerb.FORGET, job, index, exited.attempt))
+    for (job, index), attempt in machine.unknown_tasks.items():
+        commands.append(TaskCommand(CommandVerb.STOP, job, index, attempt, 0.0))
+    for task in machine.tasks.values():
+        if task.stop_grace_s is not None and task.state != TaskState.PLANNED:
+            commands.append(_stop_command(task, task.stop_grace_s, now))
+    return commands
+
+
+def _awaits_durability(job_slice: JobSlice | None, index: int) -> bool:
+    """Whether a completed task is not recorded in the store yet: the agent is to list it on."""
+    return (
+        job_slice is not None
+        and job_slice.contains(index)
+        and job_slice.spec.kind != JobKind.SERVICE
+        and not (job_slice.durable_bits >> index) & 1
+    )
+
+
+def stops_of_ended_jobs(shard: Shard, heartbeat: Heartbeat) -> list[TaskCommand]:
+    """Return stops for a machine that is not reconciled, of what it lists of jobs that have ended.
+
+    A response that renews its lease must not let those tasks run on.
+    """
+    commands = []
+    for status in heartbeat.tasks:
+        job_slice = shard.slices.get(status.job)
+        if status.state != TaskState.EXITED and (job_slice is None or job_slice.is_cancelled):
+            commands.append(
+                TaskCommand(CommandVerb.STOP, status.job, status.index, status.attempt, 0.0)
+            )
+    return commands[:MAX_COMMANDS]
+
+
+def launch_commands(shard: Shard, machine: Machine, now: float) -> list[TaskCommand]:
+    """Return launches for the response to a heartbeat, to go after its other commands.
+
+    A planned task that may not start any more is removed instead.
+    """
+    commands: list[TaskCommand] = []
+    if not machine.is_reconciled or machine.is_given_up or machine.is_releasing:
+        return commands
+    for task in list(machine.tasks.values()):
+        if task.state != TaskState.PLANNED:
+            continue
+        if not _may_start(shard.slices.get(task.job), machine, task):
+            shard.remove_task(machine, task, now)
+        elif len(commands) < MAX_COMMANDS:
+            commands.append(TaskCommand(CommandVerb.START, task.job, task.index, task.attempt))
+            task.state = TaskState.SENT
+    return commands
+
+
+def _may_start(job_slice: JobSlice | None, machine: Machine, task: PlacedTask) -> bool:
+    """Whether a planned task may start on its machine."""
+    return (
+        job_slice is not None
+        and not job_slice.is_blocked
+        and not job_slice.is_cancelled
+        and not machine.is_unresponsive
+        and task.stop_grace_s is None
+        and machine.cordon is None
+    )
+
+
+def overdue_stops(shard: Shard, now: float) -> list[DirectStops]:
+    """Return stops that should not wait for their machines' next heartbeats.
+
+    They are harmless when late: attempts are never reused.
+    """
+    overdue = []
+    retry_s = shard.cluster.workers.report_s * STOP_RETRY_INTERVALS
+    for machine in shard.machines.values():
+        if not machine.address or not machine.agent_incarnation or not machine.is_reconciled:
+            continue
+        commands = []
+        for task in machine.tasks.values():
+            if task.stop_grace_s is None or task.state == TaskState.PLANNED:
+                continue
+            if task.stop_sent_at is None or now - task.stop_sent_at > retry_s:
+                commands.append(_stop_command(task, task.stop_grace_s, now))
+        if commands:
+            overdue.append(DirectStops(machine, commands[:MAX_COMMANDS]))
+    return overdue
+
+
+def _stop_command(task: PlacedTask, grace_s: float, now: float) -> TaskCommand:
+    """Return the command to stop a task, and record that it is sent now."""
+    task.stop_sent_at = now
+    return TaskCommand(CommandVerb.STOP, task.job, task.index, task.attempt, grace_s)
--- a/marblestair/core/shard/heartbeat_response.py
+++ b/marblestair/core/shard/heartbeat_response.py
@@ -1,16 +1,21 @@
-"""What an agent's heartbeat is answered with."""
+"""Responses to agents' heartbeats."""
 
 from __future__ import annotations
 
+from collections.abc import Sequence
 from typing import NamedTuple
 
 from marblestair.core.domain.agents import TaskCommand
 
 
 class HeartbeatResponse(NamedTuple):
-    """The status, and with a 200 the fencing token and commands, with a 421 the node to turn to."""
+    """The response to a heartbeat.
+
+    With status 200 it carries the fencing token of the shard and commands, with 421 the node that
+    leads the shard, if one is known.
+    """
 
     status: int
     fencing_token: int = 0
-    commands: tuple[TaskCommand, ...] | list[TaskCommand] = ()
+    commands: Sequence[TaskCommand] = ()
     leader: str | None = None
--- a/marblestair/core/shard/shard.py
+++ b/marblestair/core/shard/shard.py
@@ -1,102 +1,118 @@
-"""One part of the fleet under one term: its machines, tasks, leases and their reconciliation.
-
-The rule this module guards above all is that no task runs twice. A task counts as on its machine
-from the moment its launch is decided until it is *settled* as gone: a newer report of the
-machine under this term does not list it (or lists it as exited), the worker's session has moved
-on, the cloud confirmed that the machine is released, or the worker's lease must have run out.
-Launches go only in the answers to reports: a worker drops answers after a few seconds and has one
-report in flight, so its next report shows whether a launch happened.
+"""One shard of the fleet under one term: its machines, its slices of jobs, and its tasks.
+
+The rule above all is that no task runs twice. A task counts as on its machine from the moment its
+launch is decided until it is surely gone: a newer heartbeat of the machine under this term does not
+list it (or lists it as exited), a new agent incarnation has begun, the cloud confirmed that the
+machine is released, or the agent's lease must have expired. Launches are sent only in responses to
+heartbeats: an agent drops responses after a few seconds and has one heartbeat in flight, so its
+next heartbeat shows whether a launch happened.
+
+What heartbeats change is in :mod:`marblestair.core.shard.heartbeats` and
+:mod:`marblestair.core.shard.reconciliation`, what time changes in
+:mod:`marblestair.core.shard.agent_leases` and :mod:`marblestair.core.shard.reclaimed_machines`,
+and what agents are sent in :mod:`marblestair.core.shard.commands`.
 """
 
 from __future__ import annotations
 
-from marblestair.core.domain.agents import (
-    CommandVerb,
-    ExitReason,
-    Heartbeat,
-    TaskCommand,
-    TaskState,
-    TaskStatus,
-)
+from typing import NamedTuple
+
+from marblestair.core.domain.agents import TaskState, TaskStatus
 from marblestair.core.domain.clocks import CLOCK_DRIFT
 from marblestair.core.domain.index_ranges import IndexRanges
 from marblestair.core.domain.jobs import JobKind, JobSpec
 from marblestair.core.shard.boot_times import BootTimes
 from marblestair.core.shard.failures import FailureAttribution
 from marblestair.core.shard.job_slice import JobSlice
-from marblestair.core.shard.machine import Machine, PlacedTask, StopReason, TaskKey
+from marblestair.core.shard.machine import Machine, PlacedTask, StopReason
 from marblestair.core.state.records import JobRecord
 from marblestair.settings import Cluster
 
-#: attempts are (term << ATTEMPT_BITS) + a count, so that no term reuses another's
+#: attempts are ``(term << ATTEMPT_BITS) + count``, so that no term reuses another's
 ATTEMPT_BITS = 24
-#: orders in one answer, to keep it well under the size limit
-MAX_ORDERS = 400
-#: a machine that has not reported for this many intervals gets nothing new, and gives back what
-#: it was not sent yet
-QUIET_REPORTS = 3.5
-#: a worker that is answered reports again within this many intervals
-HEARD_REPORTS = 2.0
-#: launches or leases in a row without effect after which a machine counts as deaf
-UNHEEDED = 2
-#: share of a lease for which a machine must report as often as one that is answered, before what
-#: went unheeded earlier is forgotten
-HEARS_AGAIN = 0.5
+#: a machine without a heartbeat for this many intervals gets nothing new, and loses the launches
+#: that were not sent yet
+SILENCE_LIMIT_INTERVALS = 3.5
+#: time that an agent may take beyond its lease, and the clocks' drift, to stop its tasks
+LEASE_MARGIN_S = 0.25
+#: usage of a team of which there is no upper bound: more than any quota
+UNBOUNDED_USAGE = 1 << 62
+
+
+class FinishedTask(NamedTuple):
+    """A task that was completed, and how long it ran."""
+
+    spec: JobSpec
+    run_s: float
 
 
 class Shard:
-    """The state of one part while this controller owns it under one term."""
+    """The state of one shard while this controller leads it under one term.
+
+    Parameters
+    ----------
+    shard_id
+        The number of the shard in the shard map.
+    term
+        The fencing token under which it is led.
+    cluster
+        Settings of the deployment.
+    now
+        Steady time at which the shard was acquired, in seconds.
+    failures, boot_times
+        What the controller knows of failures and boot times, over all its shards; empty if None.
+    """
 
     def __init__(
         self,
-        number: int,
+        shard_id: int,
         term: int,
         cluster: Cluster,
         now: float,
-        faults: FailureAttribution | None = None,
-        boots: BootTimes | None = None,
+        failures: FailureAttribution | None = None,
+        boot_times: BootTimes | None = None,
     ) -> None:
-        self.failures = faults if faults is not None else FailureAttribution(cluster.workers)
-        self.boot_times = boots if boots is not None else BootTimes()
-        self.shard_id = number
+        self.failures = failures if failures is not None else FailureAttribution(cluster.workers)
+        self.boot_times = boot_times if boot_times is not None else BootTimes()
+        self.shard_id = shard_id
+        #: raised when another leader moves a machine into this shard
         self.term = term
-        self.cluster = cluster
+        #: the term under which the shard was acquired; it tells one leadership from the next
+        self.acquired_term = term
         self.acquired_at = now
+        self.cluster = cluster
         self.machines: dict[str, Machine] = {}
         self.slices: dict[str, JobSlice] = {}
+        #: team -> cpus and gpus of its tasks on machines, in fixed point
         self.team_usage: dict[str, list[int]] = {}
-        #: machines of the part at the takeover whose tasks are not known yet
+        #: machines that were in the shard at the failover and whose tasks are not known yet
         self.unreconciled_machines: set[str] = set()
-        #: machines that list tasks of jobs that this part knows nothing of
+        #: machines that list tasks of jobs that this shard knows nothing of
         self.machines_with_unknown_tasks: set[str] = set()
-        #: the view has caught up with the takeover and progress is loaded
+        #: the view has caught up with the failover, and progress is loaded
         self.is_ready = False
-        #: being handed to another node
+        #: being transferred to another node
         self.is_closing = False
-        #: term under which the part was taken; it tells one ownership from the next
-        self.acquired_term = term
-        self._attempts = 0
-        #: run times of finished tasks against their estimates, by class
-        self.finished_tasks: list[tuple[JobSpec, float]] = []
+        #: tasks completed since the receiver of heartbeats last cleared this
+        self.finished_tasks: list[FinishedTask] = []
         #: keys that are of no use any more (pages, rental intents), with the version that may be
         #: deleted; None where it is to be read first
         self.obsolete_keys: dict[str, int | None] = {}
-        self.agent_lease_limit_s = cluster.workers.lease_s * (1 + CLOCK_DRIFT) + 0.25
-
-    # --- accounting ------------------------------------------------------------------------
+        #: time since the last answered heartbeat after which an agent has surely stopped its tasks
+        self.agent_lease_limit_s = cluster.workers.lease_s * (1 + CLOCK_DRIFT) + LEASE_MARGIN_S
+        #: time without a heartbeat after which a machine gets nothing new
+        self.silence_limit_s = SILENCE_LIMIT_INTERVALS * cluster.workers.report_s
+        self._attempt_count = 0
 
-    def new_attempt(self) -> int:
-        """An attempt number that no other launch has or will have."""
-        self._attempts += 1
-        return (self.term << ATTEMPT_BITS) + self._attempts
+    # --- usage -----------------------------------------------------------------------------
 
     def usage(self, team: str) -> tuple[int, int]:
-        """Return an upper bound of what a team's tasks use.
+        """Return an upper bound of the cpus and gpus that a team's tasks use, in fixed point.
 
-        Machines that are not settled, or that hold tasks of unknown jobs until those are
+        Machines that are not reconciled, or that have tasks of unknown jobs until those are
         stopped, count in full.
         """
-        c, g = self.team_usage.get(team, (0, 0))
+        cpus, gpus = self.team_usage.get(team, (0, 0))
         for name in (
             (self.unreconciled_machines | self.machines_with_unknown_tasks)
             if self.machines_with_unknown_tasks
@@ -104,10 +120,16 @@
         ):
             machine = self.machines.get(name)
             if machine is None or machine.machine_type is None:
-                return 1 << 62, 1 << 62
-            c += machine.machine_type.capacity[0]
-            g += machine.machine_type.capacity[1]
-        return c, g
+                return UNBOUNDED_USAGE, UNBOUNDED_USAGE
+            capacity = machine.machine_type.capacity
+            cpus += capacity.cpus
+            gpus += capacity.gpus
+        return cpus, gpus
+
+    def _count_usage(self, task: PlacedTask, sign: int) -> None:
+        usage = self.team_usage.setdefault(task.team, [0, 0])
+        usage[0] += sign * task.resources.cpus
+        usage[1] += sign * task.resources.gpus
 
     @property
     def pending_stop_count(self) -> int:
@@ -118,42 +140,41 @@
             for task in machine.tasks.values()
         )
 
-    def _count_usage(self, task: PlacedTask, sign: int) -> None:
-        u = self.team_usage.setdefault(task.team, [0, 0])
-        u[0] += sign * task.resources[0]
-        u[1] += sign * task.resources[1]
+    # --- tasks -----------------------------------------------------------------------------
 
-    def launch(
-        self, machine: Machine, job_slice: JobSlice, index: int, attempt: int, now: float
-    ) -> None:
-        """Decide to launch a task; the order goes in the answer to the machine's next report."""
-        task = PlacedTask(
-            job_slice.spec.id, index, attempt, job_slice.resources, job_slice.spec.team, now
-        )
-        machine.add_task(task)
-        machine.record_image(job_slice.spec)
-        job_slice.placed_on[index] = machine
-        self._count_usage(task, 1)
-
-    def _adopt(self, machine: Machine, job_slice: JobSlice, status: TaskStatus, now: float) -> None:
+    def new_attempt(self) -> int:
+        """Return an attempt number that no other launch has or will have."""
+        self._attempt_count += 1
+        return (self.term << ATTEMPT_BITS) + self._attempt_count
+
+    def launch(self, machine: Machine, job_slice: JobSlice, index: int, attempt: int) -> None:
+        """Decide to launch a task; the command is in the response to the next heartbeat."""
+        spec = job_slice.spec
+        task = PlacedTask(spec.id, index, attempt, job_slice.resources, spec.team)
+        self._place(machine, job_slice, task)
+
+    def adopt(self, machine: Machine, job_slice: JobSlice, status: TaskStatus, now: float) -> None:
+        """Add a task that an earlier leader launched, and that a machine lists."""
         task = PlacedTask(
-            status.job, status.index, status.attempt, job_slice.resources, job_slice.spec.team, now
+            status.job, status.index, status.attempt, job_slice.resources, job_slice.spec.team
         )
         task.state = status.state
         if status.state in (TaskState.RUNNING, TaskState.SAVING):
             task.running_since = now
             job_slice.running_count += 1
-        if job_slice.is_cancelled or (job_slice.done_bits >> status.index) & 1:
-            task.stop_grace_s, task.stop_reason = 0.0, StopReason.JOB_ENDED
+        if job_slice.is_cancelled or job_slice.is_done(status.index):
+            task.request_stop(0.0, StopReason.JOB_ENDED)
+        self._place(machine, job_slice, task)
+        job_slice.pending.discard(status.index)
+
+    def _place(self, machine: Machine, job_slice: JobSlice, task: PlacedTask) -> None:
         machine.add_task(task)
         machine.record_image(job_slice.spec)
-        job_slice.placed_on[status.index] = machine
-        job_slice.pending.discard(status.index)
-        job_slice.last_attempt = max(job_slice.last_attempt, status.attempt)
+        job_slice.placed_on[task.index] = machine
         self._count_usage(task, 1)
 
-    def _remove_task(self, machine: Machine, task: PlacedTask, now: float) -> None:
-        """A task is settled as not on its machine; run it again unless it is done."""
+    def remove_task(self, machine: Machine, task: PlacedTask, now: float) -> None:
+        """Remove a task that is surely not on its machine; unless done, it is pending again."""
         machine.remove_task(task, now)
         self._count_usage(task, -1)
         job_slice = self.slices.get(task.job)
@@ -165,48 +186,46 @@
                 job_slice.pending_since = now
             if task.running_since is not None:
                 job_slice.running_count -= 1
-        if job_slice.contains(task.index) and not (job_slice.done_bits >> task.index) & 1:
+        if job_slice.contains(task.index) and not job_slice.is_done(task.index):
             job_slice.pending.add(task.index, task.index + 1)
         if job_slice.spec.kind == JobKind.GANG:
-            self._gang_lost(job_slice)
+            _stop_rest_of_gang(job_slice)
 
-    def _gang_lost(self, job_slice: JobSlice) -> None:
-        """A gang lost a member: the rest is stopped, and it starts again once all are gone."""
-        if job_slice.done_count == job_slice.size:
-            return
-        if not job_slice.placed_on:
-            job_slice.is_stopping_gang = False
-            return
-        job_slice.is_stopping_gang = True
-        for i, machine in job_slice.placed_on.items():
-            task = machine.tasks.get((job_slice.spec.id, i))
-            if task is not None and task.stop_grace_s is None:
-                task.stop_grace_s, task.stop_reason = 0.0, StopReason.GANG_LOST
-
-    def _mark_done(self, job_slice: JobSlice, index: int, now: float) -> None:
-        if (
-            (job_slice.done_bits >> index) & 1
-            or not job_slice.contains(index)
-            or job_slice.spec.kind == JobKind.SERVICE
-        ):
-            return
-        # The members of a gang complete together: when one is done, all are.
-        for i in IndexRanges(job_slice.ranges) if job_slice.spec.kind == JobKind.GANG else (index,):
-            if not (job_slice.done_bits >> i) & 1:
-                job_slice.done_bits |= 1 << i
-                job_slice.done_count += 1
-            job_slice.pending.discard(i)
-        if job_slice.dirty_since is None:
-            job_slice.dirty_since = now
+    def remove_planned_tasks(self, machine: Machine, now: float) -> None:
+        """Remove the tasks of a machine whose launch was not sent yet."""
+        for task in list(machine.tasks.values()):
+            if task.state == TaskState.PLANNED:
+                self.remove_task(machine, task, now)
+
+    def forget_tasks(self, machine: Machine, now: float) -> None:
+        """Remove all tasks of a machine: its agent incarnation so far has surely ended."""
+        for task in list(machine.tasks.values()):
+            self.remove_task(machine, task, now)
+        machine.exited_tasks = {}
+        machine.unknown_tasks = {}
+        self.machines_with_unknown_tasks.discard(machine.name)
+
+    def stop_tasks(self, tasks: list[PlacedTask], reason: StopReason) -> None:
+        """Have tasks stopped to free their resources; those that can save a checkpoint do so."""
+        for task in tasks:
+            if task.stop_grace_s is not None:
+                continue
+            job_slice = self.slices.get(task.job)
+            saves = job_slice is not None and job_slice.spec.saves_checkpoints
+            task.request_stop(
+                job_slice.spec.checkpoint_save_s if job_slice is not None and saves else 0.0, reason
+            )
 
     # --- jobs ------------------------------------------------------------------------------
 
-    def sync_job(self, record: JobRecord | None, job: str, version: int, now: float) -> None:
-        """Follow a job's record: slices gained or lost, cancels, and its end."""
+    def sync_job(self, record: JobRecord | None, job: str, now: float) -> None:
+        """Bring a slice in line with its job's record: migrations, cancels, and the job's end."""
         job_slice = self.slices.get(job)
         if record is None:
             if job_slice is not None:
-                self._end_slice(job_slice)
+                # The job has ended: what is still on machines is stopped.
+                job_slice.request_stops(0.0, StopReason.JOB_ENDED)
+                del self.slices[job]
             return
         ranges = record.slices.get(str(self.shard_id), [])
         if not ranges and job_slice is None:
@@ -222,47 +241,31 @@
         if ranges != job_slice.ranges:
             had_tasks = job_slice.size > 0
             job_slice.set_ranges(ranges)
-            if (
-                had_tasks
-                and not job_slice.ranges
-                and not job_slice.placed_on
-                and not job_slice.is_cancelled
-            ):
+            if had_tasks and job_slice.is_vacated:
                 del self.slices[job]
                 return
-        job_slice.record_version = version
         if record.is_cancelled:
             self.cancel(job, now)
 
-    def _end_slice(self, job_slice: JobSlice) -> None:
-        """The job is over: what is still on machines is stopped."""
-        for index, machine in list(job_slice.placed_on.items()):
-            task = machine.tasks.get((job_slice.spec.id, index))
-            if task is not None and task.stop_grace_s is None:
-                task.stop_grace_s, task.stop_reason = 0.0, StopReason.JOB_ENDED
-        del self.slices[job_slice.spec.id]
-
     def cancel(self, job: str, now: float) -> None:
-        """Apply a cancel: nothing starts any more, and what is there is stopped at once."""
+        """Apply a cancel: nothing starts any more, and what was sent is stopped without grace."""
         job_slice = self.slices.get(job)
         if job_slice is None or job_slice.is_cancelled:
             return
         job_slice.is_cancelled = True
         job_slice.cancelled_at = now
-        job_slice.pending = IndexRanges()
-        for i, machine in list(job_slice.placed_on.items()):
-            task = machine.tasks.get((job, i))
+        for index, machine in list(job_slice.placed_on.items()):
+            task = machine.tasks.get((job, index))
             if task is None:
                 continue
             if task.state == TaskState.PLANNED:
-                self._remove_task(machine, task, now)
+                self.remove_task(machine, task, now)
             else:
-                task.stop_grace_s, task.stop_reason = 0.0, StopReason.CANCELLED
-                task.stop_sent_at = -1e9
+                task.request_stop(0.0, StopReason.CANCELLED)
         job_slice.pending = IndexRanges()
 
     def release_reconciled_slices(self) -> None:
-        """Once every machine of the takeover is settled, what is not on one may start."""
+        """Let tasks start once every machine that was here at the failover is reconciled."""
         if self.unreconciled_machines:
             return
         for job_slice in self.slices.values():
@@ -272,405 +275,39 @@
                 and job_slice.placed_on
                 and len(job_slice.pending)
             ):
-                # Only some of the gang survived the takeover.
-                self._gang_lost(job_slice)
+                # Only some of the gang survived the failover.
+                _stop_rest_of_gang(job_slice)
 
     # --- machines --------------------------------------------------------------------------
 
     def add_machine(self, machine: Machine) -> None:
-        """A machine joins the part."""
+        """Add a machine that has joined the shard."""
         machine.join_term = self.term
-        machine.silence_limit_s = QUIET_REPORTS * self.cluster.workers.report_s
+        machine.silence_limit_s = self.silence_limit_s
         self.machines[machine.name] = machine
 
     def remove_machine(self, name: str, now: float) -> None:
-        """A machine is gone for certain (released), or left the part idle and settled."""
+        """Remove a machine that was released, or that left the shard idle and reconciled."""
         machine = self.machines.pop(name, None)
         if machine is None:
             return
         for task in list(machine.tasks.values()):
-            self._remove_task(machine, task, now)
+            self.remove_task(machine, task, now)
         self.machines_with_unknown_tasks.discard(name)
+        self.mark_reconciled(name)
+
+    def mark_reconciled(self, name: str) -> None:
+        """Record that nothing unknown runs on a machine that was here at the failover."""
         self.unreconciled_machines.discard(name)
         self.release_reconciled_slices()
 
-    def forget_tasks(self, machine: Machine, now: float) -> None:
-        """All tasks of the machine's session so far are gone."""
-        for task in list(machine.tasks.values()):
-            self._remove_task(machine, task, now)
-        machine.exited_tasks = {}
-        machine.unknown_tasks = {}
-        self.machines_with_unknown_tasks.discard(machine.name)
-
-    def _drain_reclaimed_machines(self, now: float) -> None:
-        """Save what can be saved on machines that the cloud takes back."""
-        report_s = self.cluster.workers.report_s
-        for machine in self.machines.values():
-            if machine.reclaim_at is None:
-                continue
-            for task in list(machine.tasks.values()):
-                job_slice = self.slices.get(task.job)
-                if (
-                    job_slice is None
-                    or job_slice.spec.checkpoint_interval_s <= 0
-                    or task.stop_grace_s is not None
-                ):
-                    continue
-                if machine.reclaim_at - now > 2 * job_slice.spec.checkpoint_save_s + 3 * report_s:
-                    continue
-                # A gang saves only if all its tasks are told, and told at nearly the same time.
-                for i, at in job_slice.placed_on.items():
-                    member = at.tasks.get((task.job, i))
-                    if member is not None and member.stop_grace_s is None:
-                        member.stop_grace_s, member.stop_reason = (
-                            max(job_slice.spec.checkpoint_save_s, 0.001),
-                            StopReason.MACHINE_RECLAIMED,
-                        )
-
-    def tick(self, now: float) -> None:
-        """Let leases of silent workers run out."""
-        self._drain_reclaimed_machines(now)
-        for machine in list(self.machines.values()):
-            last = (
-                machine.answered_at if machine.answered_at > self.acquired_at else self.acquired_at
-            )
-            if now - machine.last_heartbeat_at >= machine.silence_limit_s:
-                # A launch that is in no answer yet can go elsewhere at once.
-                for task in list(machine.tasks.values()):
-                    if task.state == TaskState.PLANNED:
-                        self._remove_task(machine, task, now)
-            if (
-                machine.is_silent
-                or now < last + self.agent_lease_limit_s
-                or machine.name not in self.unreconciled_machines
-                and not (machine.agent_incarnation)
-            ):
-                continue
-            # No report was answered for longer than the worker's lease: it has killed its
-            # tasks. Late copies of its old reports must not bring them back.
-            machine.is_silent = True
-            machine.ignored_terms = 0
-            self._mark_unresponsive(machine, now)
-            machine.min_incarnation = (
-                machine.agent_incarnation + 1 if machine.agent_incarnation else 0
-            )
-            self.forget_tasks(machine, now)
-            self.unreconciled_machines.discard(machine.name)
-            self.release_reconciled_slices()
-
-    def receive_heartbeat(self, heartbeat: Heartbeat, now: float) -> list[TaskCommand] | None:
-        """Take in a report and return the orders of its answer.
-
-        None when the report must not be answered with a 200.
-        """
-        machine = self.machines.get(heartbeat.machine)
-        if machine is None or not self._is_newest(machine, heartbeat):
-            return None
-        self._record_heartbeat(machine, heartbeat, now)
-        if heartbeat.fencing_token >= machine.join_term:
-            machine.is_reconciled = True
-        if not machine.is_reconciled:
-            return self._answer_unreconciled(machine, heartbeat, now)
-        self._reconcile(machine, heartbeat, now)
-        if machine.name in self.unreconciled_machines:
-            self.unreconciled_machines.discard(machine.name)
-            self.release_reconciled_slices()
-        machine.answered_at = now
-        return self._task_commands(machine, now)
-
-    def _is_newest(self, machine: Machine, heartbeat: Heartbeat) -> bool:
-        """Whether a report is to be taken in: the newest of a machine that is still wanted."""
-        if machine.is_given_up or machine.is_releasing or heartbeat.fencing_token > self.term:
-            return False
-        # A late copy: the worker has given such a report up, and its list is old.
-        return heartbeat.agent_incarnation >= machine.min_incarnation and (
-            heartbeat.agent_incarnation,
-            heartbeat.sequence,
-        ) > (machine.agent_incarnation, machine.sequence)
-
-    def _record_heartbeat(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
-        """What a report shows of the machine itself: it lives, hears, or is to be taken back."""
-        machine.address = heartbeat.address
-        often = now - machine.last_heartbeat_at < HEARD_REPORTS * self.cluster.workers.report_s
-        if heartbeat.agent_incarnation != machine.agent_incarnation:
-            self._begin_incarnation(machine, heartbeat.agent_incarnation, now)
-        elif often and machine.ignored_commands < UNHEEDED:
-            # A worker that is not answered within some seconds turns to another controller.
-            machine.is_unresponsive = False
-        if not often:
-            machine.frequent_since = now
-        elif now - machine.frequent_since > HEARS_AGAIN * self.cluster.workers.lease_s:
-            # Nothing is sent to a deaf machine that could show whether it hears again.
-            machine.ignored_commands = 0
-        machine.sequence = heartbeat.sequence
-        if machine.is_awaited:
-            # It was away together with many. Whether it hears is told by what follows.
-            machine.unresponsive_since, machine.is_awaited = now, False
-        machine.last_heartbeat_at = now
-        machine.is_silent = False
-        machine.reclaim_at = (
-            None if heartbeat.reclaim_in_s is None else now + heartbeat.reclaim_in_s
-        )
-
-    def _begin_incarnation(self, machine: Machine, session: int, now: float) -> None:
-        """The worker's first session that is seen, or one after its lease has run out."""
-        if not machine.agent_incarnation:
-            if machine.machine_type is not None and machine.name not in self.unreconciled_machines:
-                self.boot_times.record(machine.machine_type, now - machine.added_at, now)
-        else:
-            # If it reported all the while, what it was answered did not reach it.
-            if now - machine.last_heartbeat_at < self.cluster.workers.lease_s / 2:
-                machine.ignored_commands += 1
-                self._mark_unresponsive(machine, now)
-            self.forget_tasks(machine, now)
-        machine.agent_incarnation = session
-
-    def _answer_unreconciled(
-        self, machine: Machine, heartbeat: Heartbeat, now: float
-    ) -> list[TaskCommand] | None:
-        """Answer a machine of which no report has carried this term yet; None for no answer.
-
-        Answering renews the lease and raises the token; the list counts only from the first
-        report that carries this term, because only that one is known to be newer than everything
-        the earlier owner sent. A machine that does not take the term up is answered no more, so
-        that its lease, which is counted from the last answer that it may have had, comes to an
-        end. (A session that moves on would not settle it: the earlier session may be known from
-        a late copy only.)
-        """
-        if machine.ignored_terms > UNHEEDED:
-            self._mark_unresponsive(machine, now)
-            return None
-        machine.ignored_terms += 1
-        machine.answered_at = now
-        return self._over(heartbeat)
-
-    def _over(self, heartbeat: Heartbeat) -> list[TaskCommand]:
-        """Return stops for tasks of jobs that are over on a machine that is not settled.
-
-        An answer that renews its lease must not let them go on.
-        """
-        commands = []
-        for status in heartbeat.tasks:
-            job_slice = self.slices.get(status.job)
-            if status.state != TaskState.EXITED and (job_slice is None or job_slice.is_cancelled):
-                commands.append(
-                    TaskCommand(CommandVerb.STOP, status.job, status.index, status.attempt, 0.0)
-                )
-        return commands[:MAX_ORDERS]
-
-    def _mark_unresponsive(self, machine: Machine, now: float) -> None:
-        if not machine.is_unresponsive:
-            machine.is_unresponsive, machine.unresponsive_since = True, now
-
-    def _reconcile(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
-        """Compare what a settled machine lists with what was launched there."""
-        listed = self._take_listed_tasks(machine, heartbeat, now)
-        if machine.unknown_tasks:
-            self.machines_with_unknown_tasks.add(machine.name)
-        else:
-            self.machines_with_unknown_tasks.discard(machine.name)
-        is_launch_lost = is_launch_shown = False
-        for key, task in list(machine.tasks.items()):
-            found = listed.get(key)
-            was_sent = task.state == TaskState.SENT
-            is_launch_shown = is_launch_shown or (was_sent and found is not None)
-            if found is not None and found.attempt == task.attempt:
-                self._update_task_state(machine, task, found, now)
-            elif was_sent:
-                is_launch_lost = True
-                self._retract_launch(machine, task, now)
-            elif task.state != TaskState.PLANNED:
-                self._remove_task(machine, task, now)
-        if is_launch_shown:
-            machine.ignored_commands = 0
-        elif is_launch_lost:
-            self._record_ignored_command(machine, now)
-
-    def _take_listed_tasks(
-        self, machine: Machine, heartbeat: Heartbeat, now: float
-    ) -> dict[TaskKey, TaskStatus]:
-        """Sort what a machine lists.
-
-        Returns the tasks to compare with what was launched here. Of the others, those that the
-        part may hold are taken in, and those that it knows nothing of are to be stopped.
-        """
-        listed: dict[TaskKey, TaskStatus] = {}
-        machine.exited_tasks = {}
-        machine.unknown_tasks = {}
-        for status in heartbeat.tasks:
-            key = (status.job, status.index)
-            task = machine.tasks.get(key)
-            is_launched = task is not None and task.attempt == status.attempt
-            job_slice = self.slices.get(status.job)
-            is_free = (
-                job_slice is not None
-                and job_slice.contains(status.index)
-                and status.index not in job_slice.placed_on
-            )
-            if status.state == TaskState.EXITED:
-                if is_launched:
-                    listed[key] = status
-                elif status.exit_reason == ExitReason.DONE and job_slice is not None and is_free:
-                    # A result whose owner fell before it was recorded.
-                    self._mark_done(job_slice, status.index, now)
-                if key not in machine.exited_tasks or not is_launched:
-                    machine.exited_tasks[key] = (
-                        status.attempt,
-                        status.exit_reason == ExitReason.DONE,
-                    )
-                continue
-            listed[key] = status
-            if is_launched:
-                continue
-            if task is None and job_slice is not None and is_free:
-                self._adopt(machine, job_slice, status, now)
-            else:
-                machine.unknown_tasks[key] = status.attempt
-        return listed
-
-    def _update_task_state(
-        self, machine: Machine, task: PlacedTask, found: TaskStatus, now: float
-    ) -> None:
-        """A task that was launched here is listed."""
-        if found.state == TaskState.EXITED:
-            self._task_exited(machine, task, found, now)
-        elif found.state != task.state:
-            if found.state == TaskState.RUNNING and task.running_since is None:
-                task.running_since = now
-                if (job_slice := self.slices.get(task.job)) is not None:
-                    job_slice.running_count += 1
-            task.state = found.state
-
-    def _retract_launch(self, machine: Machine, task: PlacedTask, now: float) -> None:
-        """No report newer than the answer with a launch lists the task: the answer was dropped.
-
-        It may be sent again.
-        """
-        task.state = TaskState.PLANNED
-        job_slice = self.slices.get(task.job)
-        if (
-            job_slice is None
-            or job_slice.is_cancelled
-            or task.stop_grace_s is not None
-            or machine.is_unresponsive
-        ):
-            self._remove_task(machine, task, now)
-
-    def _record_ignored_command(self, machine: Machine, now: float) -> None:
-        """A launch did not show; after several in a row the machine counts as deaf."""
-        machine.ignored_commands += 1
-        if machine.ignored_commands < UNHEEDED or machine.is_unresponsive:
-            return
-        self._mark_unresponsive(machine, now)
-        for task in [task for task in machine.tasks.values() if task.state == TaskState.PLANNED]:
-            self._remove_task(machine, task, now)
-
-    def _task_exited(
-        self, machine: Machine, task: PlacedTask, status: TaskStatus, now: float
-    ) -> None:
-        job_slice = self.slices.get(task.job)
-        if status.exit_reason == ExitReason.DONE:
-            if job_slice is not None:
-                if task.running_since is not None:
-                    self.finished_tasks.append((job_slice.spec, now - task.running_since))
-                self.failures.record_success(task.job, machine.name)
-                self._mark_done(job_slice, task.index, now)
-        elif status.exit_reason == ExitReason.ERROR:
-            self.failures.record_failure(
-                task.job, machine.name, job_slice is not None and job_slice.done_count > 0, now
-            )
-            machine.usable_from = max(
-                machine.usable_from, now + self.failures.machine_backoff_s(machine.name)
-            )
-        elif status.exit_reason in (ExitReason.NO_ROOM, ExitReason.UNKNOWN, ExitReason.BUSY):
-            machine.usable_from = now + 2 * self.cluster.workers.report_s
-        self._remove_task(machine, task, now)
-
-    def _task_commands(self, machine: Machine, now: float) -> list[TaskCommand]:
-        commands: list[TaskCommand] = []
-        for key, (attempt, done) in machine.exited_tasks.items():
-            job_slice = self.slices.get(key[0])
-            kept = (
-                done
-                and job_slice is not None
-                and job_slice.contains(key[1])
-                and job_slice.spec.kind != JobKind.SERVICE
-            )
-            if kept and job_slice is not None and not (job_slice.durable_bits >> key[1]) & 1:
-                continue
-            commands.append(TaskCommand(CommandVerb.FORGET, key[0], key[1], attempt))
-        for key, attempt in machine.unknown_tasks.items():
-            commands.append(TaskCommand(CommandVerb.STOP, key[0], key[1], attempt, 0.0))
-        for task in list(machine.tasks.values()):
-            if task.stop_grace_s is not None and task.state != TaskState.PLANNED:
-                commands.append(
-                    TaskCommand(
-                        CommandVerb.STOP, task.job, task.index, task.attempt, task.stop_grace_s
-                    )
-                )
-                task.stop_sent_at = now
-        return commands
-
-    def launch_commands(self, machine: Machine, now: float) -> list[TaskCommand]:
-        """Launches to carry in the answer to the report just taken in, after its other orders."""
-        commands: list[TaskCommand] = []
-        if not machine.is_reconciled or machine.is_given_up or machine.is_releasing:
-            return commands
-        for task in list(machine.tasks.values()):
-            if task.state != TaskState.PLANNED:
-                continue
-            job_slice = self.slices.get(task.job)
-            may_start = (
-                job_slice is not None and not job_slice.is_blocked and not job_slice.is_cancelled
-            )
-            if (
-                not may_start
-                or machine.is_unresponsive
-                or task.stop_grace_s is not None
-                or machine.is_draining
-            ):
-                self._remove_task(machine, task, now)
-            elif len(commands) < MAX_ORDERS:
-                commands.append(TaskCommand(CommandVerb.START, task.job, task.index, task.attempt))
-                task.state = TaskState.SENT
-                task.sent_sequence = machine.sequence
-        return commands
 
-    def stop_tasks(self, tasks: list[PlacedTask], reason: StopReason) -> None:
-        """Stop tasks to make room for others; what can save does so."""
-        for task in tasks:
-            job_slice = self.slices.get(task.job)
-            if task.stop_grace_s is None:
-                saves = job_slice is not None and job_slice.spec.checkpoint_interval_s > 0
-                task.stop_grace_s = (
-                    job_slice.spec.checkpoint_save_s if job_slice is not None and saves else 0.0
-                )
-                task.stop_reason = reason
-                task.stop_sent_at = -1e9
-
-    def overdue_stops(self, now: float) -> list[tuple[Machine, list[TaskCommand]]]:
-        """Return stops that should not wait for the machine's next report.
-
-        They are harmless when late: attempts are never reused.
-        """
-        out = []
-        again = self.cluster.workers.report_s * 2
-        for machine in self.machines.values():
-            if not machine.address or not machine.agent_incarnation or not machine.is_reconciled:
-                continue
-            commands = []
-            for task in machine.tasks.values():
-                if (
-                    task.stop_grace_s is not None
-                    and task.state != TaskState.PLANNED
-                    and now - task.stop_sent_at > again
-                ):
-                    commands.append(
-                        TaskCommand(
-                            CommandVerb.STOP, task.job, task.index, task.attempt, task.stop_grace_s
-                        )
-                    )
-                    task.stop_sent_at = now
-            if commands:
-                out.append((machine, commands[:MAX_ORDERS]))
-        return out
+def _stop_rest_of_gang(job_slice: JobSlice) -> None:
+    """Stop a gang that lost a task; it starts again once all its tasks are gone."""
+    if job_slice.done_count == job_slice.size:
+        return
+    if not job_slice.placed_on:
+        job_slice.is_stopping_gang = False
+        return
+    job_slice.is_stopping_gang = True
+    job_slice.request_stops(0.0, StopReason.GANG_LOST)
--- a/marblestair/core/view_synchronizer.py
+++ b/marblestair/core/view_synchronizer.py
@@ -159,7 +159,7 @@
         if record is None and job_slice is not None:
             for page, version in job_slice.page_versions.items():
                 shard.obsolete_keys[keys.progress_page(shard.shard_id, job, page)] = version
-        shard.sync_job(record, job, self._view.version(keys.JOBS + job), now)
+        shard.sync_job(record, job, now)
         if job in shard.slices and self._cancels.is_known(job):
             # Known ahead of the view: a slice that comes by an older record is over too.
             shard.cancel(job, now)
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -9,6 +9,7 @@
 import pytest
 
 from marblestair.core.domain.agents import TaskStatus
+from marblestair.core.shard.heartbeats import receive_heartbeat
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
 from marblestair.core.shard.shard import Shard
@@ -226,14 +227,14 @@
     job_slice = shard.slices[job] = JobSlice(world.specs[job])
     job_slice.ranges, job_slice.size, job_slice.is_unreconciled = [[0, 12]], 12, True
     before = msgspec.structs.replace(worker.body(), tasks=[])
-    assert shard.receive_heartbeat(before, world.now) == []
+    assert receive_heartbeat(shard, before, world.now) == []
     assert (
         not known.is_reconciled
         and job_slice.is_unreconciled
         and shard.usage("red")[0] == worker.type.capacity[0]
     )
     fenced = msgspec.structs.replace(worker.body(), fencing_token=99)
-    assert shard.receive_heartbeat(fenced, world.now) is not None
+    assert receive_heartbeat(shard, fenced, world.now) is not None
     assert (
         known.is_reconciled
         and not job_slice.is_unreconciled
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -223,7 +223,7 @@
         shard.add_machine(machine)
         machine.set_machine_type(TYPES[0])
         machine.agent_incarnation, machine.is_reconciled, machine.last_heartbeat_at = 1, True, 100.0
-    shard.launch(machines[2], JobSlice(spec(9)), 0, 1, 100.0)
+    shard.launch(machines[2], JobSlice(spec(9)), 0, 1)
     shard.failures.record_success("job", "good")
     for _ in range(3):
         for name in ("bad", "bad-in-use"):
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -7,7 +7,7 @@
 from marblestair.core.capacity.decommissioning import nearly_empty_machines
 from marblestair.core.domain.machines import MachineType
 from marblestair.core.shard.job_slice import JobSlice
-from marblestair.core.shard.machine import Machine
+from marblestair.core.shard.machine import CordonReason, Machine
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
 from tests.fakes.deployment import spec
@@ -199,7 +199,7 @@
         )
         job_slice.ranges = [[0, tasks]]
         for i in range(tasks):
-            shard.launch(m, job_slice, i, 1, 100.0 - ran)
+            shard.launch(m, job_slice, i, 1)
             task = m.tasks[(job, i)]
             task.state, task.running_since = "running", 100.0 - ran
         return m
@@ -228,14 +228,14 @@
         (c, p) for c in world.cores.values() if c for p in c.leadership.led_shards() if p.machines
     )
     machine = next(iter(part.machines.values()))
-    machine.is_draining = True
+    machine.cordon = CordonReason.TRANSFER
     told = core.summarizer.summarize(part)
     assert machine.name not in told.leaving_machines and machine.name not in [
         n for n, _ in told.idle_machines
     ]
-    machine.is_returning = True
+    machine.cordon = CordonReason.RETURN
     assert machine.name in core.summarizer.summarize(part).leaving_machines
-    machine.is_draining = machine.is_returning = False
+    machine.cordon = None
     assert world.finish(job, 90.0)
     assert sum(x.type.name == "m32" for x in world.workers.values()) == 4
     assert not world.broken
--- a/tests/test_guest_teams.py
+++ b/tests/test_guest_teams.py
@@ -158,7 +158,7 @@
     )
     shard.slices[job.id] = JobSlice(job)
     for index, name in enumerate(["almost-empty", "half-empty"]):
-        shard.launch(shard.machines[name], shard.slices[job.id], index, index + 1, 60.0)
+        shard.launch(shard.machines[name], shard.slices[job.id], index, index + 1)
         task = shard.machines[name].tasks[(job.id, index)]
         task.state, task.running_since = "running", 60.0
     found = nearly_empty_machines(shard, {"almost-empty"}, 200.0)
--- a/tests/test_overlapping_troubles.py
+++ b/tests/test_overlapping_troubles.py
@@ -13,6 +13,7 @@
 from marblestair.core.jobs.manager_steps import is_empty
 from marblestair.core.messaging.messages import SliceProgress
 from marblestair.core.runtime.store_requests import CompareAndSwap
+from marblestair.core.shard.heartbeats import receive_heartbeat
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
 from marblestair.core.shard.shard import Shard
@@ -715,7 +716,10 @@
     job = world.submit(spec(2, task_count=24, estimated_run_s=4.0))
     shard = running(world, "n0").leadership.shards[0]
     assert world.until(
-        lambda: all(machine.ignored_commands >= 2 for machine in shard.machines.values()), 60.0
+        lambda: all(
+            machine.responsiveness.ignored_commands >= 2 for machine in shard.machines.values()
+        ),
+        60.0,
     )
     for worker in machines:
         worker.deaf = False
@@ -761,22 +765,22 @@
     shard.add_machine(known)
     job_slice = shard.slices[job] = JobSlice(world.specs[job])
     job_slice.ranges, job_slice.size = [[0, 12]], 12
-    assert shard.receive_heartbeat(worker.body(), world.now) == []
+    assert receive_heartbeat(shard, worker.body(), world.now) == []
     job_slice.is_cancelled = True
-    orders = shard.receive_heartbeat(worker.body(), world.now)
+    orders = receive_heartbeat(shard, worker.body(), world.now)
     assert orders and {(command.verb, command.index) for command in orders} == {
         ("stop", i) for _, i in worker.live
     }
     # Settled at last, what it lists of jobs that are not known counts against every team.
     del shard.slices[job]
-    stopped = shard.receive_heartbeat(
-        msgspec.structs.replace(worker.body(), fencing_token=99), world.now
+    stopped = receive_heartbeat(
+        shard, msgspec.structs.replace(worker.body(), fencing_token=99), world.now
     )
     assert stopped and all(command.verb == "stop" for command in stopped)
     assert shard.usage("red")[0] == shard.usage("blue")[0] == worker.type.capacity[0]
     assert (
-        shard.receive_heartbeat(
-            msgspec.structs.replace(worker.body(), fencing_token=99, tasks=[]), world.now
+        receive_heartbeat(
+            shard, msgspec.structs.replace(worker.body(), fencing_token=99, tasks=[]), world.now
         )
         == []
     )
@@ -809,8 +813,8 @@
     forgotten: list[bool] = []
     for durable in (0, 1 << index):
         shard.slices[job].durable_bits = durable
-        orders = shard.receive_heartbeat(
-            worker.body(), shard.machines[worker.name].last_heartbeat_at + 1.0
+        orders = receive_heartbeat(
+            shard, worker.body(), shard.machines[worker.name].last_heartbeat_at + 1.0
         )
         assert orders is not None
         forgotten.append(
