--- a/marblestair/core/shard/__init__.py
+++ b/marblestair/core/shard/__init__.py
@@ -1,1 +1,1 @@
-"""One shard under one term: its machines, slices, heartbeats and their reconciliation."""
+"""One shard under one term: its machines, slices, heartbeats, commands and leases."""
