--- a/marblestair/core/capacity/decommissioning.py
+++ b/marblestair/core/capacity/decommissioning.py
@@ -8,7 +8,7 @@
 from marblestair.core.domain.agents import TaskState
 from marblestair.core.domain.jobs import JobKind
 from marblestair.core.shard.absence import absent_machines
-from marblestair.core.shard.machine import Machine
+from marblestair.core.shard.machine import CordonReason, Machine
 from marblestair.core.shard.shard import Shard
 
 #: work lost by emptying a machine, against the capacity that would be idle meanwhile
@@ -127,7 +127,7 @@
         return True
     if machine.tasks:
         return False
-    if machine.is_returning or machine.reclaim_at is not None:
+    if machine.cordon is CordonReason.RETURN or machine.reclaim_at is not None:
         return True
     return shard.failures.is_faulty(machine.name)
 
@@ -148,14 +148,15 @@
     """Whether a machine is silent for so long that it will not be back."""
     if not machine.is_silent or not machine.agent_incarnation or is_absent:
         return False
-    return now - max(machine.last_heartbeat_at, shard.acquired_at) > LOST_LEASES * agent_lease_s
+    silent_s = now - machine.last_sign_of_life_at(shard.acquired_at)
+    return silent_s > LOST_LEASES * agent_lease_s
 
 
 def _is_unresponsive(machine: Machine, agent_lease_s: float, now: float) -> bool:
     """Whether a machine sends heartbeats, but has not carried out commands for too long."""
     if not machine.is_unresponsive or machine.is_silent:
         return False
-    return now - machine.unresponsive_since > LOST_LEASES * agent_lease_s
+    return now - machine.responsiveness.unresponsive_since > LOST_LEASES * agent_lease_s
 
 
 def _is_reclaimed(machine: Machine, agent_lease_s: float, now: float) -> bool:
@@ -165,4 +166,6 @@
     """
     if machine.reclaim_at is None or now <= machine.reclaim_at + RECLAIM_MARGIN_S:
         return False
+    if machine.last_heartbeat_at is None:
+        return True
     return now - machine.last_heartbeat_at > RECLAIMED_SILENT_LEASES * agent_lease_s
--- a/marblestair/core/scheduling/machine_transfers.py
+++ b/marblestair/core/scheduling/machine_transfers.py
@@ -25,7 +25,7 @@
 from marblestair.core.scheduling.preemption import Preemption
 from marblestair.core.shard.failures import FailureAttribution
 from marblestair.core.shard.job_slice import JobSlice
-from marblestair.core.shard.machine import Machine
+from marblestair.core.shard.machine import CordonReason, Machine
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
 from marblestair.core.state.records import ShardMap
@@ -180,7 +180,7 @@
     def _begin(self, shard: Shard, machines: list[Machine], target_id: int) -> None:
         self._is_in_progress = True
         for machine in machines:
-            machine.is_draining = True
+            machine.cordon = CordonReason.TRANSFER
         self._context.spawn(self._transfer(shard, machines, target_id))
 
     def _transfer(self, shard: Shard, machines: list[Machine], target_id: int) -> Coroutine[None]:
@@ -189,7 +189,7 @@
             yield from self._commit(shard, machines, target_id)
         finally:
             for machine in machines:
-                machine.is_draining = False
+                machine.cordon = None
             self._is_in_progress = False
 
     def _commit(self, shard: Shard, machines: list[Machine], target_id: int) -> Coroutine[None]:
--- a/tests/core/capacity/test_decommissioning.py
+++ b/tests/core/capacity/test_decommissioning.py
@@ -31,7 +31,7 @@
         )
         job_slice.ranges = [[0, tasks]]
         for i in range(tasks):
-            shard.launch(m, job_slice, i, 1, 100.0 - ran)
+            shard.launch(m, job_slice, i, 1)
             task = m.tasks[(job, i)]
             task.state, task.running_since = "running", 100.0 - ran
         return m
@@ -56,7 +56,7 @@
         shard.add_machine(machine)
         machine.set_machine_type(TYPES[0])
         machine.agent_incarnation, machine.is_reconciled, machine.last_heartbeat_at = 1, True, 100.0
-    shard.launch(machines[2], JobSlice(spec(9)), 0, 1, 100.0)
+    shard.launch(machines[2], JobSlice(spec(9)), 0, 1)
     shard.failures.record_success("job", "good")
     for _ in range(3):
         for name in ("bad", "bad-in-use"):
@@ -84,7 +84,7 @@
     )
     shard.slices[job.id] = JobSlice(job)
     for index, name in enumerate(["almost-empty", "half-empty"]):
-        shard.launch(shard.machines[name], shard.slices[job.id], index, index + 1, 60.0)
+        shard.launch(shard.machines[name], shard.slices[job.id], index, index + 1)
         task = shard.machines[name].tasks[(job.id, index)]
         task.state, task.running_since = "running", 60.0
     found = nearly_empty_machines(shard, {"almost-empty"}, 200.0)
--- a/tests/core/scheduling/test_gangs.py
+++ b/tests/core/scheduling/test_gangs.py
@@ -6,6 +6,7 @@
 
 import pytest
 
+from marblestair.core.shard.machine import CordonReason
 from marblestair.core.state import keys
 from tests.fakes.deployment import spec
 from tests.fakes.world import World
@@ -93,14 +94,14 @@
         (c, p) for c in world.cores.values() if c for p in c.leadership.led_shards() if p.machines
     )
     machine = next(iter(part.machines.values()))
-    machine.is_draining = True
+    machine.cordon = CordonReason.TRANSFER
     told = core.summarizer.summarize(part)
     assert machine.name not in told.leaving_machines and machine.name not in [
         n for n, _ in told.idle_machines
     ]
-    machine.is_returning = True
+    machine.cordon = CordonReason.RETURN
     assert machine.name in core.summarizer.summarize(part).leaving_machines
-    machine.is_draining = machine.is_returning = False
+    machine.cordon = None
     assert world.finish(job, 90.0)
     assert sum(x.type.name == "m32" for x in world.workers.values()) == 4
     assert not world.broken
--- a/tests/core/shard/test_reconciliation.py
+++ b/tests/core/shard/test_reconciliation.py
@@ -4,6 +4,7 @@
 
 import msgspec
 
+from marblestair.core.shard.heartbeats import receive_heartbeat
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
 from marblestair.core.shard.shard import Shard
@@ -23,22 +24,22 @@
     shard.add_machine(known)
     job_slice = shard.slices[job] = JobSlice(world.specs[job])
     job_slice.ranges, job_slice.size = [[0, 12]], 12
-    assert shard.receive_heartbeat(worker.body(), world.now) == []
+    assert receive_heartbeat(shard, worker.body(), world.now) == []
     job_slice.is_cancelled = True
-    orders = shard.receive_heartbeat(worker.body(), world.now)
+    orders = receive_heartbeat(shard, worker.body(), world.now)
     assert orders and {(command.verb, command.index) for command in orders} == {
         ("stop", i) for _, i in worker.live
     }
     # Settled at last, what it lists of jobs that are not known counts against every team.
     del shard.slices[job]
-    stopped = shard.receive_heartbeat(
-        msgspec.structs.replace(worker.body(), fencing_token=99), world.now
+    stopped = receive_heartbeat(
+        shard, msgspec.structs.replace(worker.body(), fencing_token=99), world.now
     )
     assert stopped and all(command.verb == "stop" for command in stopped)
     assert shard.usage("red")[0] == shard.usage("blue")[0] == worker.type.capacity[0]
     assert (
-        shard.receive_heartbeat(
-            msgspec.structs.replace(worker.body(), fencing_token=99, tasks=[]), world.now
+        receive_heartbeat(
+            shard, msgspec.structs.replace(worker.body(), fencing_token=99, tasks=[]), world.now
         )
         == []
     )
@@ -59,8 +60,8 @@
     forgotten: list[bool] = []
     for durable in (0, 1 << index):
         shard.slices[job].durable_bits = durable
-        orders = shard.receive_heartbeat(
-            worker.body(), shard.machines[worker.name].last_heartbeat_at + 1.0
+        orders = receive_heartbeat(
+            shard, worker.body(), shard.machines[worker.name].last_heartbeat_at + 1.0
         )
         assert orders is not None
         forgotten.append(
@@ -82,14 +83,14 @@
     job_slice = shard.slices[job] = JobSlice(world.specs[job])
     job_slice.ranges, job_slice.size, job_slice.is_unreconciled = [[0, 12]], 12, True
     before = msgspec.structs.replace(worker.body(), tasks=[])
-    assert shard.receive_heartbeat(before, world.now) == []
+    assert receive_heartbeat(shard, before, world.now) == []
     assert (
         not known.is_reconciled
         and job_slice.is_unreconciled
         and shard.usage("red")[0] == worker.type.capacity[0]
     )
     fenced = msgspec.structs.replace(worker.body(), fencing_token=99)
-    assert shard.receive_heartbeat(fenced, world.now) is not None
+    assert receive_heartbeat(shard, fenced, world.now) is not None
     assert (
         known.is_reconciled
         and not job_slice.is_unreconciled
--- a/tests/core/shard/test_unresponsive_agents.py
+++ b/tests/core/shard/test_unresponsive_agents.py
@@ -36,7 +36,10 @@
     job = world.submit(spec(2, task_count=24, estimated_run_s=4.0))
     shard = running(world, "n0").leadership.shards[0]
     assert world.until(
-        lambda: all(machine.ignored_commands >= 2 for machine in shard.machines.values()), 60.0
+        lambda: all(
+            machine.responsiveness.ignored_commands >= 2 for machine in shard.machines.values()
+        ),
+        60.0,
     )
     for worker in machines:
         worker.deaf = False
