--- a/marblestair/cli.py
+++ b/marblestair/cli.py
@@ -3,87 +3,104 @@
 from __future__ import annotations
 
 import argparse
+import asyncio
+import contextlib
 import logging
 import os
 import sys
 
+import msgspec
+
 from marblestair import __version__
+from marblestair.log_levels import LOG_LEVELS
+from marblestair.net.peers import Link
+from marblestair.node import serve
 from marblestair.policy import Policy, PolicyError
 from marblestair.policy import load as load_policy
-from marblestair.settings import SettingsError, load, split_address
+from marblestair.settings import Settings, SettingsError, load, split_address
+
+EXIT_OK = 0
+#: the controller could not serve, or did not answer
+EXIT_FAILURE = 1
+#: a file or an argument cannot be used
+EXIT_BAD_INPUT = 2
 
-LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+#: name under which the command asks a controller for its status
+STATUS_SENDER = "status"
+#: time for a controller to answer, in seconds
+STATUS_TIMEOUT_S = 3.0
 
 
 def _parser() -> argparse.ArgumentParser:
-    p = argparse.ArgumentParser(
+    parser = argparse.ArgumentParser(
         prog="marblestair",
         description="One controller of the marblestair cluster scheduler.",
         epilog="Logs go to standard error; LOG_LEVEL is error, info (the default) or debug.",
     )
-    p.add_argument("--version", action="version", version=f"marblestair {__version__}")
-    p.add_argument("--policy", metavar="SCRIPT", help="the operators' own settings (Starlark)")
-    group = p.add_mutually_exclusive_group(required=True)
-    group.add_argument("--config", metavar="FILE", help="serve with this settings file (TOML)")
-    group.add_argument(
+    parser.add_argument("--version", action="version", version=f"marblestair {__version__}")
+    parser.add_argument("--policy", metavar="SCRIPT", help="the operators' own settings (Starlark)")
+    action = parser.add_mutually_exclusive_group(required=True)
+    action.add_argument("--config", metavar="FILE", help="serve with this settings file (TOML)")
+    action.add_argument(
         "--check", metavar="FILE", help="only check a settings file (and a policy script)"
     )
-    group.add_argument(
+    action.add_argument(
         "--status", metavar="HOST:PORT", help="ask the controller with this cluster address"
     )
-    return p
-
-
-def _status(address: str) -> int:
-    import asyncio
-
-    import msgspec
-
-    from marblestair.net.peers import Link
-
-    try:
-        split_address(address)
-    except ValueError as e:
-        print(f"marblestair: --status: {e}", file=sys.stderr)
-        return 2
-
-    async def ask() -> object:
-        return await Link("status", address).ask("status", [], 3.0)
-
-    answer = asyncio.run(ask())
-    if answer is None:
-        print(f"marblestair: no answer from {address}", file=sys.stderr)
-        return 1
-    print(msgspec.json.format(msgspec.json.encode(answer)).decode())
-    return 0
+    return parser
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Entry point; the result is the exit code."""
-    args = _parser().parse_args(argv)
-    if args.status:
-        return _status(args.status)
+    """Run the program; the result is the exit code."""
+    arguments = _parser().parse_args(argv)
+    if arguments.status:
+        return _print_status(arguments.status)
     try:
-        settings = load(args.config or args.check)
-        policy = load_policy(args.policy, settings) if args.policy else Policy()
-    except (SettingsError, PolicyError) as e:
-        print(f"marblestair: {e}", file=sys.stderr)
-        return 2
-    if args.check:
-        print(f"{args.check}: ok")
-        return 0
+        settings = load(arguments.config or arguments.check)
+        policy = load_policy(arguments.policy, settings) if arguments.policy else Policy()
+    except (SettingsError, PolicyError) as error:
+        _print_error(str(error))
+        return EXIT_BAD_INPUT
+    if arguments.check:
+        print(f"{arguments.check}: ok")
+        return EXIT_OK
+    return _serve(settings, policy)
+
+
+def _serve(settings: Settings, policy: Policy) -> int:
     logging.basicConfig(
         stream=sys.stderr,
-        level=LEVELS.get(os.environ.get("LOG_LEVEL", "info"), logging.INFO),
+        level=LOG_LEVELS.get(os.environ.get("LOG_LEVEL", "info"), logging.INFO),
         format="%(levelname).1s %(message)s",
     )
-    from marblestair.node import serve
-
     try:
         serve(settings, policy)
-    except OSError as e:
-        print(f"marblestair: {e}", file=sys.stderr)
-        return 1
+    except OSError as error:
+        _print_error(str(error))
+        return EXIT_FAILURE
     except KeyboardInterrupt:
-        return 0
-    return 0
+        return EXIT_OK
+    return EXIT_OK
+
+
+def _print_status(address: str) -> int:
+    try:
+        split_address(address)
+    except ValueError as error:
+        _print_error(f"--status: {error}")
+        return EXIT_BAD_INPUT
+    status = asyncio.run(_request_status(address))
+    if status is None:
+        _print_error(f"no answer from {address}")
+        return EXIT_FAILURE
+    print(msgspec.json.format(msgspec.json.encode(status)).decode())
+    return EXIT_OK
+
+
+async def _request_status(address: str) -> object:
+    with contextlib.closing(Link(STATUS_SENDER, address)) as link:
+        return await link.request("status", [], STATUS_TIMEOUT_S)
+
+
+def _print_error(text: str) -> None:
+    print(f"marblestair: {text}", file=sys.stderr)
--- a/marblestair/net/__init__.py
+++ b/marblestair/net/__init__.py
@@ -1,1 +1,1 @@
-"""Network side of a controller: HTTP server and client, links between controllers, budgets."""
+"""The network side of a controller: HTTP, links to its peers, and rate budgets."""
--- a/marblestair/net/http_client.py
+++ b/marblestair/net/http_client.py
@@ -4,147 +4,230 @@
 
 import asyncio
 from collections import OrderedDict
-from typing import Any
+from typing import Any, NamedTuple, cast
 
 import httptools
 
 from marblestair.core.runtime.store_requests import NOT_SENT
+from marblestair.net.media_types import CONTENT_TYPE
 
-#: an answer larger than this is not taken
-MAX_ANSWER = 8 * 1024 * 1024
+#: largest body of a response that is accepted, in bytes
+MAX_RESPONSE_BODY = 8 * 1024 * 1024
+#: status of a request that may have been carried out, but got no response
+NO_RESPONSE = 0
 
 
-class _Conn(asyncio.Protocol):
+class HttpResponse(NamedTuple):
+    """Status and body; :data:`NO_RESPONSE` when none came, NOT_SENT when nothing was sent."""
+
+    status: int
+    body: bytes = b""
+
+
+class ClientConnection(asyncio.Protocol):
+    """One outgoing connection; one request at a time."""
+
     def __init__(self) -> None:
-        self.transport: Any = None
-        self.future: asyncio.Future[tuple[int, bytes]] | None = None
-        self.parser: Any = None
-        self.body = bytearray()
-        self.keep = True
-        self.open = True
+        self.is_open = True
+        #: whether the server lets the connection be used again
+        self.is_reusable = True
+        self._transport: asyncio.Transport | None = None
+        self._response: asyncio.Future[HttpResponse] | None = None
+        #: None: no request is under way
+        self._parser: Any = None
+        self._body = bytearray()
 
-    def connection_made(self, transport: Any) -> None:
-        self.transport = transport
+    # asyncio.Protocol
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the transport on which requests are sent."""
+        self._transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.open = False
-        self._finish((0, b""))
+        """End the request under way without a response."""
+        self.is_open = False
+        self._finish(HttpResponse(NO_RESPONSE))
 
     def data_received(self, data: bytes) -> None:
-        if self.parser is None:
-            self.transport.abort()
+        """Feed received bytes to the parser; what was not asked for ends the connection."""
+        if self._parser is None:
+            self.abort()
             return
         try:
-            self.parser.feed_data(data)
+            self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.transport.abort()
+            self.abort()
+
+    # callbacks of httptools
 
     def on_body(self, body: bytes) -> None:
-        self.body += body
-        if len(self.body) > MAX_ANSWER:
-            self.transport.abort()
+        """Collect a piece of the response's body, up to the limit."""
+        self._body += body
+        if len(self._body) > MAX_RESPONSE_BODY:
+            self.abort()
 
     def on_message_complete(self) -> None:
-        status = self.parser.get_status_code()
-        self.keep = self.parser.should_keep_alive()
-        self.parser = None
-        self._finish((status, bytes(self.body)))
-
-    def _finish(self, result: tuple[int, bytes]) -> None:
-        f, self.future = self.future, None
-        if f is not None and not f.done():
-            f.set_result(result)
-
-    def send(self, data: bytes) -> asyncio.Future[tuple[int, bytes]]:
-        self.body = bytearray()
-        self.parser = httptools.HttpResponseParser(self)
-        self.future = asyncio.get_running_loop().create_future()
-        self.transport.write(data)
-        return self.future
+        """The response is complete."""
+        status = self._parser.get_status_code()
+        self.is_reusable = self._parser.should_keep_alive()
+        self._parser = None
+        self._finish(HttpResponse(status, bytes(self._body)))
+
+    def _finish(self, response: HttpResponse) -> None:
+        waiting, self._response = self._response, None
+        if waiting is not None and not waiting.done():
+            waiting.set_result(response)
+
+    # the client's side
+
+    def send(self, data: bytes) -> asyncio.Future[HttpResponse]:
+        """Send an encoded request; the result is its response."""
+        assert self._transport is not None
+        self._body = bytearray()
+        self._parser = httptools.HttpResponseParser(self)
+        self._response = asyncio.get_running_loop().create_future()
+        self._transport.write(data)
+        return self._response
+
+    @property
+    def is_closing(self) -> bool:
+        """Whether the connection is closed, or about to be."""
+        return not self.is_open or self._transport is None or self._transport.is_closing()
+
+    def close(self) -> None:
+        """Close when what was sent has left."""
+        if self._transport is not None:
+            self._transport.close()
+
+    def abort(self) -> None:
+        """Close at once."""
+        if self._transport is not None:
+            self._transport.abort()
 
 
 class HttpClient:
-    """Requests over connections that are kept.
-
-    At most ``max_open`` requests are under way; more wait for their turn, in order. Kept
-    connections are bounded too, per address and in all: the longest unused is closed first.
+    """Requests over pooled connections.
+
+    Parameters
+    ----------
+    max_idle_per_address
+        Idle connections to one address, at most.
+    max_in_flight
+        Requests under way, at most; more wait for their turn, in order.
+    max_idle
+        Idle connections in all, at most; the longest unused are closed first.
     """
 
-    def __init__(self, max_idle: int = 4, max_open: int = 64, max_kept: int = 64) -> None:
-        self.max_idle = max_idle
-        self.max_kept = max_kept
-        self._turns = asyncio.Semaphore(max_open)
-        self._idle: OrderedDict[str, list[_Conn]] = OrderedDict()
-        self._kept = 0
+    def __init__(
+        self, max_idle_per_address: int = 4, max_in_flight: int = 64, max_idle: int = 64
+    ) -> None:
+        self._max_idle_per_address = max_idle_per_address
+        self._max_idle = max_idle
+        self._turns = asyncio.Semaphore(max_in_flight)
+        #: idle connections by address, the longest unused address first
+        self._idle: OrderedDict[str, list[ClientConnection]] = OrderedDict()
+        self._idle_count = 0
+        self._is_closed = False
 
     async def request(
-        self, addr: str, method: str, path: str, body: bytes, timeout_s: float
-    ) -> tuple[int, bytes]:
-        """Status and body; 0 when no answer came, NOT_SENT when nothing was sent."""
+        self, address: str, method: str, path: str, body: bytes, timeout_s: float
+    ) -> HttpResponse:
+        """Send a request and wait for the response.
+
+        The wait for a turn and the request itself take up to ``timeout_s`` each.
+        """
         try:
             async with asyncio.timeout(timeout_s):
                 await self._turns.acquire()
         except TimeoutError:
-            return NOT_SENT, b""
+            return HttpResponse(NOT_SENT)
         try:
-            return await self._request(addr, method, path, body, timeout_s)
+            return await self._exchange(address, method, path, body, timeout_s)
         finally:
             self._turns.release()
 
-    def _reuse(self, addr: str) -> _Conn | None:
-        idle = self._idle.get(addr, [])
-        conn: _Conn | None = None
-        while idle and conn is None:
-            conn = idle.pop()
-            self._kept -= 1
-            if not conn.open or conn.transport.is_closing():
-                conn = None
-        if not idle:
-            self._idle.pop(addr, None)
-        return conn
-
-    def _keep(self, addr: str, conn: _Conn) -> None:
-        idle = self._idle.setdefault(addr, [])
-        self._idle.move_to_end(addr)
-        if len(idle) >= self.max_idle:
-            conn.transport.close()
-            return
-        idle.append(conn)
-        self._kept += 1
-        while self._kept > self.max_kept:
-            oldest, others = next(iter(self._idle.items()))
-            others.pop(0).transport.close()
-            self._kept -= 1
-            if not others:
-                del self._idle[oldest]
-
-    async def _request(
-        self, addr: str, method: str, path: str, body: bytes, timeout_s: float
-    ) -> tuple[int, bytes]:
-        conn = self._reuse(addr)
-        loop = asyncio.get_running_loop()
-        until = loop.time() + timeout_s
-        if conn is None:
-            host, _, port = addr.rpartition(":")
-            try:
-                async with asyncio.timeout(timeout_s):
-                    _, conn = await loop.create_connection(_Conn, host, int(port))
-            except (OSError, TimeoutError, ValueError):
-                return NOT_SENT, b""
-        head = f"{method} {path} HTTP/1.1\r\nHost: {addr}\r\n"
-        if body or method == "POST":
-            head += f"Content-Type: application/msgpack\r\nContent-Length: {len(body)}\r\n"
+    def close(self) -> None:
+        """Close the idle connections, and from now on each one when its request has ended."""
+        self._is_closed = True
+        for connections in self._idle.values():
+            for connection in connections:
+                connection.close()
+        self._idle.clear()
+        self._idle_count = 0
+
+    async def _exchange(
+        self, address: str, method: str, path: str, body: bytes, timeout_s: float
+    ) -> HttpResponse:
+        connection = self._take_idle(address)
+        deadline = asyncio.get_running_loop().time() + timeout_s
+        if connection is None:
+            connection = await _connect(address, timeout_s)
+        if connection is None:
+            return HttpResponse(NOT_SENT)
+        data = _encode_request(address, method, path, body)
         try:
-            async with asyncio.timeout_at(until):
-                status, data = await conn.send(head.encode("ascii") + b"\r\n" + body)
+            async with asyncio.timeout_at(deadline):
+                status, response_body = await connection.send(data)
         except TimeoutError:
-            conn.transport.abort()
-            return 0, b""
+            connection.abort()
+            return HttpResponse(NO_RESPONSE)
         except asyncio.CancelledError:
-            conn.transport.abort()
+            connection.abort()
             raise
-        if conn.open and conn.keep:
-            self._keep(addr, conn)
-        elif conn.open:
-            conn.transport.close()
-        return status, data
+        if connection.is_open:
+            self._put_back(address, connection)
+        return HttpResponse(status, response_body)
+
+    def _take_idle(self, address: str) -> ClientConnection | None:
+        """An idle connection to an address, the last used first; None when there is none."""
+        idle = self._idle.get(address, [])
+        connection: ClientConnection | None = None
+        while idle and connection is None:
+            connection = idle.pop()
+            self._idle_count -= 1
+            if connection.is_closing:
+                connection = None
+        if not idle:
+            self._idle.pop(address, None)
+        return connection
+
+    def _put_back(self, address: str, connection: ClientConnection) -> None:
+        """Make a connection available to later requests, or close it."""
+        if self._is_closed or not connection.is_reusable:
+            connection.close()
+            return
+        idle = self._idle.setdefault(address, [])
+        self._idle.move_to_end(address)
+        if len(idle) >= self._max_idle_per_address:
+            connection.close()
+            return
+        idle.append(connection)
+        self._idle_count += 1
+        while self._idle_count > self._max_idle:
+            self._close_longest_unused()
+
+    def _close_longest_unused(self) -> None:
+        address, connections = next(iter(self._idle.items()))
+        connections.pop(0).close()
+        self._idle_count -= 1
+        if not connections:
+            del self._idle[address]
+
+
+async def _connect(address: str, timeout_s: float) -> ClientConnection | None:
+    """Open a connection; None when that fails or the address is malformed."""
+    loop = asyncio.get_running_loop()
+    host, _, port = address.rpartition(":")
+    try:
+        async with asyncio.timeout(timeout_s):
+            _, connection = await loop.create_connection(ClientConnection, host, int(port))
+    except (OSError, TimeoutError, ValueError):
+        return None
+    return connection
+
+
+def _encode_request(address: str, method: str, path: str, body: bytes) -> bytes:
+    head = f"{method} {path} HTTP/1.1\r\nHost: {address}\r\n"
+    if body or method == "POST":
+        head += f"Content-Type: {CONTENT_TYPE}\r\nContent-Length: {len(body)}\r\n"
+    return head.encode("ascii") + b"\r\n" + body
--- a/marblestair/net/http_server.py
+++ b/marblestair/net/http_server.py
@@ -4,13 +4,24 @@
 
 import asyncio
 from collections.abc import Callable
-from typing import Any
+from typing import Any, TypeAlias, cast
 
 import httptools
+import msgspec
 
-#: bytes of request line and headers
+from marblestair.net.media_types import CONTENT_TYPE
+
+#: largest request line with headers, in bytes
 MAX_HEAD = 16 * 1024
-REASONS = {
+#: requests that may wait on one connection behind the one that is answered. The interface has no
+#: pipelining; a few extra requests are answered in order.
+MAX_QUEUED_REQUESTS = 4
+#: with all places in use, agents' connections that were idle for this share of the time are closed
+FULL_IDLE_SHARE = 0.125
+#: stands for a path that is not ASCII, which no interface has
+UNKNOWN_PATH = "/?"
+
+REASON_PHRASES = {
     200: "OK",
     201: "Created",
     400: "Bad Request",
@@ -21,9 +32,19 @@
     429: "Too Many Requests",
     503: "Service Unavailable",
 }
+_BAD_REQUEST = b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
 #: called with the connection, method, path and body; answers by ``Connection.respond``
-Handler = Callable[["Connection", str, str, bytes], None]
+Handler: TypeAlias = Callable[["Connection", str, str, bytes], None]
+
+
+class _Request(msgspec.Struct, frozen=True):
+    """A complete request."""
+
+    method: str
+    path: str
+    body: bytes
+    keep_alive: bool
 
 
 class Connection(asyncio.Protocol):
@@ -31,153 +52,197 @@
 
     __slots__ = (
         "_body",
-        "_busy",
-        "_head",
-        "_keep",
+        "_head_bytes",
+        "_is_busy",
+        "_is_too_large",
+        "_keep_alive",
         "_parser",
         "_queue",
-        "_too_big",
+        "_server",
+        "_transport",
         "_url",
-        "last",
-        "server",
-        "transport",
-        "worker",
+        "is_from_agent",
+        "last_active_at",
     )
 
     def __init__(self, server: HttpServer) -> None:
-        self.server = server
-        self.transport: Any = None
+        self._server = server
+        self._transport: asyncio.Transport | None = None
         self._parser: Any = httptools.HttpRequestParser(self)
         self._url = b""
         self._body = bytearray()
-        self._head = 0
-        self._too_big = False
-        self._busy = False
-        self._keep = True
-        self._queue: list[tuple[str, str, bytes, bool]] = []
-        self.last = 0.0
-        #: it has carried a worker's report: such connections are not given up for users'
-        self.worker = False
-
-    # asyncio
-
-    def connection_made(self, transport: Any) -> None:
+        #: received bytes since the end of the last head or piece of a body
+        self._head_bytes = 0
+        self._is_too_large = False
+        #: a request is with the handler, which has not answered it
+        self._is_busy = False
+        self._keep_alive = True
+        #: requests that came while another one was answered
+        self._queue: list[_Request] = []
+        #: time by the server's clock at which data last came
+        self.last_active_at = 0.0
+        #: it has carried an agent's heartbeat: such connections are not given up for users'
+        self.is_from_agent = False
+
+    # asyncio.Protocol
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Accept a connection, or abort it when there are too many."""
-        self.transport = transport
-        self.last = self.server.clock()
-        if not self.server.admit(self):
-            transport.abort()
+        self._transport = cast(asyncio.Transport, transport)
+        self.last_active_at = self._server.clock()
+        if not self._server.admit(self):
+            self._transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Forget a connection that was closed."""
-        self.server.connections.discard(self)
-        self.transport = None
+        self._server.connections.discard(self)
+        self._transport = None
         self._queue.clear()
 
     def data_received(self, data: bytes) -> None:
         """Feed received bytes to the parser."""
-        self.last = self.server.clock()
-        self._head += len(data)
+        self.last_active_at = self._server.clock()
+        self._head_bytes += len(data)
         try:
             self._parser.feed_data(data)
-        except httptools.HttpParserUpgrade:
-            self._refuse()
-        except httptools.HttpParserError:
+        except (httptools.HttpParserUpgrade, httptools.HttpParserError):
             self._refuse()
-        if self._head > MAX_HEAD and not self._body and self.transport is not None:
+        if self._head_bytes > MAX_HEAD and not self._body and self._transport is not None:
             self._refuse()
 
     def _refuse(self) -> None:
-        # Broken HTTP concerns this connection only.
-        if self.transport is not None and not self._busy:
-            self.transport.write(
-                b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
-            )
-        if self.transport is not None:
-            self.transport.close()
+        """Close after broken HTTP, which concerns this connection only."""
+        if self._transport is None:
+            return
+        if not self._is_busy:
+            self._transport.write(_BAD_REQUEST)
+        self._transport.close()
 
-    # httptools
+    # callbacks of httptools
 
     def on_message_begin(self) -> None:
         """Start a new request."""
         self._url = b""
         self._body = bytearray()
-        self._too_big = False
+        self._is_too_large = False
 
     def on_url(self, url: bytes) -> None:
-        """Collect a part of the request path."""
+        """Collect a piece of the request path."""
         self._url += url
 
     def on_headers_complete(self) -> None:
-        """Note the end of the request head."""
-        self._head = 0
+        """The head of the request has ended."""
+        self._head_bytes = 0
 
     def on_body(self, body: bytes) -> None:
-        """Collect a part of the request body, up to the limit."""
-        self._head = 0
-        if len(self._body) + len(body) > self.server.max_body:
-            self._too_big = True
-            if self.transport is not None:
-                self.transport.pause_reading()
-                self._busy = False
-                self._refuse()
+        """Collect a piece of the request body, up to the limit."""
+        self._head_bytes = 0
+        if len(self._body) + len(body) > self._server.max_body:
+            self._refuse_too_large()
             return
         self._body += body
 
+    def _refuse_too_large(self) -> None:
+        self._is_too_large = True
+        if self._transport is not None:
+            self._transport.pause_reading()
+            self._is_busy = False
+            self._refuse()
+
     def on_message_complete(self) -> None:
-        """Hand a complete request on, or queue it behind the one being answered."""
-        self._head = 0
-        if self._too_big:
+        """Pass a complete request to the handler, or queue it behind the one being answered."""
+        self._head_bytes = 0
+        if self._is_too_large:
             return
+        request = self._received_request()
+        if not self._is_busy:
+            self._start(request)
+        elif len(self._queue) >= MAX_QUEUED_REQUESTS:
+            self._refuse()
+        else:
+            self._queue.append(request)
+
+    def _received_request(self) -> _Request:
         try:
             path = self._url.partition(b"?")[0].decode("ascii")
         except UnicodeDecodeError:
-            path = "/?"
+            path = UNKNOWN_PATH
         method = self._parser.get_method().decode("ascii", "replace")
-        item = (method, path, bytes(self._body), self._parser.should_keep_alive())
-        if self._busy:
-            # The interface has no pipelining; a few extra requests are kept in order.
-            if len(self._queue) >= 4:
-                self._refuse()
-            else:
-                self._queue.append(item)
-            return
-        self._start(item)
+        return _Request(method, path, bytes(self._body), self._parser.should_keep_alive())
 
-    def _start(self, item: tuple[str, str, bytes, bool]) -> None:
-        self._busy = True
-        self._keep = item[3]
-        self.server.handler(self, item[0], item[1], item[2])
+    def _start(self, request: _Request) -> None:
+        self._is_busy = True
+        self._keep_alive = request.keep_alive
+        self._server.handler(self, request.method, request.path, request.body)
+
+    # the server's side
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether no request is under way."""
-        return not self._busy
+        return not self._is_busy
 
-    def respond(self, status: int, body: bytes, extra: str = "", close: bool = False) -> None:
-        """Answer the request under way; with ``close`` it is the last of its connection."""
-        if self.transport is None or not self._busy:
+    @property
+    def is_closed(self) -> bool:
+        """Whether the connection is lost."""
+        return self._transport is None
+
+    def respond(self, status: int, body: bytes, headers: str = "", close: bool = False) -> None:
+        r"""Answer the request under way, if the client is still there.
+
+        Parameters
+        ----------
+        headers
+            Further header lines, each ended by ``\r\n``.
+        close
+            Whether this is the last response of the connection.
+        """
+        if self._transport is None or not self._is_busy:
             return
-        self._busy = False
-        self._keep = self._keep and not close
+        self._is_busy = False
+        self._keep_alive = self._keep_alive and not close
         head = (
-            f"HTTP/1.1 {status} {REASONS.get(status, 'Status')}\r\n"
-            f"Content-Type: application/msgpack\r\nContent-Length: {len(body)}\r\n{extra}"
+            f"HTTP/1.1 {status} {REASON_PHRASES.get(status, 'Status')}\r\n"
+            f"Content-Type: {CONTENT_TYPE}\r\nContent-Length: {len(body)}\r\n{headers}"
         )
-        if not self._keep:
+        if not self._keep_alive:
             head += "Connection: close\r\n"
-        self.transport.write(head.encode("ascii") + b"\r\n" + body)
-        if not self._keep:
-            self.transport.close()
+        self._transport.write(head.encode("ascii") + b"\r\n" + body)
+        if not self._keep_alive:
+            self._transport.close()
         elif self._queue:
             self._start(self._queue.pop(0))
 
+    def close(self) -> None:
+        """Close when what was written has been sent."""
+        if self._transport is not None:
+            self._transport.close()
+
+    def abort(self) -> None:
+        """Close at once."""
+        if self._transport is not None:
+            self._transport.abort()
 
-class HttpServer:
-    """Listens, bounds the number of connections and drops idle ones.
 
-    From ``crowded_at`` connections on, users are to be turned away (:attr:`crowded`), so that the
-    rest is left to workers; at ``max_connections`` the longest idle user makes room.
+class HttpServer:
+    """Listens, bounds the number of connections and closes idle ones.
+
+    Parameters
+    ----------
+    handler
+        Called with each request.
+    clock
+        A steady clock, in seconds.
+    max_connections
+        Connections, at most; with all places in use, a new one replaces the longest idle one of
+        a user.
+    max_body
+        Largest request body, in bytes.
+    idle_s
+        Time without data after which an idle connection may be closed, in seconds.
+    crowded_at
+        Number of connections above which users are to be turned away, so that the rest is left to
+        agents; by default none are.
     """
 
     def __init__(
@@ -191,58 +256,73 @@
     ) -> None:
         self.handler = handler
         self.clock = clock
-        self.max_connections = max_connections
         self.max_body = max_body
-        self.idle_s = idle_s
-        self.crowded_at = max_connections if crowded_at is None else crowded_at
         self.connections: set[Connection] = set()
-        self._server: Any = None
+        self._max_connections = max_connections
+        self._idle_s = idle_s
+        self._crowded_at = max_connections if crowded_at is None else crowded_at
+        self._server: asyncio.Server | None = None
+
+    async def listen(self, host: str, port: int) -> None:
+        """Accept connections from now on.
+
+        Raises
+        ------
+        OSError
+            When the address cannot be used.
+        """
+        loop = asyncio.get_running_loop()
+        self._server = await loop.create_server(
+            lambda: Connection(self),
+            host,
+            port,
+            backlog=self._max_connections,
+            reuse_address=True,
+        )
+
+    def close(self) -> None:
+        """Accept no more connections, and abort those that are open."""
+        if self._server is not None:
+            self._server.close()
+        for connection in list(self.connections):
+            connection.abort()
 
     @property
-    def crowded(self) -> bool:
-        """Whether what is left of the connections is kept for workers."""
-        return len(self.connections) > self.crowded_at
+    def is_crowded(self) -> bool:
+        """Whether what is left of the connections is reserved for agents."""
+        return len(self.connections) > self._crowded_at
 
     def admit(self, connection: Connection) -> bool:
-        """Whether a new connection finds a place; a user's that is idle makes room for it."""
-        if len(self.connections) >= self.max_connections:
-            users = [x for x in self.connections if x.idle and not x.worker]
-            if users:
-                self._drop(min(users, key=lambda x: x.last))
-            else:
-                self.sweep(self.idle_s / 8)
-            if len(self.connections) >= self.max_connections:
+        """Whether a new connection finds a place; an idle one of a user is closed for it."""
+        if len(self.connections) >= self._max_connections:
+            self._make_place()
+            if len(self.connections) >= self._max_connections:
                 return False
         self.connections.add(connection)
         return True
 
-    def _drop(self, connection: Connection) -> None:
-        if connection.transport is not None:
-            connection.transport.close()
-        self.connections.discard(connection)
-
-    def sweep(self, idle_s: float) -> None:
-        """Close connections that have been idle."""
+    def _make_place(self) -> None:
+        idle_users = [
+            connection
+            for connection in self.connections
+            if connection.is_idle and not connection.is_from_agent
+        ]
+        if idle_users:
+            self._drop(min(idle_users, key=lambda connection: connection.last_active_at))
+        else:
+            self._close_idle(self._idle_s * FULL_IDLE_SHARE)
+
+    def close_idle_connections(self) -> None:
+        """Close the connections that have been idle for too long."""
+        self._close_idle(self._idle_s)
+
+    def _close_idle(self, idle_s: float) -> None:
         now = self.clock()
         for connection in list(self.connections):
-            if (
-                now - connection.last > idle_s
-                and connection.transport is not None
-                and connection.idle
-            ):
+            is_unused = now - connection.last_active_at > idle_s and connection.is_idle
+            if is_unused and not connection.is_closed:
                 self._drop(connection)
 
-    async def listen(self, host: str, port: int) -> None:
-        """Start to accept."""
-        loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(
-            lambda: Connection(self), host, port, backlog=self.max_connections, reuse_address=True
-        )
-
-    def close(self) -> None:
-        """Stop."""
-        if self._server is not None:
-            self._server.close()
-        for connection in list(self.connections):
-            if connection.transport is not None:
-                connection.transport.abort()
+    def _drop(self, connection: Connection) -> None:
+        connection.close()
+        self.connections.discard(connection)
--- a/marblestair/net/peers.py
+++ b/marblestair/net/peers.py
@@ -1,194 +1,206 @@
-"""Messages between controllers: length-prefixed MessagePack arrays, the tag first.
-
-``["note", from, tag, args]``, ``["ask", id, from, tag, args]``, ``["answer", id, value]``, and
-``["pong"]``, which shows the sender of notes that they arrive.
-"""
+"""Links to the other controllers, and the server that receives their messages."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
-from typing import Any
-
-import msgspec
-
-#: a message larger than this is not taken; a summary of thousands of machines is far smaller
-MAX_FRAME = 4 << 20
-#: a link on which nothing came back for this long, though something was sent, is opened anew
+from typing import Any, TypeAlias
+
+from marblestair.net.framing import (
+    Elements,
+    FramedConnection,
+    MessageFrame,
+    ReceiptFrame,
+    RequestFrame,
+    ResponseFrame,
+)
+
+#: a connection on which nothing came back for this long, though something was sent, is replaced
 STALE_S = 2.5
+#: time to open a connection, and the pause after an attempt that failed, in seconds
+OPEN_TIMEOUT_S = 1.0
+REOPEN_PAUSE_S = 0.5
+#: interval in which a request checks whether the connection has been opened, in seconds
+OPEN_POLL_S = 0.02
 
-_decode = msgspec.msgpack.Decoder().decode
-_encode = msgspec.msgpack.Encoder().encode
-
-
-def frame(message: list[Any]) -> bytes:
-    """One message with its length in front."""
-    data = _encode(message)
-    return len(data).to_bytes(4, "big") + data
-
-
-class _Framed(asyncio.Protocol):
-    def __init__(self, on_message: Callable[[_Framed, list[Any]], None]) -> None:
-        self.transport: Any = None
-        self._buffer = bytearray()
-        self._on_message = on_message
-        self.on_lost: Callable[[], None] | None = None
-
-    def connection_made(self, transport: Any) -> None:
-        self.transport = transport
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        self.transport = None
-        if self.on_lost is not None:
-            self.on_lost()
-
-    def data_received(self, data: bytes) -> None:
-        self._buffer += data
-        while len(self._buffer) >= 4 and self.transport is not None:
-            n = int.from_bytes(self._buffer[:4], "big")
-            if n > MAX_FRAME:
-                self.transport.abort()
-                return
-            if len(self._buffer) < 4 + n:
-                return
-            raw = bytes(self._buffer[4 : 4 + n])
-            del self._buffer[: 4 + n]
-            try:
-                message = _decode(raw)
-            except (msgspec.DecodeError, RecursionError):
-                message = None
-            if not isinstance(message, list) or not message:
-                self.transport.abort()
-                return
-            self._on_message(self, message)
-
-    def send(self, message: list[Any]) -> None:
-        if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(frame(message))
+#: sends the response to a request
+Responder: TypeAlias = Callable[[Any], None]
+#: called with the sender, tag and arguments of a one-way message
+MessageHandler: TypeAlias = Callable[[str, str, Elements], None]
+#: called with what sends the response, and the sender, tag and arguments of a request
+RequestHandler: TypeAlias = Callable[[Responder, str, str, Elements], None]
 
 
 class Link:
-    """The outgoing connection to one peer, kept open."""
-
-    def __init__(self, me: str, address: str) -> None:
-        self.me = me
-        self.address = address
-        self._conn: _Framed | None = None
-        self._opening = False
-        self._next_try = 0.0
-        self._waiting: dict[int, asyncio.Future[Any]] = {}
-        self._id = 0
-        self._heard = 0.0
-        self._sent = 0.0
-
-    def _message(self, _: _Framed, m: list[Any]) -> None:
-        self._heard = asyncio.get_running_loop().time()
-        if m[0] == "answer" and len(m) == 3:
-            f = self._waiting.pop(m[1], None)
-            if f is not None and not f.done():
-                f.set_result(m[2])
-
-    def _lost(self) -> None:
-        self._conn = None
-        for f in self._waiting.values():
-            if not f.done():
-                f.set_result(None)
-        self._waiting.clear()
-
-    def _usable(self) -> _Framed | None:
-        now = asyncio.get_running_loop().time()
-        c = self._conn
-        if c is not None and self._sent > self._heard and now - self._heard > STALE_S:
-            if c.transport is not None:
-                c.transport.abort()
-            self._conn = None
-        if self._conn is None and not self._opening and now >= self._next_try:
-            self._opening = True
-            task = asyncio.create_task(self._open())
-            _tasks.add(task)
-            task.add_done_callback(_tasks.discard)
-        return self._conn
-
-    async def _open(self) -> None:
+    """The outgoing connection to one peer, opened when it is first used.
+
+    The link owns its connection and the task that opens it; :meth:`close` ends both.
+
+    Parameters
+    ----------
+    node
+        Name of this controller, which the peer gets with each message.
+    address
+        Address of the peer, ``host:port``.
+    """
+
+    def __init__(self, node: str, address: str) -> None:
+        self._node = node
+        self._address = address
+        self._connection: FramedConnection | None = None
+        self._opening: asyncio.Task[None] | None = None
+        self._is_closed = False
+        #: requests without a response yet, by their numbers
+        self._responses: dict[int, asyncio.Future[Any]] = {}
+        self._last_number = 0
+        # Times of the event loop, in seconds.
+        self._reopen_at = 0.0
+        self._last_received_at = 0.0
+        self._last_sent_at = 0.0
+
+    def send_message(self, tag: str, arguments: Any) -> None:
+        """Send a one-way message if the connection is open; drop it otherwise."""
+        connection = self._usable_connection()
+        if connection is not None:
+            self._last_sent_at = asyncio.get_running_loop().time()
+            connection.send(MessageFrame(self._node, tag, arguments))
+
+    async def request(self, tag: str, arguments: Any, timeout_s: float) -> Any:
+        """Send a request and wait for the response; None when none came in time."""
         loop = asyncio.get_running_loop()
-        host, _, port = self.address.rpartition(":")
+        deadline = loop.time() + timeout_s
+        connection = await self._open_connection(deadline)
+        if connection is None:
+            return None
+        self._last_number += 1
+        number = self._last_number
+        response: asyncio.Future[Any] = loop.create_future()
+        self._responses[number] = response
+        self._last_sent_at = loop.time()
+        connection.send(RequestFrame(number, self._node, tag, arguments))
         try:
-            async with asyncio.timeout(1.0):
-                _, conn = await loop.create_connection(
-                    lambda: _Framed(self._message), host, int(port)
-                )
-            conn.on_lost = self._lost
-            self._conn = conn
-            self._heard = loop.time()
-            self._sent = 0.0
-        except (OSError, TimeoutError):
-            self._next_try = loop.time() + 0.5
+            async with asyncio.timeout_at(deadline):
+                return await response
+        except TimeoutError:
+            return None
         finally:
-            self._opening = False
+            self._responses.pop(number, None)
 
-    def note(self, tag: str, args: list[Any]) -> None:
-        """Send a one-way message, if the link is up."""
-        c = self._usable()
-        if c is not None:
-            self._sent = asyncio.get_running_loop().time()
-            c.send(["note", self.me, tag, args])
+    def close(self) -> None:
+        """End the connection for good; requests that wait get None."""
+        self._is_closed = True
+        if self._opening is not None:
+            self._opening.cancel()
+            self._opening = None
+        if self._connection is not None:
+            self._connection.close()
+        self._connection_lost()
+
+    async def _open_connection(self, deadline: float) -> FramedConnection | None:
+        """The connection, once it is open; None when it cannot be opened in time."""
+        loop = asyncio.get_running_loop()
+        connection = self._usable_connection()
+        while connection is None and self._opening is not None and loop.time() < deadline:
+            await asyncio.sleep(OPEN_POLL_S)
+            connection = self._connection
+        return connection
+
+    def _usable_connection(self) -> FramedConnection | None:
+        """The connection if it is open; otherwise None, and an attempt to open it begins."""
+        now = asyncio.get_running_loop().time()
+        if self._connection is not None and self._is_stale(now):
+            self._connection.abort()
+            self._connection = None
+        may_open = now >= self._reopen_at and not self._is_closed
+        if self._connection is None and self._opening is None and may_open:
+            self._opening = asyncio.create_task(self._open())
+        return self._connection
+
+    def _is_stale(self, now: float) -> bool:
+        """Whether the peer has not reacted for long to what was sent."""
+        is_unanswered = self._last_sent_at > self._last_received_at
+        return is_unanswered and now - self._last_received_at > STALE_S
 
-    async def ask(self, tag: str, args: list[Any], timeout_s: float) -> Any:
-        """Ask and wait; None when no answer came in time."""
+    async def _open(self) -> None:
         loop = asyncio.get_running_loop()
-        until = loop.time() + timeout_s
-        c = self._usable()
-        while c is None and self._opening and loop.time() < until:
-            await asyncio.sleep(0.02)
-            c = self._conn
-        if c is None:
-            return None
-        self._id += 1
-        n = self._id
-        f: asyncio.Future[Any] = loop.create_future()
-        self._waiting[n] = f
-        self._sent = loop.time()
-        c.send(["ask", n, self.me, tag, args])
+        host, _, port = self._address.rpartition(":")
         try:
-            async with asyncio.timeout_at(until):
-                return await f
-        except TimeoutError:
-            return None
+            async with asyncio.timeout(OPEN_TIMEOUT_S):
+                _, connection = await loop.create_connection(
+                    lambda: FramedConnection(self._receive), host, int(port)
+                )
+            connection.on_lost = self._connection_lost
+            self._connection = connection
+            self._last_received_at = loop.time()
+            self._last_sent_at = 0.0
+        except (OSError, TimeoutError):
+            self._reopen_at = loop.time() + REOPEN_PAUSE_S
         finally:
-            self._waiting.pop(n, None)
+            self._opening = None
 
+    def _receive(self, _: FramedConnection, elements: Elements) -> None:
+        """Receive a frame; whatever it is, the peer has reacted."""
+        self._last_received_at = asyncio.get_running_loop().time()
+        match elements:
+            case ["answer", number, value]:
+                response = self._responses.pop(number, None)
+                if response is not None and not response.done():
+                    response.set_result(value)
 
-_tasks: set[asyncio.Task[None]] = set()
+    def _connection_lost(self) -> None:
+        self._connection = None
+        for response in self._responses.values():
+            if not response.done():
+                response.set_result(None)
+        self._responses.clear()
 
 
 class PeerServer:
-    """Takes the messages of other controllers."""
+    """Receives the messages and requests of other controllers.
+
+    Parameters
+    ----------
+    on_message, on_request
+        Called with each one-way message, and with each request.
+    """
 
     def __init__(
         self,
-        on_note: Callable[[str, str, list[Any]], None],
-        on_ask: Callable[[Callable[[Any], None], str, str, list[Any]], None],
+        on_message: MessageHandler,
+        on_request: RequestHandler,
     ) -> None:
-        self._on_note = on_note
-        self._on_ask = on_ask
-        self._server: Any = None
-
-    def _message(self, conn: _Framed, m: list[Any]) -> None:
-        if m[0] == "note" and len(m) == 4 and isinstance(m[3], list):
-            conn.send(["pong"])
-            self._on_note(str(m[1]), str(m[2]), m[3])
-        elif m[0] == "ask" and len(m) == 5 and isinstance(m[4], list):
-            n = m[1]
-            self._on_ask(lambda v: conn.send(["answer", n, v]), str(m[2]), str(m[3]), m[4])
+        self._on_message = on_message
+        self._on_request = on_request
+        self._server: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> None:
-        """Start to accept."""
+        """Accept connections from now on.
+
+        Raises
+        ------
+        OSError
+            When the address cannot be used.
+        """
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: _Framed(self._message), host, port, reuse_address=True
+            lambda: FramedConnection(self._receive), host, port, reuse_address=True
         )
 
     def close(self) -> None:
-        """Stop."""
+        """Accept no more connections."""
         if self._server is not None:
             self._server.close()
+
+    def _receive(self, connection: FramedConnection, elements: Elements) -> None:
+        """Receive a frame; unknown ones, which later versions may send, are ignored."""
+        match elements:
+            case ["note", sender, tag, list(arguments)]:
+                connection.send(ReceiptFrame())
+                self._on_message(str(sender), str(tag), arguments)
+            case ["ask", number, sender, tag, list(arguments)]:
+                self._on_request(
+                    lambda value: connection.send(ResponseFrame(number, value)),
+                    str(sender),
+                    str(tag),
+                    arguments,
+                )
--- a/marblestair/outside_calls.py
+++ b/marblestair/outside_calls.py
@@ -29,7 +29,7 @@
     Watch,
 )
 from marblestair.net.budget import Budget
-from marblestair.net.http_client import HttpClient
+from marblestair.net.http_client import NO_RESPONSE, HttpClient
 from marblestair.net.peers import Link
 from marblestair.settings import Settings
 from marblestair.wire.agents import (
@@ -45,74 +45,117 @@
 
 log = logging.getLogger("marblestair")
 
-#: share of the sockets that each outgoing use may keep or have under way, and the least number
-OUTGOING_SHARE, LEAST_OUTGOING = 0.04, 4
-#: connections to the cloud that are kept, and requests under way to it
-CLOUD_KEPT, CLOUD_UNDER_WAY = 2, 8
-#: share of the permitted rates that is used: clocks drift and the services count on theirs
-STORE_RATE_SHARE, CLOUD_RATE_SHARE = 0.95, 0.9
-#: time for a request to the cloud to get its place in the budget, in seconds
+#: share of the sockets that each kind of outgoing connections may use, and the least number
+OUTGOING_SHARE = 0.04
+MIN_OUTGOING = 4
+#: requests to the store under way, as a multiple of its idle connections
+STORE_IN_FLIGHT_FACTOR = 2
+#: idle connections to the cloud, and requests to it under way
+CLOUD_MAX_IDLE = 2
+CLOUD_MAX_IN_FLIGHT = 8
+#: shares of the permitted rates that are used: clocks drift, and the services count on theirs
+STORE_RATE_SHARE = 0.95
+CLOUD_RATE_SHARE = 0.9
+#: the cloud has no limit of writes, and its requests count none
+CLOUD_WRITES_PER_S = 1.0
+#: time for a request to the cloud to get its turn in the budget, in seconds
 CLOUD_MAX_WAIT_S = 10.0
 #: time for one request to the store, to the cloud, and to an agent, in seconds
-STORE_S, CLOUD_S, AGENT_S = 1.2, 4.0, 1.5
+STORE_TIMEOUT_S = 1.2
+CLOUD_TIMEOUT_S = 4.0
+AGENT_TIMEOUT_S = 1.5
 #: lanes of the cloud's budget: rentals and releases come before listings
-CLOUD_LANE, LISTING_LANE = 0, 1
+CLOUD_LANE = 0
+LISTING_LANE = 1
 
 STORE_REQUESTS = (Get, ListKeys, CompareAndSwap, GrantLease, RenewLease, Watch)
 CLOUD_REQUESTS = (ListMachineTypes, RentMachines, ReleaseMachines, ListMachines)
 
 
 class OutsideCalls:
-    """The connections of one node to the systems around it, and their budgets."""
+    """The connections of one node to the systems around it, and their budgets.
+
+    It owns the HTTP clients, the budgets and the links to the other controllers; :meth:`close`
+    ends them.
+    """
 
     def __init__(self, settings: Settings, rejected_writes: RejectedWrites) -> None:
         self._settings = settings
         self._rejected_writes = rejected_writes
-        cluster, nodes = settings.cluster, len(settings.nodes)
-        few = max(LEAST_OUTGOING, int(int(cluster.machine_limits.sockets) * OUTGOING_SHARE))
-        self._store = HttpClient(few, 2 * few, few)
-        self._cloud = HttpClient(CLOUD_KEPT, CLOUD_UNDER_WAY)
-        # Stops for hundreds of machines at once take turns; no machine's connection is kept for
+        cluster, node_count = settings.cluster, len(settings.nodes)
+        sockets = int(cluster.machine_limits.sockets)
+        max_outgoing = max(MIN_OUTGOING, int(sockets * OUTGOING_SHARE))
+        self._store = HttpClient(
+            max_idle_per_address=max_outgoing,
+            max_in_flight=STORE_IN_FLIGHT_FACTOR * max_outgoing,
+            max_idle=max_outgoing,
+        )
+        self._cloud = HttpClient(
+            max_idle_per_address=CLOUD_MAX_IDLE, max_in_flight=CLOUD_MAX_IN_FLIGHT
+        )
+        # Stops for hundreds of machines at once take turns; no machine's connection stays open for
         # long where there are many.
-        self._agents = HttpClient(1, few, few)
+        self._agents = HttpClient(
+            max_idle_per_address=1, max_in_flight=max_outgoing, max_idle=max_outgoing
+        )
         self.store_budget = Budget(
-            cluster.state.rps / nodes * STORE_RATE_SHARE,
-            cluster.state.write_rps / nodes * STORE_RATE_SHARE,
+            cluster.state.rps / node_count * STORE_RATE_SHARE,
+            cluster.state.write_rps / node_count * STORE_RATE_SHARE,
         )
         self._cloud_budget = Budget(
-            cluster.cloud.rps / nodes * CLOUD_RATE_SHARE, 1.0, CLOUD_MAX_WAIT_S
+            cluster.cloud.rps / node_count * CLOUD_RATE_SHARE, CLOUD_WRITES_PER_S, CLOUD_MAX_WAIT_S
         )
+        #: links to the other controllers, by their names
         self.links = {peer.node: Link(settings.node, peer.address) for peer in settings.others}
 
+    def close(self) -> None:
+        """Close all connections; no request may be made after that."""
+        self.store_budget.close()
+        self._cloud_budget.close()
+        for client in (self._store, self._cloud, self._agents):
+            client.close()
+        for link in self.links.values():
+            link.close()
+
     async def carry_out(self, request: OutsideRequest) -> Any:
-        """The response to a request; one that says so when none came."""
+        """The response to a request, of the type that belongs to it; :func:`no_response` if none.
+
+        A defect in what is called ends this request only: it is logged.
+        """
         try:
             return await self._send(request)
         except Exception:
             log.exception("request failed: %r", request)
             return no_response(request)
 
+    async def send_command(self, command: DirectCommand) -> None:
+        """Send commands straight to an agent; what becomes of them its heartbeats show."""
+        body = encode_direct_command(
+            command.fencing_token, command.agent_incarnation, command.commands
+        )
+        await self._agents.request(command.address, "POST", COMMAND_PATH, body, AGENT_TIMEOUT_S)
+
     async def _send(self, request: OutsideRequest) -> Any:
         if isinstance(request, PeerRequest):
-            return await self._ask_peer(request)
+            return await self._request_peer(request)
         if isinstance(request, STORE_REQUESTS):
-            return await self._ask_store(request)
+            return await self._request_store(request)
         if isinstance(request, CLOUD_REQUESTS):
-            return await self._ask_cloud(request)
+            return await self._request_cloud(request)
         if isinstance(request, InspectAgent):
             return await self._inspect(request)
         raise TypeError(f"unknown request {request!r}")
 
-    async def _ask_peer(self, request: PeerRequest) -> Any:
+    async def _request_peer(self, request: PeerRequest) -> Any:
         link = self.links.get(request.node)
         if link is None:
             return None
         arguments = arguments_of(request.message)
-        return await link.ask(tag_of(request.message), arguments, request.timeout_s)
+        return await link.request(tag_of(request.message), arguments, request.timeout_s)
 
-    async def _ask_store(self, request: StoreRequest) -> StoreResponse:
-        changes = request.change_count if isinstance(request, CompareAndSwap) else 0
-        if not await self.store_budget.take(request.lane, changes):
+    async def _request_store(self, request: StoreRequest) -> StoreResponse:
+        write_count = request.change_count if isinstance(request, CompareAndSwap) else 0
+        if not await self.store_budget.take(request.lane, write_count):
             return StoreResponse(NOT_SENT)
         wait_s = request.wait_ms / 1000 if isinstance(request, Watch) else 0.0
         encoded = encode_store_request(request)
@@ -121,21 +164,25 @@
             encoded.method,
             encoded.path,
             encoded.body,
-            STORE_S + wait_s,
+            STORE_TIMEOUT_S + wait_s,
         )
-        if status <= 0 or status >= 500:
+        if status <= NO_RESPONSE or status >= 500:
             log.debug("store %s %s: %s", encoded.method, encoded.path, status)
         if isinstance(request, CompareAndSwap) and status == 400:
             self._rejected_writes.record(request)
         return decode_store_response(request, status, body)
 
-    async def _ask_cloud(self, request: CloudRequest) -> CloudResponse:
+    async def _request_cloud(self, request: CloudRequest) -> CloudResponse:
         lane = LISTING_LANE if isinstance(request, ListMachines) else CLOUD_LANE
         if not await self._cloud_budget.take(lane, 0):
             return CloudResponse(NOT_SENT)
         encoded = encode_cloud_request(request)
         status, body = await self._cloud.request(
-            self._settings.external.cloud, encoded.method, encoded.path, encoded.body, CLOUD_S
+            self._settings.external.cloud,
+            encoded.method,
+            encoded.path,
+            encoded.body,
+            CLOUD_TIMEOUT_S,
         )
         if status != 200:
             log.debug("cloud %s %s: %s", encoded.method, encoded.path, status)
@@ -143,25 +190,18 @@
 
     async def _inspect(self, request: InspectAgent) -> Heartbeat | None:
         status, body = await self._agents.request(
-            request.address, "GET", INSPECT_PATH, b"", AGENT_S
+            request.address, "GET", INSPECT_PATH, b"", AGENT_TIMEOUT_S
         )
         try:
             return decode_heartbeat(body) if status == 200 else None
         except BadRequestError:
             return None
 
-    async def send_command(self, command: DirectCommand) -> None:
-        """Send commands straight to an agent; what becomes of them its heartbeats show."""
-        body = encode_direct_command(
-            command.fencing_token, command.agent_incarnation, command.commands
-        )
-        await self._agents.request(command.address, "POST", COMMAND_PATH, body, AGENT_S)
-
 
-def no_response(request: OutsideRequest) -> Any:
-    """What a request gets that was not answered."""
+def no_response(request: OutsideRequest) -> StoreResponse | CloudResponse | None:
+    """The response to a request that got none."""
     if isinstance(request, (PeerRequest, InspectAgent)):
         return None
     if isinstance(request, CLOUD_REQUESTS):
-        return CloudResponse(0)
-    return StoreResponse(0)
+        return CloudResponse(NO_RESPONSE)
+    return StoreResponse(NO_RESPONSE)
--- a/marblestair/wire/codec.py
+++ b/marblestair/wire/codec.py
@@ -9,8 +9,6 @@
 #: largest body of a request, in bytes
 MAX_BODY = 64 * 1024
 
-CONTENT_TYPE = "application/msgpack"
-
 
 class BadRequestError(Exception):
     """A body is malformed; the text says what is wrong with it."""
--- a/marblestair/wire/peers.py
+++ b/marblestair/wire/peers.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from typing import Any
+from typing import TypeVar
 
 import msgspec
 
@@ -30,6 +30,8 @@
 )
 from marblestair.core.runtime.requests import PeerMessage
 
+_Kind = TypeVar("_Kind")
+
 #: one-way messages by their tags
 _MESSAGES: dict[str, type[PeerMessage]] = {
     "summaries": ShardSummaries,
@@ -63,7 +65,7 @@
     return _TAGS[type(message)]
 
 
-def arguments_of(message: PeerMessage) -> Any:
+def arguments_of(message: PeerMessage) -> PeerMessage | list[SliceProgress]:
     """What is encoded as the arguments of a message on the wire: an array."""
     if isinstance(message, ProgressReport):
         # One argument for each slice.
@@ -71,7 +73,7 @@
     return message
 
 
-def decode_message(tag: str, arguments: list[Any]) -> PeerMessage | None:
+def decode_message(tag: str, arguments: list[object]) -> PeerMessage | None:
     """Decode a one-way message; None for a tag that this version does not know.
 
     Raises
@@ -84,7 +86,7 @@
     return _decode(_MESSAGES, tag, arguments)
 
 
-def decode_request(tag: str, arguments: list[Any]) -> PeerMessage | None:
+def decode_request(tag: str, arguments: list[object]) -> PeerMessage | None:
     """Decode a request; None for a tag that this version does not know.
 
     Raises
@@ -96,16 +98,13 @@
 
 
 def _decode(
-    kinds: dict[str, type[PeerMessage]], tag: str, arguments: list[Any]
+    kinds: dict[str, type[PeerMessage]], tag: str, arguments: list[object]
 ) -> PeerMessage | None:
     kind = kinds.get(tag)
-    if kind is None:
-        return None
-    message: PeerMessage = _converted(tag, arguments, kind)
-    return message
+    return None if kind is None else _converted(tag, arguments, kind)
 
 
-def _converted(tag: str, arguments: list[Any], kind: Any) -> Any:
+def _converted(tag: str, arguments: list[object], kind: type[_Kind]) -> _Kind:
     try:
         return msgspec.convert(arguments, kind)
     except msgspec.ValidationError as error:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -11,8 +11,9 @@
 import pytest
 
 from marblestair import cli
+from marblestair.net.framing import FramedConnection, frame
 from marblestair.net.http_server import HttpServer
-from marblestair.net.peers import PeerServer, frame
+from marblestair.net.peers import PeerServer
 from marblestair.node import Node
 from marblestair.policy import Policy
 from marblestair.settings import SettingsError, parse
@@ -200,20 +201,20 @@
         now[0] += 1.0
         connection, t = Connection(server), FakeTransport()
         connection.connection_made(t)
-        connection.worker = worker
+        connection.is_from_agent = worker
         open_.append((connection, t))
         return t
 
     for _ in range(3):
         connect(False)
-    assert not server.crowded
+    assert not server.is_crowded
     for _ in range(3):
         connect(True)
-    assert server.crowded and not any(t.closed for _, t in open_)
+    assert server.is_crowded and not any(t.closed for _, t in open_)
     # All places are taken: the longest idle users go, never a worker.
     assert [connect(True).closed for _ in range(3)] == [False] * 3
-    assert [t.closed for c, t in open_ if not c.worker] == [True] * 3
-    assert not any(t.closed for c, t in open_ if c.worker)
+    assert [t.closed for c, t in open_ if not c.is_from_agent] == [True] * 3
+    assert not any(t.closed for c, t in open_ if c.is_from_agent)
     # Only workers are left, all heard lately: then one more finds no place.
     assert connect(True).closed and len(server.connections) == 6
 
@@ -239,7 +240,7 @@
     most = under_way = 0
     client = HttpClient(1, 5, 7)
 
-    class Conn(http_client._Conn):
+    class Connection(http_client.ClientConnection):
         def send(self, data: bytes) -> asyncio.Future[tuple[int, bytes]]:
             nonlocal most, under_way
             under_way += 1
@@ -257,10 +258,10 @@
     async def test() -> list[tuple[int, bytes]]:
         loop = asyncio.get_running_loop()
 
-        async def connect(*_: Any) -> tuple[Any, Conn]:
-            c = Conn()
-            c.transport = FakeTransport()
-            return c.transport, c
+        async def connect(*_: Any) -> tuple[Any, Connection]:
+            connection, transport = Connection(), FakeTransport()
+            connection.connection_made(transport)
+            return transport, connection
 
         loop.create_connection = connect  # type: ignore[assignment,method-assign]
         calls = [client.request(f"10.1.0.{i}:9", "POST", "/do", b"", 5.0) for i in range(300)]
@@ -268,7 +269,7 @@
 
     assert asyncio.run(test()) == [(200, b"")] * 300
     assert most <= 5
-    assert sum(len(x) for x in client._idle.values()) == client._kept == 7
+    assert sum(len(x) for x in client._idle.values()) == client._idle_count == 7
 
 
 def test_unknown_paths_and_methods() -> None:
@@ -281,17 +282,15 @@
 
 
 def test_malformed_peer_frames_close_that_connection_only() -> None:
-    from marblestair.net.peers import _Framed
-
     notes: list[Any] = []
     server = PeerServer(lambda *a: notes.append(a), lambda *a: None)
     for data in (b"\xff" * 8, frame([])[:4] + b"\xc1", frame({"a": 1}), frame([])):  # type: ignore[arg-type]
-        conn = _Framed(server._message)
+        conn = FramedConnection(server._receive)
         t = FakeTransport()
         conn.connection_made(t)
         conn.data_received(data)
         assert t.closed
-    conn = _Framed(server._message)
+    conn = FramedConnection(server._receive)
     conn.connection_made(FakeTransport())
     whole = frame(["note", "n1", "summaries", [1, []]])
     for i in range(len(whole)):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,7 +15,7 @@
 from marblestair.core.shard.machine import Machine
 from marblestair.core.state import keys
 from marblestair.core.state.store_view import StoreView
-from marblestair.net.peers import MAX_FRAME
+from marblestair.net.framing import MAX_FRAME
 from marblestair.settings import Workers
 from tests.fakes.deployment import spec
 from tests.fakes.worker import Worker
--- /dev/null
+++ b/tests/test_shutdown.py
@@ -0,0 +1,175 @@
+"""What a controller owns ends with it: tasks, links to its peers, pooled connections."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Awaitable, Callable
+from typing import Any
+
+import pytest
+
+from marblestair.net.http_client import HttpClient
+from marblestair.net.peers import Link, PeerServer
+from marblestair.node import Node
+from marblestair.policy import Policy
+from marblestair.settings import Settings, parse
+from tests.fakes.deployment import raw_settings
+
+HOST = "127.0.0.1"
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+#: time within which everything must have ended, in seconds
+LIMIT_S = 5.0
+
+
+class Listener:
+    """A server that answers each piece of data, and counts the connections that ended."""
+
+    def __init__(self, response: bytes = b"") -> None:
+        self.opened = 0
+        self.ended = 0
+        self.address = ""
+        self._response = response
+        self._server: asyncio.Server | None = None
+
+    async def __aenter__(self) -> Listener:
+        self._server = await asyncio.start_server(self._serve, HOST, 0)
+        self.address = f"{HOST}:{self._server.sockets[0].getsockname()[1]}"
+        return self
+
+    async def __aexit__(self, *_: object) -> None:
+        assert self._server is not None
+        self._server.close()
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self.opened += 1
+        try:
+            while await reader.read(65536):
+                writer.write(self._response)
+        except ConnectionError:
+            pass
+        finally:
+            self.ended += 1
+            writer.close()
+
+
+async def until(is_true: Callable[[], bool]) -> None:
+    async with asyncio.timeout(LIMIT_S):
+        while not is_true():
+            await asyncio.sleep(0.01)
+
+
+def run(test: Callable[[], Awaitable[Any]]) -> None:
+    async def bounded() -> None:
+        async with asyncio.timeout(4 * LIMIT_S):
+            await test()
+
+    asyncio.run(bounded())
+
+
+async def free_address() -> str:
+    async with Listener() as listener:
+        return listener.address
+
+
+def test_a_closed_link_ends_its_connection_and_opens_no_other() -> None:
+    async def test() -> None:
+        async with Listener() as listener:
+            link = Link("n0", listener.address)
+            assert await link.request("status", [], 0.2) is None
+            assert (listener.opened, listener.ended) == (1, 0)
+            waiting = asyncio.create_task(link.request("status", [], LIMIT_S))
+            await asyncio.sleep(0)
+            link.close()
+            assert await waiting is None
+            await until(lambda: listener.ended == 1)
+            link.send_message("summaries", [])
+            assert await link.request("status", [], 0.1) is None
+            assert listener.opened == 1
+
+    run(test)
+
+
+def test_a_link_that_is_closed_while_it_opens_leaves_no_task() -> None:
+    async def test() -> None:
+        link = Link("n0", await free_address())
+        link.send_message("summaries", [])
+        opening = link._opening
+        assert opening is not None and not opening.done()
+        link.close()
+        await asyncio.wait([opening])
+        assert opening.cancelled()
+        assert asyncio.all_tasks() == {asyncio.current_task()}
+
+    run(test)
+
+
+def test_a_closed_client_ends_its_idle_connections_and_those_in_use() -> None:
+    async def test() -> None:
+        async with Listener(RESPONSE) as listener, Listener() as silent:
+            client = HttpClient()
+            status, body = await client.request(listener.address, "GET", "/", b"", LIMIT_S)
+            assert (status, body) == (200, b"ok")
+            assert (listener.opened, listener.ended) == (1, 0)
+            unanswered = asyncio.create_task(
+                client.request(silent.address, "GET", "/", b"", LIMIT_S)
+            )
+            await until(lambda: silent.opened == 1)
+            client.close()
+            await until(lambda: listener.ended == 1)
+            # What is under way ends with its task; what gets its response is not put back.
+            unanswered.cancel()
+            await until(lambda: silent.ended == 1)
+            await client.request(listener.address, "GET", "/", b"", LIMIT_S)
+            await until(lambda: listener.ended == 2)
+
+    run(test)
+
+
+def test_a_cancelled_node_ends_all_that_it_owns() -> None:
+    async def test() -> None:
+        async with Listener() as store, Listener() as cloud, Listener() as peer:
+            node = Node(await node_settings(store, cloud, peer), Policy())
+            running = asyncio.create_task(node.run())
+            link = node.outside.links["n1"]
+            await until(lambda: store.opened > 0)
+            link.send_message("summaries", [])
+            await until(lambda: peer.opened == 1)
+            running.cancel()
+            with pytest.raises(asyncio.CancelledError):
+                await running
+            await until(lambda: store.ended == store.opened)
+            await until(lambda: cloud.ended == cloud.opened)
+            await until(lambda: peer.ended == peer.opened)
+            await until(lambda: not node._tasks)
+
+    run(test)
+
+
+async def node_settings(store: Listener, cloud: Listener, peer: Listener) -> Settings:
+    raw = raw_settings(0, 2)
+    raw["public_addr"] = await free_address()
+    raw["cluster_listen"] = await free_address()
+    raw["external"] = {"state": store.address, "cloud": cloud.address}
+    raw["others"][0]["address"] = peer.address
+    return parse(raw)
+
+
+def test_a_link_and_a_server_understand_each_other() -> None:
+    async def test() -> None:
+        messages: list[Any] = []
+        server = PeerServer(
+            lambda *message: messages.append(message),
+            lambda respond, *request: respond(list(request)),
+        )
+        address = await free_address()
+        host, _, port = address.rpartition(":")
+        await server.listen(host, int(port))
+        link = Link("n0", address)
+        assert await link.request("status", [1, "x"], LIMIT_S) == ["n0", "status", [1, "x"]]
+        link.send_message("progress", [[2]])
+        await until(lambda: bool(messages))
+        assert messages == [("n0", "progress", [[2]])]
+        link.close()
+        server.close()
+
+    run(test)
