--- a/tests/net/test_http_client.py
+++ b/tests/net/test_http_client.py
@@ -5,18 +5,17 @@
 import asyncio
 from typing import Any
 
+from marblestair.net import http_client
+from marblestair.net.http_client import HttpClient
 from tests.fakes.transport import FakeTransport
 
 
 def test_commands_for_hundreds_of_machines_take_turns_and_leave_few_connections() -> None:
     """A cancel of a large array stops tasks on every machine: bounded, and none is left out."""
-    from marblestair.net import http_client
-    from marblestair.net.http_client import HttpClient
-
     most = under_way = 0
     client = HttpClient(1, 5, 7)
 
-    class Conn(http_client._Conn):
+    class Connection(http_client.ClientConnection):
         def send(self, data: bytes) -> asyncio.Future[tuple[int, bytes]]:
             nonlocal most, under_way
             under_way += 1
@@ -34,10 +33,10 @@
     async def test() -> list[tuple[int, bytes]]:
         loop = asyncio.get_running_loop()
 
-        async def connect(*_: Any) -> tuple[Any, Conn]:
-            c = Conn()
-            c.transport = FakeTransport()
-            return c.transport, c
+        async def connect(*_: Any) -> tuple[Any, Connection]:
+            connection, transport = Connection(), FakeTransport()
+            connection.connection_made(transport)
+            return transport, connection
 
         loop.create_connection = connect  # type: ignore[assignment,method-assign]
         calls = [client.request(f"10.1.0.{i}:9", "POST", "/do", b"", 5.0) for i in range(300)]
@@ -45,4 +44,4 @@
 
     assert asyncio.run(test()) == [(200, b"")] * 300
     assert most <= 5
-    assert sum(len(x) for x in client._idle.values()) == client._kept == 7
+    assert sum(len(x) for x in client._idle.values()) == client._idle_count == 7
--- a/tests/net/test_http_server.py
+++ b/tests/net/test_http_server.py
@@ -74,20 +74,20 @@
         now[0] += 1.0
         connection, t = Connection(server), FakeTransport()
         connection.connection_made(t)
-        connection.worker = worker
+        connection.is_from_agent = worker
         open_.append((connection, t))
         return t
 
     for _ in range(3):
         connect(False)
-    assert not server.crowded
+    assert not server.is_crowded
     for _ in range(3):
         connect(True)
-    assert server.crowded and not any(t.closed for _, t in open_)
+    assert server.is_crowded and not any(t.closed for _, t in open_)
     # All places are taken: the longest idle users go, never a worker.
     assert [connect(True).closed for _ in range(3)] == [False] * 3
-    assert [t.closed for c, t in open_ if not c.worker] == [True] * 3
-    assert not any(t.closed for c, t in open_ if c.worker)
+    assert [t.closed for c, t in open_ if not c.is_from_agent] == [True] * 3
+    assert not any(t.closed for c, t in open_ if c.is_from_agent)
     # Only workers are left, all heard lately: then one more finds no place.
     assert connect(True).closed and len(server.connections) == 6
 
--- a/tests/scenarios/test_fleet_costs.py
+++ b/tests/scenarios/test_fleet_costs.py
@@ -12,7 +12,7 @@
 from marblestair.core.shard.failures import FailureAttribution
 from marblestair.core.state import keys
 from marblestair.core.state.store_view import StoreView
-from marblestair.net.peers import MAX_FRAME
+from marblestair.net.framing import MAX_FRAME
 from marblestair.settings import Workers
 from tests.fakes.deployment import spec
 from tests.fakes.world import World
