--- a/tests/test_compare_versions.py
+++ b/tests/test_compare_versions.py
@@ -150,6 +150,19 @@
     assert seen == ["ConnectionResetError"]
 
 
+def test_timers_due_at_one_time_run_in_the_order_in_which_they_were_set():
+    for others in range(40):
+        loop = SimulatedLoop()
+        order: list[int] = []
+        due_s = loop.time() + 1.0
+        for number in range(others):
+            loop.call_at(due_s - 0.5 + (number * 7 % 40) / 40, lambda: None)
+        for number in range(10):
+            loop.call_at(due_s, order.append, number)
+        loop.run_until(due_s + 1.0)
+        assert order == list(range(10))
+
+
 def test_a_cut_holds_back_what_is_sent_and_delivers_it_in_order():
     loop = SimulatedLoop()
     network = Network(loop, "seed")
--- a/tests/tools/simulated_loop.py
+++ b/tests/tools/simulated_loop.py
@@ -9,6 +9,7 @@
 
 import asyncio
 import contextvars
+import math
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any, TypeVarTuple
 
@@ -21,6 +22,8 @@
 
 #: the simulated time at which a loop begins
 START_S = 1000.0
+#: times of timers that are kept before those that are past are dropped
+MOST_PLANNED = 50_000
 
 
 class _JumpingClock:
@@ -43,6 +46,8 @@
     def __init__(self) -> None:
         super().__init__()
         self._selector = _JumpingClock()
+        #: the times of timers, each of them different
+        self._planned: dict[float, None] = {}
         self.network: Network | None = None
         #: an error in a callback of the outside systems: a fault of the simulation itself
         self.fault: BaseException | None = None
@@ -85,8 +90,22 @@
         """Run a callback at a time, if its process is alive then."""
         context = contextvars.copy_context() if context is None else context
         owner = context.get(CURRENT_PROCESS)
+        when = self._unique(when)
         return super().call_at(when, self._run_if_alive, owner, callback, args, context=context)
 
+    def _unique(self, when: float) -> float:
+        """A time at which no other timer is due, as good as the same.
+
+        The order of timers that are due at one time would depend on all others. Then the order in
+        which a controller closes connections that it keeps in a set could change the rest.
+        """
+        while when in self._planned:
+            when = math.nextafter(when, math.inf)
+        if len(self._planned) > MOST_PLANNED:
+            self._planned = {x: None for x in self._planned if x >= self.time()}
+        self._planned[when] = None
+        return when
+
     def _run_if_alive(
         self, owner: Process | None, callback: Callable[..., object], args: tuple[Any, ...]
     ) -> None:
