--- a/tests/test_compare_versions.py
+++ b/tests/test_compare_versions.py
@@ -50,7 +50,12 @@
 @pytest.mark.parametrize(
     ("pattern", "replacement", "shown"),
     [
-        pytest.param('"baton"', '"token"', "body.baton: ", id="a field of an answer"),
+        pytest.param(
+            r"baton: int\n",
+            r'baton: int = msgspec.field(name="token")\n',
+            "body.baton: ",
+            id="a field of an answer",
+        ),
         pytest.param(
             r"asyncio\.sleep\(([a-z_]+)\)", r"asyncio.sleep(\1 * 1.01)", "time_s: ", id="a pause"
         ),
