--- a/marblestair/core/capacity/fleet_planner.py
+++ b/marblestair/core/capacity/fleet_planner.py
@@ -11,8 +11,8 @@
 from marblestair.core.domain.jobs import JobKind
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.scheduling.arrivals import Arrivals
+from marblestair.core.scheduling.due_work import DueWork, infeasible_jobs
 from marblestair.core.scheduling.fleet_plan import FleetPlan
-from marblestair.core.scheduling.quota import infeasible_jobs
 from marblestair.core.state.machine_catalog import MachineCatalog
 from marblestair.core.state.store_view import StoreView
 
@@ -97,7 +97,7 @@
     def _find_infeasible(self, loads: list[JobLoad]) -> set[str]:
         """Jobs that are put off, so that as many others as possible are done when due."""
         #: team -> seconds until due, cpu seconds left, and the job
-        due_work: dict[str, list[tuple[float, float, str]]] = {}
+        due_work: dict[str, list[DueWork]] = {}
         used_cpus: dict[str, float] = {}
         for load in loads:
             spec = load.spec
@@ -108,7 +108,7 @@
             else:
                 tasks_left = load.pending + RUNNING_LEFT * load.running
                 cpu_s = tasks_left * spec.cpus * load.run_s
-                due_work.setdefault(spec.team, []).append((load.due_in_s, cpu_s, spec.id))
+                due_work.setdefault(spec.team, []).append(DueWork(load.due_in_s, cpu_s, spec.id))
         infeasible: set[str] = set()
         for team, work in due_work.items():
             limit = max(1.0, self._context.teams[team].cpu_limit - used_cpus.get(team, 0.0))
--- /dev/null
+++ b/marblestair/core/scheduling/gang_placement.py
@@ -0,0 +1,99 @@
+"""Launches of gangs: all tasks at once, or none."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable, Iterable, Sequence
+
+from marblestair.core.domain.amounts import Resources
+from marblestair.core.domain.jobs import JobSpec
+from marblestair.core.scheduling.machine_choice import placement_cost
+from marblestair.core.scheduling.placement import (
+    may_run_on_machine,
+    tasks_that_fit,
+    tasks_within_quota,
+)
+from marblestair.core.scheduling.zone_rule import zone_limit
+from marblestair.core.shard.job_slice import JobSlice
+from marblestair.core.shard.machine import Machine
+from marblestair.core.shard.shard import Shard
+
+
+def place_gang(
+    shard: Shard,
+    gang: JobSlice,
+    quota: tuple[int, int],
+    machines: Iterable[Machine],
+    is_claimed: Callable[[Machine, str], bool],
+    now: float,
+) -> bool:
+    """Launch a whole gang or nothing; return whether it was launched.
+
+    Parameters
+    ----------
+    shard
+        The shard that has the gang.
+    gang
+        The slice that holds all tasks of the gang.
+    quota
+        Cpus and gpus that the team's tasks may use in the shard, in fixed point.
+    machines
+        Machines to launch it on; those that are not usable now are passed over.
+    is_claimed
+        Whether a machine is claimed for another job than the one named.
+    now
+        Steady time.
+    """
+    task_count = gang.size - gang.done_count
+    if (
+        task_count <= 0
+        or gang.placed_on
+        or gang.pending.count != task_count
+        or tasks_within_quota(shard, gang, quota) < task_count
+    ):
+        return False
+    spec = gang.spec
+    candidates = [
+        machine
+        for machine in machines
+        if machine.is_usable(now)
+        and may_run_on_machine(spec, machine)
+        and not is_claimed(machine, spec.id)
+    ]
+    assigned = assign_machines(spec, gang.resources, candidates, task_count)
+    if assigned is None:
+        return False
+    attempt = shard.new_attempt()
+    for machine in assigned:
+        shard.launch(machine, gang, gang.pending.pop(), attempt, now)
+    return True
+
+
+def assign_machines(
+    spec: JobSpec, resources: Resources, machines: list[Machine], task_count: int
+) -> list[Machine] | None:
+    """Assign a machine to each task of a gang, or return None if they do not all fit.
+
+    Machines of the lowest cost are filled first, within the limits for zones.
+    """
+    counted = [(machine, tasks_that_fit(machine, resources)) for machine in machines]
+    fitting = [(machine, count) for machine, count in counted if count]
+    fitting.sort(key=lambda found: placement_cost(spec, found[0], resources))
+    zones: Sequence[str | None] = [None]
+    if spec.single_zone:
+        zones = sorted({machine.zone for machine, _ in fitting})
+    limit = zone_limit(spec)
+    for zone in zones:
+        assigned: list[Machine] = []
+        assigned_by_zone: Counter[str] = Counter()
+        for machine, count in fitting:
+            if zone is not None and machine.zone != zone:
+                continue
+            left = task_count - len(assigned)
+            assignable = min(count, left, limit - assigned_by_zone[machine.zone])
+            if assignable > 0:
+                assigned += [machine] * assignable
+                assigned_by_zone[machine.zone] += assignable
+            if len(assigned) == task_count:
+                return assigned
+    return None
--- /dev/null
+++ b/marblestair/core/scheduling/machine_filling.py
@@ -0,0 +1,122 @@
+"""Launches on the one machine whose heartbeat freed capacity, from the queue of its shard.
+
+The launches go with the response to that heartbeat. What they cost does not grow with the machines
+of the shard.
+"""
+
+from __future__ import annotations
+
+from marblestair.core.domain.jobs import JobKind
+from marblestair.core.runtime.context import NodeContext
+from marblestair.core.scheduling.array_placement import CandidateMachines
+from marblestair.core.scheduling.fleet_plan import FleetPlan
+from marblestair.core.scheduling.pending_queue import PendingQueue
+from marblestair.core.scheduling.preemption import Preemption
+from marblestair.core.scheduling.service_order import is_pending
+from marblestair.core.scheduling.slice_placement import ReservedQuota, SlicePlacement
+from marblestair.core.shard.failures import FailureAttribution
+from marblestair.core.shard.job_slice import JobSlice
+from marblestair.core.shard.machine import Machine
+from marblestair.core.shard.shard import Shard
+
+
+class MachineFilling:
+    """Fills machines of the shards that one node leads."""
+
+    def __init__(
+        self,
+        context: NodeContext,
+        failures: FailureAttribution,
+        fleet_plan: FleetPlan,
+        preemption: Preemption,
+        placement: SlicePlacement,
+    ) -> None:
+        self._context = context
+        self._failures = failures
+        self._fleet_plan = fleet_plan
+        self._preemption = preemption
+        self._placement = placement
+
+    def fill(self, shard: Shard, machine: Machine, queue: PendingQueue) -> None:
+        """Launch on a machine what fits of its shard's queue."""
+        if not machine.is_usable(self._context.now):
+            return
+        claim = self._preemption.claims.get(machine.name)
+        if claim is not None:
+            # What it was cleared for starts at once, if all its machines are clear.
+            gang = shard.slices.get(claim.job)
+            if gang is not None and is_pending(shard, gang) and not gang.is_unreconciled:
+                self._placement.place_gang(shard, gang, ReservedQuota())
+            return
+        if machine.name in self._fleet_plan.draining_machines:
+            return
+        machines = [machine]
+        candidates = CandidateMachines(machines, machines)
+        if queue.starved:
+            self._fill_with_starved(shard, machine, candidates, queue)
+        self._fill_in_order(shard, machine, candidates, queue)
+
+    def _fill_with_starved(
+        self, shard: Shard, machine: Machine, candidates: CandidateMachines, queue: PendingQueue
+    ) -> None:
+        """Launch starved slices, within what each, and its team, may still start."""
+        for starved in queue.starved:
+            array = starved.job_slice
+            team, cpus = array.spec.team, array.resources[0]
+            cpus_left = queue.starved_cpus_left.get(team, 0)
+            count = starved.max_tasks
+            if cpus:
+                count = max(starved.min_tasks, min(starved.max_tasks, cpus_left // cpus))
+            if count > 0 and cpus <= machine.free[0] and is_pending(shard, array):
+                launched = self._placement.place_array(
+                    shard, array, candidates, ReservedQuota(), count
+                )
+                starved.max_tasks -= launched
+                starved.min_tasks = max(0, starved.min_tasks - launched)
+                queue.starved_cpus_left[team] = cpus_left - launched * cpus
+
+    def _fill_in_order(
+        self, shard: Shard, machine: Machine, candidates: CandidateMachines, queue: PendingQueue
+    ) -> None:
+        """Launch the slices of the queue in their order, until the machine is full."""
+        placement = self._placement
+        #: team -> cpus of the smallest task that does not fit into its quota any more
+        exhausted_teams: dict[str, int] = {}
+        #: teams of which not even the smallest pending task fits into the quota
+        blocked_team_count = 0
+        #: only for gangs that come earlier in the queue
+        reserved = ReservedQuota()
+        for job_slice in queue.order:
+            free_cpus = machine.free[0]
+            if free_cpus < queue.min_cpus:
+                return
+            if not is_pending(shard, job_slice) or placement.is_deferred(job_slice):
+                continue
+            team, cpus = job_slice.spec.team, job_slice.resources[0]
+            if job_slice.spec.kind == JobKind.GANG:
+                self._fill_with_gang(shard, job_slice, free_cpus, reserved)
+                continue
+            exhausted_cpus = exhausted_teams.get(team)
+            if cpus > free_cpus or (exhausted_cpus is not None and exhausted_cpus <= cpus):
+                continue
+            if placement.place_array(
+                shard, job_slice, candidates, reserved
+            ) or placement.has_quota_for_one(shard, job_slice, reserved):
+                continue
+            exhausted_teams[team] = cpus
+            blocked_team_count += cpus <= queue.min_array_cpus.get(team, 0)
+            if blocked_team_count == len(queue.min_array_cpus) and (
+                queue.min_gang_cpus is None or free_cpus < queue.min_gang_cpus
+            ):
+                return
+
+    def _fill_with_gang(
+        self, shard: Shard, gang: JobSlice, free_cpus: int, reserved: ReservedQuota
+    ) -> None:
+        """Launch a gang if this machine's capacity is what it lacked, or reserve quota for it."""
+        if gang.placed_on:
+            return
+        if free_cpus >= gang.resources[0] and self._placement.place_gang(shard, gang, reserved):
+            return
+        if not self._failures.is_quarantined(gang.spec.id):
+            reserved.reserve(gang)
--- /dev/null
+++ b/marblestair/core/scheduling/placement_pass.py
@@ -0,0 +1,103 @@
+"""One placement pass: all pending slices of a shard are placed, in the order of its queue."""
+
+from __future__ import annotations
+
+from collections.abc import Container
+
+from marblestair.core.domain.jobs import JobKind
+from marblestair.core.scheduling.array_placement import CandidateMachines
+from marblestair.core.scheduling.arrivals import Arrivals
+from marblestair.core.scheduling.best_effort import BestEffortTasks
+from marblestair.core.scheduling.guarantees import Guarantees
+from marblestair.core.scheduling.pending_queue import PendingQueue
+from marblestair.core.scheduling.preemption import Preemption
+from marblestair.core.scheduling.slice_placement import ReservedQuota, SlicePlacement
+from marblestair.core.shard.failures import FailureAttribution
+from marblestair.core.shard.job_slice import JobSlice
+from marblestair.core.shard.shard import Shard
+
+
+class PlacementPass:
+    """One pass over the queue of a shard, and what it finds on the way.
+
+    It launches what fits, and preempts other work for guaranteed arrays and for latency-sensitive
+    gangs.
+    """
+
+    def __init__(
+        self,
+        shard: Shard,
+        candidates: CandidateMachines,
+        placement: SlicePlacement,
+        failures: FailureAttribution,
+        guarantees: Guarantees,
+        arrivals: Arrivals,
+        preemption: Preemption,
+        best_effort_tasks: BestEffortTasks,
+    ) -> None:
+        self._shard = shard
+        self._candidates = candidates
+        self._placement = placement
+        self._failures = failures
+        self._guarantees = guarantees
+        self._arrivals = arrivals
+        self._preemption = preemption
+        self._survey = preemption.survey(shard)
+        self._best_effort_tasks = best_effort_tasks
+        self._reserved_quota = ReservedQuota()
+        #: team -> cpus of the smallest task that does not fit into its quota any more
+        self._exhausted_teams: dict[str, int] = {}
+
+    def run(self, queue: PendingQueue) -> None:
+        """Place the slices of a queue."""
+        for job_slice in queue.order:
+            if self._placement.is_deferred(job_slice):
+                continue
+            if job_slice.spec.kind == JobKind.GANG:
+                self._place_gang(job_slice)
+            else:
+                self._place_array(job_slice, queue.min_cpus)
+
+    def _place_array(self, array: JobSlice, min_cpus: int) -> None:
+        """Launch what fits of an array, and preempt best-effort work if it is guaranteed.
+
+        Machines with less than ``min_cpus`` free are of no use to the rest of the queue.
+        """
+        shard, candidates, reserved = self._shard, self._candidates, self._reserved_quota
+        team, cpus = array.spec.team, array.resources[0]
+        exhausted_cpus = self._exhausted_teams.get(team)
+        if exhausted_cpus is not None and exhausted_cpus <= cpus:
+            return
+        if candidates.free and self._placement.place_array(shard, array, candidates, reserved):
+            candidates.free = [
+                machine for machine in candidates.free if machine.free[0] >= min_cpus
+            ]
+        elif not self._placement.has_quota_for_one(shard, array, reserved):
+            self._exhausted_teams[team] = cpus
+            return
+        if array.pending.count and array.spec.id in self._guarantees.jobs:
+            self._best_effort_tasks.preempt_for(
+                array, self._placement.lacking_cpus(shard, array, reserved)
+            )
+
+    def _place_gang(self, gang: JobSlice) -> None:
+        """Launch a gang, or reserve quota for it and clear machines if it is urgent."""
+        shard, reserved = self._shard, self._reserved_quota
+        if self._placement.place_gang(shard, gang, reserved, self._candidates.free):
+            return
+        if gang.placed_on or self._failures.is_quarantined(gang.spec.id):
+            return
+        if self._arrivals.is_latency_sensitive(gang.spec):
+            quota = self._placement.available_quota(shard, gang, reserved)
+            if self._preemption.preempt_for(shard, gang, quota, self._survey):
+                # What comes after it must not fill what is being cleared.
+                self._exclude(self._preemption.claims)
+        reserved.reserve(gang)
+
+    def _exclude(self, names: Container[str]) -> None:
+        """Use some machines no longer in this pass."""
+        usable, free = self._candidates.usable, self._candidates.free
+        self._candidates = CandidateMachines(
+            [machine for machine in usable if machine.name not in names],
+            [machine for machine in free if machine.name not in names],
+        )
--- a/marblestair/core/scheduling/preemption.py
+++ b/marblestair/core/scheduling/preemption.py
@@ -1,4 +1,4 @@
-"""Making room: which work is stopped so that a hurried gang can start.
+"""Preemption: which work is stopped so that a latency-sensitive gang can start.
 
 A gang claims the machines that are cleared for it, so that arrays do not fill them again bit by
 bit while the rest is still being stopped, and so that two gangs never wait for the same machine.
@@ -6,105 +6,61 @@
 
 from __future__ import annotations
 
-from marblestair.core.domain.jobs import PRIORITY_RANKS, JobSpec
+import msgspec
+
+from marblestair.core.domain.jobs import PRIORITY_RANKS
 from marblestair.core.leadership.leadership import Leadership
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.scheduling.arrivals import Arrivals
 from marblestair.core.scheduling.fleet_plan import FleetPlan
 from marblestair.core.scheduling.placement import FreeCapacity, may_run_on_machine, tasks_that_fit
+from marblestair.core.scheduling.preemption_survey import (
+    PreemptionSurvey,
+    free_without,
+    preemptible_tasks,
+    tasks_in,
+)
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine, PlacedTask, StopReason
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state.store_view import StoreView
 
-#: a claim lapses after this many report intervals: what was to be stopped has not gone
-CLAIM_REPORTS = 6.0
+#: a claim expires after this many heartbeat intervals: what was to be stopped is still there
+CLAIM_HEARTBEATS = 6.0
 
 
-def _holds(free: list[int], need: tuple[int, int, int]) -> int:
-    return max(0, min((f // x for f, x in zip(free, need, strict=True) if x > 0), default=0))
+class Claim(msgspec.Struct):
+    """A machine's claim by the gang that it is being cleared for."""
 
+    job: str
+    #: steady time
+    expires_at: float
 
-class PreemptionSurvey:
-    """What work of a part could be stopped for a priority, counted once for all that ask."""
 
-    def __init__(self, shard: Shard, preemption: Preemption, now: float) -> None:
-        self.part = shard
-        self.preemption = preemption
-        self._now = now
-        self._machines: dict[int, list[tuple[Machine, float, list[int]]]] = {}
-        self._teams: dict[tuple[str, int], list[tuple[float, PlacedTask]]] = {}
-        self._sums: dict[tuple[str, int], int] = {}
+class _ClearedMachine(msgspec.Struct):
+    """A machine for a gang, and the tasks to stop there."""
 
-    def machines(self, level: int) -> list[tuple[Machine, float, list[int]]]:
-        """Usable machines, the work lost by clearing each, and its free room afterwards."""
-        out = self._machines.get(level)
-        if out is None:
-            out = self._machines[level] = []
-            now = self._now
-            for machine in self.part.machines.values():
-                if not machine.is_usable(now):
-                    continue
-                free, lost = list(machine.free), 0.0
-                for task in self.preemption._victims(self.part, machine, level):
-                    for i in (0, 1, 2):
-                        free[i] += task.resources[i]
-                    if task.running_since is not None:
-                        lost += task.resources[0] * (now - task.running_since)
-                out.append((machine, lost, free))
-        return out
-
-    def _tasks(self, team: str, level: int) -> list[tuple[float, PlacedTask]]:
-        found = self._teams.get((team, level))
-        if found is None:
-            now = self._now
-            found = []
-            for other in self.part.slices.values():
-                if other.spec.team != team or PRIORITY_RANKS[other.spec.priority] >= level:
-                    continue
-                for i, machine in other.placed_on.items():
-                    task = machine.tasks.get((other.spec.id, i))
-                    if task is not None:
-                        ran = now - task.running_since if task.running_since is not None else 0.0
-                        found.append((ran if task.stop_grace_s is None else -1.0, task))
-            found.sort(key=lambda x: x[0])
-            self._teams[(team, level)] = found
-            self._sums[(team, level)] = sum(task.resources[0] for _, task in found)
-        return found
-
-    def stoppable(self, team: str, level: int) -> int:
-        """Cpus of a team's tasks here that are of lower priority."""
-        self._tasks(team, level)
-        return self._sums[(team, level)]
-
-    def of_team(
-        self, team: str, level: int, lack: int, besides: list[PlacedTask]
-    ) -> list[PlacedTask] | None:
-        """Choose tasks of a team whose end frees that much of its share here.
-
-        The latest started come first, and ahead of them those that are being stopped
-        already. None when there are not enough.
-        """
-        out: list[PlacedTask] = []
-        if lack <= 0:
-            return out
-        left = set(map(id, besides))
-        for _, task in self._tasks(team, level):
-            if lack <= 0:
-                break
-            if id(task) not in left:
-                out.append(task)
-                lack -= task.resources[0]
-        return None if lack > 0 else out
+    machine: Machine
+    victims: list[PlacedTask]
+
+
+class _PreemptionPlan(msgspec.Struct):
+    """What has to be stopped so that a gang can start."""
+
+    machines: list[_ClearedMachine]
+    #: tasks of the gang's own team, stopped for their quota
+    quota_victims: list[PlacedTask]
 
-    def stopped(self, team: str) -> None:
-        """Something of a team was stopped: its tasks are put in order anew."""
-        for key in [k for k in self._teams if k[0] == team]:
-            del self._teams[key]
+
+class _Option(msgspec.Struct):
+    """A machine that a gang could have, and the work lost for each of its tasks there."""
+
+    lost_work: float
+    machine: Machine
 
 
 class Preemption:
-    """Claims of machines on one node, and the choice of what is stopped."""
+    """The claims on machines of one node's shards, and the choice of the tasks to stop."""
 
     def __init__(
         self,
@@ -119,171 +75,189 @@
         self._leadership = leadership
         self._arrivals = arrivals
         self._fleet_plan = fleet_plan
-        #: machine -> job that it is cleared for, and until when
-        self.claims: dict[str, tuple[str, float]] = {}
+        #: machine -> its claim
+        self.claims: dict[str, Claim] = {}
+
+    # --- claims ----------------------------------------------------------------------------
 
     def is_claimed(self, machine: Machine, job: str = "") -> bool:
-        """Whether a machine is being cleared, or set aside by the plan, for another job."""
+        """Whether a machine is claimed by another job, or reserved for one by the plan."""
         claim = self.claims.get(machine.name)
         if claim is not None:
-            return claim[0] != job
-        kept = self._fleet_plan.reserved_machines.get(machine.name, "")
-        return kept not in ("", job) and kept in self._view.jobs
+            return claim.job != job
+        reserved_for = self._fleet_plan.reserved_machines.get(machine.name, "")
+        return reserved_for not in ("", job) and reserved_for in self._view.jobs
+
+    def machines_claimed_for(self, shard: Shard, job: str) -> list[Machine]:
+        """Machines of a shard that are being cleared for a job."""
+        names = [name for name, claim in self.claims.items() if claim.job == job]
+        return [shard.machines[name] for name in names if name in shard.machines]
 
     def tick(self) -> None:
-        """Drop claims of jobs that have started or gone, and those that have lapsed."""
-        for name, (job, until) in list(self.claims.items()):
-            waits = any(
+        """Drop the claims of jobs that have started or ended, and those that have expired."""
+        for name, claim in list(self.claims.items()):
+            is_pending = any(
                 name in shard.machines
-                and (job_slice := shard.slices.get(job)) is not None
+                and (job_slice := shard.slices.get(claim.job)) is not None
                 and not job_slice.placed_on
                 for shard in self._leadership.shards.values()
             )
-            if not waits or self._context.now > until:
+            if not is_pending or self._context.now > claim.expires_at:
                 del self.claims[name]
 
-    def _victims(self, shard: Shard, machine: Machine, level: int) -> list[PlacedTask]:
-        """What may be stopped on a machine for work of a priority."""
-        out = []
-        for task in machine.tasks.values():
-            job_slice = shard.slices.get(task.job)
-            if job_slice is None or PRIORITY_RANKS[job_slice.spec.priority] < level:
-                out.append(task)
-        return out
-
-    def _without(
-        self, machine: Machine, victims: list[PlacedTask], need: tuple[int, int, int]
-    ) -> int:
-        """How many tasks fit once the victims are gone."""
-        free = list(machine.free)
-        for task in victims:
-            for i in (0, 1, 2):
-                free[i] += task.resources[i]
-        return _holds(free, need)
+    def _has_claims(self, job: str) -> bool:
+        return any(claim.job == job for claim in self.claims.values())
+
+    # --- preemption for gangs --------------------------------------------------------------
 
     def survey(self, shard: Shard) -> PreemptionSurvey:
-        """What could be stopped in a part; to be kept for one look through all that waits."""
-        return PreemptionSurvey(shard, self, self._context.now)
+        """A survey of a shard, to be used during one pass over its pending work."""
+        return PreemptionSurvey(shard, self._context.now)
 
-    def machines_claimed_for(self, shard: Shard, job: str) -> list[Machine]:
-        """Machines of a part that are being cleared for a job."""
-        names = [name for name, (claimer, _) in self.claims.items() if claimer == job]
-        return [shard.machines[n] for n in names if n in shard.machines]
+    def can_preempt_for(
+        self, shard: Shard, gang: JobSlice, quota: tuple[int, int], survey: PreemptionSurvey
+    ) -> bool:
+        """Whether a gang has claims, or could have its machines here by preemption.
 
-    def make_room(
-        self,
-        shard: Shard,
-        job_slice: JobSlice,
-        share: tuple[int, int],
-        act: bool,
-        survey: PreemptionSurvey,
+        Parameters
+        ----------
+        shard
+            The shard that has the gang.
+        gang
+            The slice that holds all tasks of the gang.
+        quota
+            Cpus and gpus that the team's tasks may use in the shard, in fixed point.
+        survey
+            The survey of the shard in the present pass.
+        """
+        return self._has_claims(gang.spec.id) or self._plan(shard, gang, quota, survey) is not None
+
+    def preempt_for(
+        self, shard: Shard, gang: JobSlice, quota: tuple[int, int], survey: PreemptionSurvey
     ) -> bool:
-        """Whether a gang can have its machines here by stopping work of lower priority.
+        """Stop other work and claim its machines for a gang, unless that is done already.
 
-        The least lost work is stopped first, and work of the gang's own team where the
-        team's share is what it lacks. With ``act`` the machines are claimed and the work is
-        stopped.
+        The parameters are those of :meth:`can_preempt_for`. Returns whether the gang has claims.
         """
-        job, spec = job_slice.spec.id, job_slice.spec
-        if any(claim[0] == job for claim in self.claims.values()):
+        job = gang.spec.id
+        if self._has_claims(job):
             return True
-        level = PRIORITY_RANKS[spec.priority]
-        used, wanted = shard.usage(spec.team)[0], len(job_slice.pending) * job_slice.resources[0]
-        # What the share lacks at least, whatever is stopped for its room.
-        if share[0] + survey.stoppable(spec.team, level) < used + wanted:
+        plan = self._plan(shard, gang, quota, survey)
+        if plan is None:
             return False
-        chosen = self._cheapest(shard, job_slice, level, survey)
-        if chosen is None:
-            return False
-        stopped = [task for _, victims in chosen for task in victims]
-        # What the share lacks, less what the victims free of it.
-        lack = wanted - (share[0] - used)
-        lack -= sum(task.resources[0] for task in stopped if task.team == spec.team)
-        own = survey.of_team(spec.team, level, lack, stopped)
-        if own is None:
-            return False
-        if act:
-            shard.stop_tasks(own, StopReason.PREEMPTED)
-            self._claim(shard, job, chosen)
-            survey.stopped(spec.team)
+        shard.stop_tasks(plan.quota_victims, StopReason.PREEMPTED)
+        heartbeat_s = self._context.settings.cluster.workers.report_s
+        expires_at = self._context.now + CLAIM_HEARTBEATS * heartbeat_s
+        for cleared in plan.machines:
+            self.claims[cleared.machine.name] = Claim(job, expires_at)
+            shard.stop_tasks(cleared.victims, StopReason.PREEMPTED)
+        survey.forget_team(gang.spec.team)
         return True
 
-    def _cheapest(
-        self, shard: Shard, job_slice: JobSlice, level: int, survey: PreemptionSurvey
-    ) -> list[tuple[str, list[PlacedTask]]] | None:
-        """Choose machines for a gang, with what is to be stopped there; None if too few."""
-        lacking = len(job_slice.pending)
-        chosen: list[tuple[str, list[PlacedTask]]] = []
-        for _, name, machine in sorted(
-            self._options(job_slice, level, survey), key=lambda x: x[:2]
-        ):
-            if lacking <= 0:
+    def _plan(
+        self, shard: Shard, gang: JobSlice, quota: tuple[int, int], survey: PreemptionSurvey
+    ) -> _PreemptionPlan | None:
+        """Choose what to stop for a gang; None if that does not suffice.
+
+        The least lost work is stopped first, and work of the gang's own team where the quota is
+        what it lacks.
+        """
+        team, rank = gang.spec.team, PRIORITY_RANKS[gang.spec.priority]
+        used_cpus = shard.usage(team)[0]
+        needed_cpus = gang.pending.count * gang.resources[0]
+        if quota[0] + survey.preemptible_cpus(team, rank) < used_cpus + needed_cpus:
+            return None
+        machines = self._cheapest_machines(shard, gang, rank, survey)
+        if machines is None:
+            return None
+        victims = [task for cleared in machines for task in cleared.victims]
+        # What the quota lacks, less what the victims free of it.
+        lacking_cpus = needed_cpus - (quota[0] - used_cpus)
+        lacking_cpus -= sum(task.resources[0] for task in victims if task.team == team)
+        quota_victims = survey.tasks_freeing(team, rank, lacking_cpus, victims)
+        if quota_victims is None:
+            return None
+        return _PreemptionPlan(machines, quota_victims)
+
+    def _cheapest_machines(
+        self, shard: Shard, gang: JobSlice, rank: int, survey: PreemptionSurvey
+    ) -> list[_ClearedMachine] | None:
+        """Choose machines for a gang, with the tasks to stop there; None if too few."""
+        lacking_tasks = gang.pending.count
+        chosen: list[_ClearedMachine] = []
+        options = self._options(gang, rank, survey)
+        options.sort(key=lambda option: (option.lost_work, option.machine.name))
+        for option in options:
+            if lacking_tasks <= 0:
                 break
-            # Counted afresh: something may have been placed or stopped since the survey.
+            # Counted again: something may have been placed or stopped since the survey.
+            machine = option.machine
             victims: list[PlacedTask] = []
-            fits = tasks_that_fit(machine, job_slice.resources)
+            fits = tasks_that_fit(machine, gang.resources)
             if not fits:
-                if any(task.stop_grace_s is not None for task in machine.tasks.values()):
+                if _has_stopping_tasks(machine):
                     continue
-                victims = self._victims(shard, machine, level)
-                fits = self._without(machine, victims, job_slice.resources)
+                victims = preemptible_tasks(shard, machine, rank)
+                fits = tasks_in(free_without(machine, victims), gang.resources)
             if fits:
-                chosen.append((name, victims))
-                lacking -= fits
-        return chosen if lacking <= 0 else None
-
-    def _options(
-        self, job_slice: JobSlice, level: int, survey: PreemptionSurvey
-    ) -> list[tuple[float, str, Machine]]:
-        """Machines that a gang could have, with the work lost for each of its tasks there."""
-        options: list[tuple[float, str, Machine]] = []
-        for machine, lost, after in survey.machines(level):
+                chosen.append(_ClearedMachine(machine, victims))
+                lacking_tasks -= fits
+        return chosen if lacking_tasks <= 0 else None
+
+    def _options(self, gang: JobSlice, rank: int, survey: PreemptionSurvey) -> list[_Option]:
+        """Machines that a gang could have, by the survey."""
+        options: list[_Option] = []
+        spec, resources = gang.spec, gang.resources
+        for surveyed in survey.machines(rank):
+            machine = surveyed.machine
             if (
-                after[0] < job_slice.resources[0]
-                or self.is_claimed(machine, job_slice.spec.id)
-                or not may_run_on_machine(job_slice.spec, machine)
+                surveyed.free_after[0] < resources[0]
+                or self.is_claimed(machine, spec.id)
+                or not may_run_on_machine(spec, machine)
             ):
                 continue
-            if tasks_that_fit(machine, job_slice.resources):
-                options.append((0.0, machine.name, machine))
-            elif fits := _holds(after, job_slice.resources):
-                options.append((lost / fits, machine.name, machine))
+            if tasks_that_fit(machine, resources):
+                options.append(_Option(0.0, machine))
+            elif fits := tasks_in(surveyed.free_after, resources):
+                options.append(_Option(surveyed.lost_work / fits, machine))
         return options
 
-    def _claim(self, shard: Shard, job: str, chosen: list[tuple[str, list[PlacedTask]]]) -> None:
-        """Clear machines for a job."""
-        report_s = self._context.settings.cluster.workers.report_s
-        until = self._context.now + CLAIM_REPORTS * report_s
-        for name, victims in chosen:
-            self.claims[name] = (job, until)
-            shard.stop_tasks(victims, StopReason.PREEMPTED)
+    # --- summaries -------------------------------------------------------------------------
 
     def preemptible_capacity(self, shard: Shard) -> list[FreeCapacity]:
-        """Room that a hurried class could have here by stopping lower-priority work."""
-        coming: list[JobSpec] = [
+        """What latency-sensitive classes of gangs could have free here by preemption."""
+        specs = [
             gangs.spec
             for gangs in self._arrivals.expected_gangs.values()
             if gangs.is_latency_sensitive
         ]
-        if not coming:
+        if not specs:
             return []
-        level = max(PRIORITY_RANKS[x.priority] for x in coming)
-        out: list[FreeCapacity] = []
+        rank = max(PRIORITY_RANKS[spec.priority] for spec in specs)
+        capacities: list[FreeCapacity] = []
         for machine in shard.machines.values():
             if (
                 not machine.tasks
                 or not machine.is_usable(self._context.now)
                 or self.is_claimed(machine)
+                or not any(may_run_on_machine(spec, machine) for spec in specs)
             ):
                 continue
-            if not any(may_run_on_machine(x, machine) for x in coming):
-                continue
-            victims = self._victims(shard, machine, level)
-            if not victims or any(task.stop_grace_s is not None for task in machine.tasks.values()):
+            victims = preemptible_tasks(shard, machine, rank)
+            if not victims or _has_stopping_tasks(machine):
                 continue
-            free = [machine.free[i] + sum(task.resources[i] for task in victims) for i in range(3)]
-            if any(all(f >= x for f, x in zip(free, k.resources, strict=True)) for k in coming):
-                out.append(
-                    (machine.type_name, machine.zone, machine.spot, free[0], free[1], free[2])
+            free = free_without(machine, victims)
+            if any(
+                all(amount >= x for amount, x in zip(free, spec.resources, strict=True))
+                for spec in specs
+            ):
+                cpus, gpus, memory = free
+                capacities.append(
+                    (machine.type_name, machine.zone, machine.spot, cpus, gpus, memory)
                 )
-        return out
+        return capacities
+
+
+def _has_stopping_tasks(machine: Machine) -> bool:
+    """Whether tasks on a machine are being stopped."""
+    return any(task.stop_grace_s is not None for task in machine.tasks.values())
--- /dev/null
+++ b/marblestair/core/scheduling/preemption_survey.py
@@ -0,0 +1,134 @@
+"""What work of a shard could be preempted, by the rank of the priority that asks."""
+
+from __future__ import annotations
+
+import msgspec
+
+from marblestair.core.domain.amounts import Resources
+from marblestair.core.domain.jobs import PRIORITY_RANKS
+from marblestair.core.shard.machine import Machine, PlacedTask
+from marblestair.core.shard.shard import Shard
+
+
+class SurveyedMachine(msgspec.Struct):
+    """A usable machine, and what preemption would yield there."""
+
+    machine: Machine
+    #: cpu seconds of work that would be lost, in fixed point
+    lost_work: float
+    #: what would be free, in fixed point
+    free_after: list[int]
+
+
+def preemptible_tasks(shard: Shard, machine: Machine, rank: int) -> list[PlacedTask]:
+    """Tasks on a machine that may be preempted for work whose priority has a rank."""
+    tasks = []
+    for task in machine.tasks.values():
+        job_slice = shard.slices.get(task.job)
+        if job_slice is None or PRIORITY_RANKS[job_slice.spec.priority] < rank:
+            tasks.append(task)
+    return tasks
+
+
+def free_without(machine: Machine, tasks: list[PlacedTask]) -> list[int]:
+    """What is free on a machine once some of its tasks are gone, in fixed point."""
+    free = list(machine.free)
+    for task in tasks:
+        for i in (0, 1, 2):
+            free[i] += task.resources[i]
+    return free
+
+
+def tasks_in(free: list[int], resources: Resources) -> int:
+    """How many tasks fit into free capacity; none if they take nothing at all."""
+    fits = (amount // x for amount, x in zip(free, resources, strict=True) if x > 0)
+    return max(0, min(fits, default=0))
+
+
+class PreemptionSurvey:
+    """What work of a shard could be preempted, counted once for all that ask in one pass."""
+
+    def __init__(self, shard: Shard, now: float) -> None:
+        self._shard = shard
+        self._now = now
+        self._machines: dict[int, list[SurveyedMachine]] = {}
+        #: team and rank -> its tasks of lower priority, in the order in which they are preempted
+        self._tasks: dict[tuple[str, int], list[PlacedTask]] = {}
+        #: team and rank -> cpus of those tasks, in fixed point
+        self._cpus: dict[tuple[str, int], int] = {}
+
+    def machines(self, rank: int) -> list[SurveyedMachine]:
+        """Usable machines of the shard, with what preemption for a rank would yield."""
+        surveyed = self._machines.get(rank)
+        if surveyed is None:
+            surveyed = self._machines[rank] = self._survey_machines(rank)
+        return surveyed
+
+    def _survey_machines(self, rank: int) -> list[SurveyedMachine]:
+        surveyed = []
+        now = self._now
+        for machine in self._shard.machines.values():
+            if not machine.is_usable(now):
+                continue
+            free, lost_work = list(machine.free), 0.0
+            for task in preemptible_tasks(self._shard, machine, rank):
+                for i in (0, 1, 2):
+                    free[i] += task.resources[i]
+                if task.running_since is not None:
+                    lost_work += task.resources[0] * (now - task.running_since)
+            surveyed.append(SurveyedMachine(machine, lost_work, free))
+        return surveyed
+
+    def preemptible_cpus(self, team: str, rank: int) -> int:
+        """Cpus of a team's tasks here that may be preempted for a rank, in fixed point."""
+        self._tasks_of(team, rank)
+        return self._cpus[(team, rank)]
+
+    def tasks_freeing(
+        self, team: str, rank: int, cpus: int, besides: list[PlacedTask]
+    ) -> list[PlacedTask] | None:
+        """Choose tasks of a team whose end frees so many cpus of its quota here.
+
+        Tasks that are being stopped already come first, then the latest started. Those that end
+        in any case (``besides``) are left out. None if there are not enough.
+        """
+        chosen: list[PlacedTask] = []
+        if cpus <= 0:
+            return chosen
+        left_out = {id(task) for task in besides}
+        for task in self._tasks_of(team, rank):
+            if cpus <= 0:
+                break
+            if id(task) not in left_out:
+                chosen.append(task)
+                cpus -= task.resources[0]
+        return None if cpus > 0 else chosen
+
+    def _tasks_of(self, team: str, rank: int) -> list[PlacedTask]:
+        """Tasks of a team that may be preempted for a rank, in the order of preemption."""
+        tasks = self._tasks.get((team, rank))
+        if tasks is None:
+            tasks = []
+            for job_slice in self._shard.slices.values():
+                spec = job_slice.spec
+                if spec.team != team or PRIORITY_RANKS[spec.priority] >= rank:
+                    continue
+                for index, machine in job_slice.placed_on.items():
+                    task = machine.tasks.get((spec.id, index))
+                    if task is not None:
+                        tasks.append(task)
+            tasks.sort(key=self._preemption_order)
+            self._tasks[(team, rank)] = tasks
+            self._cpus[(team, rank)] = sum(task.resources[0] for task in tasks)
+        return tasks
+
+    def _preemption_order(self, task: PlacedTask) -> tuple[bool, float]:
+        """Tasks that are being stopped come first; of the others, those with the least run time."""
+        if task.stop_grace_s is not None:
+            return False, 0.0
+        return True, 0.0 if task.running_since is None else self._now - task.running_since
+
+    def forget_team(self, team: str) -> None:
+        """Tasks of a team were stopped: their order has to be determined again."""
+        for key in [key for key in self._tasks if key[0] == team]:
+            del self._tasks[key]
--- /dev/null
+++ b/marblestair/core/scheduling/service_order.py
@@ -0,0 +1,162 @@
+"""The order in which the pending slices of a shard are served."""
+
+from __future__ import annotations
+
+from typing import NamedTuple, TypeAlias
+
+from marblestair.core.domain.jobs import PRIORITY_RANKS, JobSpec, Priority
+from marblestair.core.jobs.dependencies import DependencyGraph
+from marblestair.core.runtime.context import NodeContext
+from marblestair.core.scheduling.fleet_plan import FleetPlan
+from marblestair.core.scheduling.guarantees import Guarantees
+from marblestair.core.scheduling.run_times import RunTimes
+from marblestair.core.shard.failures import FailureAttribution
+from marblestair.core.shard.job_slice import JobSlice
+from marblestair.core.shard.shard import Shard
+
+#: what puts a job behind others: the sum of those that apply is compared before anything else
+QUARANTINED_PENALTY = 8
+BEST_EFFORT_PENALTY = 4
+OVERDUE_PENALTY = 2
+INFEASIBLE_PENALTY = 1
+#: a job is overdue when it cannot be done within its deadline and this share of it more
+OVERDUE_SHARE = 0.5
+#: slack of a job without a deadline when it becomes startable
+UNDATED_SLACK_S = 120.0
+
+#: penalties, whether it has to wait for urgent work, rank of the priority (negative), slack in
+#: seconds, and the job. A plain tuple: one is made and compared for each slice that is sorted, and
+#: a NamedTuple costs a call more for each.
+PriorityKey: TypeAlias = tuple[int, int, int, float, str]
+
+
+def priority_key(
+    spec: JobSpec,
+    *,
+    wall_time: float,
+    run_time_ratio: float,
+    startable_since: float | None = None,
+    is_guaranteed: bool = False,
+    is_infeasible: bool = False,
+    is_quarantined: bool = False,
+    is_best_effort: bool = False,
+    has_dependents: bool = False,
+) -> PriorityKey:
+    """Return the key by which jobs are served, the smallest first.
+
+    Guaranteed work and high priorities come first, then the priority, then the slack to the
+    deadline, or the age. Best-effort work comes after all other, and quarantined jobs, which
+    probably fail anyway, come last. A job on which others depend is never put off for its
+    deadline, which is only when they should begin.
+
+    Parameters
+    ----------
+    spec
+        The job, with the priority and the deadline by which it is scheduled.
+    wall_time
+        Time of day in seconds; later than the present for a class that operators prefer.
+    run_time_ratio
+        Factor that corrects the estimated run time.
+    startable_since
+        Time of day from which age counts; by default the acceptance.
+    is_guaranteed
+        Whether the job is within its team's guaranteed quota.
+    is_infeasible
+        Whether the team's limit does not let the job be done in time.
+    is_quarantined, is_best_effort, has_dependents
+        Whether the job probably fails, its team has no guarantee, and others depend on it.
+    """
+    penalty = QUARANTINED_PENALTY * is_quarantined + BEST_EFFORT_PENALTY * is_best_effort
+    if spec.deadline_s is not None:
+        slack_s = spec.accepted_at + spec.deadline_s - wall_time
+        slack_s -= spec.estimated_run_s * run_time_ratio
+        if not has_dependents:
+            is_overdue = slack_s + OVERDUE_SHARE * spec.deadline_s < 0
+            penalty += INFEASIBLE_PENALTY * is_infeasible + OVERDUE_PENALTY * is_overdue
+    else:
+        age_since = spec.accepted_at if startable_since is None else startable_since
+        slack_s = age_since - wall_time + UNDATED_SLACK_S
+    rank = PRIORITY_RANKS[spec.priority]
+    is_urgent = is_guaranteed or rank >= PRIORITY_RANKS[Priority.HIGH]
+    return (penalty, 0 if is_urgent else 1, -rank, slack_s, spec.id)
+
+
+def is_pending(shard: Shard, job_slice: JobSlice) -> bool:
+    """Whether a slice that was pending a moment ago still has tasks to start in a shard."""
+    return (
+        job_slice.pending.count > 0
+        and not job_slice.is_cancelled
+        and shard.slices.get(job_slice.spec.id) is job_slice
+    )
+
+
+class _Ordered(NamedTuple):
+    """The pending slices of a shard as they were sorted at a steady time."""
+
+    sorted_at: float
+    slices: list[JobSlice]
+
+
+class ServiceOrder:
+    """Sorts the pending slices of the shards that one node leads."""
+
+    def __init__(
+        self,
+        context: NodeContext,
+        failures: FailureAttribution,
+        run_times: RunTimes,
+        guarantees: Guarantees,
+        fleet_plan: FleetPlan,
+        dependencies: DependencyGraph,
+        deadline_offsets_s: dict[str, float],
+    ) -> None:
+        self._context = context
+        self._failures = failures
+        self._run_times = run_times
+        self._guarantees = guarantees
+        self._fleet_plan = fleet_plan
+        self._dependencies = dependencies
+        #: class -> seconds by which it is served earlier, from the operators' policy
+        self._deadline_offsets_s = deadline_offsets_s
+        self._latest: dict[int, _Ordered] = {}
+
+    def pending_slices(self, shard: Shard) -> list[JobSlice]:
+        """Return a shard's slices with pending tasks, in the order in which they are served.
+
+        They are sorted once for all callers at the same moment.
+        """
+        latest = self._latest.get(shard.shard_id)
+        if latest is not None and latest.sorted_at == self._context.now:
+            return [job_slice for job_slice in latest.slices if is_pending(shard, job_slice)]
+        slices = self._sorted_slices(shard)
+        self._latest[shard.shard_id] = _Ordered(self._context.now, slices)
+        return list(slices)
+
+    def _sorted_slices(self, shard: Shard) -> list[JobSlice]:
+        wall_time, teams = self._context.wall_time, self._context.teams
+        offsets_s, run_time_ratio = self._deadline_offsets_s, self._run_times.ratio
+        guaranteed, infeasible = self._guarantees.jobs, self._fleet_plan.infeasible_jobs
+        is_quarantined = self._failures.is_quarantined
+        has_dependents = self._dependencies.has_dependents
+
+        def sort_key(job_slice: JobSlice) -> PriorityKey:
+            spec = job_slice.spec
+            return priority_key(
+                spec,
+                wall_time=wall_time + offsets_s.get(spec.job_class, 0.0),
+                run_time_ratio=run_time_ratio(spec.job_class),
+                startable_since=job_slice.startable_since,
+                is_guaranteed=spec.id in guaranteed,
+                is_infeasible=spec.id in infeasible,
+                is_quarantined=is_quarantined(spec.id),
+                is_best_effort=teams[spec.team].is_best_effort,
+                has_dependents=has_dependents(spec.id),
+            )
+
+        slices = [
+            job_slice
+            for job_slice in shard.slices.values()
+            if job_slice.pending.count and not job_slice.is_cancelled
+        ]
+        slices.sort(key=sort_key)
+        return slices
--- a/marblestair/core/scheduling/slice_migration.py
+++ b/marblestair/core/scheduling/slice_migration.py
@@ -211,7 +211,7 @@
             )
             if hurried:
                 share = self._quotas.quota(shard, job_slice.spec.team)
-                if self._preemption.make_room(shard, job_slice, share, False, survey):
+                if self._preemption.can_preempt_for(shard, job_slice, share, survey):
                     continue
             best, count = None, 0
             if left.get(job_slice.spec.team, 0) >= job_slice.resources[0]:
--- a/tests/test_guest_teams.py
+++ b/tests/test_guest_teams.py
@@ -7,7 +7,7 @@
 from marblestair.core.capacity.decommissioning import nearly_empty_machines
 from marblestair.core.jobs.eligibility import rejection_reason
 from marblestair.core.leadership.shard_map import initial_shard_map
-from marblestair.core.scheduling.quota import priority_key
+from marblestair.core.scheduling.service_order import priority_key
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
 from marblestair.core.shard.shard import Shard
@@ -113,7 +113,7 @@
     low = spec(2, priority="low")
     guest = spec(3, team="guest", priority="high")
     keys = [
-        priority_key(job, False, False, 1000.0, 1.0, False, job.team == "guest")
+        priority_key(job, wall_time=1000.0, run_time_ratio=1.0, is_best_effort=job.team == "guest")
         for job in (low, late, guest)
     ]
     assert keys == sorted(keys)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -9,7 +9,7 @@
 import pytest
 
 from marblestair import cli
-from marblestair.core.scheduling.quota import priority_key
+from marblestair.core.scheduling.service_order import priority_key
 from marblestair.policy import PolicyError, load
 from tests.fakes.deployment import settings, spec
 
@@ -26,8 +26,9 @@
     assert p.lead_s == {"urgent": 30.0}
     # A class with a lead is served as if it were due that much earlier.
     a, b = spec(1, deadline_s=100.0), spec(2, deadline_s=110.0)
-    assert priority_key(a, False, False, 0.0, 1.0) < priority_key(b, False, False, 0.0, 1.0)
-    assert priority_key(b, False, False, 30.0, 1.0) < priority_key(a, False, False, 0.0, 1.0)
+    key_a = priority_key(a, wall_time=0.0, run_time_ratio=1.0)
+    assert key_a < priority_key(b, wall_time=0.0, run_time_ratio=1.0)
+    assert priority_key(b, wall_time=30.0, run_time_ratio=1.0) < key_a
 
 
 @pytest.mark.parametrize(
