--- a/marblestair/core/scheduling/migration_planner.py
+++ b/marblestair/core/scheduling/migration_planner.py
@@ -85,7 +85,7 @@
             may_preempt = spec.kind == JobKind.GANG and self._arrivals.is_latency_sensitive(spec)
             if may_preempt:
                 quota = self._quotas.quota(shard, spec.team)
-                if self._preemption.make_room(shard, job_slice, quota, False, survey):
+                if self._preemption.can_preempt_for(shard, job_slice, quota, survey):
                     continue
             target = None
             if most_free_cpus.get(spec.team, 0) >= job_slice.resources[0]:
