--- a/marblestair/core/controller.py
+++ b/marblestair/core/controller.py
@@ -65,6 +65,7 @@
 from marblestair.core.scheduling.guarantees import Guarantees
 from marblestair.core.scheduling.inherited_urgency import InheritedUrgency
 from marblestair.core.scheduling.machine_transfers import MachineTransfers
+from marblestair.core.scheduling.migration_planner import MigrationPlanner
 from marblestair.core.scheduling.preemption import Preemption
 from marblestair.core.scheduling.quota_ledger import QuotaLedger
 from marblestair.core.scheduling.quota_transfers import QuotaTransfers
@@ -72,16 +73,19 @@
 from marblestair.core.scheduling.shard_summary import ShardSummarizer
 from marblestair.core.scheduling.slice_assignment import SliceAssigner
 from marblestair.core.scheduling.slice_migration import SliceMigrations
+from marblestair.core.shard.agent_leases import expire_agent_leases
 from marblestair.core.shard.boot_times import BootTimes
+from marblestair.core.shard.commands import overdue_stops
 from marblestair.core.shard.failures import FailureAttribution
 from marblestair.core.shard.heartbeat_response import HeartbeatResponse
+from marblestair.core.shard.reclaimed_machines import evict_from_reclaimed_machines
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state.machine_catalog import MachineCatalog
 from marblestair.core.state.store_follower import StoreFollower
 from marblestair.core.state.store_view import StoreView
 from marblestair.core.status import StatusReport
 from marblestair.core.view_synchronizer import ViewSynchronizer
-from marblestair.settings import Settings
+from marblestair.settings.model import Settings
 
 #: pause between two turns of summaries and migrations, and of quota transfers, in seconds
 SUMMARY_PAUSE_S, REBALANCE_PAUSE_S = 0.4, 1.0
@@ -287,9 +291,11 @@
             self.summarizer,
         )
         self.slice_migrations = SliceMigrations(
+            context, view, leadership, self.migration_locks, self.reader
+        )
+        self.migration_planner = MigrationPlanner(
             context,
             view,
-            leadership,
             self.quotas,
             self.quota_transfers,
             self.summaries,
@@ -297,8 +303,7 @@
             self.arrivals,
             self.preemption,
             self.dispatcher,
-            self.migration_locks,
-            self.reader,
+            self.slice_migrations,
         )
 
     def _compose_capacity(self, tuning: Tuning) -> None:
@@ -482,7 +487,7 @@
             self._next_summary_at = now + SUMMARY_PAUSE_S
             self._publish_summaries(led_shards)
             for shard in led_shards:
-                self.slice_migrations.migrate_pending(shard)
+                self.migration_planner.migrate_pending(shard)
                 self.machine_transfers.transfer_idle_machines(shard)
         if now >= self._next_rebalance_at:
             self._next_rebalance_at = now + REBALANCE_PAUSE_S
@@ -490,9 +495,10 @@
             self.quota_transfers.rebalance(led_shards)
 
     def _tick_shard(self, shard: Shard, now: float) -> None:
-        shard.tick(now)
+        evict_from_reclaimed_machines(shard, now)
+        expire_agent_leases(shard, now)
         self.dispatcher.place_all(shard)
-        for machine, commands in shard.overdue_stops(now):
+        for machine, commands in overdue_stops(shard, now):
             self.context.decisions.count(Decision.STOP, "direct", len(commands))
             command = DirectCommand(
                 machine.address, shard.term, machine.agent_incarnation, commands
--- a/marblestair/core/jobs/manager_steps.py
+++ b/marblestair/core/jobs/manager_steps.py
@@ -15,7 +15,7 @@
 class ManagerStep(enum.Enum):
     """A step of a job's manager; all but one change the job's record."""
 
-    #: write the record as it is, so that an uncertain change is either found applied or can never be
+    #: write the record as it is: an uncertain change is then either found applied or can never be
     REWRITE = enum.auto()
     #: have a committed cancel applied by every leader that may act
     PROPAGATE_CANCEL = enum.auto()
--- a/tests/core/capacity/test_decommissioning.py
+++ b/tests/core/capacity/test_decommissioning.py
@@ -35,7 +35,7 @@
 ) -> None:
     """Have a task of a job run on a machine since a moment."""
     job_slice = shard.slices.setdefault(spec.id, JobSlice(spec))
-    shard.launch(machine, job_slice, index, attempt, since)
+    shard.launch(machine, job_slice, index, attempt)
     task = machine.tasks[(spec.id, index)]
     task.state, task.running_since = "running", since
 
@@ -71,7 +71,7 @@
 def test_only_an_empty_faulty_machine_is_returned(shard: Shard) -> None:
     for name in ("good", "bad", "bad-in-use"):
         add_machine(shard, name, MACHINE_TYPES[0], 100.0)
-    shard.launch(shard.machines["bad-in-use"], JobSlice(job_spec(9)), 0, 1, 100.0)
+    shard.launch(shard.machines["bad-in-use"], JobSlice(job_spec(9)), 0, 1)
     shard.failures.record_success("job", "good")
     for _ in range(3):
         for name in ("bad", "bad-in-use"):
--- a/tests/core/capacity/test_planning.py
+++ b/tests/core/capacity/test_planning.py
@@ -12,11 +12,11 @@
 def test_work_bound_to_a_zone_gets_machines_there_though_other_zones_have_some() -> None:
     types = {machine_type.name: machine_type for machine_type in MACHINE_TYPES}
     available = [
-        AvailableMachine(f"a{index}", types["t8"], "a", False, False, 5.0, 100.0)
+        AvailableMachine(f"a{index}", types["t8"], "a", False, False, 5.0, 100.0, 0)
         for index in range(5)
     ]
     available.append(
-        AvailableMachine("b0", types["t4"], "b", False, False, -1.0, 100.0, used_cpus=4_000_000)
+        AvailableMachine("b0", types["t4"], "b", False, False, None, 100.0, 0, used_cpus=4_000_000)
     )
     spec = job_spec(1, task_count=40, zone="b", estimated_run_s=10.0)
     load = JobLoad(spec, 36, 4, 20.0, 10.0, 36)
--- a/tests/core/scheduling/test_best_effort.py
+++ b/tests/core/scheduling/test_best_effort.py
@@ -8,7 +8,7 @@
 
 from marblestair.core.jobs.eligibility import rejection_reason
 from marblestair.core.leadership.shard_map import initial_shard_map
-from marblestair.core.scheduling.quota import priority_key
+from marblestair.core.scheduling.service_order import priority_key
 from marblestair.settings import UNLIMITED, Team
 from tests.fakes.samples import MACHINE_TYPES, job_spec
 from tests.fakes.simulated_deployment import SimulatedDeployment
@@ -101,7 +101,9 @@
     low = job_spec(2, priority="low")
     best_effort = job_spec(3, team="guest", priority="high")
     order = [
-        priority_key(spec, False, False, 1000.0, 1.0, False, spec.team == "guest")
+        priority_key(
+            spec, wall_time=1000.0, run_time_ratio=1.0, is_best_effort=spec.team == "guest"
+        )
         for spec in (low, late, best_effort)
     ]
     assert order == sorted(order)
--- a/tests/core/scheduling/test_gangs.py
+++ b/tests/core/scheduling/test_gangs.py
@@ -6,6 +6,7 @@
 
 import pytest
 
+from marblestair.core.shard.machine import CordonReason
 from marblestair.core.state import keys
 from tests.fakes.agent import FakeAgent
 from tests.fakes.samples import job_spec, wait_objective
@@ -64,13 +65,13 @@
     controller, shard = next(pair for pair in led_shards(deployment) if pair[1].machines)
     summarize = controller.summarizer.summarize
     machine = next(iter(shard.machines.values()))
-    machine.is_draining = True
+    machine.cordon = CordonReason.TRANSFER
     summary = summarize(shard)
     assert machine.name not in summary.leaving_machines
     assert machine.name not in [name for name, _ in summary.idle_machines]
-    machine.is_returning = True
+    machine.cordon = CordonReason.RETURN
     assert machine.name in summarize(shard).leaving_machines
-    machine.is_draining = machine.is_returning = False
+    machine.cordon = None
     assert deployment.users.wait_until_done(gang, 90.0)
     rented_types = [agent.machine_type.name for agent in deployment.agents.values()]
     assert rented_types.count("m32") == 4
--- a/tests/core/shard/test_reconciliation.py
+++ b/tests/core/shard/test_reconciliation.py
@@ -7,6 +7,7 @@
 import msgspec
 
 from marblestair.core.domain.agents import CommandVerb, ExitReason
+from marblestair.core.shard.heartbeats import receive_heartbeat
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
 from marblestair.core.shard.shard import Shard
@@ -49,12 +50,12 @@
     shard.unreconciled_machines.add(agent.name)
     job_slice.is_unreconciled = True
     before = msgspec.structs.replace(agent.next_heartbeat(), tasks=[])
-    assert shard.receive_heartbeat(before, deployment.now) == []
+    assert receive_heartbeat(shard, before, deployment.now) == []
     assert not machine.is_reconciled
     assert job_slice.is_unreconciled
     assert shard.usage("red")[0] == agent.machine_type.capacity[0]
     fenced = msgspec.structs.replace(agent.next_heartbeat(), fencing_token=TERM)
-    assert shard.receive_heartbeat(fenced, deployment.now) is not None
+    assert receive_heartbeat(shard, fenced, deployment.now) is not None
     assert machine.is_reconciled
     assert not job_slice.is_unreconciled
     assert len(job_slice.placed_on) == len(agent.live_tasks)
@@ -62,9 +63,9 @@
 
 def test_the_response_to_an_unreconciled_machine_stops_what_is_cancelled() -> None:
     deployment, agent, shard, _, job_slice = fail_over(4220)
-    assert shard.receive_heartbeat(agent.next_heartbeat(), deployment.now) == []
+    assert receive_heartbeat(shard, agent.next_heartbeat(), deployment.now) == []
     job_slice.is_cancelled = True
-    commands = shard.receive_heartbeat(agent.next_heartbeat(), deployment.now)
+    commands = receive_heartbeat(shard, agent.next_heartbeat(), deployment.now)
     assert commands
     assert {(command.verb, command.index) for command in commands} == {
         (CommandVerb.STOP, index) for _, index in agent.live_tasks
@@ -72,12 +73,12 @@
     # Once reconciled, tasks of jobs that are not known count against every team.
     del shard.slices[job_slice.spec.id]
     fenced = msgspec.structs.replace(agent.next_heartbeat(), fencing_token=TERM)
-    commands = shard.receive_heartbeat(fenced, deployment.now)
+    commands = receive_heartbeat(shard, fenced, deployment.now)
     assert commands
     assert all(command.verb == CommandVerb.STOP for command in commands)
     assert shard.usage("red")[0] == shard.usage("blue")[0] == agent.machine_type.capacity[0]
     empty = msgspec.structs.replace(agent.next_heartbeat(), fencing_token=TERM, tasks=[])
-    assert shard.receive_heartbeat(empty, deployment.now) == []
+    assert receive_heartbeat(shard, empty, deployment.now) == []
     assert shard.usage("red")[0] == 0
 
 
@@ -95,7 +96,7 @@
     is_forgotten: list[bool] = []
     for durable_bits in (0, 1 << index):
         shard.slices[job].durable_bits = durable_bits
-        commands = shard.receive_heartbeat(agent.next_heartbeat(), machine.last_heartbeat_at + 1.0)
+        commands = receive_heartbeat(shard, agent.next_heartbeat(), machine.last_heartbeat_at + 1.0)
         assert commands is not None
         is_forgotten.append(
             any(
--- a/tests/core/shard/test_unresponsive_agents.py
+++ b/tests/core/shard/test_unresponsive_agents.py
@@ -137,7 +137,8 @@
     job = users.submit(job_spec(2, task_count=24, estimated_run_s=4.0))
     machines = deployment.nodes.current("n0").leadership.shards[0].machines
     assert deployment.run_until(
-        lambda: all(machine.ignored_commands >= 2 for machine in machines.values()), 60.0
+        lambda: all(machine.responsiveness.ignored_commands >= 2 for machine in machines.values()),
+        60.0,
     )
     for agent in agents:
         agent.inbound_partitioned = False
--- a/tests/fakes/agent.py
+++ b/tests/fakes/agent.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Sequence
 from typing import TYPE_CHECKING
 
 from marblestair.core.domain.agents import (
@@ -221,7 +222,7 @@
         self.deployment.schedule(NEXT_NODE_PAUSE_S, self.send_heartbeat)
 
     def receive_direct_commands(
-        self, fencing_token: int, incarnation: int, commands: list[TaskCommand]
+        self, fencing_token: int, incarnation: int, commands: Sequence[TaskCommand]
     ) -> None:
         """Take direct commands, which may be late."""
         if not self.is_serving:
@@ -241,7 +242,7 @@
         )
         self.execute_commands(commands)
 
-    def execute_commands(self, commands: list[TaskCommand] | tuple[TaskCommand, ...]) -> None:
+    def execute_commands(self, commands: Sequence[TaskCommand]) -> None:
         """Start, stop and forget tasks."""
         for command in commands:
             key = (command.job, command.index)
--- a/tests/net/test_http_client.py
+++ b/tests/net/test_http_client.py
@@ -27,12 +27,11 @@
         self._under_way -= 1
 
 
-class FakeConnection(http_client._Conn):
+class FakeConnection(http_client.ClientConnection):
     """A connection whose requests are answered in the next turn of the event loop."""
 
     def __init__(self, meter: ConcurrencyMeter) -> None:
         super().__init__()
-        self.transport = FakeTransport()
         self._meter = meter
 
     def send(self, data: bytes) -> asyncio.Future[tuple[int, bytes]]:
@@ -55,8 +54,9 @@
 
     async def request_all() -> list[tuple[int, bytes]]:
         async def connect(*_: Any) -> tuple[Any, FakeConnection]:
-            connection = FakeConnection(meter)
-            return connection.transport, connection
+            connection, transport = FakeConnection(meter), FakeTransport()
+            connection.connection_made(transport)
+            return transport, connection
 
         asyncio.get_running_loop().create_connection = connect  # type: ignore[assignment,method-assign]
         addresses = [f"10.1.0.{number}:9" for number in range(300)]
@@ -65,4 +65,4 @@
 
     assert asyncio.run(request_all()) == [OK] * 300
     assert meter.most <= 5
-    assert sum(len(idle) for idle in client._idle.values()) == client._kept == 7
+    assert sum(len(idle) for idle in client._idle.values()) == client._idle_count == 7
--- a/tests/net/test_http_server.py
+++ b/tests/net/test_http_server.py
@@ -82,16 +82,16 @@
         """Connect a second later; whether the connection stays open."""
         clock[0] += 1.0
         connection, transport = connect(server)
-        connection.worker = is_agent
+        connection.is_from_agent = is_agent
         (agents if is_agent else users).append(transport)
         return not transport.closed
 
     for _ in range(3):
         connect_later(is_agent=False)
-    assert not server.crowded
+    assert not server.is_crowded
     for _ in range(3):
         connect_later(is_agent=True)
-    assert server.crowded
+    assert server.is_crowded
     assert not any(transport.closed for transport in users + agents)
     # All places are taken: the users idle for longest go, never an agent.
     assert all(connect_later(is_agent=True) for _ in range(3))
--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -4,13 +4,14 @@
 
 from typing import Any
 
-from marblestair.net.peers import PeerServer, _Framed, frame
+from marblestair.net.framing import FramedConnection, frame
+from marblestair.net.peers import PeerServer
 from tests.fakes.transport import FakeTransport
 
 
-def connect(server: PeerServer) -> tuple[_Framed, FakeTransport]:
+def connect(server: PeerServer) -> tuple[FramedConnection, FakeTransport]:
     """A new connection to a server."""
-    connection, transport = _Framed(server._message), FakeTransport()
+    connection, transport = FramedConnection(server._receive), FakeTransport()
     connection.connection_made(transport)
     return connection, transport
 
--- a/tests/scenarios/test_fleet_costs.py
+++ b/tests/scenarios/test_fleet_costs.py
@@ -12,7 +12,7 @@
 from marblestair.core.shard.failures import FailureAttribution
 from marblestair.core.state import keys
 from marblestair.core.state.store_view import StoreView
-from marblestair.net.peers import MAX_FRAME
+from marblestair.net.framing import MAX_FRAME
 from marblestair.settings import Workers
 from tests.fakes.samples import job_spec
 from tests.fakes.simulated_deployment import SimulatedDeployment
--- a/tests/test_compare_versions.py
+++ b/tests/test_compare_versions.py
@@ -50,7 +50,12 @@
 @pytest.mark.parametrize(
     ("pattern", "replacement", "shown"),
     [
-        pytest.param('"baton"', '"token"', "body.baton: ", id="a field of an answer"),
+        pytest.param(
+            r"baton: int\n",
+            r'baton: int = msgspec.field(name="token")\n',
+            "body.baton: ",
+            id="a field of an answer",
+        ),
         pytest.param(
             r"asyncio\.sleep\(([a-z_]+)\)", r"asyncio.sleep(\1 * 1.01)", "time_s: ", id="a pause"
         ),
@@ -146,10 +151,25 @@
     loop.call_later(2.5, lambda: network.kill(process, is_silent=False))
     loop.run_until(loop.time() + 10.0)
     assert not program.done()
+    # It never ends: without this, its destruction is logged in whichever test runs at that time.
+    program._log_destroy_pending = False
     assert served == ["hello", "tick", "tick"]
     assert seen == ["ConnectionResetError"]
 
 
+def test_timers_due_at_one_time_run_in_the_order_in_which_they_were_set():
+    for others in range(40):
+        loop = SimulatedLoop()
+        order: list[int] = []
+        due_s = loop.time() + 1.0
+        for number in range(others):
+            loop.call_at(due_s - 0.5 + (number * 7 % 40) / 40, lambda: None)
+        for number in range(10):
+            loop.call_at(due_s, order.append, number)
+        loop.run_until(due_s + 1.0)
+        assert order == list(range(10))
+
+
 def test_a_cut_holds_back_what_is_sent_and_delivers_it_in_order():
     loop = SimulatedLoop()
     network = Network(loop, "seed")
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -9,7 +9,7 @@
 import pytest
 
 from marblestair import cli
-from marblestair.core.scheduling.quota import priority_key
+from marblestair.core.scheduling.service_order import priority_key
 from marblestair.policy import PolicyError, load
 from tests.fakes.samples import job_spec, node_settings
 
@@ -23,13 +23,13 @@
     )
     policy = load(str(script), node_settings(0))
     tuning = policy.tuning
-    assert (tuning.margin, tuning.reserve, tuning.spare_gangs) == (0.2, 1.0, 2)
-    assert policy.lead_s == {"urgent": 30.0}
+    assert (tuning.capacity_margin, tuning.headroom_jobs, tuning.standby_gangs) == (0.2, 1.0, 2)
+    assert policy.deadline_offsets_s == {"urgent": 30.0}
     # A class with an offset is served as if it were due that much earlier.
     earlier, later = job_spec(1, deadline_s=100.0), job_spec(2, deadline_s=110.0)
-    earlier_key = priority_key(earlier, False, False, 0.0, 1.0)
-    assert earlier_key < priority_key(later, False, False, 0.0, 1.0)
-    assert priority_key(later, False, False, 30.0, 1.0) < earlier_key
+    earlier_key = priority_key(earlier, wall_time=0.0, run_time_ratio=1.0)
+    assert earlier_key < priority_key(later, wall_time=0.0, run_time_ratio=1.0)
+    assert priority_key(later, wall_time=30.0, run_time_ratio=1.0) < earlier_key
 
 
 @pytest.mark.parametrize(
