--- a/tests/core/capacity/test_late_machines.py
+++ b/tests/core/capacity/test_late_machines.py
@@ -39,18 +39,20 @@
 
 def test_work_does_not_wait_for_machines_that_never_boot(monkeypatch: pytest.MonkeyPatch) -> None:
     deployment = started(460)
-    boots = DelayedBoots(monkeypatch, None)
+    delayed_boots = DelayedBoots(monkeypatch, None)
     job = deployment.users.submit(job_spec(1, task_count=8, estimated_run_s=4.0))
-    assert deployment.run_until(lambda: bool(boots.agents), 20.0)
+    assert deployment.run_until(lambda: bool(delayed_boots.agents), 20.0)
     deployment.run(3.0)
-    boots.is_active = False
-    agent = boots.agents[0]
+    delayed_boots.is_active = False
+    agent = delayed_boots.agents[0]
     rented = set(deployment.agents)
     assert deployment.run_until(lambda: bool(deployment.agents.keys() - rented), 60.0)
     assert deployment.now - agent.rented_at < 2.2 * agent.machine_type.boot_s
     assert deployment.users.wait_until_done(job, 40.0)
     # What never booted is returned in the end.
-    assert deployment.run_until(lambda: all(agent.is_released for agent in boots.agents), 60.0)
+    assert deployment.run_until(
+        lambda: all(agent.is_released for agent in delayed_boots.agents), 60.0
+    )
     assert not deployment.rules.violations
 
 
@@ -58,10 +60,10 @@
     deployment = SimulatedDeployment(461, 3)
     deployment.cloud.capacity = 1
     deployment.run(START_UP_S)
-    boots = DelayedBoots(monkeypatch, 2.6)
+    delayed_boots = DelayedBoots(monkeypatch, 2.6)
     job = deployment.users.submit(job_spec(1, task_count=4, estimated_run_s=3.0))
     assert deployment.users.wait_until_done(job, 60.0)
-    assert deployment.tasks.machines_of(job) == {boots.agents[0].name}
+    assert deployment.tasks.machines_of(job) == {delayed_boots.agents[0].name}
     assert not deployment.rules.violations
 
 
--- a/tests/core/jobs/test_acceptance.py
+++ b/tests/core/jobs/test_acceptance.py
@@ -11,9 +11,7 @@
     users = deployment.users
     deployment.store_link.lost_response_ratio = 0.2
     deployment.store_link.late_commit_ratio = 0.05
-    cancelled, *others = [
-        users.submit(job_spec(number, task_count=4, estimated_run_s=4.0)) for number in range(1, 6)
-    ]
+    cancelled, *others = users.submit_many(range(1, 6), task_count=4, estimated_run_s=4.0)
     users.cancel(cancelled)
     assert all(users.wait_until_done(job, 300.0) for job in others)
     assert users.state_of(cancelled) in ("cancelled", "")
@@ -60,9 +58,7 @@
 def test_a_store_outage_refuses_submissions_for_now_and_loses_nothing() -> None:
     deployment = started(15)
     users = deployment.users
-    jobs = [
-        users.submit(job_spec(number, task_count=6, estimated_run_s=8.0)) for number in range(1, 4)
-    ]
+    jobs = users.submit_many(range(1, 4), task_count=6, estimated_run_s=8.0)
     deployment.run(8.0)
     deployment.store.start_outage()
     deployment.run(6.0)
--- a/tests/core/jobs/test_answers.py
+++ b/tests/core/jobs/test_answers.py
@@ -1,4 +1,4 @@
-"""An answer never goes back: what users are told while commits, reads and watches are late."""
+"""An answer never goes back: what users are answered while commits, reads and watches are late."""
 
 from __future__ import annotations
 
--- a/tests/core/jobs/test_cancellations.py
+++ b/tests/core/jobs/test_cancellations.py
@@ -10,10 +10,7 @@
 def test_cancels_that_race_launches_and_a_failover() -> None:
     deployment = started(7)
     users = deployment.users
-    *cancelled, other = [
-        users.submit(job_spec(number, task_count=12, estimated_run_s=20.0))
-        for number in range(1, 4)
-    ]
+    *cancelled, other = users.submit_many(range(1, 4), task_count=12, estimated_run_s=20.0)
     deployment.run(6.0)
     deployment.nodes.kill("n0", restart_after_s=6.0)
     assert [users.cancel(job) for job in cancelled] == ["cancelled", "cancelled"]
--- a/tests/core/jobs/test_dependency_answers.py
+++ b/tests/core/jobs/test_dependency_answers.py
@@ -1,4 +1,4 @@
-"""What users are told about jobs that depend on a cancelled one."""
+"""What users are answered about jobs that depend on a cancelled one."""
 
 from __future__ import annotations
 
--- a/tests/core/jobs/test_lookups.py
+++ b/tests/core/jobs/test_lookups.py
@@ -84,7 +84,7 @@
 
 @pytest.mark.parametrize("polls", [1, 5])
 def test_a_poll_is_never_answered_by_a_read_that_began_before_it(polls: int) -> None:
-    """Guards the sharing of reads: one under way may be older than what the user was told."""
+    """Guards the sharing of reads: one under way may be older than an earlier answer."""
     deployment = started(414)
     deployment.network.isolate("n0", "n1", "n2")
     recorder = Recorder(deployment, "n0")
@@ -120,10 +120,7 @@
     calls = {}
     for jobs in (3, 60):
         deployment = started(416)
-        ids = [
-            deployment.users.submit(job_spec(number, task_count=4, estimated_run_s=200.0))
-            for number in range(1, jobs + 1)
-        ]
+        ids = deployment.users.submit_many(range(1, jobs + 1), task_count=4, estimated_run_s=200.0)
         deployment.run(2.0)
         controller = deployment.nodes.controller(manager_of(deployment, ids[0]))
         calls[jobs] = count_calls(functools.partial(poll_often, controller, ids[0], 100)) / 100
--- a/tests/core/leadership/test_connectivity.py
+++ b/tests/core/leadership/test_connectivity.py
@@ -62,9 +62,7 @@
 def test_controllers_that_cannot_reach_each_other_serve_by_the_store() -> None:
     deployment = started(70)
     nodes, users = deployment.nodes, deployment.users
-    before = [
-        users.submit(job_spec(number, task_count=9, estimated_run_s=8.0)) for number in range(1, 4)
-    ]
+    before = users.submit_many(range(1, 4), task_count=9, estimated_run_s=8.0)
     deployment.run(10.0)
     isolate_controllers(deployment)
     deployment.run(4.0)
@@ -141,10 +139,7 @@
     Its agents' leases ran out, since a new leader that receives no heartbeat did not notice.
     """
     deployment = started(seed, teams=ONE_TEAM)
-    jobs = [
-        deployment.users.submit(job_spec(number, task_count=10, cpus=4.0, estimated_run_s=120.0))
-        for number in (1, 2)
-    ]
+    jobs = deployment.users.submit_many((1, 2), task_count=10, cpus=4.0, estimated_run_s=120.0)
     deployment.run(15.0)
     before = {
         name: agent.incarnation
--- a/tests/core/leadership/test_failover.py
+++ b/tests/core/leadership/test_failover.py
@@ -5,16 +5,12 @@
 import pytest
 
 from tests.fakes.network import STORE
-from tests.fakes.samples import job_spec
 from tests.helpers import incarnations, leader_of, leaders, started
 
 
 def test_failover_of_a_killed_leader_runs_no_task_twice() -> None:
     deployment = started(2)
-    jobs = [
-        deployment.users.submit(job_spec(number, task_count=9, estimated_run_s=12.0))
-        for number in range(1, 4)
-    ]
+    jobs = deployment.users.submit_many(range(1, 4), task_count=9, estimated_run_s=12.0)
     deployment.run(12.0)
     assert deployment.tasks.starts
     deployment.nodes.kill("n1", restart_after_s=8.0)
@@ -27,10 +23,7 @@
 
 def test_no_job_is_forgotten_when_all_controllers_are_killed() -> None:
     deployment = started(3)
-    jobs = [
-        deployment.users.submit(job_spec(number, task_count=5, estimated_run_s=10.0))
-        for number in range(1, 5)
-    ]
+    jobs = deployment.users.submit_many(range(1, 5), task_count=5, estimated_run_s=10.0)
     deployment.run(9.0)
     deployment.nodes.kill_all(restart_after_s=5.0)
     deployment.run(6.0)
@@ -41,10 +34,7 @@
 
 def test_controllers_restart_within_a_fraction_of_a_second() -> None:
     deployment = started(4)
-    jobs = [
-        deployment.users.submit(job_spec(number, task_count=8, estimated_run_s=10.0))
-        for number in range(1, 4)
-    ]
+    jobs = deployment.users.submit_many(range(1, 4), task_count=8, estimated_run_s=10.0)
     deployment.run(9.0)
     assert deployment.tasks.starts
     for name in deployment.nodes.names:
@@ -58,10 +48,7 @@
 
 def test_late_heartbeats_and_commands_of_an_earlier_leader_change_nothing() -> None:
     deployment = started(5)
-    jobs = [
-        deployment.users.submit(job_spec(number, task_count=9, estimated_run_s=15.0))
-        for number in range(1, 4)
-    ]
+    jobs = deployment.users.submit_many(range(1, 4), task_count=9, estimated_run_s=15.0)
     deployment.run(10.0)
     # All that goes to and from n0 is delayed, while another node takes its shard.
     deployment.network.isolate("n0", delay=True)
@@ -73,10 +60,7 @@
 
 def test_a_leader_cut_from_store_and_peers_stops_leading() -> None:
     deployment = started(6)
-    jobs = [
-        deployment.users.submit(job_spec(number, task_count=9, estimated_run_s=15.0))
-        for number in range(1, 4)
-    ]
+    jobs = deployment.users.submit_many(range(1, 4), task_count=9, estimated_run_s=15.0)
     deployment.run(8.0)
     # n2 still reaches its agents, but its authority must end.
     deployment.network.isolate("n2", STORE, "n0", "n1")
@@ -95,10 +79,7 @@
     deployment.store_link.late_commit_ratio = 0.1
     deployment.store_link.lost_response_ratio = 0.05
     deployment.agent_link.duplicate_ratio = 0.2
-    jobs = [
-        deployment.users.submit(job_spec(number, task_count=9, estimated_run_s=10.0))
-        for number in range(1, 5)
-    ]
+    jobs = deployment.users.submit_many(range(1, 5), task_count=9, estimated_run_s=10.0)
     for round_number in range(10):
         deployment.network.heal()
         deployment.network.isolate(deployment.nodes.names[round_number % 3], delay=True)
--- a/tests/core/leadership/test_pauses.py
+++ b/tests/core/leadership/test_pauses.py
@@ -96,9 +96,7 @@
     deployment.agent_link.duplicate_ratio, deployment.store_link.late_commit_ratio = 0.1, 0.02
     occurrence = 1 if point == "failover" else random.Random(seed).randint(1, 4)
     pause = PauseAt(deployment, point, occurrence, leases)
-    jobs = [
-        users.submit(job_spec(number, task_count=8, estimated_run_s=8.0)) for number in range(1, 4)
-    ]
+    jobs = users.submit_many(range(1, 4), task_count=8, estimated_run_s=8.0)
     cancelled = users.submit(job_spec(4, task_count=8, estimated_run_s=60.0))
     deployment.run(4.0)
     deployment.nodes.on_output = pause
@@ -111,10 +109,7 @@
             0.7 * deployment.lease_s, lambda: setattr(deployment.store, "is_down", False)
         )
     elif point == "acceptance":
-        jobs += [
-            users.submit(job_spec(number, task_count=4, estimated_run_s=5.0))
-            for number in range(10, 15)
-        ]
+        jobs += users.submit_many(range(10, 15), task_count=4, estimated_run_s=5.0)
     deployment.run(1.5)
     if point != "promise":
         assert users.cancel(cancelled) == "cancelled"
--- a/tests/core/runtime/test_decision_log.py
+++ b/tests/core/runtime/test_decision_log.py
@@ -1,4 +1,4 @@
-"""The log of decisions: it tells one cause of a broken rule from another, and stays bounded."""
+"""The log of decisions: it shows the cause of a broken rule, and stays bounded."""
 
 from __future__ import annotations
 
--- a/tests/core/scheduling/test_gangs.py
+++ b/tests/core/scheduling/test_gangs.py
@@ -31,10 +31,9 @@
 def test_whole_machine_gangs_collect_machines_from_all_shards_of_a_full_fleet() -> None:
     deployment = medium_fleet(8, 3, 9, 300.0)
     users, tasks = deployment.users, deployment.tasks
-    arrays = [
-        users.submit(job_spec(number, task_count=60, estimated_run_s=12.0, mem_gb=0.5, team="red"))
-        for number in range(1, 7)
-    ]
+    arrays = users.submit_many(
+        range(1, 7), task_count=60, estimated_run_s=12.0, mem_gb=0.5, team="red"
+    )
     deployment.run(15.0)
     submitted_at = deployment.now
     gangs = [
@@ -86,10 +85,7 @@
     """
     deployment = started(13)
     users, tasks = deployment.users, deployment.tasks
-    arrays = [
-        users.submit(job_spec(number, team="blue", task_count=150, estimated_run_s=4.0))
-        for number in (1, 2)
-    ]
+    arrays = users.submit_many((1, 2), team="blue", task_count=150, estimated_run_s=4.0)
     assert deployment.run_until(lambda: len(tasks.starts) >= 30, 60.0)
     gang = users.submit(
         job_spec(
--- a/tests/core/scheduling/test_quota.py
+++ b/tests/core/scheduling/test_quota.py
@@ -1,17 +1,13 @@
-"""Limits of teams hold whoever leads the shards."""
+"""Limits of teams are obeyed whoever leads the shards."""
 
 from __future__ import annotations
 
-from tests.fakes.samples import job_spec
 from tests.helpers import started
 
 
 def test_the_limit_of_a_team_holds_across_failovers() -> None:
     deployment = started(8)
-    jobs = [
-        deployment.users.submit(job_spec(number, team="blue", task_count=20, estimated_run_s=8.0))
-        for number in (1, 2)
-    ]
+    jobs = deployment.users.submit_many((1, 2), team="blue", task_count=20, estimated_run_s=8.0)
     for number in range(6):
         deployment.run(7.0)
         deployment.nodes.kill(deployment.nodes.names[number % 3], restart_after_s=2.0)
--- a/tests/core/shard/test_failing_jobs.py
+++ b/tests/core/shard/test_failing_jobs.py
@@ -54,9 +54,7 @@
     # Nothing is rented for what of it waits.
     assert len(agents) == rented
     assert not any(agents[name].is_released for name in rented_before)
-    others = [
-        users.submit(job_spec(number, task_count=6, estimated_run_s=3.0)) for number in (3, 4)
-    ]
+    others = users.submit_many((3, 4), task_count=6, estimated_run_s=3.0)
     assert all(users.wait_until_done(job, 25.0) for job in others)
     assert users.state_of(failing) in ("queued", "running")
     assert users.cancel(failing) == "cancelled"
@@ -104,10 +102,7 @@
     users.submit(job_spec(2, team="blue", task_count=8, estimated_run_s=300.0))
     deployment.run(15.0)
     deployment.serving_agents[0].fails_tasks = True
-    jobs = [
-        users.submit(job_spec(number, task_count=12, estimated_run_s=4.0))
-        for number in (3, 4, 5, 6)
-    ]
+    jobs = users.submit_many((3, 4, 5, 6), task_count=12, estimated_run_s=4.0)
     assert all(users.wait_until_done(job, 60.0) for job in jobs)
     assert not any(item.failures.quarantined_jobs() for item in deployment.nodes.running)
     assert len(deployment.nodes.running) == 3
--- a/tests/core/shard/test_unresponsive_agents.py
+++ b/tests/core/shard/test_unresponsive_agents.py
@@ -13,9 +13,7 @@
 def test_work_goes_around_machines_that_hang_or_fail_tasks() -> None:
     deployment = started(17)
     users = deployment.users
-    jobs = [
-        users.submit(job_spec(number, task_count=8, estimated_run_s=6.0)) for number in range(1, 4)
-    ]
+    jobs = users.submit_many(range(1, 4), task_count=8, estimated_run_s=6.0)
     deployment.run(10.0)
     hung, failing = deployment.serving_agents[:2]
     hung.is_unresponsive = True
@@ -42,9 +40,7 @@
         if start.at > since and start.machine != agent.name
     }
     assert lost <= restarted
-    jobs = [
-        users.submit(job_spec(number, task_count=8, estimated_run_s=4.0)) for number in range(2, 6)
-    ]
+    jobs = users.submit_many(range(2, 6), task_count=8, estimated_run_s=4.0)
     assert all(users.wait_until_done(job, 60.0) for job in [first, *jobs])
     # It was returned rather than paid for.
     deployment.run(3 * deployment.lease_s)
@@ -94,7 +90,7 @@
 def test_an_inbound_partitioned_machine_is_not_sent_launches_on_and_on() -> None:
     deployment = started(54, 1)
     users = deployment.users
-    jobs = [users.submit(job_spec(number, task_count=8, estimated_run_s=10.0)) for number in (1, 2)]
+    jobs = users.submit_many((1, 2), task_count=8, estimated_run_s=10.0)
     assert deployment.run_until(lambda: len(deployment.busy_agents) >= 2, 30.0)
     agent = deployment.busy_agents[0]
     agent.inbound_partitioned = True
@@ -113,9 +109,7 @@
 
     controller.receive_heartbeat = record_launches  # type: ignore[method-assign]
     deployment.cloud.capacity = sum(not item.is_released for item in deployment.agents.values())
-    jobs += [
-        users.submit(job_spec(number, task_count=30, estimated_run_s=5.0)) for number in (3, 4)
-    ]
+    jobs += users.submit_many((3, 4), task_count=30, estimated_run_s=5.0)
     deployment.run(2 * deployment.lease_s)
     assert not launches
     # It was returned, though its heartbeats arrived all the while and work waits.
--- a/tests/fakes/agent.py
+++ b/tests/fakes/agent.py
@@ -269,7 +269,7 @@
         self.tasks[(command.job, command.index)] = task
         ledger.record_agent(command.job, self)
         spec = ledger.specs[command.job]
-        if any(need > room for need, room in zip(spec.resources, free, strict=True)):
+        if any(need > amount for need, amount in zip(spec.resources, free, strict=True)):
             task.exit(ExitReason.NO_ROOM)
             return
         if self.fails_tasks or spec.job_class == FAILING_CLASS:
--- a/tests/fakes/nodes.py
+++ b/tests/fakes/nodes.py
@@ -78,7 +78,7 @@
 
     @property
     def raw_settings(self) -> dict[str, Any]:
-        """The settings of the first node, as its file holds them."""
+        """The settings of the first node, as its file contains them."""
         return self._raw_settings[0]
 
     @property
--- a/tests/fakes/production.py
+++ b/tests/fakes/production.py
@@ -97,7 +97,11 @@
 
 def _own_modules() -> dict[str, ModuleType]:
     prefix = PACKAGE + "."
-    return {k: v for k, v in sys.modules.items() if k == PACKAGE or k.startswith(prefix)}
+    return {
+        name: module
+        for name, module in sys.modules.items()
+        if name == PACKAGE or name.startswith(prefix)
+    }
 
 
 class Production:
@@ -105,7 +109,7 @@
 
     def __init__(self) -> None:
         self._modules: dict[str, ModuleType] = {}
-        # Kept for as long as the process runs: some imports come late.
+        # It stays for as long as the process runs: some imports come late.
         self._directory = tempfile.TemporaryDirectory()
         _extract(self._directory.name)
         with self.active():
@@ -187,7 +191,7 @@
 
 
 def _modules(names: Iterable[str]) -> list[str]:
-    """The modules that hold some structs, each once."""
+    """The modules of some structs, each once."""
     return list(dict.fromkeys(name.rpartition(".")[0] for name in names))
 
 
@@ -261,8 +265,8 @@
     @property
     def messages(self) -> list[Any]:
         return [
-            OutgoingMessage(note.node, WireMessage(note.tag, over_the_wire(note.args)))
-            for note in self._core.notes
+            OutgoingMessage(item.node, WireMessage(item.tag, over_the_wire(item.args)))
+            for item in self._core.notes
         ]
 
     @messages.setter
@@ -308,6 +312,7 @@
 
     @property
     def view(self) -> Any:
+        """The controller's view of the store."""
         return self.core.view
 
     @property
@@ -316,31 +321,40 @@
         return SimpleNamespace(completed_count=self.core.migrations.done)
 
     def start(self) -> None:
+        """Start the controller."""
         self.core.start()
 
     def set_time(self, now: float, wall: float) -> None:
+        """Set the steady and the wall clock."""
         self.core.set_time(now, wall)
 
     def tick(self) -> None:
+        """Do what is due."""
         self.core.tick()
 
     def complete(self, call: int, result: Any) -> None:
+        """Hand over the result of a request."""
         if isinstance(result, msgspec.Struct):
             self.core.complete(call, self._production.translate(result))
         else:
             self.core.complete(call, over_the_wire(result))
 
     def receive_heartbeat(self, heartbeat: Any) -> HeartbeatResponse:
-        status, token, orders, node = self.core.report(self._production.translate(heartbeat))
-        return HeartbeatResponse(status, token, to_present(orders), node)
+        """Handle a heartbeat; its response."""
+        status, fencing_token, commands, leader = self.core.report(
+            self._production.translate(heartbeat)
+        )
+        return HeartbeatResponse(status, fencing_token, to_present(commands), leader)
 
     def receive_message(self, node: str, tag: str, args: list[Any]) -> None:
+        """Handle a one-way message of another controller."""
         self.core.note(node, tag, over_the_wire(args))
 
     def receive_request(self, request: int, node: str, tag: str, args: list[Any]) -> None:
+        """Handle a request of another controller."""
         self.core.peer_request(request, node, tag, over_the_wire(args))
 
-    def request(self, what: str, number: int, arg: Any) -> None:
-        """A user's request."""
-        flow = getattr(self.core.requests, what)(number, self._production.translate(arg))
-        self.core.spawn(flow)
+    def request(self, kind: str, number: int, argument: Any) -> None:
+        """Have the controller handle a user's request."""
+        handle = getattr(self.core.requests, kind)
+        self.core.spawn(handle(number, self._production.translate(argument)))
--- a/tests/fakes/samples.py
+++ b/tests/fakes/samples.py
@@ -46,7 +46,7 @@
 
 
 def raw_node_settings(index: int, count: int = 3, **cluster: Any) -> dict[str, Any]:
-    """The settings of one node, as its file holds them."""
+    """The settings of one node, as its file contains them."""
     names = [f"n{place}" for place in range(count)]
     base: dict[str, Any] = dict(
         size=count,
--- a/tests/fakes/simulated_deployment.py
+++ b/tests/fakes/simulated_deployment.py
@@ -27,7 +27,7 @@
 from tests.fakes.tasks import TaskLedger
 from tests.fakes.users import SimulatedUsers
 
-#: latest lines of the controllers' logs that are kept
+#: latest lines of the controllers' logs that are remembered
 MAX_LOG_LINES = 20_000
 
 
@@ -118,7 +118,7 @@
         return [agent for agent in self.serving_agents if agent.live_tasks]
 
     def record_log(self, node: str, lines: list[LogLine]) -> None:
-        """Keep what a controller logs; an error is a defect."""
+        """Remember what a controller logs; an error is a defect."""
         errors = [line.text for line in lines if line.level == "error"]
         assert not errors, errors
         self.log += [LoggedLine(self.now, node, line.text) for line in lines]
--- a/tests/fakes/test_rules.py
+++ b/tests/fakes/test_rules.py
@@ -193,7 +193,7 @@
 
 
 def run_after_done(deployment: SimulatedDeployment) -> None:
-    """A task goes on though users were told that its job is done."""
+    """A task goes on though users were answered that its job is done."""
     start(deployment, 0, 0)
     deployment.tasks.done |= {(JOB, index) for index in range(6)}
     answer(deployment, "query", "done")
--- a/tests/fakes/users.py
+++ b/tests/fakes/users.py
@@ -1,14 +1,15 @@
-"""The users of a simulated deployment: requests, retries, and what they are told."""
+"""The users of a simulated deployment: requests, retries, and the replies."""
 
 from __future__ import annotations
 
 import functools
-from collections.abc import Callable
-from typing import TYPE_CHECKING, Literal, TypeAlias
+from collections.abc import Callable, Iterable
+from typing import TYPE_CHECKING, Any, Literal, TypeAlias
 
 from marblestair.core.domain.jobs import JobSpec
 from marblestair.core.runtime.outbox import UserReply
 from tests.fakes.production import ProductionController
+from tests.fakes.samples import job_spec
 
 if TYPE_CHECKING:
     from tests.fakes.simulated_deployment import SimulatedDeployment
@@ -92,6 +93,10 @@
             deployment.run(RETRY_PAUSE_S)
         raise AssertionError(f"{spec.id} was not accepted")
 
+    def submit_many(self, numbers: Iterable[int], **changes: Any) -> list[str]:
+        """Submit jobs that differ only in their numbers, one after another; their ids."""
+        return [self.submit(job_spec(number, **changes)) for number in numbers]
+
     def cancel(self, job: str) -> str:
         """Cancel a job, with retries, until a state is answered; that state."""
         deployment = self._deployment
--- a/tests/fakes/waiting_rule.py
+++ b/tests/fakes/waiting_rule.py
@@ -24,7 +24,7 @@
     capacity: list[int]
 
     def fitting_tasks(self, spec: JobSpec) -> int:
-        """How many tasks of a job the free capacity can hold."""
+        """How many tasks of a job fit the free capacity."""
         return min(
             (
                 free // need
--- a/tests/net/test_http_server.py
+++ b/tests/net/test_http_server.py
@@ -93,7 +93,7 @@
         connect_later(is_agent=True)
     assert server.is_crowded
     assert not any(transport.closed for transport in users + agents)
-    # All places are taken: the users idle for longest go, never an agent.
+    # All places are occupied: the users idle for longest go, never an agent.
     assert all(connect_later(is_agent=True) for _ in range(3))
     assert all(transport.closed for transport in users)
     assert not any(transport.closed for transport in agents)
--- a/tests/scenarios/overlapping_failures.py
+++ b/tests/scenarios/overlapping_failures.py
@@ -91,6 +91,7 @@
 
 
 def single_zone_jobs(play: FailurePlay) -> None:
+    """Jobs bound to one zone lose machines."""
     play.submit(3, single_zone=True, kind="array", task_count=6, estimated_run_s=25.0)
     play.submit(1, single_zone=True, kind="gang", task_count=4)
     play.wait(8.0, 14.0)
@@ -101,6 +102,7 @@
 
 
 def isolated_leader_that_users_reach(play: FailurePlay) -> None:
+    """A leader is cut from store and peers, not from agents and users."""
     node = play.draw_node()
     others = [name for name in play.deployment.nodes.names if name != node]
     play.deployment.network.isolate(node, STORE, *others)
@@ -110,6 +112,7 @@
 
 
 def delayed_heartbeats(play: FailurePlay) -> None:
+    """Heartbeats are delayed until a new leader leads."""
     network = play.deployment.network
     play.deployment.agent_link.duplicate_ratio = 0.5
     for _ in range(2):
@@ -124,6 +127,7 @@
 
 
 def more_work_than_capacity(play: FailurePlay) -> None:
+    """More work than the fleet can run, of all priorities, with slow image fetches."""
     cloud = play.deployment.cloud
     cloud.capacity, play.deployment.tasks.fetch_s = 3, 4.0
     for priority in ("low", "normal", "production", "high"):
@@ -149,6 +153,7 @@
 
 
 def team_at_its_limit(play: FailurePlay) -> None:
+    """A team at its limit, a failover, agents that cannot be reached, a cancel."""
     long = play.submit(1, team="blue", kind="array", task_count=16, estimated_run_s=80.0)[0]
     play.submit(2, team="blue", kind="array", task_count=14, estimated_run_s=12.0)
     play.wait(8.0, 14.0)
@@ -173,6 +178,7 @@
 
 
 def requests_at_the_last_task(play: FailurePlay) -> None:
+    """Polls, cancels and repeated submissions at the last task of jobs."""
     jobs = play.submit(6, kind="array", task_count=2, estimated_run_s=4.0)
     for _ in range(150):
         play.deployment.run(0.2)
@@ -183,6 +189,7 @@
 
 
 def isolated_zone(play: FailurePlay) -> None:
+    """Half of the machines and a controller are cut off for longer than a lease."""
     node = play.draw_node()
     agents = [name for name in play.deployment.agents if play.rng.random() < 0.5]
     play.deployment.network.isolate_group([node, *agents])
@@ -192,6 +199,7 @@
 
 
 def late_commits(play: FailurePlay) -> None:
+    """Commits are carried out late, after newer ones of the same controller."""
     play.deployment.store_link.late_commit_ratio = 0.25
     for _ in range(3):
         play.submit(1)
@@ -203,6 +211,7 @@
 
 
 def tasks_that_end_far_apart(play: FailurePlay) -> None:
+    """Jobs of a few tasks that end far apart, over failovers."""
     for task_count in (2, 3, 2, 3):
         job = play.submit(1, kind="array", task_count=task_count)[0]
         for index in range(task_count):
@@ -213,6 +222,7 @@
 
 
 def slow_store_then_outage(play: FailurePlay) -> None:
+    """The store is slow, refuses one node, and then is out."""
     deployment = play.deployment
     deployment.store_link.latency_s = play.rng.uniform(0.2, 1.0)
     play.wait(1.0, 4.0)
@@ -225,6 +235,7 @@
 
 
 def all_controllers_away(play: FailurePlay) -> None:
+    """All controllers are away for longer than a lease."""
     deployment = play.deployment
     play.cancel_some(2)
     play.wait(0.0, 2.0)
@@ -235,6 +246,7 @@
 
 
 def outbound_partitioned_agents(play: FailurePlay) -> None:
+    """Agents cannot send heartbeats, while direct commands reach them."""
     for agent in play.draw_agents(0.6):
         agent.partition_outbound(play.draw_leases_s(0.3, 3.0))
     play.wait(0.5, 6.0)
@@ -245,6 +257,7 @@
 
 
 def old_heartbeats(play: FailurePlay) -> None:
+    """Old heartbeats arrive, also of earlier incarnations."""
     play.deployment.agent_link.duplicate_ratio = 0.7
     for _ in range(4):
         for agent in play.draw_agents(0.3):
@@ -255,6 +268,7 @@
 
 
 def delayed_commands(play: FailurePlay) -> None:
+    """Commands and responses are delayed while their machines go on."""
     deployment = play.deployment
     for _ in range(2):
         for agent in play.draw_agents():
@@ -268,6 +282,7 @@
 
 
 def failovers_in_a_row(play: FailurePlay) -> None:
+    """Ten failovers in two minutes, also in an outage of the store."""
     deployment = play.deployment
     for number in range(10):
         if number == 4:
@@ -281,6 +296,7 @@
 
 
 def failover_while_agents_are_away(play: FailurePlay) -> None:
+    """A leader ends while agents with long tasks cannot be reached."""
     deployment = play.deployment
     play.submit(2, kind="array", task_count=8, estimated_run_s=60.0)
     play.wait(8.0, 12.0)
@@ -298,6 +314,7 @@
 
 
 def transfers_there_and_back(play: FailurePlay) -> None:
+    """Shards are transferred there and back, all controllers end, one returns."""
     nodes = play.deployment.nodes
     first = play.draw_node()
     nodes.kill(first, 0.3)
--- a/tests/scenarios/test_fleet_failures.py
+++ b/tests/scenarios/test_fleet_failures.py
@@ -185,10 +185,7 @@
     teams = [{"name": "red", "cpus": 8, "cpus_max": 999}]
     deployment = large_fleet(29, machines, nodes, workers=pace, teams=teams)
     users = deployment.users
-    jobs = [
-        users.submit(job_spec(number, task_count=machines + 3, estimated_run_s=3.0, mem_gb=0.5))
-        for number in range(1, 5)
-    ]
+    jobs = users.submit_many(range(1, 5), task_count=machines + 3, estimated_run_s=3.0, mem_gb=0.5)
     deployment.run(10.0)
     deployment.nodes.kill("n0", restart_after_s=2.0)
     assert all(users.wait_until_done(job, 300.0) for job in jobs)
--- a/tests/scenarios/test_overlapping_failures.py
+++ b/tests/scenarios/test_overlapping_failures.py
@@ -39,9 +39,7 @@
 def test_a_zone_is_isolated_the_store_slow_and_all_controllers_crash() -> None:
     deployment = started(91)
     users = deployment.users
-    jobs = [
-        users.submit(job_spec(number, task_count=9, estimated_run_s=15.0)) for number in range(1, 5)
-    ]
+    jobs = users.submit_many(range(1, 5), task_count=9, estimated_run_s=15.0)
     deployment.run(10.0)
     # Half of the agents cannot reach any controller, and the store takes 0.3 s.
     for agent in deployment.busy_agents[::2]:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -10,7 +10,9 @@
 import pytest
 
 TESTS = "def test_red():\n    assert False\n\n\ndef test_green():\n    pass\n"
-RED, GREEN = "tests/test_x.py::test_red", "tests/test_x.py::test_green"
+#: where the tests are, some directories below that of conftest.py
+FILE = "tests/core/jobs/test_x.py"
+RED, GREEN = f"{FILE}::test_red", f"{FILE}::test_green"
 
 
 @pytest.mark.parametrize(
@@ -19,17 +21,21 @@
         (None, False, "1 failed, 1 passed"),
         ([f"{RED} | a cause | 13"], True, f"known red, passed over: {RED}: a cause (issue 13)"),
         ([f"{RED} | a cause | 13", f"{GREEN} | a cause | 13"], False, "XPASS(strict)"),
-        ([f"{RED} | a | 1", "tests/test_x.py::test_none | a | 1"], False, "no such test"),
-        ([f"{RED} | a | 1", *(f"{RED}{n} | a | 1" for n in range(3))], False, "3 at most"),
+        ([f"{RED} | a | 1", f"{FILE}::test_none | a | 1"], False, "no such test"),
+        (
+            [f"{RED} | a | 1", *(f"{RED}{number} | a | 1" for number in range(3))],
+            False,
+            "3 at most",
+        ),
         ([RED], False, "not 'test | cause | issue'"),
     ],
 )
 def test_known_failures(
     tmp_path: pathlib.Path, lines: list[str] | None, ok: bool, printed: str
 ) -> None:
-    (tmp_path / "tests").mkdir()
+    (tmp_path / FILE).parent.mkdir(parents=True)
     shutil.copy(pathlib.Path(__file__).parent / "conftest.py", tmp_path / "tests")
-    (tmp_path / "tests" / "test_x.py").write_text(TESTS)
+    (tmp_path / FILE).write_text(TESTS)
     (tmp_path / "pyproject.toml").write_text('[tool.pytest.ini_options]\ntestpaths = ["tests"]\n')
     if lines is not None:
         (tmp_path / "KNOWN-RED.txt").write_text("\n".join(lines) + "\n")
