--- a/marblestair/core/jobs/acceptance.py
+++ b/marblestair/core/jobs/acceptance.py
@@ -96,7 +96,7 @@
         )
 
     def submit(self, spec: JobSpec) -> Coroutine[Outcome]:
-        """Accept or refuse a job, or tell the state of one that is known."""
+        """Accept or refuse a job, or answer with the state of one that is known."""
         if spec.id in self._final_states or spec.id in self._view.jobs:
             return (yield from self._known(spec.id))
         if not self._catalog.types:
--- a/marblestair/core/jobs/manager_steps.py
+++ b/marblestair/core/jobs/manager_steps.py
@@ -54,7 +54,7 @@
     ) -> ManagerStep | None:
         """What is to be done for a job now, if anything.
 
-        ``may_end_blocked`` tells whether another end of a blocked job may be begun.
+        ``may_end_blocked`` says whether another end of a blocked job may be begun.
         """
         shard_map = self._view.shard_map
         if shard_map is None:
--- a/marblestair/core/jobs/progress_reports.py
+++ b/marblestair/core/jobs/progress_reports.py
@@ -60,7 +60,7 @@
             return
         if not 0 <= progress.shard_id < len(shard_map.shards):
             return
-        # Only the present leader's word counts: an earlier leader's count may include tasks that
+        # Only the present leader's report counts: an earlier leader's count may include tasks that
         # have since moved to another shard.
         if shard_map.shards[progress.shard_id].term == progress.term:
             managed.progress_by_shard[progress.shard_id] = progress
--- a/marblestair/core/leadership/connectivity.py
+++ b/marblestair/core/leadership/connectivity.py
@@ -56,7 +56,7 @@
     def is_cut_off(self) -> bool:
         """Whether nothing was received for the time of a lease.
 
-        Neither from the store nor from another controller: this node can then tell users nothing,
+        Neither from the store nor from another controller: this node can then answer users nothing,
         and refuses them at once.
         """
         now, limit_s = self._context.now, self._lease.ttl_s
--- a/marblestair/core/leadership/failover.py
+++ b/marblestair/core/leadership/failover.py
@@ -26,7 +26,7 @@
 
 
 class Failover:
-    """The takeovers of one node."""
+    """The failovers that one node carries out."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         self._leadership = leadership
         self._updates = updates
         self._is_in_progress = False
-        #: version of the shard map at which a takeover was sent whose fate is not known
+        #: version of the shard map at which a failover was sent whose outcome is not known
         self._uncertain_version: int | None = None
         #: shard -> since when its leader is gone
         self._absent_since: dict[int, float] = {}
@@ -56,12 +56,12 @@
 
     @property
     def is_in_progress(self) -> bool:
-        """Whether a takeover by this node was begun and its response is awaited."""
+        """Whether a failover by this node was begun and its response is awaited."""
         return self._is_in_progress
 
     @property
     def is_pending(self) -> bool:
-        """Whether a takeover is in progress, or was sent and may yet be carried out."""
+        """Whether a failover is in progress, or was sent and may yet be carried out."""
         if self._is_in_progress:
             return True
         return self._uncertain_version == self._view.version(keys.SHARD_MAP)
@@ -94,7 +94,7 @@
                 self._absent_since.pop(shard_id, None)
             elif self._should_take_over(shard_id, record, len(own) + len(orphaned), now):
                 orphaned.append(shard_id)
-        # Each takeover is a change of the shard's fence besides that of the shard map.
+        # Each failover is a change of the shard's fence besides that of the shard map.
         return orphaned[: self._context.settings.cluster.state.txn_ops - 1]
 
     def _should_take_over(
--- a/marblestair/core/leadership/leadership.py
+++ b/marblestair/core/leadership/leadership.py
@@ -62,7 +62,7 @@
         ]
 
     def leader_of(self, shard_id: int) -> str | None:
-        """The node that leads a shard, as far as the view tells."""
+        """The node that leads a shard, as far as the view shows."""
         shard_map = self._view.shard_map
         if shard_map is None or not 0 <= shard_id < len(shard_map.shards):
             return None
--- a/marblestair/core/leadership/shard_recovery.py
+++ b/marblestair/core/leadership/shard_recovery.py
@@ -87,7 +87,7 @@
             # What depends on other jobs never had a task: it may start as soon as it is released.
             job_slice.is_unreconciled = has_unreconciled and not job_slice.is_blocked
             if job_slice.is_cancelled:
-                # Users may have been told before the earlier leader fell.
+                # Users may have been answered before the earlier leader failed.
                 job_slice.cancelled_at = self._context.now - self._failover.duration_s
 
     def _log_ready(self, shard: Shard) -> None:
--- a/marblestair/core/messaging/messages.py
+++ b/marblestair/core/messaging/messages.py
@@ -58,7 +58,7 @@
 
 
 class CancelConfirmed(PeerMessage, frozen=True):
-    """Users may be told that a job is cancelled, whose record had the entry at a revision."""
+    """Users may be answered that a job is cancelled, whose record had the entry at a revision."""
 
     job: str
     revision: int
--- a/marblestair/core/scheduling/fleet_plan.py
+++ b/marblestair/core/scheduling/fleet_plan.py
@@ -4,7 +4,7 @@
 
 
 class FleetPlan:
-    """The part of the latest plan that placement follows; capacity planning sets it."""
+    """What placement follows of the latest plan; capacity planning sets it."""
 
     def __init__(self) -> None:
         #: machine reserved for a gang -> the job that waits for it, or "" for an expected gang
--- a/marblestair/core/scheduling/quota_transfers.py
+++ b/marblestair/core/scheduling/quota_transfers.py
@@ -1,6 +1,6 @@
 """Transfers of a team's quota from a shard that can spare it to one that lacks it.
 
-The quota is lowered in the giving shard's memory first; then both quotas change in one commit, so
+The quota is reduced in the memory of the shard's leader first; then both quotas change in one commit, so
 that they never add up to more than the team's limit.
 """
 
--- a/marblestair/core/shard/boot_times.py
+++ b/marblestair/core/shard/boot_times.py
@@ -18,9 +18,9 @@
 GIVE_UP_BOOT_TIMES, LEAST_GIVE_UP_BOOT_TIMES = 2.0, 3.0
 #: bounds of the expected boot time, in usual boot times
 LEAST_RATIO, MOST_RATIO = 1.0, 4.0
-#: boots of one type that are remembered: their number, and for how many usual boot times
+#: boot times of one type that are remembered: their number, and for how many usual boot times
 REMEMBERED_BOOTS, MEMORY_BOOT_TIMES = 16, 8.0
-#: fraction of the remembered boots that took no longer than the expected boot time
+#: fraction of the remembered boot times that took no longer than the expected boot time
 EXPECTED_QUANTILE = 0.75
 #: least usual boot time that ratios are formed with: a cloud may name none
 LEAST_BOOT_S = 1e-6
@@ -39,7 +39,7 @@
     """The boot times that one controller has seen."""
 
     def __init__(self) -> None:
-        #: name of the type -> its last boots
+        #: name of the type -> its last boot times
         self._boots: dict[str, deque[Boot]] = {}
 
     def record(self, machine_type: MachineType, boot_s: float, now: float) -> None:
--- a/marblestair/core/view_synchronizer.py
+++ b/marblestair/core/view_synchronizer.py
@@ -107,7 +107,7 @@
             if (record.leader, record.incarnation) == self._context.identity:
                 if shard is not None and shard.acquired_term == record.acquired_term:
                     # The same leadership; another leader may have raised the term, to move a
-                    # machine into this shard. What tells is in the record itself: the map may be
+                    # machine into this shard. The evidence is in the record itself: the map may be
                     # read ahead of the rest of the view, and a leadership that ended and began
                     # again must not look like one.
                     shard.term = record.term
