--- a/marblestair/core/capacity/gang_reservations.py
+++ b/marblestair/core/capacity/gang_reservations.py
@@ -81,7 +81,7 @@
     def reserve_for_expected(
         self, expected_gangs: dict[str, ExpectedGangs], arrays: list[JobLoad], min_gangs: int
     ) -> None:
-        """Have machines stand by for classes whose starts are due sooner than a machine could boot."""
+        """Have machines stand by for classes whose starts are due sooner than a boot takes."""
         if not min_gangs:
             return
         for _, gangs in sorted(expected_gangs.items()):
--- a/marblestair/core/jobs/cancellations.py
+++ b/marblestair/core/jobs/cancellations.py
@@ -8,7 +8,7 @@
 answers that a job is cancelled before that, whoever is asked and by whichever request. A leader
 that may act is one that holds its lease and a recent enough view, or promises of all the others:
 
-- by lease, it decides on a view younger than an agent's lease, so an entry older than that is in it;
+- by lease, its view is younger than an agent's lease, so an entry older than that is in it;
 - by promises, it has with every promise the entries that its giver knew (Algorithm 4's transfer
   of missing entries). Whoever confirms a cancel by the passing of time has known the entry for
   longer than a promise lasts, so each promise of its own that is still valid has carried it; also
--- a/marblestair/core/leadership/progress_pages.py
+++ b/marblestair/core/leadership/progress_pages.py
@@ -108,7 +108,7 @@
         """Write finished tasks in batches, about once a second or as the rate allows.
 
         The number of slices grows with the load, the store's rate does not. What is finished and
-        not written yet is listed on by its agent, which gets the command to forget it only afterwards.
+        not written yet is listed on by its agent, which is ordered to forget it only afterwards.
         """
         state = self._context.settings.cluster.state
         changes_per_s = PROGRESS_SHARE * state.write_rps / len(self._context.settings.nodes)
--- a/marblestair/core/scheduling/quota_transfers.py
+++ b/marblestair/core/scheduling/quota_transfers.py
@@ -1,7 +1,7 @@
 """Transfers of a team's quota from a shard that can spare it to one that lacks it.
 
-The quota is reduced in the memory of the shard's leader first; then both quotas change in one commit, so
-that they never add up to more than the team's limit.
+The quota is reduced in the memory of the shard's leader first; then both quotas change in one
+commit, so that they never add up to more than the team's limit.
 """
 
 from __future__ import annotations
--- a/marblestair/core/shard/shard.py
+++ b/marblestair/core/shard/shard.py
@@ -77,7 +77,7 @@
         self.shard_id = shard_id
         #: raised when another leader moves a machine into this shard
         self.term = term
-        #: the term under which the shard was acquired; it distinguishes one leadership from the next
+        #: the term under which the shard was acquired; each leadership of it has another one
         self.acquired_term = term
         self.acquired_at = now
         self.cluster = cluster
