--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -9,18 +9,23 @@
 from tests.fakes.transport import FakeTransport
 
 
-def test_malformed_peer_frames_close_that_connection_only() -> None:
-    notes: list[Any] = []
-    server = PeerServer(lambda *a: notes.append(a), lambda *a: None)
-    for data in (b"\xff" * 8, frame([])[:4] + b"\xc1", frame({"a": 1}), frame([])):  # type: ignore[arg-type]
-        conn = FramedConnection(server._receive)
-        t = FakeTransport()
-        conn.connection_made(t)
-        conn.data_received(data)
-        assert t.closed
-    conn = FramedConnection(server._receive)
-    conn.connection_made(FakeTransport())
-    whole = frame(["note", "n1", "summaries", [1, []]])
-    for i in range(len(whole)):
-        conn.data_received(whole[i : i + 1])
-    assert notes == [("n1", "summaries", [1, []])]
+def connect(server: PeerServer) -> tuple[FramedConnection, FakeTransport]:
+    """A new connection to a server."""
+    connection, transport = FramedConnection(server._receive), FakeTransport()
+    connection.connection_made(transport)
+    return connection, transport
+
+
+def test_a_malformed_frame_closes_its_connection_only() -> None:
+    messages: list[Any] = []
+    server = PeerServer(lambda *message: messages.append(message), lambda *request: None)
+    malformed = (b"\xff" * 8, frame([])[:4] + b"\xc1", frame({"a": 1}), frame([]))  # type: ignore[arg-type]
+    for data in malformed:
+        connection, transport = connect(server)
+        connection.data_received(data)
+        assert transport.closed
+    connection, _ = connect(server)
+    message = frame(["note", "n1", "summaries", [1, []]])
+    for place in range(len(message)):
+        connection.data_received(message[place : place + 1])
+    assert messages == [("n1", "summaries", [1, []])]
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -14,7 +14,7 @@
 from marblestair.node import Node
 from marblestair.policy import Policy
 from marblestair.settings import Settings, parse
-from tests.fakes.deployment import raw_settings
+from tests.fakes.samples import raw_node_settings
 
 #: an address of this process alone: other workers of the test run can not take its ports
 HOST = f"127.{1 + os.getpid() // 250 % 250}.{1 + os.getpid() % 250}.1"
@@ -149,7 +149,7 @@
 
 
 async def node_settings(store: Listener, cloud: Listener, peer: Listener) -> Settings:
-    raw = raw_settings(0, 2)
+    raw = raw_node_settings(0, 2)
     raw["public_addr"] = await free_address()
     raw["cluster_listen"] = await free_address()
     raw["external"] = {"state": store.address, "cloud": cloud.address}
--- a/tests/test_settings_package.py
+++ b/tests/test_settings_package.py
@@ -13,7 +13,7 @@
 import marblestair
 from marblestair.core.leadership.shard_map import initial_shard_map
 from marblestair.settings import checks
-from tests.fakes.deployment import settings
+from tests.fakes.samples import node_settings
 
 PACKAGE = pathlib.Path(marblestair.__file__).parent
 
@@ -59,7 +59,7 @@
 
 def test_the_largest_shard_map_is_larger_than_the_first_one_and_has_its_shape() -> None:
     teams = [{"name": name, "cpus": 1.0, "cpus_max": 0.0} for name in ("red", "blue")]
-    given = settings(0, 3, size=4, teams=teams)
+    given = node_settings(0, 3, size=4, teams=teams)
     first = initial_shard_map(given.cluster.size, given.cluster.teams)
     largest = checks._largest_shard_map(given)
     assert [list(shard.quotas) for shard in largest.shards] == [
