--- a/marblestair/core/jobs/cancellations.py
+++ b/marblestair/core/jobs/cancellations.py
@@ -8,7 +8,7 @@
 answers that a job is cancelled before that, whoever is asked and by whichever request. A leader
 that may act is one that holds its lease and a recent enough view, or promises of all the others:
 
-- by lease, it acts on a view younger than an agent's lease, so an entry older than that is in it;
+- by lease, its view is younger than an agent's lease, so an entry older than that is in it;
 - by promises, it has with every promise the entries that its giver knew (Algorithm 4's transfer
   of missing entries). Whoever confirms a cancel by the passing of time has known the entry for
   longer than a promise lasts, so each promise of its own that is still valid has carried it; also
@@ -52,7 +52,7 @@
 class Cancellations:
     """How one node has committed cancels applied, and when it counts them as confirmed."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 - its collaborators
         self,
         context: NodeContext,
         view: StoreView,
--- a/marblestair/core/scheduling/quota_transfers.py
+++ b/marblestair/core/scheduling/quota_transfers.py
@@ -1,7 +1,7 @@
 """Transfers of a team's quota from a shard that can spare it to one that lacks it.
 
-The quota is lowered in the giving shard's memory first; then both quotas change in one commit, so
-that they never add up to more than the team's limit.
+The quota is reduced in the memory of the shard's leader first; then both quotas change in one
+commit, so that they never add up to more than the team's limit.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 class QuotaTransfers:
     """The quota that one node's shards transfer to others."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 - its collaborators
         self,
         context: NodeContext,
         view: StoreView,
--- a/marblestair/core/shard/shard.py
+++ b/marblestair/core/shard/shard.py
@@ -21,12 +21,12 @@
 from marblestair.core.domain.clocks import CLOCK_DRIFT
 from marblestair.core.domain.index_ranges import IndexRanges
 from marblestair.core.domain.jobs import JobKind, JobSpec
+from marblestair.core.domain.settings import Cluster
 from marblestair.core.shard.boot_times import BootTimes
 from marblestair.core.shard.failures import FailureAttribution
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine, PlacedTask, StopReason
 from marblestair.core.state.records import JobRecord
-from marblestair.settings.model import Cluster
 
 #: attempts are ``(term << ATTEMPT_BITS) + count``, so that no term reuses another's
 ATTEMPT_BITS = 24
@@ -77,7 +77,7 @@
         self.shard_id = shard_id
         #: raised when another leader moves a machine into this shard
         self.term = term
-        #: the term under which the shard was acquired; it tells one leadership from the next
+        #: the term under which the shard was acquired; each leadership of it has another one
         self.acquired_term = term
         self.acquired_at = now
         self.cluster = cluster
