--- a/tests/scenarios/test_overlapping_failures.py
+++ b/tests/scenarios/test_overlapping_failures.py
@@ -6,7 +6,8 @@
 
 from tests.fakes.samples import job_spec
 from tests.helpers import all_lead, started
-from tests.scenarios.overlapping_failures import SCENARIOS, FailurePlay
+from tests.scenarios.failure_play import FailurePlay
+from tests.scenarios.overlapping_failures import SCENARIOS
 
 
 @pytest.mark.parametrize("seed", range(3))
