--- /dev/null
+++ b/marblestair/core/scheduling/services.py
@@ -0,0 +1,125 @@
+"""Composes what decides which task starts where, and what moves between shards."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from marblestair.core.jobs.services import JobServices
+from marblestair.core.leadership.services import LeadershipServices
+from marblestair.core.messaging.received_summaries import ReceivedSummaries
+from marblestair.core.runtime.context import NodeContext
+from marblestair.core.scheduling.arrivals import Arrivals
+from marblestair.core.scheduling.dispatch import Dispatcher
+from marblestair.core.scheduling.fleet_plan import FleetPlan
+from marblestair.core.scheduling.guarantees import Guarantees
+from marblestair.core.scheduling.inherited_urgency import InheritedUrgency
+from marblestair.core.scheduling.machine_transfers import MachineTransfers
+from marblestair.core.scheduling.migration_planner import MigrationPlanner
+from marblestair.core.scheduling.preemption import Preemption
+from marblestair.core.scheduling.quota_ledger import QuotaLedger
+from marblestair.core.scheduling.quota_transfers import QuotaTransfers
+from marblestair.core.scheduling.run_times import RunTimes
+from marblestair.core.scheduling.shard_summary import ShardSummarizer
+from marblestair.core.scheduling.slice_assignment import SliceAssigner
+from marblestair.core.scheduling.slice_migration import SliceMigrations
+from marblestair.core.shard.boot_times import BootTimes
+from marblestair.core.shard.failures import FailureAttribution
+from marblestair.core.state.machine_catalog import MachineCatalog
+from marblestair.core.state.store_view import StoreView
+
+
+class SchedulingServices:
+    """The components of this package, for one node."""
+
+    def __init__(  # noqa: PLR0913 - what the components of a whole package need
+        self,
+        context: NodeContext,
+        view: StoreView,
+        leading: LeadershipServices,
+        jobs: JobServices,
+        catalog: MachineCatalog,
+        summaries: ReceivedSummaries,
+        deadline_offsets_s: Mapping[str, float],
+    ) -> None:
+        self._context = context
+        self._view = view
+        self._leading = leading
+        self._jobs = jobs
+        self._summaries = summaries
+        self.failures = FailureAttribution(context.settings.cluster.workers)
+        self.boot_times = BootTimes()
+        self.run_times = RunTimes()
+        self.fleet_plan = FleetPlan()
+        self.arrivals = Arrivals(context, catalog)
+        self.quotas = QuotaLedger(view)
+        self.guarantees = Guarantees(context, view, self.failures)
+        self.urgency = InheritedUrgency(context, view, jobs.dependencies, self.run_times)
+        jobs.dependencies.notify(jobs.job_managers.advance, self.urgency.dependents_changed)
+        self.assigner = SliceAssigner(view, summaries, self.arrivals)
+        self._compose_placement(dict(deadline_offsets_s))
+        self._compose_moves()
+
+    def _compose_placement(self, deadline_offsets_s: dict[str, float]) -> None:
+        self.preemption = Preemption(
+            self._context, self._view, self._leading.leadership, self.arrivals, self.fleet_plan
+        )
+        self.dispatcher = Dispatcher(
+            self._context,
+            self.quotas,
+            self.failures,
+            self.run_times,
+            self.guarantees,
+            self.arrivals,
+            self.fleet_plan,
+            self.preemption,
+            self._jobs.dependencies,
+            deadline_offsets_s,
+        )
+
+    def _compose_moves(self) -> None:
+        context, view, leading = self._context, self._view, self._leading
+        self.machine_transfers = MachineTransfers(
+            context,
+            view,
+            leading.leadership,
+            leading.follower,
+            leading.shard_map_updates,
+            self._summaries,
+            self.failures,
+            self.fleet_plan,
+            self.preemption,
+            self.dispatcher,
+        )
+        self.summarizer = ShardSummarizer(
+            context,
+            self.quotas,
+            self.failures,
+            self.boot_times,
+            self.preemption,
+            self.dispatcher,
+            self.machine_transfers,
+        )
+        self.quota_transfers = QuotaTransfers(
+            context,
+            view,
+            leading.leadership,
+            leading.shard_map_updates,
+            self.quotas,
+            self._summaries,
+            self.summarizer,
+        )
+        self.slice_migrations = SliceMigrations(
+            context, view, leading.leadership, self._jobs.migration_locks, self._jobs.reader
+        )
+        self.migration_planner = MigrationPlanner(
+            context,
+            view,
+            self.quotas,
+            self.quota_transfers,
+            self._summaries,
+            self.failures,
+            self.arrivals,
+            self.preemption,
+            self.dispatcher,
+            self.slice_migrations,
+        )
