--- a/tests/core/jobs/test_dependency_cancellations.py
+++ b/tests/core/jobs/test_dependency_cancellations.py
@@ -177,9 +177,9 @@
         view.record_read(keys.JOBS + spec.id, stored_record(spec), view.revision + 1)
     view.publish_changes()
     view.revision += 2
-    assert not controller.dependencies.knows_ancestors("job-000003")
-    controller.final_states.record("job-000001", JobState.CANCELLED)
-    assert controller.dependencies.has_cancelled_ancestor("job-000003")
+    assert not controller.job_services.dependencies.knows_ancestors("job-000003")
+    controller.job_services.final_states.record("job-000001", JobState.CANCELLED)
+    assert controller.job_services.dependencies.has_cancelled_ancestor("job-000003")
 
 
 def test_a_cancel_is_confirmed_only_after_the_managers_of_descendants_have_it() -> None:
--- a/tests/core/leadership/test_promises.py
+++ b/tests/core/leadership/test_promises.py
@@ -63,7 +63,8 @@
     """Whether every controller runs and has valid promises of all others."""
     controllers = deployment.nodes.controllers.values()
     return all(
-        controller is not None and controller.promise_ledger.are_valid(controller.context.now)
+        controller is not None
+        and controller.leadership_services.promise_ledger.are_valid(controller.context.now)
         for controller in controllers
     )
 
--- a/tests/core/leadership/test_store_lease.py
+++ b/tests/core/leadership/test_store_lease.py
@@ -39,7 +39,9 @@
             lease_id = deployment.store.data[N0_KEY].lease_id
             assert lease_id is not None
             # The authority ends no later than the lease that the key is tied to.
-            expires_at = controller.lease.expires_at / deployment.nodes.drift["n0"]
+            expires_at = (
+                controller.leadership_services.lease.expires_at / deployment.nodes.drift["n0"]
+            )
             assert expires_at <= deployment.store.leases[lease_id].expires_at
     assert has_led
     assert next(delays, None) is None
--- a/tests/core/scheduling/test_slice_migration.py
+++ b/tests/core/scheduling/test_slice_migration.py
@@ -23,7 +23,7 @@
         for controller, shard in led_shards(deployment)
         if len(shard.slices[job].pending) > 4
     )
-    job_slice, migrations = shard.slices[job], controller.slice_migrations
+    job_slice, migrations = shard.slices[job], controller.scheduling_services.slice_migrations
     target = next(shard_id for shard_id in range(3) if shard_id != shard.shard_id)
     assert migrations.start(shard, job_slice, job_slice.pending.tail(2), target)
     deployment.nodes.set_time(controller)
--- a/tests/core/scheduling/test_starvation.py
+++ b/tests/core/scheduling/test_starvation.py
@@ -67,10 +67,10 @@
         job_slice.ranges, job_slice.size = [[0, 160]], 160
         job_slice.pending.add(0, 160)
     machine.free[0] = 0
-    controller.dispatcher.place_all(shard)
+    controller.scheduling_services.dispatcher.place_all(shard)
     assert not machine.tasks
     machine.free[0] = 30_000_000
-    controller.dispatcher.fill_machine(shard, machine)
+    controller.scheduling_services.dispatcher.fill_machine(shard, machine)
     # A quarter of 64 goes to the first ones, a task to each that got none; then the usual order.
     placed = [len(job_slice.placed_on) for job_slice in shard.slices.values()]
     assert placed == [18, 6, 1, 1, 1, 1, 1, 1]
--- a/tests/core/shard/test_failing_jobs.py
+++ b/tests/core/shard/test_failing_jobs.py
@@ -109,7 +109,9 @@
         for number in (3, 4, 5, 6)
     ]
     assert all(users.wait_until_done(job, 60.0) for job in jobs)
-    assert not any(item.failures.quarantined_jobs() for item in deployment.nodes.running)
+    assert not any(
+        item.scheduling_services.failures.quarantined_jobs() for item in deployment.nodes.running
+    )
     assert len(deployment.nodes.running) == 3
     assert not deployment.rules.violations
 
--- a/tests/core/state/test_store_limits.py
+++ b/tests/core/state/test_store_limits.py
@@ -131,7 +131,7 @@
 def migrate_small_ranges(deployment: SimulatedDeployment, job: str) -> None:
     """Migrate single tasks out of the middle of a slice, as long as the leader does it."""
     controller, shard = next(pair for pair in led_shards(deployment) if job in pair[1].slices)
-    migrations = controller.slice_migrations
+    migrations = controller.scheduling_services.slice_migrations
     target = next(shard_id for shard_id in range(3) if shard_id != shard.shard_id)
     for _ in range(150):
         job_slice = shard.slices.get(job)
--- a/tests/fakes/test_production.py
+++ b/tests/fakes/test_production.py
@@ -13,7 +13,8 @@
     controller = started(in_production=True).nodes.controllers["n0"]
     assert isinstance(controller, production.ProductionController)
     assert type(controller.core) is not Controller
-    assert not hasattr(controller.core, "dependencies")
+    assert not hasattr(controller.core, "job_services")
+    assert not hasattr(controller.core, "pipelines")
 
 
 def test_a_history_without_the_version_in_production_is_an_error(
--- a/tests/scenarios/test_fleet_costs.py
+++ b/tests/scenarios/test_fleet_costs.py
@@ -103,7 +103,7 @@
     assert all(failures.machine_backoff_s(name) > 0 for name in MACHINES)
     # One node leads all of them, each in each list of the summary, and promises all cancels.
     assert len(msgspec.msgpack.encode(largest_summary())) < MAX_FRAME
-    cancels = started(1).nodes.controller("n0").cancels
+    cancels = started(1).nodes.controller("n0").job_services.cancels
     for number in range(4000):
         cancels.record(f"job-{number:06d}", 1_000_000)
     entries = cancels.entries_after(0)
