--- a/tests/fakes/production.py
+++ b/tests/fakes/production.py
@@ -316,9 +316,10 @@
         return self.core.view
 
     @property
-    def slice_migrations(self) -> Any:
+    def scheduling_services(self) -> Any:
         """Counts of migrations, by the present names."""
-        return SimpleNamespace(completed_count=self.core.migrations.done)
+        slice_migrations = SimpleNamespace(completed_count=self.core.migrations.done)
+        return SimpleNamespace(slice_migrations=slice_migrations)
 
     def start(self) -> None:
         """Start the controller."""
