--- a/tests/core/scheduling/test_preemption.py
+++ b/tests/core/scheduling/test_preemption.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
+from collections.abc import Callable, Sequence
 
 from marblestair.core.domain.agents import CommandVerb, TaskCommand
 from tests.fakes.samples import job_spec, wait_objective
@@ -88,7 +88,10 @@
     for agent in deployment.agents.values():
         execute = agent.execute_commands
 
-        def record(received: Sequence[TaskCommand], execute=execute) -> None:
+        def record(
+            received: Sequence[TaskCommand],
+            execute: Callable[[Sequence[TaskCommand]], None] = execute,
+        ) -> None:
             commands.extend(received)
             execute(received)
 
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -97,7 +97,8 @@
         link = Link("n0", await free_address())
         link.send_message("summaries", [])
         opening = link._opening
-        assert opening is not None and not opening.done()
+        assert opening is not None
+        assert not opening.done()
         link.close()
         await asyncio.wait([opening])
         assert opening.cancelled()
--- a/tests/test_compare_versions.py
+++ b/tests/test_compare_versions.py
@@ -40,7 +40,9 @@
     return directory
 
 
-def test_the_working_tree_behaves_like_itself(unchanged: pathlib.Path, tmp_path: pathlib.Path):
+def test_the_working_tree_behaves_like_itself(
+    unchanged: pathlib.Path, tmp_path: pathlib.Path
+) -> None:
     comparison = compare_versions.compare(unchanged, unchanged, SCENARIO, SEED, tmp_path)
     assert comparison.is_same, comparison.difference
     for kind in ("agent", "balancer", "cloud", "controller", "store", "user"):
@@ -63,14 +65,16 @@
 )
 def test_a_small_change_is_found(
     unchanged: pathlib.Path, tmp_path: pathlib.Path, pattern: str, replacement: str, shown: str
-):
+) -> None:
     changed = changed_copy(unchanged, tmp_path / "changed", pattern, replacement)
     comparison = compare_versions.compare(unchanged, changed, SCENARIO, SEED, tmp_path)
     assert not comparison.is_same
     assert any(shown in line for line in comparison.difference), comparison.difference
 
 
-def test_a_version_that_fails_at_start_differs(unchanged: pathlib.Path, tmp_path: pathlib.Path):
+def test_a_version_that_fails_at_start_differs(
+    unchanged: pathlib.Path, tmp_path: pathlib.Path
+) -> None:
     changed = tmp_path / "changed"
     shutil.copytree(unchanged, changed)
     (changed / versions.PACKAGE / "__init__.py").write_text("raise RuntimeError('broken')\n")
@@ -78,25 +82,26 @@
     assert "RuntimeError: broken" in "".join(comparison.difference)
 
 
-def test_two_plays_give_the_same_record(unchanged: pathlib.Path, tmp_path: pathlib.Path):
+def test_two_plays_give_the_same_record(unchanged: pathlib.Path, tmp_path: pathlib.Path) -> None:
     records = [tmp_path / name for name in ("one", "two")]
     for record in records:
         versions.play_on(unchanged, SCENARIO, SEED, record)
     assert records[0].read_bytes() == records[1].read_bytes()
 
 
-def test_an_unknown_commit_is_told(capsys: pytest.CaptureFixture[str]):
+def test_an_unknown_commit_is_told(capsys: pytest.CaptureFixture[str]) -> None:
     assert compare_versions.main(["no-such-commit", "--scenario", SCENARIO]) == 2
     assert "no-such-commit" in capsys.readouterr().err
 
 
-def test_the_list_names_every_scenario(capsys: pytest.CaptureFixture[str]):
+def test_the_list_names_every_scenario(capsys: pytest.CaptureFixture[str]) -> None:
     assert compare_versions.main(["--list"]) == 0
     names = [line.split()[0] for line in capsys.readouterr().out.splitlines()]
-    assert SCENARIO in names and len(names) == len(set(names))
+    assert SCENARIO in names
+    assert len(names) == len(set(names))
 
 
-def test_streams_are_split_into_messages_whatever_the_pieces():
+def test_streams_are_split_into_messages_whatever_the_pieces() -> None:
     for splitter, message in (
         (HttpSplitter(), build_request("POST", "/v1/jobs", b"some body", is_last=False)),
         (FrameSplitter(), build_frame(["note", "node-0", "tag", [1, 2]])),
@@ -119,7 +124,7 @@
         self.notes.append(type(exc).__name__)
 
 
-def test_a_killed_process_does_nothing_more_and_its_connections_are_reset():
+def test_a_killed_process_does_nothing_more_and_its_connections_are_reset() -> None:
     loop = SimulatedLoop()
     network = Network(loop, "seed")
     server, client = Host("server", "server", "10.0.0.1"), Host("client", "client", "10.0.0.2")
@@ -157,7 +162,7 @@
     assert seen == ["ConnectionResetError"]
 
 
-def test_timers_due_at_one_time_run_in_the_order_in_which_they_were_set():
+def test_timers_due_at_one_time_run_in_the_order_in_which_they_were_set() -> None:
     for others in range(40):
         loop = SimulatedLoop()
         order: list[int] = []
@@ -170,7 +175,7 @@
         assert order == list(range(10))
 
 
-def test_a_cut_holds_back_what_is_sent_and_delivers_it_in_order():
+def test_a_cut_holds_back_what_is_sent_and_delivers_it_in_order() -> None:
     loop = SimulatedLoop()
     network = Network(loop, "seed")
     server, client = Host("server", "server", "10.0.0.1"), Host("client", "client", "10.0.0.2")
--- a/tests/tools/http_service.py
+++ b/tests/tools/http_service.py
@@ -77,7 +77,9 @@
 class _CallerConnection(asyncio.Protocol):
     """A caller's connection to a server, with at most one request under way."""
 
-    def __init__(self, on_response: Callable[[HttpMessage], None], on_lost: Callable[[], None]):
+    def __init__(
+        self, on_response: Callable[[HttpMessage], None], on_lost: Callable[[], None]
+    ) -> None:
         self._on_response = on_response
         self._on_lost = on_lost
         self._splitter = HttpSplitter()
--- a/tests/tools/simulated_loop.py
+++ b/tests/tools/simulated_loop.py
@@ -131,7 +131,8 @@
     ) -> tuple[Endpoint, asyncio.Protocol]:
         """Connect the current process to an address."""
         process = CURRENT_PROCESS.get()
-        assert self.network is not None and process is not None
+        assert self.network is not None
+        assert process is not None
         opened: asyncio.Future[Endpoint] = self.create_future()
         attempt = self.network.connect(
             process.host,
