--- a/marblestair/core/controller.py
+++ b/marblestair/core/controller.py
@@ -85,16 +85,7 @@
         self.rejected_writes = RejectedWrites(context.log)
         self.status_report = self._compose_status()
         self.peer_service = self._compose_peer_service()
-        self.heartbeat_receiver = HeartbeatReceiver(
-            context,
-            view,
-            leading.leadership,
-            leading.connectivity,
-            catalog,
-            capacity.machine_registry,
-            scheduling.dispatcher,
-            scheduling.run_times,
-        )
+        self.heartbeat_receiver = self._compose_heartbeat_receiver()
         self.synchronizer = self._compose_synchronizer()
         view.subscribe(self.synchronizer.synchronize)
         self._next_summary_at = now
@@ -139,6 +130,19 @@
             self.status_report.collect,
         )
 
+    def _compose_heartbeat_receiver(self) -> HeartbeatReceiver:
+        leading, scheduling = self.leadership_services, self.scheduling_services
+        return HeartbeatReceiver(
+            self.context,
+            self.view,
+            leading.leadership,
+            leading.connectivity,
+            self.catalog,
+            self.capacity_services.machine_registry,
+            scheduling.dispatcher,
+            scheduling.run_times,
+        )
+
     def _compose_synchronizer(self) -> ViewSynchronizer:
         jobs, scheduling = self.job_services, self.scheduling_services
         return ViewSynchronizer(
