--- a/tests/core/capacity/test_late_machines.py
+++ b/tests/core/capacity/test_late_machines.py
@@ -99,6 +99,8 @@
     machine.set_machine_type(SMALL_TYPE)
     record = MachineRecord(shard.shard_id, SMALL_TYPE.name, "a", False, 0.0)
     controller.view.machines["host-900"] = record
-    assert controller.summarizer.summarize(shard).leaving_machines == []
+    assert controller.scheduling_services.summarizer.summarize(shard).leaving_machines == []
     controller.set_time(context.now + 1.7 * SMALL_TYPE.boot_s, context.wall_time)
-    assert controller.summarizer.summarize(shard).leaving_machines == ["host-900"]
+    assert controller.scheduling_services.summarizer.summarize(shard).leaving_machines == [
+        "host-900"
+    ]
--- a/tests/core/capacity/test_planning.py
+++ b/tests/core/capacity/test_planning.py
@@ -29,7 +29,7 @@
 def planned_tasks(deployment: SimulatedDeployment) -> dict[str, int]:
     """Pending tasks for which n0 plans machines, by job."""
     controller = deployment.nodes.current("n0")
-    inputs = controller.plan_inputs
+    inputs = controller.capacity_services.plan_inputs
     jobs = list(controller.view.jobs.values())
     loads = inputs.loads(inputs.reported_state(), jobs, 2.0)
     return {load.spec.id: load.pending for load in loads}
--- a/tests/core/jobs/test_answers.py
+++ b/tests/core/jobs/test_answers.py
@@ -83,7 +83,7 @@
         users.request(manager, "cancel", job)
     while keys.FINALS + job not in store.data:
         controller = deployment.nodes.current(reader)
-        controller.context.spawn(controller.reader.refresh(job))
+        controller.context.spawn(controller.job_services.reader.refresh(job))
         deployment.nodes.flush(reader)
         deployment.run(0.1)
     assert deployment.run_until(lambda: bool(users.state_of(job, manager)), 5.0)
@@ -142,7 +142,7 @@
     controller.view.apply_changes([KeyChange(keys.JOBS + job, None, revision)], revision)
     controller.view.publish_changes()
     late = StoreResponse(200, value=cancelled, version=version + 1)
-    assert result_after(controller.answers.read_status(job), late) is None
+    assert result_after(controller.job_services.answers.read_status(job), late) is None
 
 
 def test_a_read_that_finds_no_record_is_ahead_of_the_watch() -> None:
@@ -152,7 +152,7 @@
     view = controller.view
     key = keys.JOBS + job
     record, version, _ = deployment.store.data[key]
-    reading = controller.reader.read_record(job)
+    reading = controller.job_services.reader.read_record(job)
     next(reading)
     reading.send(StoreResponse(404, revision=version + 5))
     assert job not in view.jobs
@@ -162,8 +162,8 @@
     assert job not in view.jobs
     # A read that was carried out before the acceptance removes nothing either.
     view.record_read(key, record, version + 6)
-    result_after(controller.reader.read_record(job), StoreResponse(0))
-    late = controller.reader.read_record(job)
+    result_after(controller.job_services.reader.read_record(job), StoreResponse(0))
+    late = controller.job_services.reader.read_record(job)
     next(late)
     late.send(StoreResponse(404, revision=version + 5))
     assert job in view.jobs
@@ -176,7 +176,7 @@
     deployment.run(5.0)
     manager = manager_of(deployment, job)
     reader = next(name for name in deployment.nodes.names if name != manager)
-    answers = deployment.nodes.current(manager).answers
+    answers = deployment.nodes.current(manager).job_services.answers
     answers.status_from_memory = lambda job: answer  # type: ignore[method-assign]
     state = deployment.users.state_of(job, reader)
     # A status without its counts is one; everything else is left to a read.
@@ -188,5 +188,7 @@
     job = deployment.users.submit(job_spec(1, task_count=3, estimated_run_s=200.0))
     deployment.run(12.0)
     controller = deployment.nodes.current(manager_of(deployment, job))
-    assert controller.answers.status_from_memory(job) == JobStatus(JobState.RUNNING, 0, 3)
-    assert controller.managed_jobs[job].is_record_known
+    assert controller.job_services.answers.status_from_memory(job) == JobStatus(
+        JobState.RUNNING, 0, 3
+    )
+    assert controller.job_services.managed_jobs[job].is_record_known
--- a/tests/core/jobs/test_cancel_registry.py
+++ b/tests/core/jobs/test_cancel_registry.py
@@ -14,7 +14,7 @@
     job = deployment.users.submit(job_spec(1, task_count=9, estimated_run_s=300.0))
     deployment.run(16.0)
     controller = deployment.nodes.current(manager_of(deployment, job))
-    view, cancels = controller.view, controller.cancels
+    view, cancels = controller.view, controller.job_services.cancels
     shard = next(shard for shard in controller.leadership.led_shards() if job in shard.slices)
     cancels.record(job, view.revision + 5)
     assert shard.slices[job].is_cancelled
@@ -23,9 +23,9 @@
     applied_terms = cancels._entries[job].applied_terms
     for shard_id in map(int, view.jobs[job].slices):
         applied_terms[shard_id] = view.shard_map.shards[shard_id].term
-    assert controller.cancellations.shards_without_entry(job) is None
-    assert not controller.cancellations.is_confirmed(job)
-    assert controller.answers.status_from_memory(job) is None
+    assert controller.job_services.cancellations.shards_without_entry(job) is None
+    assert not controller.job_services.cancellations.is_confirmed(job)
+    assert controller.job_services.answers.status_from_memory(job) is None
     # The slice leaves, and comes again by a record that is older than the entry.
     del shard.slices[job]
     controller.synchronizer.sync_slice(shard, job)
@@ -40,7 +40,7 @@
     controller = deployment.nodes.current(manager_of(deployment, job))
     view = controller.view
     assert view.shard_map is not None
-    managed_job, record = controller.managed_jobs[job], view.jobs[job]
+    managed_job, record = controller.job_services.managed_jobs[job], view.jobs[job]
     for is_cancel_known in (False, True):
         for shard_id in map(int, record.slices):
             term = view.shard_map.shards[shard_id].term
--- a/tests/core/jobs/test_dependencies.py
+++ b/tests/core/jobs/test_dependencies.py
@@ -42,12 +42,12 @@
     deployment.run(2.0)
     controller = deployment.nodes.current("n0")
     # The guarantee is for eight tasks.
-    assert controller.guarantees.jobs >= {parent, independent}
-    assert child not in controller.guarantees.jobs
+    assert controller.scheduling_services.guarantees.jobs >= {parent, independent}
+    assert child not in controller.scheduling_services.guarantees.jobs
     assert all(
         job_slice.spec.id != child
         for shard in controller.leadership.shards.values()
-        for job_slice in controller.dispatcher.pending_in_order(shard)
+        for job_slice in controller.scheduling_services.dispatcher.pending_in_order(shard)
     )
     assert users.wait_until_done(independent, 60.0)
     # The whole of the team's limit is left for others.
@@ -158,7 +158,7 @@
     deployment.run(5.0)
     # The first unknown id decides, by three reads, and two more show that the job itself is not
     # known; only so many are under way at once.
-    max_reads = deployment.nodes.current("n0").lookups.max_reads
+    max_reads = deployment.nodes.current("n0").job_services.lookups.max_reads
     assert max_reads < 20
     assert recorder.count(Get) <= 5 * max_reads
     job = deployment.users.submit(job_spec(1, task_count=1, estimated_run_s=1.0))
@@ -190,9 +190,11 @@
     for place, spec in enumerate([top, *descendants]):
         controller.view.record_read(keys.JOBS + spec.id, stored_record(spec), 10_000 + place)
     controller.view.publish_changes()
-    assert sum(1 for _ in controller.dependencies.descendants(top.id)) == 2998
-    controller.cancels.record(top.id, 20_000)
-    assert all(controller.dependencies.has_cancelled_ancestor(spec.id) for spec in descendants)
+    assert sum(1 for _ in controller.job_services.dependencies.descendants(top.id)) == 2998
+    controller.job_services.cancels.record(top.id, 20_000)
+    assert all(
+        controller.job_services.dependencies.has_cancelled_ancestor(spec.id) for spec in descendants
+    )
 
 
 def test_a_job_released_after_a_failover_does_not_wait_for_unresponsive_agents() -> None:
--- a/tests/core/jobs/test_dependency_answers.py
+++ b/tests/core/jobs/test_dependency_answers.py
@@ -134,7 +134,7 @@
     child, other = cancel_parent_with_final_states_blocked(deployment, 0.1)
     controller = deployment.nodes.current(other)
     queued = ProvenStatus(JobStatus(JobState.QUEUED, 0, 0), Proof.PEER)
-    assert controller.answers.answerable_status(child.id, queued) is None
+    assert controller.job_services.answers.answerable_status(child.id, queued) is None
 
 
 def test_a_read_of_a_waiting_job_leads_to_reads_of_its_ancestors_final_states() -> None:
--- a/tests/core/scheduling/test_gangs.py
+++ b/tests/core/scheduling/test_gangs.py
@@ -62,7 +62,7 @@
     gang = deployment.users.submit(whole_machine_gang(1, task_count=4, estimated_run_s=30.0))
     deployment.run(12.0)
     controller, shard = next(pair for pair in led_shards(deployment) if pair[1].machines)
-    summarize = controller.summarizer.summarize
+    summarize = controller.scheduling_services.summarizer.summarize
     machine = next(iter(shard.machines.values()))
     machine.cordon = CordonReason.TRANSFER
     summary = summarize(shard)
@@ -119,14 +119,14 @@
         if machine.is_usable(controller.context.now) and machine.free[0] > 0
     )
     deployment.nodes.set_time(controller)
-    controller.fleet_plan.reserved_machines = {machine.name: older}
+    controller.scheduling_services.fleet_plan.reserved_machines = {machine.name: older}
     free_cpus = machine.free[0]
-    while_reserved = controller.summarizer.summarize(shard).free_capacity
-    assert controller.preemption.is_claimed(machine, "job-000003")
-    assert not controller.preemption.is_claimed(machine, older)
-    controller.fleet_plan.reserved_machines = {}
+    while_reserved = controller.scheduling_services.summarizer.summarize(shard).free_capacity
+    assert controller.scheduling_services.preemption.is_claimed(machine, "job-000003")
+    assert not controller.scheduling_services.preemption.is_claimed(machine, older)
+    controller.scheduling_services.fleet_plan.reserved_machines = {}
     # Published to the others, too, only once it is not reserved.
-    published = controller.summarizer.summarize(shard).free_capacity
+    published = controller.scheduling_services.summarizer.summarize(shard).free_capacity
     assert len(published) == len(while_reserved) + 1
     assert free_cpus in [capacity[3] for capacity in published]
     assert users.wait_until_done(older, 200.0)
@@ -148,7 +148,7 @@
     second = users.submit(job_spec(3, task_count=4, estimated_run_s=3.0, deadline_s=1000.0))
     assert users.wait_until_done(first, 30.0)
     for controller in deployment.nodes.running:
-        assert "" in controller.fleet_plan.reserved_machines.values()
+        assert "" in controller.scheduling_services.fleet_plan.reserved_machines.values()
     # It goes on a task at a time, so that most of the machine stays the gang's.
     assert deployment.run_until(lambda: tasks.has_started(second), 75.0)
     deployment.run(60.0)
--- a/tests/core/scheduling/test_inherited_urgency.py
+++ b/tests/core/scheduling/test_inherited_urgency.py
@@ -11,7 +11,7 @@
     jobs = [spec.id for spec in submit_pipeline(deployment, deadline_s=100.0)]
     deployment.run(2.0)
     controller = deployment.nodes.current("n0")
-    urgency, view = controller.urgency, controller.view
+    urgency, view = controller.scheduling_services.urgency, controller.view
     scheduled = [urgency.scheduling_spec(view.jobs[job]) for job in jobs]
     assert {spec.priority for spec in scheduled} == {"high"}
     due = [spec.accepted_at + (spec.deadline_s or 0.0) for spec in scheduled]
--- a/tests/core/shard/test_failing_jobs.py
+++ b/tests/core/shard/test_failing_jobs.py
@@ -104,7 +104,9 @@
     deployment.serving_agents[0].fails_tasks = True
     jobs = users.submit_many((3, 4, 5, 6), task_count=12, estimated_run_s=4.0)
     assert all(users.wait_until_done(job, 60.0) for job in jobs)
-    assert not any(item.failures.quarantined_jobs() for item in deployment.nodes.running)
+    assert not any(
+        item.scheduling_services.failures.quarantined_jobs() for item in deployment.nodes.running
+    )
     assert len(deployment.nodes.running) == 3
     assert not deployment.rules.violations
 
--- a/tests/core/test_status.py
+++ b/tests/core/test_status.py
@@ -28,7 +28,7 @@
     assert sum(shard["shares_cpus"]["red"] for shard in shards) == 24.0
     assert all(shard["term"] > 0 for shard in shards)
     assert all(shard["backlog_cpus"] is not None for shard in shards)
-    assert "operator" not in controller.connectivity.last_received_at
+    assert "operator" not in controller.leadership_services.connectivity.last_received_at
 
 
 def test_the_status_shows_what_a_waiting_job_depends_on() -> None:
--- a/tests/scenarios/test_rolling_upgrade.py
+++ b/tests/scenarios/test_rolling_upgrade.py
@@ -207,7 +207,10 @@
     job = deployment.users.submit(job_spec(1, task_count=60, estimated_run_s=6.0))
 
     def migrations() -> int:
-        return sum(item.slice_migrations.completed_count for item in deployment.nodes.running)
+        return sum(
+            item.scheduling_services.slice_migrations.completed_count
+            for item in deployment.nodes.running
+        )
 
     deployment.run_until(lambda: migrations() > 2, 60.0)
     assert migrations() > 0
