--- a/marblestair/core/leadership/progress_pages.py
+++ b/marblestair/core/leadership/progress_pages.py
@@ -136,7 +136,7 @@
         """
         most = self._context.max_batch_changes
         yield from _read_versions(shard, most)
-        _keep_pages_in_use(shard)
+        _restore_pages_in_use(shard)
         known = {
             key: version for key, version in shard.obsolete_keys.items() if version is not None
         }
@@ -218,7 +218,7 @@
             shard.obsolete_keys[key] = response.version
 
 
-def _keep_pages_in_use(shard: Shard) -> None:
+def _restore_pages_in_use(shard: Shard) -> None:
     """A slice that has come back uses its pages again."""
     used = {
         keys.progress_page(shard.shard_id, job, page)
--- a/marblestair/core/leadership/transfer.py
+++ b/marblestair/core/leadership/transfer.py
@@ -22,7 +22,7 @@
 #: a node from which a message came within this time can be given a shard
 RECENT_MESSAGE_S = 3.0
 #: a node must have been seen for this many leases before it is given a shard back
-SETTLE_LEASES = 1.5
+STABLE_LEASES = 1.5
 #: pause before the next transfer at first, and the longest in leases
 FIRST_PAUSE_S = 1.0
 LONGEST_PAUSE_LEASES = 10
@@ -128,7 +128,7 @@
         """Hand a shard to a node that leads none and has been there for a while."""
         counts = self._led_counts(current)
         for node in sorted(self._recent_nodes(counts, now)):
-            if counts[node] or not self._is_settled(node, now):
+            if counts[node] or not self._is_stable(node, now):
                 continue
             home_shards = (
                 shard_id for shard_id in movable if self._leadership.home_node(shard_id) == node
@@ -136,12 +136,12 @@
             self._begin_transfer(next(home_shards, movable[-1]), node, now)
             return
 
-    def _is_settled(self, node: str, now: float) -> bool:
+    def _is_stable(self, node: str, now: float) -> bool:
         """Whether a node can be given a shard: its agents reach it, and it has stayed up."""
         _, seen_since = self._incarnation_seen.get(node, (0, now))
         if not self._connectivity.peer_reaches_agents.get(node, False):
             return False
-        return now - seen_since > SETTLE_LEASES * self._lease.ttl_s
+        return now - seen_since > STABLE_LEASES * self._lease.ttl_s
 
     def _begin_transfer(self, shard_id: int, target: str, now: float) -> None:
         quiet_s = QUIET_LEASES * self._lease.ttl_s
