--- a/marblestair/core/controller.py
+++ b/marblestair/core/controller.py
@@ -28,7 +28,7 @@
 from marblestair.core.runtime.rejected_writes import RejectedWrites
 from marblestair.core.scheduling.services import SchedulingServices
 from marblestair.core.shard.agent_leases import expire_agent_leases
-from marblestair.core.shard.commands import overdue_stops
+from marblestair.core.shard.commands import direct_stops
 from marblestair.core.shard.heartbeat_response import HeartbeatResponse
 from marblestair.core.shard.reclaimed_machines import evict_from_reclaimed_machines
 from marblestair.core.shard.shard import Shard
@@ -38,7 +38,7 @@
 from marblestair.core.view_synchronizer import ViewSynchronizer
 
 #: pause between two turns of summaries and migrations, and of quota transfers, in seconds
-SUMMARY_PAUSE_S, REBALANCE_PAUSE_S = 0.4, 1.0
+SUMMARY_INTERVAL_S, REBALANCE_INTERVAL_S = 0.4, 1.0
 
 
 class Controller:
@@ -58,24 +58,31 @@
         view = self.view = StoreView()
         catalog = self.catalog = MachineCatalog()
         summaries = self.summaries = ReceivedSummaries(context)
-        leading = LeadershipServices(context, view, self._start_shard)
-        jobs = JobServices(context, view, leading)
+        leadership = LeadershipServices(context, view, self._start_shard)
+        jobs = JobServices(context, view, leadership)
         scheduling = SchedulingServices(
-            context, view, leading, jobs, catalog, summaries, deadline_offsets_s or {}
+            context, view, leadership, jobs, catalog, summaries, deadline_offsets_s or {}
         )
         capacity = CapacityServices(
-            context, view, leading, jobs, scheduling, catalog, summaries, tuning or Tuning()
+            context,
+            view,
+            leadership,
+            jobs,
+            scheduling,
+            catalog,
+            summaries,
+            tuning or Tuning(),
         )
-        self.leadership_services, self.leadership = leading, leading.leadership
+        self.leadership_services, self.leadership = leadership, leadership.leadership
         self.job_services = jobs
         self.scheduling_services = scheduling
         self.capacity_services = capacity
-        self.promises = leading.promises(jobs.cancels)
-        self.coordinator = leading.coordinator(self.promises)
+        self.promises = leadership.promises(jobs.cancels)
+        self.coordinator = leadership.coordinator(self.promises)
         self.user_requests = compose_user_requests(
             context,
             view,
-            leading,
+            leadership,
             jobs,
             catalog,
             summaries,
@@ -94,13 +101,13 @@
     # --- composition -----------------------------------------------------------------------
 
     def _compose_status(self) -> StatusReport:
-        leading, jobs = self.leadership_services, self.job_services
+        leadership, jobs = self.leadership_services, self.job_services
         return StatusReport(
             self.context,
             self.view,
-            leading.lease,
-            leading.promise_ledger,
-            leading.leadership,
+            leadership.lease,
+            leadership.promise_ledger,
+            leadership.leadership,
             self.summaries,
             jobs.managed_jobs,
             jobs.cancels,
@@ -131,12 +138,12 @@
         )
 
     def _compose_heartbeat_receiver(self) -> HeartbeatReceiver:
-        leading, scheduling = self.leadership_services, self.scheduling_services
+        leadership, scheduling = self.leadership_services, self.scheduling_services
         return HeartbeatReceiver(
             self.context,
             self.view,
-            leading.leadership,
-            leading.connectivity,
+            leadership.leadership,
+            leadership.connectivity,
             self.catalog,
             self.capacity_services.machine_registry,
             scheduling.dispatcher,
@@ -193,9 +200,9 @@
     def is_healthy(self) -> bool:
         """Whether this node can take requests."""
         connectivity = self.leadership_services.connectivity
-        if not self.coordinator.is_started or connectivity.is_cut_off():
+        if not self.coordinator.is_started or connectivity.is_disconnected():
             return False
-        return not connectivity.is_isolated(self.context.now)
+        return not connectivity.is_unreachable_by_agents(self.context.now)
 
     # --- time ------------------------------------------------------------------------------
 
@@ -212,11 +219,11 @@
         self.job_services.job_managers.tick()
         self.job_services.migration_locks.tick()
         if now >= self._next_summary_at:
-            self._next_summary_at = now + SUMMARY_PAUSE_S
+            self._next_summary_at = now + SUMMARY_INTERVAL_S
             self._publish_summaries(led_shards)
-            self._move_between_shards(led_shards)
+            self._start_transfers(led_shards)
         if now >= self._next_rebalance_at:
-            self._next_rebalance_at = now + REBALANCE_PAUSE_S
+            self._next_rebalance_at = now + REBALANCE_INTERVAL_S
             self.job_services.cancels.prune()
             self.scheduling_services.quota_transfers.rebalance(led_shards)
 
@@ -224,7 +231,7 @@
         evict_from_reclaimed_machines(shard, now)
         expire_agent_leases(shard, now)
         self.scheduling_services.dispatcher.place_all(shard)
-        for machine, commands in overdue_stops(shard, now):
+        for machine, commands in direct_stops(shard, now):
             self.context.decisions.count(Decision.STOP, "direct", len(commands))
             command = DirectCommand(
                 machine.address, shard.term, machine.agent_incarnation, commands
@@ -243,12 +250,12 @@
             ShardSummaries(
                 self.context.incarnation,
                 summaries,
-                self.leadership_services.connectivity.reaches_agents(),
+                self.leadership_services.connectivity.can_accept_shards(),
                 self.capacity_services.capacity_refusals.current(),
             )
         )
 
-    def _move_between_shards(self, led_shards: list[Shard]) -> None:
+    def _start_transfers(self, led_shards: list[Shard]) -> None:
         """Begin what should move from the shards that are led here to others."""
         for shard in led_shards:
             self.scheduling_services.migration_planner.migrate_pending(shard)
--- a/marblestair/core/heartbeat_receiver.py
+++ b/marblestair/core/heartbeat_receiver.py
@@ -54,9 +54,9 @@
         shard = self._leadership.shards.get(record.shard_id)
         if shard is None or not self._leadership.is_leader(record.shard_id):
             return HeartbeatResponse(503)
-        return self._receive_here(shard, heartbeat)
+        return self._receive_as_leader(shard, heartbeat)
 
-    def _receive_here(self, shard: Shard, heartbeat: Heartbeat) -> HeartbeatResponse:
+    def _receive_as_leader(self, shard: Shard, heartbeat: Heartbeat) -> HeartbeatResponse:
         """A heartbeat of a machine of a shard that this node leads."""
         machine = shard.machines.get(heartbeat.machine)
         if machine is not None and machine.machine_type is None:
--- a/marblestair/core/leadership/transfer.py
+++ b/marblestair/core/leadership/transfer.py
@@ -69,7 +69,7 @@
             return
         own = self._own_shards(current)
         movable = [shard_id for shard_id in own if self._is_movable(shard_id, now)]
-        if self._connectivity.is_isolated(now):
+        if self._connectivity.is_unreachable_by_agents(now):
             self._give_away(movable, current, now)
         elif len(own) >= 2 and movable:
             self._hand_back(movable, current, now)
@@ -113,7 +113,7 @@
         # Where all nodes have lost the agents, it is not this node's network; and while messages
         # of the others come, only one that its agents reach can do better.
         others = recent if recent else [node for node in counts if node != self._context.node]
-        reached = self._connectivity.peer_reaches_agents
+        reached = self._connectivity.peer_can_accept_shards
         others = [node for node in others if not recent or reached.get(node, False)]
         if not others or not movable:
             return
@@ -139,7 +139,7 @@
     def _is_stable(self, node: str, now: float) -> bool:
         """Whether a node can be given a shard: its agents reach it, and it has stayed up."""
         _, seen_since = self._incarnation_seen.get(node, (0, now))
-        if not self._connectivity.peer_reaches_agents.get(node, False):
+        if not self._connectivity.peer_can_accept_shards.get(node, False):
             return False
         return now - seen_since > STABLE_LEASES * self._lease.ttl_s
 
@@ -153,10 +153,10 @@
 
     def _transfer(self, shard_id: int, target: str) -> Coroutine[None]:
         shard = self._leadership.shards.get(shard_id)
-        if shard is None or shard.is_closing:
+        if shard is None or shard.is_being_transferred:
             return
         # From here on this node does not act for the shard: the commit may be applied any time.
-        shard.is_closing = True
+        shard.is_being_transferred = True
         uncertain_version: int | None = None
         tries = 0
         while self._leadership.shards.get(shard_id) is shard and self._view.shard_map is not None:
@@ -166,7 +166,7 @@
             if incarnation is None or tries > MOST_TRIES:
                 if uncertain_version != version:
                     # Nothing that was sent can be applied any more: the map has moved on.
-                    shard.is_closing = False
+                    shard.is_being_transferred = False
                     return
                 # Take the shard anew, so that the commit in doubt cannot be applied late.
                 target, incarnation = self._context.identity
--- a/marblestair/core/shard/agent_leases.py
+++ b/marblestair/core/shard/agent_leases.py
@@ -17,14 +17,14 @@
     for machine in shard.machines.values():
         last_heartbeat_at = machine.last_heartbeat_at
         if machine.tasks and (
-            last_heartbeat_at is None or now - last_heartbeat_at >= shard.silence_limit_s
+            last_heartbeat_at is None or now - last_heartbeat_at >= shard.heartbeat_timeout_s
         ):
             # A launch that is in no response yet can go elsewhere at once.
             shard.remove_planned_tasks(machine, now)
-        if machine.responsiveness.state is Reachability.SILENT:
+        if machine.responsiveness.state is Reachability.LEASE_EXPIRED:
             continue
         # Before the acquisition the earlier leader may have answered.
-        renewed_at = machine.answered_at
+        renewed_at = machine.last_answered_at
         if renewed_at is None or renewed_at < acquired_at:
             renewed_at = acquired_at
         is_expired = now >= renewed_at + shard.agent_lease_limit_s
@@ -35,6 +35,6 @@
 
 
 def _expire_lease(shard: Shard, machine: Machine, now: float) -> None:
-    machine.mark_silent(now)
-    shard.forget_tasks(machine, now)
+    machine.mark_lease_expired(now)
+    shard.remove_all_tasks(machine, now)
     shard.mark_reconciled(machine.name)
--- a/marblestair/core/shard/boot_times.py
+++ b/marblestair/core/shard/boot_times.py
@@ -13,17 +13,17 @@
 from marblestair.core.domain.machines import MachineType
 
 #: age at which a machine is overdue, in expected boot times
-OVERDUE_BOOT_TIMES = 1.6
+OVERDUE_EXPECTED_BOOTS = 1.6
 #: age at which a machine is given up, in expected boot times, and at least, in usual boot times
-GIVE_UP_BOOT_TIMES, LEAST_GIVE_UP_BOOT_TIMES = 2.0, 3.0
+TIMEOUT_EXPECTED_BOOTS, MIN_TIMEOUT_NOMINAL_BOOTS = 2.0, 3.0
 #: bounds of the expected boot time, in usual boot times
-LEAST_RATIO, MOST_RATIO = 1.0, 4.0
+MIN_BOOT_RATIO, MAX_BOOT_RATIO = 1.0, 4.0
 #: boot times of one type that are remembered: their number, and for how many usual boot times
-REMEMBERED_BOOTS, MEMORY_BOOT_TIMES = 16, 8.0
+MAX_RETAINED_BOOTS, RETENTION_NOMINAL_BOOTS = 16, 8.0
 #: fraction of the remembered boot times that took no longer than the expected boot time
 EXPECTED_QUANTILE = 0.75
 #: least usual boot time that ratios are formed with: a cloud may name none
-LEAST_BOOT_S = 1e-6
+MIN_NOMINAL_BOOT_S = 1e-6
 
 
 class Boot(NamedTuple):
@@ -44,25 +44,25 @@
 
     def record(self, machine_type: MachineType, boot_s: float, now: float) -> None:
         """Record how long a machine took until its first heartbeat, which has come now."""
-        boots = self._boots.setdefault(machine_type.name, deque(maxlen=REMEMBERED_BOOTS))
-        boots.append(Boot(now, boot_s / max(machine_type.boot_s, LEAST_BOOT_S)))
+        boots = self._boots.setdefault(machine_type.name, deque(maxlen=MAX_RETAINED_BOOTS))
+        boots.append(Boot(now, boot_s / max(machine_type.boot_s, MIN_NOMINAL_BOOT_S)))
 
     def expected_ratio(self, machine_type: MachineType, now: float) -> float:
         """How long a boot is now expected to take, in usual boot times."""
-        memory_s = MEMORY_BOOT_TIMES * machine_type.boot_s
+        retention_s = RETENTION_NOMINAL_BOOTS * machine_type.boot_s
         boots = self._boots.get(machine_type.name, ())
-        ratios = sorted(boot.ratio for boot in boots if now - boot.ended_at < memory_s)
+        ratios = sorted(boot.ratio for boot in boots if now - boot.ended_at < retention_s)
         if not ratios:
-            return LEAST_RATIO
+            return MIN_BOOT_RATIO
         ratio = ratios[int(EXPECTED_QUANTILE * (len(ratios) - 1))]
-        return min(MOST_RATIO, max(LEAST_RATIO, ratio))
+        return min(MAX_BOOT_RATIO, max(MIN_BOOT_RATIO, ratio))
 
     def is_overdue(self, machine_type: MachineType, age_s: float, now: float) -> bool:
         """Whether a machine without a heartbeat is not to be counted on at its age."""
-        limit = OVERDUE_BOOT_TIMES * self.expected_ratio(machine_type, now)
+        limit = OVERDUE_EXPECTED_BOOTS * self.expected_ratio(machine_type, now)
         return age_s > limit * machine_type.boot_s
 
-    def give_up_after_s(self, machine_type: MachineType, now: float) -> float:
+    def boot_timeout_s(self, machine_type: MachineType, now: float) -> float:
         """Age at which a machine without a heartbeat is given up, in seconds."""
-        limit = GIVE_UP_BOOT_TIMES * self.expected_ratio(machine_type, now)
-        return max(LEAST_GIVE_UP_BOOT_TIMES, limit) * machine_type.boot_s
+        limit = TIMEOUT_EXPECTED_BOOTS * self.expected_ratio(machine_type, now)
+        return max(MIN_TIMEOUT_NOMINAL_BOOTS, limit) * machine_type.boot_s
--- a/marblestair/core/shard/commands.py
+++ b/marblestair/core/shard/commands.py
@@ -11,7 +11,7 @@
 from marblestair.core.shard.shard import Shard
 
 #: launches, or stops, in one message to an agent, so that it stays well under the size limit
-MAX_COMMANDS = 400
+MAX_COMMANDS_PER_MESSAGE = 400
 #: heartbeat intervals after which a stop that showed no effect is sent again
 STOP_RETRY_INTERVALS = 2
 
@@ -27,7 +27,7 @@
     """Return the commands, but for launches, for the response to a heartbeat just reconciled."""
     commands: list[TaskCommand] = []
     for (job, index), exited in machine.exited_tasks.items():
-        if not exited.is_done or not _awaits_durability(shard.slices.get(job), index):
+        if not exited.is_done or not _is_completion_unpersisted(shard.slices.get(job), index):
             commands.append(TaskCommand(CommandVerb.FORGET, job, index, exited.attempt))
     for (job, index), attempt in machine.unknown_tasks.items():
         commands.append(TaskCommand(CommandVerb.STOP, job, index, attempt, 0.0))
@@ -37,7 +37,7 @@
     return commands
 
 
-def _awaits_durability(job_slice: JobSlice | None, index: int) -> bool:
+def _is_completion_unpersisted(job_slice: JobSlice | None, index: int) -> bool:
     """Whether a completed task is not recorded in the store yet: the agent is to list it on."""
     return (
         job_slice is not None
@@ -59,7 +59,7 @@
             commands.append(
                 TaskCommand(CommandVerb.STOP, status.job, status.index, status.attempt, 0.0)
             )
-    return commands[:MAX_COMMANDS]
+    return commands[:MAX_COMMANDS_PER_MESSAGE]
 
 
 def launch_commands(shard: Shard, machine: Machine, now: float) -> list[TaskCommand]:
@@ -68,14 +68,14 @@
     A planned task that may not start any more is removed instead.
     """
     commands: list[TaskCommand] = []
-    if not machine.is_reconciled or machine.is_given_up or machine.is_releasing:
+    if not machine.is_reconciled or machine.is_decommissioned or machine.is_releasing:
         return commands
     for task in list(machine.tasks.values()):
         if task.state != TaskState.PLANNED:
             continue
         if not _may_start(shard.slices.get(task.job), machine, task):
             shard.remove_task(machine, task, now)
-        elif len(commands) < MAX_COMMANDS:
+        elif len(commands) < MAX_COMMANDS_PER_MESSAGE:
             commands.append(TaskCommand(CommandVerb.START, task.job, task.index, task.attempt))
             task.state = TaskState.SENT
     return commands
@@ -93,12 +93,12 @@
     )
 
 
-def overdue_stops(shard: Shard, now: float) -> list[DirectStops]:
+def direct_stops(shard: Shard, now: float) -> list[DirectStops]:
     """Return stops that should not wait for their machines' next heartbeats.
 
     They are harmless when late: attempts are never reused.
     """
-    overdue = []
+    due = []
     retry_s = shard.cluster.workers.report_s * STOP_RETRY_INTERVALS
     for machine in shard.machines.values():
         if not machine.address or not machine.agent_incarnation or not machine.is_reconciled:
@@ -110,8 +110,8 @@
             if task.stop_sent_at is None or now - task.stop_sent_at > retry_s:
                 commands.append(_stop_command(task, task.stop_grace_s, now))
         if commands:
-            overdue.append(DirectStops(machine, commands[:MAX_COMMANDS]))
-    return overdue
+            due.append(DirectStops(machine, commands[:MAX_COMMANDS_PER_MESSAGE]))
+    return due
 
 
 def _stop_command(task: PlacedTask, grace_s: float, now: float) -> TaskCommand:
--- a/marblestair/core/shard/failures.py
+++ b/marblestair/core/shard/failures.py
@@ -18,23 +18,23 @@
 from marblestair.core.domain.settings import Workers
 
 #: machines on which nothing but one job fails after which that job is quarantined
-JOB_MACHINES = 3
+MIN_QUARANTINE_MACHINES = 3
 #: failures that count against a machine, by proven jobs or by distinct jobs, until it is faulty
-MACHINE_FAILURES = 3
+MIN_FAULTY_FAILURES = 3
 #: jobs and machines with evidence: more than the largest fleets have machines
-REMEMBERED = 10_000
+MAX_TRACKED_ENTRIES = 10_000
 #: machines that are remembered of each job, and jobs of each machine
-COUNTERPARTS = 8
+MAX_KEYS_PER_ENTRY = 8
 #: back-off of a job whose quarantine begins, in heartbeat intervals
-FIRST_BACKOFF_INTERVALS = 4.0
+INITIAL_BACKOFF_INTERVALS = 4.0
 #: longest back-off of a job or a machine, in agents' leases
-LONGEST_BACKOFF_LEASES = 2.5
+MAX_BACKOFF_LEASES = 2.5
 #: growth of a quarantined job's back-off from one retry to the next
-BACKOFF_GROWTH = 2.0
+BACKOFF_FACTOR = 2.0
 #: back-off for each failure that counts against a machine, in heartbeat intervals
-MACHINE_BACKOFF_INTERVALS = 2.0
+BACKOFF_INTERVALS_PER_FAILURE = 2.0
 #: agents' leases for which the evidence of another shard counts
-SHARD_EVIDENCE_LEASES = 3.0
+PUBLISHED_FAILURES_LEASES = 3.0
 
 
 class FailingJob(NamedTuple):
@@ -44,8 +44,8 @@
     machine_count: int
 
 
-class JobEvidence:
-    """What is known of one job's tasks."""
+class JobFailures:
+    """what is known of one job's tasks."""
 
     __slots__ = ("failed_on", "backoff_s", "retry_at", "has_succeeded", "is_quarantined")
 
@@ -59,7 +59,7 @@
         self.backoff_s = 0.0
 
 
-class MachineEvidence:
+class MachineFailures:
     """What failed on one machine since something last succeeded there."""
 
     __slots__ = ("failures", "retry_at")
@@ -71,7 +71,7 @@
         self.retry_at: dict[str, float] = {}
 
 
-class ShardEvidence(NamedTuple):
+class PublishedFailures(NamedTuple):
     """What the leader of another shard last published."""
 
     expires_at: float
@@ -79,7 +79,7 @@
     machine_counts: dict[str, int]
 
 
-Evidence = TypeVar("Evidence", JobEvidence, MachineEvidence)
+Evidence = TypeVar("Evidence", JobFailures, MachineFailures)
 Value = TypeVar("Value")
 
 
@@ -87,28 +87,28 @@
     """The evidence of one controller, and its judgement."""
 
     def __init__(self, workers: Workers) -> None:
-        self._first_backoff_s = FIRST_BACKOFF_INTERVALS * workers.report_s
-        self._longest_backoff_s = LONGEST_BACKOFF_LEASES * workers.lease_s
-        self._machine_backoff_s = MACHINE_BACKOFF_INTERVALS * workers.report_s
-        self._shard_evidence_s = SHARD_EVIDENCE_LEASES * workers.lease_s
-        self._jobs: OrderedDict[str, JobEvidence] = OrderedDict()
-        self._machines: OrderedDict[str, MachineEvidence] = OrderedDict()
+        self._initial_backoff_s = INITIAL_BACKOFF_INTERVALS * workers.report_s
+        self._max_backoff_s = MAX_BACKOFF_LEASES * workers.lease_s
+        self._backoff_per_failure_s = BACKOFF_INTERVALS_PER_FAILURE * workers.report_s
+        self._published_failures_s = PUBLISHED_FAILURES_LEASES * workers.lease_s
+        self._jobs: OrderedDict[str, JobFailures] = OrderedDict()
+        self._machines: OrderedDict[str, MachineFailures] = OrderedDict()
         #: shard -> what its leader last published, and the sum of that by job
-        self._by_shard: dict[int, ShardEvidence] = {}
+        self._by_shard: dict[int, PublishedFailures] = {}
         self._published_counts: dict[str, int] = {}
         #: quarantines have begun or ended since the reader of this last cleared it
         self.quarantine_changed = False
 
     # --- evidence --------------------------------------------------------------------------
 
-    def record_failure(self, job: str, machine: str, proven: bool, now: float) -> None:
-        """Record a task that ended with an error; ``proven`` if its job is known to succeed."""
-        by_job = _get_or_add(self._jobs, job, JobEvidence)
-        by_machine = _get_or_add(self._machines, machine, MachineEvidence)
-        by_job.has_succeeded = by_job.has_succeeded or proven
+    def record_failure(self, job: str, machine: str, job_has_succeeded: bool, now: float) -> None:
+        """Record a task that ended with an error; ``job_has_succeeded`` if its job is known to succeed."""
+        by_job = _get_or_add(self._jobs, job, JobFailures)
+        by_machine = _get_or_add(self._machines, machine, MachineFailures)
+        by_job.has_succeeded = by_job.has_succeeded or job_has_succeeded
         _set_latest(by_job.failed_on, machine, None)
         _set_latest(by_machine.failures, job, by_machine.failures.get(job, 0) + 1)
-        backoff_s = min(self._longest_backoff_s, by_machine.failures[job] * self._machine_backoff_s)
+        backoff_s = min(self._max_backoff_s, by_machine.failures[job] * self._backoff_per_failure_s)
         by_machine.retry_at = {
             other: retry_at for other, retry_at in by_machine.retry_at.items() if retry_at > now
         }
@@ -116,7 +116,7 @@
         if by_job.is_quarantined:
             if now >= by_job.retry_at:
                 self._back_off(by_job, now)
-        elif self._fails_everywhere(job, by_job):
+        elif self._should_quarantine(job, by_job):
             self._quarantine(by_job, now)
 
     def record_success(self, job: str, machine: str) -> None:
@@ -132,7 +132,9 @@
         self, shard_id: int, failing: Iterable[tuple[str, int]], now: float
     ) -> None:
         """Receive what the leader of another shard published (see :meth:`failing_jobs`)."""
-        self._by_shard[shard_id] = ShardEvidence(now + self._shard_evidence_s, dict(failing))
+        self._by_shard[shard_id] = PublishedFailures(
+            now + self._published_failures_s, dict(failing)
+        )
         self._by_shard = {
             other: evidence
             for other, evidence in self._by_shard.items()
@@ -146,7 +148,7 @@
         for job in self._published_counts:
             evidence = self._jobs.get(job)
             if evidence is not None and not evidence.is_quarantined:
-                if self._fails_everywhere(job, evidence):
+                if self._should_quarantine(job, evidence):
                     self._quarantine(evidence, now)
 
     def _sum_published_counts(self) -> dict[str, int]:
@@ -169,7 +171,7 @@
                 continue
             machine_count = self._count_machines_against(job, evidence)
             if evidence.is_quarantined:
-                machine_count = max(machine_count, JOB_MACHINES)
+                machine_count = max(machine_count, MIN_QUARANTINE_MACHINES)
             if machine_count:
                 failing.append(FailingJob(job, machine_count))
         return failing
@@ -183,7 +185,7 @@
         evidence = self._jobs.get(job)
         if evidence is not None and (evidence.is_quarantined or evidence.has_succeeded):
             return evidence.is_quarantined
-        return self._published_counts.get(job, 0) >= JOB_MACHINES
+        return self._published_counts.get(job, 0) >= MIN_QUARANTINE_MACHINES
 
     def is_backing_off(self, job: str, now: float) -> bool:
         """Whether a quarantined job may not retry yet."""
@@ -203,17 +205,19 @@
             and now < by_machine.retry_at.get(job, 0.0)
         }
 
-    def _fails_everywhere(self, job: str, evidence: JobEvidence) -> bool:
+    def _should_quarantine(self, job: str, evidence: JobFailures) -> bool:
         if evidence.has_succeeded:
             return False
         published_count = self._published_counts.get(job, 0)
-        return published_count + self._count_machines_against(job, evidence) >= JOB_MACHINES
+        return (
+            published_count + self._count_machines_against(job, evidence) >= MIN_QUARANTINE_MACHINES
+        )
 
-    def _count_machines_against(self, job: str, evidence: JobEvidence) -> int:
+    def _count_machines_against(self, job: str, evidence: JobFailures) -> int:
         """Count the machines on which this job fails and nothing else does."""
-        return sum(self._fails_alone(job, machine) for machine in evidence.failed_on)
+        return sum(self._is_only_failing_job(job, machine) for machine in evidence.failed_on)
 
-    def _fails_alone(self, job: str, machine: str) -> bool:
+    def _is_only_failing_job(self, job: str, machine: str) -> bool:
         """Whether nothing but this job, and jobs that are quarantined, fails on a machine."""
         by_machine = self._machines.get(machine)
         if by_machine is None:
@@ -221,58 +225,60 @@
             return True
         return all(other == job or self.is_quarantined(other) for other in by_machine.failures)
 
-    def _quarantine(self, evidence: JobEvidence, now: float) -> None:
+    def _quarantine(self, evidence: JobFailures, now: float) -> None:
         evidence.is_quarantined = self.quarantine_changed = True
-        evidence.backoff_s = self._first_backoff_s / BACKOFF_GROWTH
+        evidence.backoff_s = self._initial_backoff_s / BACKOFF_FACTOR
         self._back_off(evidence, now)
 
-    def _back_off(self, evidence: JobEvidence, now: float) -> None:
-        evidence.backoff_s = min(self._longest_backoff_s, BACKOFF_GROWTH * evidence.backoff_s)
+    def _back_off(self, evidence: JobFailures, now: float) -> None:
+        evidence.backoff_s = min(self._max_backoff_s, BACKOFF_FACTOR * evidence.backoff_s)
         evidence.retry_at = now + evidence.backoff_s
 
     # --- judgement of machines -------------------------------------------------------------
 
     def is_faulty(self, machine: str) -> bool:
         """Whether a machine is to be given up."""
-        return self._count_failures_against(machine) >= MACHINE_FAILURES
+        return self._count_failures_against(machine) >= MIN_FAULTY_FAILURES
 
     def machine_backoff_s(self, machine: str) -> float:
         """For how long nothing is placed on a machine after a failure."""
         failure_count = self._count_failures_against(machine)
-        return min(self._longest_backoff_s, failure_count * self._machine_backoff_s)
+        return min(self._max_backoff_s, failure_count * self._backoff_per_failure_s)
 
     def _count_failures_against(self, machine: str) -> int:
         """Count the failures that speak against a machine rather than against jobs."""
         by_machine = self._machines.get(machine)
         if by_machine is None:
             return 0
-        proven_failures = 0
+        failures_of_proven = 0
         unproven_jobs = 0
         for job, failure_count in by_machine.failures.items():
             evidence = self._jobs.get(job)
             if evidence is not None and evidence.has_succeeded:
-                proven_failures += failure_count
+                failures_of_proven += failure_count
             elif not self.is_quarantined(job):
                 unproven_jobs += 1
         # A single job of which nothing is known says nothing about the machine.
-        return proven_failures + (unproven_jobs if unproven_jobs > 1 or proven_failures else 0)
+        return failures_of_proven + (
+            unproven_jobs if unproven_jobs > 1 or failures_of_proven else 0
+        )
 
 
 def _get_or_add(
     evidence: OrderedDict[str, Evidence], key: str, make: Callable[[], Evidence]
 ) -> Evidence:
     """Return the evidence under a key, new if there is none; of too many, the oldest goes."""
-    known = evidence.get(key)
-    if known is None:
-        known = evidence[key] = make()
-        while len(evidence) > REMEMBERED:
+    entry = evidence.get(key)
+    if entry is None:
+        entry = evidence[key] = make()
+        while len(evidence) > MAX_TRACKED_ENTRIES:
             evidence.popitem(last=False)
-    return known
+    return entry
 
 
 def _set_latest(latest: OrderedDict[str, Value], key: str, value: Value) -> None:
     """Set a key and move it to the end; of too many, the oldest goes."""
     latest[key] = value
     latest.move_to_end(key)
-    while len(latest) > COUNTERPARTS:
+    while len(latest) > MAX_KEYS_PER_ENTRY:
         latest.popitem(last=False)
--- a/marblestair/core/shard/absence.py
+++ b/marblestair/core/shard/partition_detection.py
@@ -5,12 +5,12 @@
 from marblestair.core.shard.shard import Shard
 
 #: machines that must be silent at once: at least, and as a fraction of the shard's
-LEAST_ABSENT_MACHINES, LEAST_ABSENT_FRACTION = 3, 0.06
+MIN_PARTITIONED_MACHINES, MIN_PARTITIONED_SHARE = 3, 0.06
 #: agents' leases without a heartbeat after which a machine gets no more time
-ABSENCE_LIMIT_LEASES = 3.0
+MAX_PARTITION_LEASES = 3.0
 
 
-def absent_machines(shard: Shard, agent_lease_s: float, now: float) -> set[str]:
+def partitioned_machines(shard: Shard, agent_lease_s: float, now: float) -> set[str]:
     """Return the names of machines that fell silent together with many others.
 
     That is a failure of the network rather than of the machines, and most of them will be back.
@@ -18,14 +18,14 @@
     silent = [
         machine
         for machine in shard.machines.values()
-        if machine.is_silent and machine.agent_incarnation and not machine.has_failed
+        if machine.is_lease_expired and machine.agent_incarnation and not machine.has_failed
     ]
-    least = max(LEAST_ABSENT_MACHINES, LEAST_ABSENT_FRACTION * len(shard.machines))
+    least = max(MIN_PARTITIONED_MACHINES, MIN_PARTITIONED_SHARE * len(shard.machines))
     if len(silent) < least:
         return set()
-    limit_s = ABSENCE_LIMIT_LEASES * agent_lease_s
+    limit_s = MAX_PARTITION_LEASES * agent_lease_s
     return {
         machine.name
         for machine in silent
-        if now - machine.last_sign_of_life_at(shard.acquired_at) < limit_s
+        if now - machine.last_seen_at(shard.acquired_at) < limit_s
     }
--- a/marblestair/core/shard/reclaimed_machines.py
+++ b/marblestair/core/shard/reclaimed_machines.py
@@ -8,9 +8,9 @@
 
 #: a checkpoint is begun so many times the time that it takes, and so many heartbeat intervals,
 #: before the machine is reclaimed
-SAVE_TIMES_BEFORE, INTERVALS_BEFORE = 2, 3
+EVICTION_LEAD_SAVES, EVICTION_LEAD_INTERVALS = 2, 3
 #: least grace of a stop with a checkpoint: with none, agents stop a task at once
-LEAST_SAVE_GRACE_S = 0.001
+MIN_SAVE_GRACE_S = 0.001
 
 
 def evict_from_reclaimed_machines(shard: Shard, now: float) -> None:
@@ -26,11 +26,11 @@
             spec = job_slice.spec
             if spec.saves_checkpoints and reclaim_at - now <= _eviction_lead_s(shard, spec):
                 # A gang saves only if all its tasks are stopped, and at nearly the same time.
-                grace_s = max(spec.checkpoint_save_s, LEAST_SAVE_GRACE_S)
+                grace_s = max(spec.checkpoint_save_s, MIN_SAVE_GRACE_S)
                 job_slice.request_stops(grace_s, StopReason.MACHINE_RECLAIMED)
 
 
 def _eviction_lead_s(shard: Shard, spec: JobSpec) -> float:
     """How long before a machine is reclaimed a job's tasks there are to begin to save."""
     report_s = shard.cluster.workers.report_s
-    return SAVE_TIMES_BEFORE * spec.checkpoint_save_s + INTERVALS_BEFORE * report_s
+    return EVICTION_LEAD_SAVES * spec.checkpoint_save_s + EVICTION_LEAD_INTERVALS * report_s
--- a/marblestair/core/shard/reconciliation.py
+++ b/marblestair/core/shard/reconciliation.py
@@ -5,41 +5,45 @@
 from marblestair.core.domain.agents import ExitReason, Heartbeat, TaskState, TaskStatus
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import ExitedTask, Machine, PlacedTask, TaskKey
-from marblestair.core.shard.responsiveness import MAX_IGNORED, Reachability
+from marblestair.core.shard.responsiveness import MAX_IGNORED_MESSAGES, Reachability
 from marblestair.core.shard.shard import FinishedTask, Shard
 
 #: heartbeat intervals for which nothing is placed on a machine that refused to start a task
-REFUSED_START_INTERVALS = 2
+REFUSED_START_BACKOFF_INTERVALS = 2
 #: reasons for which agents refuse to start a task
-START_REFUSALS = (ExitReason.NO_ROOM, ExitReason.UNKNOWN, ExitReason.BUSY)
+START_REFUSALS = (
+    ExitReason.INSUFFICIENT_RESOURCES,
+    ExitReason.UNKNOWN,
+    ExitReason.OTHER_ATTEMPT_PRESENT,
+)
 
 
 def reconcile(shard: Shard, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
     """Apply what a reconciled machine lists to the tasks that are expected there."""
-    listed = _sort_listed_tasks(shard, machine, heartbeat, now)
+    listed = _classify_listed_tasks(shard, machine, heartbeat, now)
     if machine.unknown_tasks:
         shard.machines_with_unknown_tasks.add(machine.name)
     else:
         shard.machines_with_unknown_tasks.discard(machine.name)
-    is_launch_lost = is_launch_shown = False
+    is_launch_lost = is_launch_confirmed = False
     for key, task in list(machine.tasks.items()):
         status = listed.get(key)
         was_sent = task.state == TaskState.SENT
-        is_launch_shown = is_launch_shown or (was_sent and status is not None)
+        is_launch_confirmed = is_launch_confirmed or (was_sent and status is not None)
         if status is not None and status.attempt == task.attempt:
             _apply_status(shard, machine, task, status, now)
         elif was_sent:
             is_launch_lost = True
-            _withdraw_launch(shard, machine, task, now)
+            _reset_launch(shard, machine, task, now)
         elif task.state != TaskState.PLANNED:
             shard.remove_task(machine, task, now)
-    if is_launch_shown:
+    if is_launch_confirmed:
         machine.responsiveness.ignored_commands = 0
     elif is_launch_lost:
         _record_ignored_launch(shard, machine, now)
 
 
-def _sort_listed_tasks(
+def _classify_listed_tasks(
     shard: Shard, machine: Machine, heartbeat: Heartbeat, now: float
 ) -> dict[TaskKey, TaskStatus]:
     """Sort what a machine lists into expected, adopted, exited and unknown tasks.
@@ -59,7 +63,7 @@
             if is_expected:
                 listed[key] = status
             elif is_done:
-                _adopt_result(shard, status, now)
+                _adopt_completion(shard, status, now)
             if key not in machine.exited_tasks or not is_expected:
                 machine.exited_tasks[key] = ExitedTask(status.attempt, is_done)
             continue
@@ -74,7 +78,7 @@
     return listed
 
 
-def _adopt_result(shard: Shard, status: TaskStatus, now: float) -> None:
+def _adopt_completion(shard: Shard, status: TaskStatus, now: float) -> None:
     """Record a completion whose leader fell before it was recorded."""
     job_slice = shard.slices.get(status.job)
     if job_slice is not None and job_slice.can_adopt(status.index):
@@ -95,7 +99,7 @@
         task.state = status.state
 
 
-def _withdraw_launch(shard: Shard, machine: Machine, task: PlacedTask, now: float) -> None:
+def _reset_launch(shard: Shard, machine: Machine, task: PlacedTask, now: float) -> None:
     """Make a launch planned again: the agent dropped the response that carried it.
 
     That is known, because a heartbeat newer than the response does not list the task.
@@ -115,7 +119,7 @@
     """Count launches that were not carried out: the machine may be unresponsive."""
     responsiveness = machine.responsiveness
     responsiveness.ignored_commands += 1
-    if responsiveness.ignored_commands < MAX_IGNORED:
+    if responsiveness.ignored_commands < MAX_IGNORED_MESSAGES:
         return
     if responsiveness.state is Reachability.RESPONSIVE:
         responsiveness.mark_unresponsive(now)
@@ -131,11 +135,13 @@
         if job_slice is not None:
             _record_completion(shard, machine, task, job_slice, now)
     elif status.exit_reason == ExitReason.ERROR:
-        is_proven = job_slice is not None and job_slice.done_count > 0
-        shard.failures.record_failure(task.job, machine.name, is_proven, now)
+        job_has_succeeded = job_slice is not None and job_slice.done_count > 0
+        shard.failures.record_failure(task.job, machine.name, job_has_succeeded, now)
         machine.back_off(now + shard.failures.machine_backoff_s(machine.name))
     elif status.exit_reason in START_REFUSALS:
-        machine.backoff_until = now + REFUSED_START_INTERVALS * shard.cluster.workers.report_s
+        machine.backoff_until = (
+            now + REFUSED_START_BACKOFF_INTERVALS * shard.cluster.workers.report_s
+        )
     shard.remove_task(machine, task, now)
 
 
--- a/marblestair/core/shard/responsiveness.py
+++ b/marblestair/core/shard/responsiveness.py
@@ -5,7 +5,7 @@
 import enum
 
 #: commands, terms or leases in a row without effect after which an agent counts as unresponsive
-MAX_IGNORED = 2
+MAX_IGNORED_MESSAGES = 2
 
 
 class Reachability(enum.Enum):
@@ -21,7 +21,7 @@
     #: heartbeats arrive, but responses and commands seem not to reach the agent
     UNRESPONSIVE = "unresponsive"
     #: no heartbeat was answered for the time of its lease, so none of its tasks runs any more
-    SILENT = "silent"
+    LEASE_EXPIRED = "lease expired"
 
 
 class Responsiveness:
@@ -31,7 +31,7 @@
         "frequent_since",
         "ignored_commands",
         "ignored_terms",
-        "is_silent_with_many",
+        "is_partitioned",
         "state",
         "unresponsive_since",
     )
@@ -41,7 +41,7 @@
         #: since when it has been unresponsive or silent, while it is
         self.unresponsive_since = now
         #: it fell silent together with many others, and is likely to be back
-        self.is_silent_with_many = False
+        self.is_partitioned = False
         #: commands or leases in a row that showed no effect
         self.ignored_commands = 0
         #: responses in a row to heartbeats that did not carry the shard's term
@@ -55,10 +55,10 @@
         if self.state is Reachability.RESPONSIVE:
             self.state, self.unresponsive_since = Reachability.UNRESPONSIVE, now
 
-    def mark_silent(self, now: float) -> None:
+    def mark_lease_expired(self, now: float) -> None:
         """Record that the agent's lease has expired."""
         self.mark_unresponsive(now)
-        self.state = Reachability.SILENT
+        self.state = Reachability.LEASE_EXPIRED
         self.ignored_terms = 0
 
     def record_heartbeat(
@@ -77,16 +77,16 @@
         now
             Steady time in seconds.
         """
-        if is_frequent and not is_new_incarnation and self.ignored_commands < MAX_IGNORED:
+        if is_frequent and not is_new_incarnation and self.ignored_commands < MAX_IGNORED_MESSAGES:
             # An agent that gets no response within some seconds turns to another controller.
             self.state = Reachability.RESPONSIVE
-        elif self.state is Reachability.SILENT:
+        elif self.state is Reachability.LEASE_EXPIRED:
             self.state = Reachability.UNRESPONSIVE
         if not is_frequent:
             self.frequent_since = now
         elif now - self.frequent_since > recovery_s:
             # Nothing is sent to an unresponsive agent that could show whether it responds again.
             self.ignored_commands = 0
-        if self.is_silent_with_many:
+        if self.is_partitioned:
             # Whether responses reach it is shown by the heartbeats that follow.
-            self.unresponsive_since, self.is_silent_with_many = now, False
+            self.unresponsive_since, self.is_partitioned = now, False
--- a/marblestair/core/shard/shard.py
+++ b/marblestair/core/shard/shard.py
@@ -18,7 +18,7 @@
 from typing import NamedTuple
 
 from marblestair.core.domain.agents import TaskState, TaskStatus
-from marblestair.core.domain.clocks import CLOCK_DRIFT
+from marblestair.core.domain.clocks import MAX_CLOCK_DRIFT_FRACTION
 from marblestair.core.domain.index_ranges import IndexRanges
 from marblestair.core.domain.jobs import JobKind, JobSpec
 from marblestair.core.domain.settings import Cluster
@@ -28,13 +28,13 @@
 from marblestair.core.shard.machine import Machine, PlacedTask, StopReason
 from marblestair.core.state.records import JobRecord
 
-#: attempts are ``(term << ATTEMPT_BITS) + count``, so that no term reuses another's
-ATTEMPT_BITS = 24
+#: attempts are ``(term << ATTEMPT_COUNT_BITS) + count``, so that no term reuses another's
+ATTEMPT_COUNT_BITS = 24
 #: a machine without a heartbeat for this many intervals gets nothing new, and loses the launches
 #: that were not sent yet
-SILENCE_LIMIT_INTERVALS = 3.5
+HEARTBEAT_TIMEOUT_INTERVALS = 3.5
 #: time that an agent may take beyond its lease, and the clocks' drift, to stop its tasks
-LEASE_MARGIN_S = 0.25
+AGENT_STOP_MARGIN_S = 0.25
 #: usage of a team of which there is no upper bound: more than any quota
 UNBOUNDED_USAGE = 1 << 62
 
@@ -92,16 +92,18 @@
         #: the view has caught up with the failover, and progress is loaded
         self.is_ready = False
         #: being transferred to another node
-        self.is_closing = False
+        self.is_being_transferred = False
         #: tasks completed since the receiver of heartbeats last cleared this
         self.finished_tasks: list[FinishedTask] = []
         #: keys that are of no use any more (pages, rental intents), with the version that may be
         #: deleted; None where it is to be read first
         self.obsolete_keys: dict[str, int | None] = {}
         #: time since the last answered heartbeat after which an agent has surely stopped its tasks
-        self.agent_lease_limit_s = cluster.workers.lease_s * (1 + CLOCK_DRIFT) + LEASE_MARGIN_S
+        self.agent_lease_limit_s = (
+            cluster.workers.lease_s * (1 + MAX_CLOCK_DRIFT_FRACTION) + AGENT_STOP_MARGIN_S
+        )
         #: time without a heartbeat after which a machine gets nothing new
-        self.silence_limit_s = SILENCE_LIMIT_INTERVALS * cluster.workers.report_s
+        self.heartbeat_timeout_s = HEARTBEAT_TIMEOUT_INTERVALS * cluster.workers.report_s
         self._attempt_count = 0
 
     # --- usage -----------------------------------------------------------------------------
@@ -145,7 +147,7 @@
     def new_attempt(self) -> int:
         """Return an attempt number that no other launch has or will have."""
         self._attempt_count += 1
-        return (self.term << ATTEMPT_BITS) + self._attempt_count
+        return (self.term << ATTEMPT_COUNT_BITS) + self._attempt_count
 
     def launch(self, machine: Machine, job_slice: JobSlice, index: int, attempt: int) -> None:
         """Decide to launch a task; the command is in the response to the next heartbeat."""
@@ -197,7 +199,7 @@
             if task.state == TaskState.PLANNED:
                 self.remove_task(machine, task, now)
 
-    def forget_tasks(self, machine: Machine, now: float) -> None:
+    def remove_all_tasks(self, machine: Machine, now: float) -> None:
         """Remove all tasks of a machine: its agent incarnation so far has surely ended."""
         for task in list(machine.tasks.values()):
             self.remove_task(machine, task, now)
@@ -264,7 +266,7 @@
                 task.request_stop(0.0, StopReason.CANCELLED)
         job_slice.pending = IndexRanges()
 
-    def release_reconciled_slices(self) -> None:
+    def mark_slices_reconciled(self) -> None:
         """Let tasks start once every machine that was here at the failover is reconciled."""
         if self.unreconciled_machines:
             return
@@ -283,7 +285,7 @@
     def add_machine(self, machine: Machine) -> None:
         """Add a machine that has joined the shard."""
         machine.join_term = self.term
-        machine.silence_limit_s = self.silence_limit_s
+        machine.heartbeat_timeout_s = self.heartbeat_timeout_s
         self.machines[machine.name] = machine
 
     def remove_machine(self, name: str, now: float) -> None:
@@ -299,7 +301,7 @@
     def mark_reconciled(self, name: str) -> None:
         """Record that nothing unknown runs on a machine that was here at the failover."""
         self.unreconciled_machines.discard(name)
-        self.release_reconciled_slices()
+        self.mark_slices_reconciled()
 
 
 def _stop_rest_of_gang(job_slice: JobSlice) -> None:
--- a/marblestair/core/status.py
+++ b/marblestair/core/status.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from marblestair.core.domain.amounts import FIXED_POINT_UNIT
+from marblestair.core.domain.amounts import FIXED_POINT_SCALE
 from marblestair.core.jobs.cancel_registry import CancelRegistry
 from marblestair.core.jobs.dependencies import DependencyGraph
 from marblestair.core.jobs.managed_job import ManagedJob
@@ -17,7 +17,7 @@
 from marblestair.core.state.store_view import StoreView
 
 #: age shown of a view that was never filled, in seconds
-MOST_AGE_S = 1e6
+MAX_VIEW_AGE_S = 1e6
 
 
 class StatusReport:
@@ -56,7 +56,7 @@
             **self._job_status(),
             **self._pending_status(),
             "decisions": dict(sorted(self._context.decisions.counts.items())),
-            "parts": self._shard_status(),
+            "parts": self._shard_statuses(),
         }
 
     def _leadership_status(self) -> dict[str, object]:
@@ -66,7 +66,7 @@
             "acts_for": [shard.shard_id for shard in self._leadership.led_shards()],
             "lease_s_left": round(max(0.0, self._lease.remaining_s(now) or 0.0), 1),
             "on_promises": self._promises.are_valid(now),
-            "view_s_old": round(min(MOST_AGE_S, self._view.age_s(now)), 1),
+            "view_s_old": round(min(MAX_VIEW_AGE_S, self._view.staleness_s(now)), 1),
         }
 
     def _job_status(self) -> dict[str, object]:
@@ -93,19 +93,20 @@
             ),
         }
 
-    def _shard_status(self) -> list[dict[str, object]]:
+    def _shard_statuses(self) -> list[dict[str, object]]:
         shard_map = self._view.shard_map
         if shard_map is None:
             return []
         return [
-            self._one_shard(shard_id, record) for shard_id, record in enumerate(shard_map.shards)
+            self._status_of_shard(shard_id, record)
+            for shard_id, record in enumerate(shard_map.shards)
         ]
 
-    def _one_shard(self, shard_id: int, record: ShardRecord) -> dict[str, object]:
+    def _status_of_shard(self, shard_id: int, record: ShardRecord) -> dict[str, object]:
         backlog_cpus = received_s_ago = None
         if shard_id in self._summaries:
             received_at, summary = self._summaries[shard_id]
-            backlog_cpus = summary.backlog_cpus / FIXED_POINT_UNIT
+            backlog_cpus = summary.backlog_cpus / FIXED_POINT_SCALE
             received_s_ago = round(self._context.now - received_at, 1)
         machines = self._view.machines.values()
         return {
@@ -113,7 +114,7 @@
             "owner": record.leader,
             "term": record.term,
             "shares_cpus": {
-                team: quota[0] / FIXED_POINT_UNIT for team, quota in record.quotas.items()
+                team: quota[0] / FIXED_POINT_SCALE for team, quota in record.quotas.items()
             },
             "backlog_cpus": backlog_cpus,
             "told_s_ago": received_s_ago,
