--- a/marblestair/core/state/store_view.py
+++ b/marblestair/core/state/store_view.py
@@ -77,7 +77,7 @@
         if self.current_as_of is None or as_of > self.current_as_of:
             self.current_as_of = as_of
 
-    def age_s(self, now: float) -> float:
+    def staleness_s(self, now: float) -> float:
         """For how long a change may have been committed without being known here."""
         return math.inf if self.current_as_of is None else now - self.current_as_of
 
