--- a/marblestair/core/shard/__init__.py
+++ b/marblestair/core/shard/__init__.py
@@ -1,1 +1,1 @@
-"""One shard under one term: its machines, slices, heartbeats, commands and leases."""
+"""One shard led under one term: its machines, slices, heartbeats, commands and leases."""
--- a/marblestair/core/shard/agent_leases.py
+++ b/marblestair/core/shard/agent_leases.py
@@ -1,7 +1,7 @@
-"""Machines that send no heartbeats: their launches are withdrawn, then their leases expire.
+"""Expiry of agents' leases, and withdrawal of launches from machines with overdue heartbeats.
 
-An agent stops all its tasks when it has received no response for the time of its lease. The leader
-counts that time from the last response that the agent may have received.
+An agent stops all its tasks when it has received no heartbeat response for the duration of its
+lease. The leader measures that duration from the last response that the agent may have received.
 """
 
 from __future__ import annotations
@@ -12,18 +12,21 @@
 
 
 def expire_agent_leases(shard: Shard, now: float) -> None:
-    """Remove the tasks of machines whose agents' leases must have expired."""
+    """Remove the tasks of machines whose agents' leases must have expired.
+
+    Also withdraws unsent launches from machines whose next heartbeat is overdue.
+    """
     acquired_at = shard.acquired_at
     for machine in shard.machines.values():
         last_heartbeat_at = machine.last_heartbeat_at
         if machine.tasks and (
             last_heartbeat_at is None or now - last_heartbeat_at >= shard.heartbeat_timeout_s
         ):
-            # A launch that is in no response yet can go elsewhere at once.
+            # No response has carried these launches, so the tasks can be placed elsewhere at once.
             shard.remove_planned_tasks(machine, now)
         if machine.responsiveness.state is Reachability.LEASE_EXPIRED:
             continue
-        # Before the acquisition the earlier leader may have answered.
+        # The previous leader may have renewed the lease until this node acquired the shard.
         renewed_at = machine.last_answered_at
         if renewed_at is None or renewed_at < acquired_at:
             renewed_at = acquired_at
--- a/marblestair/core/shard/boot_times.py
+++ b/marblestair/core/shard/boot_times.py
@@ -1,8 +1,9 @@
-"""How long machines take to boot, learned for each type, and which of them are overdue.
+"""Estimation of boot times for each machine type, and detection of overdue boots.
 
-The cloud names a usual boot time. Now and then machines take several times as long, or never come
-up. A machine that is overdue is not counted on any more, so that another is rented in its place; it
-is used if it comes up after all, and given up once that has become unlikely.
+The cloud names a nominal boot time for each type. Machines occasionally take several times as long,
+or never boot. A machine that is overdue no longer counts as expected capacity, so that a
+replacement is rented; it is still used if it boots before the boot timeout, after which it is
+released.
 """
 
 from __future__ import annotations
@@ -12,43 +13,43 @@
 
 from marblestair.core.domain.machines import MachineType
 
-#: age at which a machine is overdue, in expected boot times
+#: age from which on a booting machine is overdue, in expected boot times
 OVERDUE_EXPECTED_BOOTS = 1.6
-#: age at which a machine is given up, in expected boot times, and at least, in usual boot times
+#: boot timeout in expected boot times, and its minimum in nominal boot times
 TIMEOUT_EXPECTED_BOOTS, MIN_TIMEOUT_NOMINAL_BOOTS = 2.0, 3.0
-#: bounds of the expected boot time, in usual boot times
+#: bounds of the expected boot time, in nominal boot times
 MIN_BOOT_RATIO, MAX_BOOT_RATIO = 1.0, 4.0
-#: boot times of one type that are remembered: their number, and for how many usual boot times
+#: recorded boots of one type: their maximum number, and their retention in nominal boot times
 MAX_RETAINED_BOOTS, RETENTION_NOMINAL_BOOTS = 16, 8.0
-#: fraction of the remembered boot times that took no longer than the expected boot time
+#: quantile of the retained boot times that is taken as the expected boot time
 EXPECTED_QUANTILE = 0.75
-#: least usual boot time that ratios are formed with: a cloud may name none
+#: lower bound of the divisor in boot time ratios, since a cloud may name a boot time of zero
 MIN_NOMINAL_BOOT_S = 1e-6
 
 
 class Boot(NamedTuple):
-    """A boot that was seen."""
+    """A completed boot."""
 
-    #: steady time of the machine's first heartbeat, in seconds
+    #: monotonic time of the machine's first heartbeat, in seconds
     ended_at: float
-    #: the time that it took, in usual boot times
+    #: duration of the boot in nominal boot times
     ratio: float
 
 
 class BootTimes:
-    """The boot times that one controller has seen."""
+    """Records completed boots and derives the expected boot time of each machine type."""
 
     def __init__(self) -> None:
-        #: name of the type -> its last boot times
+        #: name of the machine type -> its latest boots
         self._boots: dict[str, deque[Boot]] = {}
 
     def record(self, machine_type: MachineType, boot_s: float, now: float) -> None:
-        """Record how long a machine took until its first heartbeat, which has come now."""
+        """Record a boot that took ``boot_s`` seconds and ended now with the first heartbeat."""
         boots = self._boots.setdefault(machine_type.name, deque(maxlen=MAX_RETAINED_BOOTS))
         boots.append(Boot(now, boot_s / max(machine_type.boot_s, MIN_NOMINAL_BOOT_S)))
 
     def expected_ratio(self, machine_type: MachineType, now: float) -> float:
-        """How long a boot is now expected to take, in usual boot times."""
+        """Return the expected duration of a boot, in nominal boot times."""
         retention_s = RETENTION_NOMINAL_BOOTS * machine_type.boot_s
         boots = self._boots.get(machine_type.name, ())
         ratios = sorted(boot.ratio for boot in boots if now - boot.ended_at < retention_s)
@@ -58,11 +59,11 @@
         return min(MAX_BOOT_RATIO, max(MIN_BOOT_RATIO, ratio))
 
     def is_overdue(self, machine_type: MachineType, age_s: float, now: float) -> bool:
-        """Whether a machine without a heartbeat is not to be counted on at its age."""
+        """Whether a machine of this age should have sent its first heartbeat by now."""
         limit = OVERDUE_EXPECTED_BOOTS * self.expected_ratio(machine_type, now)
         return age_s > limit * machine_type.boot_s
 
     def boot_timeout_s(self, machine_type: MachineType, now: float) -> float:
-        """Age at which a machine without a heartbeat is given up, in seconds."""
+        """Return the age in seconds at which a machine that sent no heartbeat is released."""
         limit = TIMEOUT_EXPECTED_BOOTS * self.expected_ratio(machine_type, now)
         return max(MIN_TIMEOUT_NOMINAL_BOOTS, limit) * machine_type.boot_s
--- a/marblestair/core/shard/commands.py
+++ b/marblestair/core/shard/commands.py
@@ -1,4 +1,4 @@
-"""Commands to agents: those in responses to heartbeats, and stops that do not wait for one."""
+"""Commands to agents: in heartbeat responses, and stops that are sent directly."""
 
 from __future__ import annotations
 
@@ -10,21 +10,24 @@
 from marblestair.core.shard.machine import Machine, PlacedTask
 from marblestair.core.shard.shard import Shard
 
-#: launches, or stops, in one message to an agent, so that it stays well under the size limit
+#: launches, or stops, in one message to an agent; keeps messages well below the size limit
 MAX_COMMANDS_PER_MESSAGE = 400
-#: heartbeat intervals after which a stop that showed no effect is sent again
+#: heartbeat intervals after which a stop without effect is sent again
 STOP_RETRY_INTERVALS = 2
 
 
 class DirectStops(NamedTuple):
-    """Stops that are sent to an agent by a request of their own."""
+    """Stops for one machine that are sent in a request instead of a heartbeat response."""
 
     machine: Machine
     commands: list[TaskCommand]
 
 
 def task_commands(shard: Shard, machine: Machine, now: float) -> list[TaskCommand]:
-    """Return the commands, but for launches, for the response to a heartbeat just reconciled."""
+    """Return the stop and forget commands for the response to a heartbeat.
+
+    The heartbeat must have been reconciled.
+    """
     commands: list[TaskCommand] = []
     for (job, index), exited in machine.exited_tasks.items():
         if not exited.is_done or not _is_completion_unpersisted(shard.slices.get(job), index):
@@ -38,7 +41,10 @@
 
 
 def _is_completion_unpersisted(job_slice: JobSlice | None, index: int) -> bool:
-    """Whether a completed task is not recorded in the store yet: the agent is to list it on."""
+    """Whether a task's completion is not in the store yet.
+
+    Until it is, the agent must keep listing the task.
+    """
     return (
         job_slice is not None
         and job_slice.contains(index)
@@ -48,9 +54,9 @@
 
 
 def stops_of_ended_jobs(shard: Shard, heartbeat: Heartbeat) -> list[TaskCommand]:
-    """Return stops for a machine that is not reconciled, of what it lists of jobs that have ended.
+    """Return stops for the tasks of ended or cancelled jobs that an unreconciled machine lists.
 
-    A response that renews its lease must not let those tasks run on.
+    The response renews the agent's lease, so these tasks would otherwise keep running.
     """
     commands = []
     for status in heartbeat.tasks:
@@ -63,9 +69,9 @@
 
 
 def launch_commands(shard: Shard, machine: Machine, now: float) -> list[TaskCommand]:
-    """Return launches for the response to a heartbeat, to go after its other commands.
+    """Return the launches for a heartbeat response, to be sent after its other commands.
 
-    A planned task that may not start any more is removed instead.
+    A planned task that may no longer start is removed from the machine instead.
     """
     commands: list[TaskCommand] = []
     if not machine.is_reconciled or machine.is_decommissioned or machine.is_releasing:
@@ -94,11 +100,12 @@
 
 
 def direct_stops(shard: Shard, now: float) -> list[DirectStops]:
-    """Return stops that should not wait for their machines' next heartbeats.
+    """Return the stops to send directly rather than in the next heartbeat response.
 
-    They are harmless when late: attempts are never reused.
+    These are stops that were never sent, and stops that are due for a retry. A stop that arrives
+    late is harmless, since attempt numbers are never reused.
     """
-    due = []
+    pending_stops = []
     retry_s = shard.cluster.workers.report_s * STOP_RETRY_INTERVALS
     for machine in shard.machines.values():
         if not machine.address or not machine.agent_incarnation or not machine.is_reconciled:
@@ -110,11 +117,11 @@
             if task.stop_sent_at is None or now - task.stop_sent_at > retry_s:
                 commands.append(_stop_command(task, task.stop_grace_s, now))
         if commands:
-            due.append(DirectStops(machine, commands[:MAX_COMMANDS_PER_MESSAGE]))
-    return due
+            pending_stops.append(DirectStops(machine, commands[:MAX_COMMANDS_PER_MESSAGE]))
+    return pending_stops
 
 
 def _stop_command(task: PlacedTask, grace_s: float, now: float) -> TaskCommand:
-    """Return the command to stop a task, and record that it is sent now."""
+    """Return a command to stop a task, and record the current time as its sending time."""
     task.stop_sent_at = now
     return TaskCommand(CommandVerb.STOP, task.job, task.index, task.attempt, grace_s)
--- a/marblestair/core/shard/failures.py
+++ b/marblestair/core/shard/failures.py
@@ -1,12 +1,13 @@
-"""Attribution of failed tasks to their machine or to their job.
+"""Attribution of task failures to the machine or to the job.
 
-A faulty machine fails whatever runs on it; a job that was submitted with a mistake fails wherever
-it runs. A single failure shows neither. It counts against a machine once its job has succeeded
-somewhere, or when several different jobs fail on that machine; it counts against a job when its
-tasks, and those of no other job, fail on several machines and none of its tasks ever succeeded.
+A faulty machine fails every task that it runs; a faulty job fails on every machine. A single
+failure does not show which of the two is at fault. Failures count against a machine when their job
+has succeeded elsewhere, or when several different jobs fail on that machine. They count against a
+job when its tasks fail on several machines where no other job fails, and none has ever succeeded.
 
-A job against which enough counts is quarantined: it retries with a few tasks at growing intervals,
-and one success ends the quarantine. All evidence is bounded: the oldest is dropped first.
+A job with enough failures counted against it is quarantined: only a few of its tasks are retried,
+with exponential back-off, until one succeeds. The failure records are bounded in number; the oldest
+one is evicted first.
 """
 
 from __future__ import annotations
@@ -17,128 +18,131 @@
 
 from marblestair.core.domain.settings import Workers
 
-#: machines on which nothing but one job fails after which that job is quarantined
+#: number of machines, with no other failing job on them, that quarantines a failing job
 MIN_QUARANTINE_MACHINES = 3
-#: failures that count against a machine, by proven jobs or by distinct jobs, until it is faulty
+#: number of counted failures that makes a machine faulty
 MIN_FAULTY_FAILURES = 3
-#: jobs and machines with evidence: more than the largest fleets have machines
+#: jobs, and machines, with a failure record: more than the machines of the largest fleets
 MAX_TRACKED_ENTRIES = 10_000
-#: machines that are remembered of each job, and jobs of each machine
+#: machines in the record of one job, and jobs in the record of one machine
 MAX_KEYS_PER_ENTRY = 8
-#: back-off of a job whose quarantine begins, in heartbeat intervals
+#: first back-off of a quarantined job, in heartbeat intervals
 INITIAL_BACKOFF_INTERVALS = 4.0
-#: longest back-off of a job or a machine, in agents' leases
+#: longest back-off of a job or a machine, in agent leases
 MAX_BACKOFF_LEASES = 2.5
-#: growth of a quarantined job's back-off from one retry to the next
+#: factor by which a quarantined job's back-off grows with each failed retry
 BACKOFF_FACTOR = 2.0
-#: back-off for each failure that counts against a machine, in heartbeat intervals
+#: back-off of a machine for each failure counted against it, in heartbeat intervals
 BACKOFF_INTERVALS_PER_FAILURE = 2.0
-#: agents' leases for which the evidence of another shard counts
-PUBLISHED_FAILURES_LEASES = 3.0
+#: agent leases after which the failing jobs published for another shard expire
+PUBLISHED_FAILURES_TTL_LEASES = 3.0
 
 
 class FailingJob(NamedTuple):
-    """A job of which nothing succeeded, and on how many machines nothing else fails."""
+    """A job without any success, and the number of machines on which only this job fails."""
 
     job: str
     machine_count: int
 
 
 class JobFailures:
-    """what is known of one job's tasks."""
+    """The failure record of one job."""
 
     __slots__ = ("failed_on", "backoff_s", "retry_at", "has_succeeded", "is_quarantined")
 
     def __init__(self) -> None:
-        #: machines on which its tasks failed, the latest last
+        #: machines on which its tasks failed, the most recent one last
         self.failed_on: OrderedDict[str, None] = OrderedDict()
         self.has_succeeded = False
         self.is_quarantined = False
-        #: while it is quarantined: when it may retry, and the back-off before that
+        #: during quarantine: time of the next permitted retry, and the current back-off
         self.retry_at = 0.0
         self.backoff_s = 0.0
 
 
 class MachineFailures:
-    """What failed on one machine since something last succeeded there."""
+    """The failures on one machine since a task last succeeded there."""
 
     __slots__ = ("failures", "retry_at")
 
     def __init__(self) -> None:
         #: job -> number of failed tasks
         self.failures: OrderedDict[str, int] = OrderedDict()
-        #: job -> until when it is not started here again
+        #: job -> time before which it is not placed on this machine again
         self.retry_at: dict[str, float] = {}
 
 
 class PublishedFailures(NamedTuple):
-    """What the leader of another shard last published."""
+    """The failing jobs that the leader of another shard last published."""
 
     expires_at: float
-    #: job -> number of machines on which nothing else fails
+    #: job -> number of machines on which only this job fails
     machine_counts: dict[str, int]
 
 
-Evidence = TypeVar("Evidence", JobFailures, MachineFailures)
+Entry = TypeVar("Entry", JobFailures, MachineFailures)
 Value = TypeVar("Value")
 
 
 class FailureAttribution:
-    """The evidence of one controller, and its judgement."""
+    """Records task outcomes and decides whether jobs or machines are at fault."""
 
     def __init__(self, workers: Workers) -> None:
         self._initial_backoff_s = INITIAL_BACKOFF_INTERVALS * workers.report_s
         self._max_backoff_s = MAX_BACKOFF_LEASES * workers.lease_s
         self._backoff_per_failure_s = BACKOFF_INTERVALS_PER_FAILURE * workers.report_s
-        self._published_failures_s = PUBLISHED_FAILURES_LEASES * workers.lease_s
+        self._published_failures_ttl_s = PUBLISHED_FAILURES_TTL_LEASES * workers.lease_s
         self._jobs: OrderedDict[str, JobFailures] = OrderedDict()
         self._machines: OrderedDict[str, MachineFailures] = OrderedDict()
-        #: shard -> what its leader last published, and the sum of that by job
+        #: what the leader of each shard last published, and the machine counts summed by job
         self._by_shard: dict[int, PublishedFailures] = {}
         self._published_counts: dict[str, int] = {}
-        #: quarantines have begun or ended since the reader of this last cleared it
+        #: whether a quarantine has begun or ended since the view synchronizer last cleared this
         self.quarantine_changed = False
 
-    # --- evidence --------------------------------------------------------------------------
+    # --- recording -------------------------------------------------------------------------
 
     def record_failure(self, job: str, machine: str, job_has_succeeded: bool, now: float) -> None:
-        """Record a task that ended with an error; ``job_has_succeeded`` if its job is known to succeed."""
-        by_job = _get_or_add(self._jobs, job, JobFailures)
-        by_machine = _get_or_add(self._machines, machine, MachineFailures)
-        by_job.has_succeeded = by_job.has_succeeded or job_has_succeeded
-        _set_latest(by_job.failed_on, machine, None)
-        _set_latest(by_machine.failures, job, by_machine.failures.get(job, 0) + 1)
-        backoff_s = min(self._max_backoff_s, by_machine.failures[job] * self._backoff_per_failure_s)
-        by_machine.retry_at = {
-            other: retry_at for other, retry_at in by_machine.retry_at.items() if retry_at > now
+        """Record a task that ended with an error.
+
+        ``job_has_succeeded`` tells whether other tasks of the job are known to have succeeded.
+        """
+        job_entry = _get_or_add(self._jobs, job, JobFailures)
+        machine_entry = _get_or_add(self._machines, machine, MachineFailures)
+        job_entry.has_succeeded = job_entry.has_succeeded or job_has_succeeded
+        _set_latest(job_entry.failed_on, machine, None)
+        _set_latest(machine_entry.failures, job, machine_entry.failures.get(job, 0) + 1)
+        backoff_s = min(
+            self._max_backoff_s, machine_entry.failures[job] * self._backoff_per_failure_s
+        )
+        machine_entry.retry_at = {
+            other: retry_at for other, retry_at in machine_entry.retry_at.items() if retry_at > now
         }
-        by_machine.retry_at[job] = now + backoff_s
-        if by_job.is_quarantined:
-            if now >= by_job.retry_at:
-                self._back_off(by_job, now)
-        elif self._should_quarantine(job, by_job):
-            self._quarantine(by_job, now)
+        machine_entry.retry_at[job] = now + backoff_s
+        if job_entry.is_quarantined:
+            if now >= job_entry.retry_at:
+                self._back_off(job_entry, now)
+        elif self._should_quarantine(job, job_entry):
+            self._quarantine(job_entry, now)
 
     def record_success(self, job: str, machine: str) -> None:
-        """Record a task that was completed on a machine."""
+        """Record that a task of a job succeeded on a machine."""
         self._machines.pop(machine, None)
-        evidence = self._jobs.get(job)
-        if evidence is not None:
-            evidence.has_succeeded = True
-            self.quarantine_changed = self.quarantine_changed or evidence.is_quarantined
-            evidence.is_quarantined = False
+        entry = self._jobs.get(job)
+        if entry is not None:
+            entry.has_succeeded = True
+            self.quarantine_changed = self.quarantine_changed or entry.is_quarantined
+            entry.is_quarantined = False
 
     def receive_failing_jobs(
         self, shard_id: int, failing: Iterable[tuple[str, int]], now: float
     ) -> None:
-        """Receive what the leader of another shard published (see :meth:`failing_jobs`)."""
+        """Store the failing jobs that the leader of another shard published."""
         self._by_shard[shard_id] = PublishedFailures(
-            now + self._published_failures_s, dict(failing)
+            now + self._published_failures_ttl_s, dict(failing)
         )
         self._by_shard = {
-            other: evidence
-            for other, evidence in self._by_shard.items()
-            if evidence.expires_at > now
+            other: entry for other, entry in self._by_shard.items() if entry.expires_at > now
         }
         before = self._published_counts
         self._published_counts = self._sum_published_counts()
@@ -146,138 +150,134 @@
             self.quarantine_changed or before.keys() != self._published_counts.keys()
         )
         for job in self._published_counts:
-            evidence = self._jobs.get(job)
-            if evidence is not None and not evidence.is_quarantined:
-                if self._should_quarantine(job, evidence):
-                    self._quarantine(evidence, now)
+            entry = self._jobs.get(job)
+            if entry is not None and not entry.is_quarantined:
+                if self._should_quarantine(job, entry):
+                    self._quarantine(entry, now)
 
     def _sum_published_counts(self) -> dict[str, int]:
         sums: dict[str, int] = {}
-        for evidence in self._by_shard.values():
-            for job, machine_count in evidence.machine_counts.items():
+        for entry in self._by_shard.values():
+            for job, machine_count in entry.machine_counts.items():
                 sums[job] = sums.get(job, 0) + machine_count
         return sums
 
-    # --- judgement of jobs -----------------------------------------------------------------
+    # --- assessment of jobs ----------------------------------------------------------------
 
     def failing_jobs(self) -> list[FailingJob]:
-        """List jobs of which nothing succeeded, for publication to the other controllers.
+        """Return the jobs without any success, for publication to the other controllers.
 
-        The machines of one shard alone may not show enough of a job.
+        Failures on the machines of a single shard may be too few to quarantine a job.
         """
         failing = []
-        for job, evidence in self._jobs.items():
-            if evidence.has_succeeded:
+        for job, entry in self._jobs.items():
+            if entry.has_succeeded:
                 continue
-            machine_count = self._count_machines_against(job, evidence)
-            if evidence.is_quarantined:
+            machine_count = self._count_machines_against(job, entry)
+            if entry.is_quarantined:
                 machine_count = max(machine_count, MIN_QUARANTINE_MACHINES)
             if machine_count:
                 failing.append(FailingJob(job, machine_count))
         return failing
 
     def quarantined_jobs(self) -> list[str]:
-        """List jobs that are quarantined because of what happened here."""
-        return [job for job, evidence in self._jobs.items() if evidence.is_quarantined]
+        """Return the jobs that this controller has quarantined itself."""
+        return [job for job, entry in self._jobs.items() if entry.is_quarantined]
 
     def is_quarantined(self, job: str) -> bool:
-        """Whether a job probably fails on every machine."""
-        evidence = self._jobs.get(job)
-        if evidence is not None and (evidence.is_quarantined or evidence.has_succeeded):
-            return evidence.is_quarantined
+        """Whether a job is quarantined, here or by the failures that other shards published."""
+        entry = self._jobs.get(job)
+        if entry is not None and (entry.is_quarantined or entry.has_succeeded):
+            return entry.is_quarantined
         return self._published_counts.get(job, 0) >= MIN_QUARANTINE_MACHINES
 
     def is_backing_off(self, job: str, now: float) -> bool:
-        """Whether a quarantined job may not retry yet."""
-        evidence = self._jobs.get(job)
-        return evidence is not None and evidence.is_quarantined and now < evidence.retry_at
+        """Whether a quarantined job must wait before its next retry."""
+        entry = self._jobs.get(job)
+        return entry is not None and entry.is_quarantined and now < entry.retry_at
 
     def avoided_machines(self, job: str, now: float) -> set[str]:
-        """Machines on which a job is not started for now, because its tasks failed there."""
-        evidence = self._jobs.get(job)
-        if evidence is None or evidence.is_quarantined:
-            # What fails everywhere retries where its image is already.
+        """Return the machines on which a job is not placed for now since its tasks failed there."""
+        entry = self._jobs.get(job)
+        if entry is None or entry.is_quarantined:
+            # A job that fails on every machine is retried where its image is already cached.
             return set()
         return {
             machine
-            for machine in evidence.failed_on
-            if (by_machine := self._machines.get(machine)) is not None
-            and now < by_machine.retry_at.get(job, 0.0)
+            for machine in entry.failed_on
+            if (machine_entry := self._machines.get(machine)) is not None
+            and now < machine_entry.retry_at.get(job, 0.0)
         }
 
-    def _should_quarantine(self, job: str, evidence: JobFailures) -> bool:
-        if evidence.has_succeeded:
+    def _should_quarantine(self, job: str, entry: JobFailures) -> bool:
+        if entry.has_succeeded:
             return False
         published_count = self._published_counts.get(job, 0)
-        return (
-            published_count + self._count_machines_against(job, evidence) >= MIN_QUARANTINE_MACHINES
-        )
+        return published_count + self._count_machines_against(job, entry) >= MIN_QUARANTINE_MACHINES
 
-    def _count_machines_against(self, job: str, evidence: JobFailures) -> int:
-        """Count the machines on which this job fails and nothing else does."""
-        return sum(self._is_only_failing_job(job, machine) for machine in evidence.failed_on)
+    def _count_machines_against(self, job: str, entry: JobFailures) -> int:
+        """Count the machines on which only this job fails."""
+        return sum(self._is_only_failing_job(job, machine) for machine in entry.failed_on)
 
     def _is_only_failing_job(self, job: str, machine: str) -> bool:
-        """Whether nothing but this job, and jobs that are quarantined, fails on a machine."""
-        by_machine = self._machines.get(machine)
-        if by_machine is None:
-            # Something has succeeded there since.
+        """Whether all other jobs that fail on a machine are quarantined."""
+        machine_entry = self._machines.get(machine)
+        if machine_entry is None:
+            # A task has succeeded there since the failure.
             return True
-        return all(other == job or self.is_quarantined(other) for other in by_machine.failures)
+        return all(other == job or self.is_quarantined(other) for other in machine_entry.failures)
 
-    def _quarantine(self, evidence: JobFailures, now: float) -> None:
-        evidence.is_quarantined = self.quarantine_changed = True
-        evidence.backoff_s = self._initial_backoff_s / BACKOFF_FACTOR
-        self._back_off(evidence, now)
+    def _quarantine(self, entry: JobFailures, now: float) -> None:
+        entry.is_quarantined = self.quarantine_changed = True
+        entry.backoff_s = self._initial_backoff_s / BACKOFF_FACTOR
+        self._back_off(entry, now)
 
-    def _back_off(self, evidence: JobFailures, now: float) -> None:
-        evidence.backoff_s = min(self._max_backoff_s, BACKOFF_FACTOR * evidence.backoff_s)
-        evidence.retry_at = now + evidence.backoff_s
+    def _back_off(self, entry: JobFailures, now: float) -> None:
+        entry.backoff_s = min(self._max_backoff_s, BACKOFF_FACTOR * entry.backoff_s)
+        entry.retry_at = now + entry.backoff_s
 
-    # --- judgement of machines -------------------------------------------------------------
+    # --- assessment of machines ------------------------------------------------------------
 
     def is_faulty(self, machine: str) -> bool:
-        """Whether a machine is to be given up."""
+        """Whether a machine has so many failures counted against it that it should be released."""
         return self._count_failures_against(machine) >= MIN_FAULTY_FAILURES
 
     def machine_backoff_s(self, machine: str) -> float:
-        """For how long nothing is placed on a machine after a failure."""
+        """Return the time in seconds for which no task is placed on a machine after a failure."""
         failure_count = self._count_failures_against(machine)
         return min(self._max_backoff_s, failure_count * self._backoff_per_failure_s)
 
     def _count_failures_against(self, machine: str) -> int:
-        """Count the failures that speak against a machine rather than against jobs."""
-        by_machine = self._machines.get(machine)
-        if by_machine is None:
+        """Count the failures that are attributed to a machine rather than to jobs."""
+        machine_entry = self._machines.get(machine)
+        if machine_entry is None:
             return 0
         failures_of_proven = 0
         unproven_jobs = 0
-        for job, failure_count in by_machine.failures.items():
-            evidence = self._jobs.get(job)
-            if evidence is not None and evidence.has_succeeded:
+        for job, failure_count in machine_entry.failures.items():
+            entry = self._jobs.get(job)
+            if entry is not None and entry.has_succeeded:
                 failures_of_proven += failure_count
             elif not self.is_quarantined(job):
                 unproven_jobs += 1
-        # A single job of which nothing is known says nothing about the machine.
+        # A single job without any known success may itself be at fault.
         return failures_of_proven + (
             unproven_jobs if unproven_jobs > 1 or failures_of_proven else 0
         )
 
 
-def _get_or_add(
-    evidence: OrderedDict[str, Evidence], key: str, make: Callable[[], Evidence]
-) -> Evidence:
-    """Return the evidence under a key, new if there is none; of too many, the oldest goes."""
-    entry = evidence.get(key)
+def _get_or_add(entries: OrderedDict[str, Entry], key: str, make: Callable[[], Entry]) -> Entry:
+    """Return the entry of a key, creating it if missing; evicts the oldest entries if too many."""
+    entry = entries.get(key)
     if entry is None:
-        entry = evidence[key] = make()
-        while len(evidence) > MAX_TRACKED_ENTRIES:
-            evidence.popitem(last=False)
+        entry = entries[key] = make()
+        while len(entries) > MAX_TRACKED_ENTRIES:
+            entries.popitem(last=False)
     return entry
 
 
 def _set_latest(latest: OrderedDict[str, Value], key: str, value: Value) -> None:
-    """Set a key and move it to the end; of too many, the oldest goes."""
+    """Set a key and move it to the end; evicts the oldest keys if there are too many."""
     latest[key] = value
     latest.move_to_end(key)
     while len(latest) > MAX_KEYS_PER_ENTRY:
--- a/marblestair/core/shard/heartbeat_response.py
+++ b/marblestair/core/shard/heartbeat_response.py
@@ -11,8 +11,8 @@
 class HeartbeatResponse(NamedTuple):
     """The response to a heartbeat.
 
-    With status 200 it carries the fencing token of the shard and commands, with 421 the node that
-    leads the shard, if one is known.
+    With status 200 it carries the shard's fencing token and commands, with 421 the node that leads
+    the shard, if known.
     """
 
     status: int
--- a/marblestair/core/shard/heartbeats.py
+++ b/marblestair/core/shard/heartbeats.py
@@ -1,4 +1,4 @@
-"""The reception of agents' heartbeats: which count, and what they show of their machines."""
+"""Handling of agents' heartbeats: rejects stale ones and updates the state of the machine."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 from marblestair.core.shard.responsiveness import MAX_IGNORED_MESSAGES
 from marblestair.core.shard.shard import Shard
 
-#: an agent that receives responses sends its next heartbeat within this many intervals
+#: longest gap, in heartbeat intervals, between heartbeats of an agent that receives responses
 MAX_FREQUENT_INTERVALS = 2.0
-#: fraction of an agent's lease for which heartbeats must come as often as from an agent that
-#: receives responses, before commands that it ignored earlier no longer count
+#: share of an agent's lease for which heartbeats must arrive without a longer gap before the count
+#: of ignored commands is reset
 RECOVERY_LEASE_SHARE = 0.5
-#: fraction of an agent's lease: a new incarnation so soon after a heartbeat of the earlier one
-#: shows that responses were lost
+#: share of an agent's lease: a new incarnation within this time after a heartbeat of the previous
+#: one means that the previous one received no responses
 LOST_RESPONSES_LEASE_SHARE = 0.5
 
 
 def receive_heartbeat(shard: Shard, heartbeat: Heartbeat, now: float) -> list[TaskCommand] | None:
-    """Apply a heartbeat, and return the commands of its response.
+    """Apply a heartbeat and return the commands for its response.
 
-    Returns None when the heartbeat must not be answered with a 200, since that renews the lease of
-    its agent.
+    Returns None when the heartbeat must not be answered with status 200, which would renew the
+    agent's lease.
     """
     machine = shard.machines.get(heartbeat.machine)
     if machine is None or not _is_acceptable(shard, machine, heartbeat):
@@ -41,10 +41,10 @@
 
 
 def _is_acceptable(shard: Shard, machine: Machine, heartbeat: Heartbeat) -> bool:
-    """Whether a heartbeat counts: the newest of a machine that is not being given up."""
+    """Whether a heartbeat is newer than all earlier ones and its machine remains in service."""
     if machine.is_decommissioned or machine.is_releasing or heartbeat.fencing_token > shard.term:
         return False
-    # A late copy: the agent expects no response to it any more, and its list is old.
+    # The agent no longer waits for the response to a late duplicate, and its task list is stale.
     return heartbeat.agent_incarnation >= machine.min_incarnation and (
         heartbeat.agent_incarnation,
         heartbeat.sequence,
@@ -52,7 +52,7 @@
 
 
 def _record_heartbeat(shard: Shard, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
-    """Record what a heartbeat shows of the machine itself, whatever its tasks."""
+    """Record the machine state that a heartbeat reports, apart from its tasks."""
     agents = shard.cluster.workers
     machine.address = heartbeat.address
     last_heartbeat_at = machine.last_heartbeat_at
@@ -72,14 +72,15 @@
 
 
 def _begin_incarnation(shard: Shard, machine: Machine, incarnation: int, now: float) -> None:
-    """Begin the first agent incarnation that is seen, or one after a lease has expired."""
+    """Begin a new agent incarnation: the first one seen, or one after a lease expired."""
     if not machine.agent_incarnation:
         if machine.machine_type is not None and machine.name not in shard.unreconciled_machines:
             shard.boot_times.record(machine.machine_type, now - machine.added_at, now)
     else:
         limit_s = LOST_RESPONSES_LEASE_SHARE * shard.cluster.workers.lease_s
         if machine.last_heartbeat_at is not None and now - machine.last_heartbeat_at < limit_s:
-            # It sent heartbeats all the while: the responses did not reach it.
+            # The previous incarnation sent heartbeats until its lease expired, so it cannot have
+            # received the responses.
             machine.responsiveness.ignored_commands += 1
             machine.responsiveness.mark_unresponsive(now)
         shard.remove_all_tasks(machine, now)
@@ -89,15 +90,16 @@
 def _answer_unreconciled(
     shard: Shard, machine: Machine, heartbeat: Heartbeat, now: float
 ) -> list[TaskCommand] | None:
-    """Answer a machine of which no heartbeat has carried this term yet; None for no answer.
+    """Return the commands for a machine that has not sent this term's fencing token yet.
 
-    An answer renews the lease and raises the fencing token. What the agent lists counts only from
-    the first heartbeat with this term, because only that one is known to be newer than everything
-    that the earlier leader sent.
+    The response renews the agent's lease and tells it the new fencing token. The agent's task list
+    is used only from the first heartbeat with that token on, because only such a heartbeat is known
+    to be newer than everything that the previous leader sent.
 
-    A machine that does not take up the term is answered no more, so that its lease, counted from
-    the last answer that it may have received, expires. (A new incarnation would not reconcile it:
-    the earlier incarnation may be known from a late copy only.)
+    Returns None, for no response, when the agent has ignored the token repeatedly: its lease,
+    measured from the last response that it may have received, then expires. A new incarnation
+    alone does not reconcile the machine, since the leader may know the previous incarnation only
+    from a late duplicate.
     """
     if machine.responsiveness.ignored_terms > MAX_IGNORED_MESSAGES:
         machine.responsiveness.mark_unresponsive(now)
--- a/marblestair/core/shard/job_slice.py
+++ b/marblestair/core/shard/job_slice.py
@@ -10,50 +10,51 @@
 class JobSlice:
     """The tasks of one job that belong to one shard.
 
-    Each task is pending, placed on a machine, or done; none is pending while the job is blocked or
-    after it was cancelled.
+    Each task is pending, placed on a machine, or done; no task is pending while the job is blocked
+    or after it was cancelled.
     """
 
     def __init__(self, spec: JobSpec) -> None:
         self.spec = spec
-        #: what one task uses
+        #: resources that one task uses
         self.resources = spec.resources
         #: indexes of the tasks, as ranges ``[start, end)``, and their number
         self.ranges: list[list[int]] = []
         self.size = 0
         self.pending = IndexRanges()
         self.placed_on: dict[int, Machine] = {}
-        #: the tasks that are done, as bits of a whole number, and their number
+        #: the tasks that are done, as a bit mask over task indexes, and their number
         self.done_bits = 0
         self.done_count = 0
-        #: tasks on machines that were seen running
+        #: number of placed tasks that their agents have reported as running
         self.running_count = 0
-        #: the tasks whose completion the store has, and the versions of the pages that record it
+        #: bit mask of the tasks recorded as done in the store, and the versions of the progress
+        #: pages there
         self.durable_bits = 0
         self.page_versions: dict[int, int] = {}
-        #: since when tasks are done that the store does not have as done
+        #: time since which the store lacks the completion of some task; None when it has all
         self.dirty_since: float | None = None
         self.is_cancelled = False
         self.cancelled_at = 0.0
-        #: it was there before the failover: some task may be on a machine whose agent has not sent
-        #: a heartbeat yet
+        #: the slice existed before the failover, and some of its tasks may be on machines that are
+        #: not reconciled yet
         self.is_unreconciled = False
-        #: a gang that lost a task: the others are being stopped
+        #: the job is a gang that lost a task, and its remaining tasks are being stopped
         self.is_stopping_gang = False
-        #: since when no task is placed
+        #: time since which no task is placed
         self.pending_since = 0.0
-        #: the job depends on others that are not done: nothing is pending, so nothing may start
+        #: the job depends on unfinished jobs: no task is pending, so none may start
         self.is_blocked = False
         #: wall-clock time since which tasks may start
         self.startable_since = spec.accepted_at
-        #: task indexes that left for a migration whose commit is not known yet
+        #: task indexes in a migration to another shard whose commit is not confirmed yet
         self.migrating_ranges: list[list[int]] = []
-        #: that migration: an earlier one must not restore them
+        #: identifies that migration, so that an earlier one does not restore the tasks
         self.migration_holder = ""
 
     @property
     def is_vacated(self) -> bool:
-        """Whether all tasks have migrated to other shards, and nothing is left of them here."""
+        """Whether all tasks have migrated to other shards and none is placed here any more."""
         return not self.ranges and not self.placed_on and not self.is_cancelled
 
     def contains(self, index: int) -> bool:
@@ -61,7 +62,7 @@
         return any(start <= index < end for start, end in self.ranges)
 
     def can_adopt(self, index: int) -> bool:
-        """Whether a task that an agent lists may be one of this slice that is not placed."""
+        """Whether a listed task belongs to this slice and is placed on no machine."""
         return self.contains(index) and index not in self.placed_on
 
     def is_done(self, index: int) -> bool:
@@ -71,7 +72,7 @@
     # --- progress --------------------------------------------------------------------------
 
     def load_done_page(self, page: int, bits: int) -> None:
-        """Add a page of progress that was read from the store."""
+        """Mark the tasks of a progress page that was read from the store as done."""
         bits <<= page * TASKS_PER_PROGRESS_PAGE
         self.durable_bits |= bits
         self.done_bits |= bits
@@ -84,15 +85,15 @@
         self.done_count = sum(1 for index in indexes if (self.done_bits >> index) & 1)
 
     def mark_done(self, index: int, now: float) -> None:
-        """Record that a task was completed, unless it is known or belongs to another slice."""
+        """Mark a task of this slice as done, unless it is done already."""
         if (
             self.is_done(index)
             or not self.contains(index)
-            # The tasks of a service are run again when they exit, whatever the reason.
+            # A task of a service is restarted whenever it exits, for whatever reason.
             or self.spec.kind == JobKind.SERVICE
         ):
             return
-        # The members of a gang complete together: when one is done, all are.
+        # The tasks of a gang complete together: when one is done, all are.
         is_gang = self.spec.kind == JobKind.GANG
         for completed in IndexRanges(self.ranges) if is_gang else (index,):
             if not self.is_done(completed):
@@ -102,17 +103,17 @@
         if self.dirty_since is None:
             self.dirty_since = now
 
-    # --- changes of the job ----------------------------------------------------------------
+    # --- changes to the job record ---------------------------------------------------------
 
     def block(self, ranges: list[list[int]]) -> None:
-        """Set the tasks of a job that depends on others: none of them is pending."""
+        """Assign tasks of a job that depends on unfinished jobs: none of them becomes pending."""
         self.is_blocked = True
         self._assign(ranges)
 
     def unblock(self, now: float) -> None:
-        """Let tasks start: all jobs that this one depended on are done.
+        """Allow tasks to start, since all jobs that this one depends on are done.
 
-        The tasks that the job's record assigns to the slice are to be set after this.
+        The caller must then call :meth:`set_ranges` with the ranges in the job's record.
         """
         self.is_blocked = False
         self.ranges = []
@@ -120,7 +121,7 @@
         self.pending_since = now
 
     def set_ranges(self, ranges: list[list[int]]) -> None:
-        """Set the tasks that the job's record now assigns to this slice."""
+        """Assign the tasks that the job's record lists for this slice."""
         before, assigned = IndexRanges(self.ranges), IndexRanges(ranges)
         self._assign(ranges)
         if not len(before):
@@ -142,9 +143,9 @@
         self.size = sum(end - start for start, end in self.ranges)
 
     def _exclude_migrating(self, assigned: IndexRanges) -> None:
-        """Leave out what is migrating until the fate of that migration is known.
+        """Keep migrating tasks from becoming pending until the migration's outcome is known.
 
-        The record may be older than the commit that is on its way.
+        The record may be older than the migration's in-flight commit.
         """
         migrating = IndexRanges()
         for index in IndexRanges(self.migrating_ranges):
@@ -154,7 +155,7 @@
         self.migrating_ranges = migrating.items
 
     def request_stops(self, grace_s: float, reason: StopReason) -> None:
-        """Have the tasks stopped that are on machines; an earlier request for one stands."""
+        """Request a stop of all placed tasks; a stop requested earlier is kept as it is."""
         for index, machine in self.placed_on.items():
             task = machine.tasks.get((self.spec.id, index))
             if task is not None and task.stop_grace_s is None:
--- a/marblestair/core/shard/machine.py
+++ b/marblestair/core/shard/machine.py
@@ -1,4 +1,4 @@
-"""A machine of a shard, and the tasks that are, or may be, on it."""
+"""A machine of a shard, and the tasks that are, or may be, running on it."""
 
 from __future__ import annotations
 
@@ -12,44 +12,44 @@
 from marblestair.core.domain.machines import MachineType
 from marblestair.core.shard.responsiveness import Reachability, Responsiveness
 
-#: job and index of a task. A plain pair rather than a named tuple: one is built for each task that
-#: a heartbeat lists, and the constructor of a named tuple would double the cost of the search.
+#: job and index of a task. A plain tuple, since one is built for each task that a heartbeat lists,
+#: and the constructor of a named tuple would double the cost of a lookup.
 TaskKey: TypeAlias = tuple[str, int]
 
 
 class StopReason(enum.StrEnum):
-    """Why a task is to stop."""
+    """The reason for which a task is stopped."""
 
     JOB_ENDED = "over"
     CANCELLED = "cancel"
-    #: another task of its gang is gone
+    #: its gang lost another task
     GANG_LOST = "gang"
-    #: the cloud reclaims the machine
+    #: the cloud is about to reclaim its machine
     MACHINE_RECLAIMED = "drain"
-    #: other work gets its resources
+    #: another task gets its resources
     PREEMPTED = "preempted"
-    #: its machine is to be released
+    #: its machine is being emptied for release
     MACHINE_RELEASED = "returned"
 
 
 class CordonReason(enum.Enum):
-    """Why nothing new is placed on a machine that works."""
+    """The reason for which no new task is placed on a working machine."""
 
-    #: it is being transferred to another shard
+    #: the machine is being transferred to another shard
     TRANSFER = "transfer"
-    #: its tasks were stopped so that it can be released
+    #: the machine is being emptied for release
     RELEASE = "return"
 
 
 class ExitedTask(NamedTuple):
-    """An exited task that an agent lists until a command lets it forget the task."""
+    """An exited task, which the agent lists until it receives a forget command."""
 
     attempt: int
     is_done: bool
 
 
 class PlacedTask:
-    """A task that is, or may be, on a machine."""
+    """A task that is, or may be, running on a machine."""
 
     __slots__ = (
         "attempt",
@@ -72,14 +72,14 @@
         self.team = team
         self.state = TaskState.PLANNED
         self.running_since: float | None = None
-        #: grace of the stop that is requested; None when none is
+        #: grace period of the requested stop; None when no stop is requested
         self.stop_grace_s: float | None = None
         self.stop_reason: StopReason | None = None
-        #: when a command to stop was last sent; None when none was since the stop was requested
+        #: when the requested stop was last sent; None when it has not been sent yet
         self.stop_sent_at: float | None = None
 
     def request_stop(self, grace_s: float, reason: StopReason) -> None:
-        """Have the task stopped, in place of any stop that was requested before."""
+        """Request a stop of the task, replacing any stop requested earlier."""
         self.stop_grace_s, self.stop_reason = grace_s, reason
         self.stop_sent_at = None
 
@@ -87,8 +87,8 @@
 class Machine:
     """A machine of a shard.
 
-    Its states are independent of one another, except those in ``responsiveness``: a machine may be
-    reconciled or not, cordoned or not, given up and being released in any combination.
+    Its state flags are independent of one another, except those in ``responsiveness``: a machine
+    may be reconciled, cordoned, decommissioned and being released in any combination.
     """
 
     def __init__(self, name: str, type_name: str, zone: str, spot: bool, now: float) -> None:
@@ -96,52 +96,54 @@
         self.type_name = type_name
         self.zone = zone
         self.spot = spot
-        #: None while the catalog does not list the type
+        #: None until the machine catalog lists the type
         self.machine_type: MachineType | None = None
         self.address = ""
         self.added_at = now
-        #: the newest heartbeat; older ones are late copies. An incarnation of 0: there was none.
+        #: incarnation and sequence number of the newest heartbeat, with which late duplicates are
+        #: rejected; incarnation 0 means that no heartbeat has arrived
         self.agent_incarnation = 0
         self.sequence = -1
-        #: agent incarnations below this one have surely lost their lease
+        #: the leases of agent incarnations below this one have expired
         self.min_incarnation = 0
-        #: the term at which the machine joined the shard
+        #: the shard's term when the machine joined it
         self.join_term = 0
-        #: a heartbeat with the fencing token of that term, or a later one, has come: from then on
-        #: what the agent lists counts
+        #: whether a heartbeat with the fencing token of that term, or a later one, has arrived; the
+        #: agent's task list is used only from then on
         self.is_reconciled = False
-        #: when the leader last answered, and received, a heartbeat; None before the first
+        #: when a heartbeat was last answered with status 200, and last accepted; None before that
         self.last_answered_at: float | None = None
         self.last_heartbeat_at: float | None = None
-        #: time without a heartbeat after which nothing is placed here; None: no limit
+        #: time without a heartbeat after which no task is placed here; None for no limit
         self.heartbeat_timeout_s: float | None = None
-        #: when the cloud reclaims the machine, if it has announced that
+        #: when the cloud will reclaim the machine, if it has announced that
         self.reclaim_at: float | None = None
         self.tasks: dict[TaskKey, PlacedTask] = {}
-        #: what tasks may still use of cpus, gpus and memory, in fixed point
+        #: unreserved cpus, gpus and memory, in fixed point
         self.free = [0, 0, 0]
         #: exited tasks listed in the newest heartbeat
         self.exited_tasks: dict[TaskKey, ExitedTask] = {}
-        #: attempts of listed tasks that this shard knows nothing of; they are stopped
+        #: listed tasks, with their attempts, that this shard does not expect here and stops
         self.unknown_tasks: dict[TaskKey, int] = {}
         self.responsiveness = Responsiveness(now)
         self.cordon: CordonReason | None = None
-        #: no more 200 responses, for good: its lease is to expire, and the cloud is to stop it
+        #: heartbeats are never again answered with status 200, so that the agent's lease expires,
+        #: and the cloud is asked to release the machine
         self.is_decommissioned = False
-        #: a request to release it is under way
+        #: a request to the cloud to release the machine is in flight
         self.is_releasing = False
-        #: the cloud lists it as stopped by itself
+        #: the cloud lists the machine as failed
         self.has_failed = False
-        #: nothing is placed here before, after a failure or a refused start; None: no back-off
+        #: no task is placed here before this time after one failed or was refused; None: no limit
         self.backoff_until: float | None = None
         self.idle_since: float | None = now
-        #: images that the agent has or fetches, with their size in GB, the latest used last
+        #: images that the agent has cached or fetches, with their size in GB, latest used last
         self.cached_images: OrderedDict[str, float] = OrderedDict()
 
     # --- capacity --------------------------------------------------------------------------
 
     def set_machine_type(self, machine_type: MachineType | None) -> None:
-        """Set the machine's type, and so its capacity, if it was not known."""
+        """Set the machine's type, which determines its capacity, unless it is set already."""
         if self.machine_type is None and machine_type is not None:
             self.machine_type = machine_type
             self.free = list(machine_type.capacity)
@@ -156,13 +158,13 @@
             free[2] -= sign * resources.mem_gb
 
     def add_task(self, task: PlacedTask) -> None:
-        """Reserve what a task uses."""
+        """Add a task and reserve its resources."""
         self.tasks[(task.job, task.index)] = task
         self._reserve(task.resources, 1)
         self.idle_since = None
 
     def remove_task(self, task: PlacedTask, now: float) -> None:
-        """Free what a task used, if it was here."""
+        """Remove a task, if it is here, and free its resources."""
         if self.tasks.pop((task.job, task.index), None) is not None:
             self._reserve(task.resources, -1)
             if not self.tasks:
@@ -189,12 +191,12 @@
         )
 
     def back_off(self, until: float) -> None:
-        """Place nothing here for a while, or for longer than was decided before."""
+        """Place no task here before a time; an earlier back-off is extended, never shortened."""
         if self.backoff_until is None or until > self.backoff_until:
             self.backoff_until = until
 
     def record_image(self, spec: JobSpec) -> None:
-        """Record that the machine has, or fetches, a job's image."""
+        """Record that the agent has or fetches a job's image; drop images that exceed its cache."""
         self.cached_images[spec.image] = spec.image_gb
         self.cached_images.move_to_end(spec.image)
         cache_gb = self.machine_type.cache_gb if self.machine_type else 0.0
@@ -205,27 +207,28 @@
 
     @property
     def is_lease_expired(self) -> bool:
-        """Whether the agent's lease has expired without a heartbeat since."""
+        """Whether the agent's lease has expired and no heartbeat has arrived since."""
         return self.responsiveness.state is Reachability.LEASE_EXPIRED
 
     @property
     def is_unresponsive(self) -> bool:
-        """Whether responses and commands seem not to reach the agent, be it silent or not."""
+        """Whether responses and commands seem not to reach the agent, or its lease has expired."""
         return self.responsiveness.state is not Reachability.RESPONSIVE
 
     def mark_lease_expired(self, now: float) -> None:
         """Record that the agent's lease has expired.
 
-        Late copies of heartbeats of this incarnation must not bring its tasks back.
+        Late duplicates of this incarnation's heartbeats are rejected from now on, so that they
+        cannot restore its tasks.
         """
         self.responsiveness.mark_lease_expired(now)
         self.min_incarnation = self.agent_incarnation + 1 if self.agent_incarnation else 0
 
     def last_seen_at(self, acquired_at: float) -> float:
-        """Time since which nothing shows that the machine lives.
+        """Return the latest time at which the machine is known, or has to be assumed, to be up.
 
-        That is its last heartbeat here, or the acquisition of the shard if that is later: earlier
-        heartbeats may have reached the earlier leader.
+        This is the time of its last heartbeat, or of the shard's acquisition if that is later,
+        since the previous leader may have received heartbeats until then.
         """
         last_heartbeat_at = self.last_heartbeat_at
         if last_heartbeat_at is None or last_heartbeat_at < acquired_at:
--- a/marblestair/core/shard/partition_detection.py
+++ b/marblestair/core/shard/partition_detection.py
@@ -1,31 +1,32 @@
-"""Machines that fell silent together with many others, and are given time to come back."""
+"""Detection of machines that lost contact together, probably through a network partition."""
 
 from __future__ import annotations
 
 from marblestair.core.shard.shard import Shard
 
-#: machines that must be silent at once: at least, and as a fraction of the shard's
+#: machines that must have lost contact at once: a number, and a share of the shard's machines
 MIN_PARTITIONED_MACHINES, MIN_PARTITIONED_SHARE = 3, 0.06
-#: agents' leases without a heartbeat after which a machine gets no more time
+#: agent leases without a heartbeat after which a machine is no longer presumed partitioned
 MAX_PARTITION_LEASES = 3.0
 
 
 def partitioned_machines(shard: Shard, agent_lease_s: float, now: float) -> set[str]:
-    """Return the names of machines that fell silent together with many others.
+    """Return the names of the machines that are presumed partitioned rather than failed.
 
-    That is a failure of the network rather than of the machines, and most of them will be back.
+    When the leases of many agents expire at once, the likely cause is the network, and most of the
+    machines can be expected to reconnect. ``agent_lease_s`` is the duration of an agent's lease.
     """
-    silent = [
+    lost_contact = [
         machine
         for machine in shard.machines.values()
         if machine.is_lease_expired and machine.agent_incarnation and not machine.has_failed
     ]
-    least = max(MIN_PARTITIONED_MACHINES, MIN_PARTITIONED_SHARE * len(shard.machines))
-    if len(silent) < least:
+    min_count = max(MIN_PARTITIONED_MACHINES, MIN_PARTITIONED_SHARE * len(shard.machines))
+    if len(lost_contact) < min_count:
         return set()
     limit_s = MAX_PARTITION_LEASES * agent_lease_s
     return {
         machine.name
-        for machine in silent
+        for machine in lost_contact
         if now - machine.last_seen_at(shard.acquired_at) < limit_s
     }
--- a/marblestair/core/shard/reconciliation.py
+++ b/marblestair/core/shard/reconciliation.py
@@ -1,4 +1,4 @@
-"""Reconciliation of what a machine lists with what its leader expects there."""
+"""Reconciliation of the tasks that a machine lists with those that its leader expects there."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from marblestair.core.shard.responsiveness import MAX_IGNORED_MESSAGES, Reachability
 from marblestair.core.shard.shard import FinishedTask, Shard
 
-#: heartbeat intervals for which nothing is placed on a machine that refused to start a task
+#: heartbeat intervals for which no task is placed on a machine that refused to start one
 REFUSED_START_BACKOFF_INTERVALS = 2
-#: reasons for which agents refuse to start a task
+#: exit reasons that mean that the agent refused to start the task
 START_REFUSALS = (
     ExitReason.INSUFFICIENT_RESOURCES,
     ExitReason.UNKNOWN,
@@ -19,7 +19,7 @@
 
 
 def reconcile(shard: Shard, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
-    """Apply what a reconciled machine lists to the tasks that are expected there."""
+    """Update the tasks that are expected on a reconciled machine from its heartbeat."""
     listed = _classify_listed_tasks(shard, machine, heartbeat, now)
     if machine.unknown_tasks:
         shard.machines_with_unknown_tasks.add(machine.name)
@@ -46,10 +46,10 @@
 def _classify_listed_tasks(
     shard: Shard, machine: Machine, heartbeat: Heartbeat, now: float
 ) -> dict[TaskKey, TaskStatus]:
-    """Sort what a machine lists into expected, adopted, exited and unknown tasks.
+    """Classify the tasks that a machine lists as expected, adopted, exited or unknown.
 
-    Returns the tasks to compare with what is expected. Tasks of the shard's slices that no machine
-    is known to have are adopted; those that the shard knows nothing of are to be stopped.
+    Returns the tasks to compare with the expected ones. Listed tasks of the shard's slices that are
+    placed on no machine are adopted; other unexpected tasks are unknown and will be stopped.
     """
     listed: dict[TaskKey, TaskStatus] = {}
     machine.exited_tasks = {}
@@ -79,7 +79,7 @@
 
 
 def _adopt_completion(shard: Shard, status: TaskStatus, now: float) -> None:
-    """Record a completion whose leader fell before it was recorded."""
+    """Record a completion that the previous leader failed to record."""
     job_slice = shard.slices.get(status.job)
     if job_slice is not None and job_slice.can_adopt(status.index):
         job_slice.mark_done(status.index, now)
@@ -88,7 +88,7 @@
 def _apply_status(
     shard: Shard, machine: Machine, task: PlacedTask, status: TaskStatus, now: float
 ) -> None:
-    """Apply the status of a task that was launched here."""
+    """Apply the reported status of an expected task."""
     if status.state == TaskState.EXITED:
         _apply_exit(shard, machine, task, status, now)
     elif status.state != task.state:
@@ -100,9 +100,10 @@
 
 
 def _reset_launch(shard: Shard, machine: Machine, task: PlacedTask, now: float) -> None:
-    """Make a launch planned again: the agent dropped the response that carried it.
+    """Return a task to the planned state after the agent dropped the response with its launch.
 
-    That is known, because a heartbeat newer than the response does not list the task.
+    A heartbeat that is newer than the response does not list the task, so the launch was not
+    carried out.
     """
     task.state = TaskState.PLANNED
     job_slice = shard.slices.get(task.job)
@@ -116,7 +117,7 @@
 
 
 def _record_ignored_launch(shard: Shard, machine: Machine, now: float) -> None:
-    """Count launches that were not carried out: the machine may be unresponsive."""
+    """Count a response whose launches were not carried out, and detect an unresponsive agent."""
     responsiveness = machine.responsiveness
     responsiveness.ignored_commands += 1
     if responsiveness.ignored_commands < MAX_IGNORED_MESSAGES:
@@ -129,7 +130,7 @@
 def _apply_exit(
     shard: Shard, machine: Machine, task: PlacedTask, status: TaskStatus, now: float
 ) -> None:
-    """Record why a task exited, and remove it."""
+    """Record the outcome of an exited task and remove the task from its machine."""
     job_slice = shard.slices.get(task.job)
     if status.exit_reason == ExitReason.DONE:
         if job_slice is not None:
--- a/marblestair/core/shard/responsiveness.py
+++ b/marblestair/core/shard/responsiveness.py
@@ -1,31 +1,31 @@
-"""Whether heartbeats of an agent arrive, and whether responses and commands reach it."""
+"""Tracking of whether an agent's heartbeats arrive and whether responses reach it."""
 
 from __future__ import annotations
 
 import enum
 
-#: commands, terms or leases in a row without effect after which an agent counts as unresponsive
+#: consecutive ignored commands, terms or leases after which an agent is unresponsive
 MAX_IGNORED_MESSAGES = 2
 
 
 class Reachability(enum.Enum):
-    """Whether an agent and its leader reach each other.
+    """Whether an agent and its leader can reach each other.
 
-    An agent begins as responsive. It becomes unresponsive when launches, terms or leases in a row
-    show no effect, and silent when its lease must have expired. A heartbeat makes a silent agent
-    unresponsive; it is responsive again once its heartbeats come as often as only an agent that
-    receives responses sends them.
+    An agent is responsive at first. It becomes unresponsive after several consecutive launches,
+    terms or leases without effect, and its state is ``LEASE_EXPIRED`` once its lease must have
+    expired. A heartbeat then makes it unresponsive; it is responsive again once its heartbeats
+    arrive as frequently as only an agent that receives responses sends them.
     """
 
     RESPONSIVE = "responsive"
     #: heartbeats arrive, but responses and commands seem not to reach the agent
     UNRESPONSIVE = "unresponsive"
-    #: no heartbeat was answered for the time of its lease, so none of its tasks runs any more
+    #: no heartbeat was answered for the duration of its lease, so it has stopped all its tasks
     LEASE_EXPIRED = "lease expired"
 
 
 class Responsiveness:
-    """The reachability of one agent, and the evidence for its changes."""
+    """The reachability of one agent, and the counters from which it is derived."""
 
     __slots__ = (
         "frequent_since",
@@ -38,20 +38,20 @@
 
     def __init__(self, now: float) -> None:
         self.state = Reachability.RESPONSIVE
-        #: since when it has been unresponsive or silent, while it is
+        #: start of the current period in which the agent is not responsive
         self.unresponsive_since = now
-        #: it fell silent together with many others, and is likely to be back
+        #: the agent lost contact together with many others and is presumed partitioned
         self.is_partitioned = False
-        #: commands or leases in a row that showed no effect
+        #: consecutive commands or leases without effect
         self.ignored_commands = 0
-        #: responses in a row to heartbeats that did not carry the shard's term
+        #: consecutive responses to heartbeats that did not carry the shard's fencing token
         self.ignored_terms = 0
-        #: since when heartbeats have come, without a gap, as often as from an agent that receives
-        #: responses
+        #: start of the current period of frequent heartbeats, without a gap (see
+        #: :meth:`record_heartbeat`)
         self.frequent_since = now
 
     def mark_unresponsive(self, now: float) -> None:
-        """Record that responses and commands do not seem to reach the agent."""
+        """Record that responses and commands seem not to reach the agent."""
         if self.state is Reachability.RESPONSIVE:
             self.state, self.unresponsive_since = Reachability.UNRESPONSIVE, now
 
@@ -64,29 +64,29 @@
     def record_heartbeat(
         self, is_frequent: bool, is_new_incarnation: bool, recovery_s: float, now: float
     ) -> None:
-        """Record that a heartbeat has come.
+        """Update the reachability after a heartbeat.
 
         Parameters
         ----------
         is_frequent
-            Whether it came as soon after the last one as from an agent that receives responses.
+            Whether it followed the last one as soon as from an agent that receives responses.
         is_new_incarnation
-            Whether it is the first of an agent incarnation.
+            Whether it is the first heartbeat of an agent incarnation.
         recovery_s
-            Time of frequent heartbeats after which earlier ignored commands no longer count.
+            Duration of frequent heartbeats, in seconds, after which ``ignored_commands`` is reset.
         now
-            Steady time in seconds.
+            Monotonic time in seconds.
         """
         if is_frequent and not is_new_incarnation and self.ignored_commands < MAX_IGNORED_MESSAGES:
-            # An agent that gets no response within some seconds turns to another controller.
+            # An agent that receives no response sends its next heartbeat to another controller.
             self.state = Reachability.RESPONSIVE
         elif self.state is Reachability.LEASE_EXPIRED:
             self.state = Reachability.UNRESPONSIVE
         if not is_frequent:
             self.frequent_since = now
         elif now - self.frequent_since > recovery_s:
-            # Nothing is sent to an unresponsive agent that could show whether it responds again.
+            # No launch is sent to an unresponsive agent, so none can show that it responds again.
             self.ignored_commands = 0
         if self.is_partitioned:
-            # Whether responses reach it is shown by the heartbeats that follow.
+            # The heartbeats that follow show whether responses reach the agent.
             self.unresponsive_since, self.is_partitioned = now, False
--- a/marblestair/core/shard/shard.py
+++ b/marblestair/core/shard/shard.py
@@ -1,16 +1,16 @@
 """One shard of the fleet under one term: its machines, its slices of jobs, and its tasks.
 
-The rule above all is that no task runs twice. A task counts as on its machine from the moment its
-launch is decided until it is surely gone: a newer heartbeat of the machine under this term does not
-list it (or lists it as exited), a new agent incarnation has begun, the cloud confirmed that the
-machine is released, or the agent's lease must have expired. Launches are sent only in responses to
-heartbeats: an agent drops responses after a few seconds and has one heartbeat in flight, so its
-next heartbeat shows whether a launch happened.
-
-What heartbeats change is in :mod:`marblestair.core.shard.heartbeats` and
-:mod:`marblestair.core.shard.reconciliation`, what time changes in
+The main invariant is that no task runs twice. A task counts as placed on its machine from the
+moment its launch is decided until it certainly no longer runs there: a newer heartbeat of the
+machine under this term does not list it (or lists it as exited), a new agent incarnation has begun,
+the cloud confirmed that the machine is released, or the agent's lease must have expired. Launches
+are sent only in heartbeat responses: an agent drops responses after a few seconds and has one
+heartbeat in flight, so its next heartbeat shows whether a launch was carried out.
+
+Heartbeats are handled in :mod:`marblestair.core.shard.heartbeats` and
+:mod:`marblestair.core.shard.reconciliation`, time-outs in
 :mod:`marblestair.core.shard.agent_leases` and :mod:`marblestair.core.shard.reclaimed_machines`,
-and what agents are sent in :mod:`marblestair.core.shard.commands`.
+and commands to agents are composed in :mod:`marblestair.core.shard.commands`.
 """
 
 from __future__ import annotations
@@ -28,19 +28,19 @@
 from marblestair.core.shard.machine import Machine, PlacedTask, StopReason
 from marblestair.core.state.records import JobRecord
 
-#: attempts are ``(term << ATTEMPT_COUNT_BITS) + count``, so that no term reuses another's
+#: an attempt number is ``(term << ATTEMPT_COUNT_BITS) + count``, so no two terms share one
 ATTEMPT_COUNT_BITS = 24
-#: a machine without a heartbeat for this many intervals gets nothing new, and loses the launches
-#: that were not sent yet
+#: heartbeat intervals without a heartbeat after which a machine gets no new tasks, and its unsent
+#: launches are withdrawn
 HEARTBEAT_TIMEOUT_INTERVALS = 3.5
-#: time that an agent may take beyond its lease, and the clocks' drift, to stop its tasks
+#: time that an agent may need to stop its tasks after its lease plus clock drift has passed
 AGENT_STOP_MARGIN_S = 0.25
-#: usage of a team of which there is no upper bound: more than any quota
+#: usage of a team for which no upper bound is known; exceeds any quota
 UNBOUNDED_USAGE = 1 << 62
 
 
 class FinishedTask(NamedTuple):
-    """A task that was completed, and how long it ran."""
+    """A completed task, and how long it ran."""
 
     spec: JobSpec
     run_s: float
@@ -54,13 +54,14 @@
     shard_id
         The number of the shard in the shard map.
     term
-        The fencing token under which it is led.
+        The term under which the shard is led; it is also the fencing token.
     cluster
         Settings of the deployment.
     now
-        Steady time at which the shard was acquired, in seconds.
+        Monotonic time at which the shard was acquired, in seconds.
     failures, boot_times
-        What the controller knows of failures and boot times, over all its shards; empty if None.
+        The controller's records of failures and boot times, common to all its shards; new empty
+        ones if None.
     """
 
     def __init__(
@@ -75,34 +76,34 @@
         self.failures = failures if failures is not None else FailureAttribution(cluster.workers)
         self.boot_times = boot_times if boot_times is not None else BootTimes()
         self.shard_id = shard_id
-        #: raised when another leader moves a machine into this shard
+        #: rises when the leader of another shard moves a machine into this one
         self.term = term
-        #: the term under which the shard was acquired; each leadership of it has another one
+        #: the term under which the shard was acquired; identifies this period of leadership
         self.acquired_term = term
         self.acquired_at = now
         self.cluster = cluster
         self.machines: dict[str, Machine] = {}
         self.slices: dict[str, JobSlice] = {}
-        #: team -> cpus and gpus of its tasks on machines, in fixed point
+        #: team -> cpus and gpus of its placed tasks, in fixed point
         self.team_usage: dict[str, list[int]] = {}
-        #: machines that were in the shard at the failover and whose tasks are not known yet
+        #: machines that were in the shard at the failover and are not reconciled yet
         self.unreconciled_machines: set[str] = set()
-        #: machines that list tasks of jobs that this shard knows nothing of
+        #: machines that list tasks that this shard does not expect there
         self.machines_with_unknown_tasks: set[str] = set()
-        #: the view has caught up with the failover, and progress is loaded
+        #: the view has caught up with the failover, and the progress pages are loaded
         self.is_ready = False
-        #: being transferred to another node
+        #: the shard is being transferred to another node
         self.is_being_transferred = False
-        #: tasks completed since the receiver of heartbeats last cleared this
+        #: tasks completed since the heartbeat receiver last cleared this list
         self.finished_tasks: list[FinishedTask] = []
-        #: keys that are of no use any more (pages, rental intents), with the version that may be
-        #: deleted; None where it is to be read first
+        #: store keys that are no longer needed (progress pages, rental intents), with the version
+        #: to delete; None where the version must be read first
         self.obsolete_keys: dict[str, int | None] = {}
-        #: time since the last answered heartbeat after which an agent has surely stopped its tasks
+        #: time since the last answered heartbeat after which an agent must have stopped its tasks
         self.agent_lease_limit_s = (
             cluster.workers.lease_s * (1 + MAX_CLOCK_DRIFT_FRACTION) + AGENT_STOP_MARGIN_S
         )
-        #: time without a heartbeat after which a machine gets nothing new
+        #: time without a heartbeat after which a machine gets no new tasks
         self.heartbeat_timeout_s = HEARTBEAT_TIMEOUT_INTERVALS * cluster.workers.report_s
         self._attempt_count = 0
 
@@ -111,8 +112,7 @@
     def usage(self, team: str) -> tuple[int, int]:
         """Return an upper bound of the cpus and gpus that a team's tasks use, in fixed point.
 
-        Machines that are not reconciled, or that have tasks of unknown jobs until those are
-        stopped, count in full.
+        A machine that is not reconciled, or lists unknown tasks, counts with its full capacity.
         """
         cpus, gpus = self.team_usage.get(team, (0, 0))
         for name in (
@@ -135,7 +135,7 @@
 
     @property
     def pending_stop_count(self) -> int:
-        """Tasks that are to stop and are not known to have ended."""
+        """The number of tasks with a requested stop that are not known to have ended."""
         return sum(
             task.stop_grace_s is not None
             for machine in self.machines.values()
@@ -145,18 +145,18 @@
     # --- tasks -----------------------------------------------------------------------------
 
     def new_attempt(self) -> int:
-        """Return an attempt number that no other launch has or will have."""
+        """Return an attempt number that is unique among all launches."""
         self._attempt_count += 1
         return (self.term << ATTEMPT_COUNT_BITS) + self._attempt_count
 
     def launch(self, machine: Machine, job_slice: JobSlice, index: int, attempt: int) -> None:
-        """Decide to launch a task; the command is in the response to the next heartbeat."""
+        """Place a task; its launch is sent in the response to the machine's next heartbeat."""
         spec = job_slice.spec
         task = PlacedTask(spec.id, index, attempt, job_slice.resources, spec.team)
         self._place(machine, job_slice, task)
 
     def adopt(self, machine: Machine, job_slice: JobSlice, status: TaskStatus, now: float) -> None:
-        """Add a task that an earlier leader launched, and that a machine lists."""
+        """Place a task that an earlier leader launched and that a machine lists."""
         task = PlacedTask(
             status.job, status.index, status.attempt, job_slice.resources, job_slice.spec.team
         )
@@ -176,7 +176,7 @@
         self._count_usage(task, 1)
 
     def remove_task(self, machine: Machine, task: PlacedTask, now: float) -> None:
-        """Remove a task that is surely not on its machine; unless done, it is pending again."""
+        """Remove a task that no longer runs on its machine; unless done, it becomes pending."""
         machine.remove_task(task, now)
         self._count_usage(task, -1)
         job_slice = self.slices.get(task.job)
@@ -194,13 +194,13 @@
             _stop_rest_of_gang(job_slice)
 
     def remove_planned_tasks(self, machine: Machine, now: float) -> None:
-        """Remove the tasks of a machine whose launch was not sent yet."""
+        """Remove the tasks whose launches have not been sent to their machine yet."""
         for task in list(machine.tasks.values()):
             if task.state == TaskState.PLANNED:
                 self.remove_task(machine, task, now)
 
     def remove_all_tasks(self, machine: Machine, now: float) -> None:
-        """Remove all tasks of a machine: its agent incarnation so far has surely ended."""
+        """Remove all tasks of a machine, whose agent incarnation must have ended."""
         for task in list(machine.tasks.values()):
             self.remove_task(machine, task, now)
         machine.exited_tasks = {}
@@ -208,7 +208,7 @@
         self.machines_with_unknown_tasks.discard(machine.name)
 
     def stop_tasks(self, tasks: list[PlacedTask], reason: StopReason) -> None:
-        """Have tasks stopped to free their resources; those that can save a checkpoint do so."""
+        """Request stops that free the tasks' resources, with time to save supported checkpoints."""
         for task in tasks:
             if task.stop_grace_s is not None:
                 continue
@@ -221,11 +221,11 @@
     # --- jobs ------------------------------------------------------------------------------
 
     def sync_job(self, record: JobRecord | None, job: str, now: float) -> None:
-        """Bring a slice in line with its job's record: migrations, cancels, and the job's end."""
+        """Update a slice from its job's record: migrations, cancellation and the job's end."""
         job_slice = self.slices.get(job)
         if record is None:
             if job_slice is not None:
-                # The job has ended: what is still on machines is stopped.
+                # The job has ended, so its tasks that are still on machines are stopped.
                 job_slice.request_stops(0.0, StopReason.JOB_ENDED)
                 del self.slices[job]
             return
@@ -250,7 +250,7 @@
             self.cancel(job, now)
 
     def cancel(self, job: str, now: float) -> None:
-        """Apply a cancel: nothing starts any more, and what was sent is stopped without grace."""
+        """Cancel a slice: no task starts any more, and launched tasks are stopped without grace."""
         job_slice = self.slices.get(job)
         if job_slice is None or job_slice.is_cancelled:
             return
@@ -267,7 +267,7 @@
         job_slice.pending = IndexRanges()
 
     def mark_slices_reconciled(self) -> None:
-        """Let tasks start once every machine that was here at the failover is reconciled."""
+        """Mark all slices as reconciled once every machine from before the failover is."""
         if self.unreconciled_machines:
             return
         for job_slice in self.slices.values():
@@ -277,7 +277,7 @@
                 and job_slice.placed_on
                 and len(job_slice.pending)
             ):
-                # Only some of the gang survived the failover.
+                # Only some tasks of the gang survived the failover.
                 _stop_rest_of_gang(job_slice)
 
     # --- machines --------------------------------------------------------------------------
@@ -289,7 +289,7 @@
         self.machines[machine.name] = machine
 
     def remove_machine(self, name: str, now: float) -> None:
-        """Remove a machine that was released, or that left the shard idle and reconciled."""
+        """Remove a machine that was released, or was transferred while idle and reconciled."""
         machine = self.machines.pop(name, None)
         if machine is None:
             return
@@ -299,13 +299,13 @@
         self.mark_reconciled(name)
 
     def mark_reconciled(self, name: str) -> None:
-        """Record that nothing unknown runs on a machine that was here at the failover."""
+        """Record that all tasks on a machine from before the failover are known."""
         self.unreconciled_machines.discard(name)
         self.mark_slices_reconciled()
 
 
 def _stop_rest_of_gang(job_slice: JobSlice) -> None:
-    """Stop a gang that lost a task; it starts again once all its tasks are gone."""
+    """Stop the rest of a gang that lost a task; it can start again once all tasks have ended."""
     if job_slice.done_count == job_slice.size:
         return
     if not job_slice.placed_on:
