--- a/marblestair/core/__init__.py
+++ b/marblestair/core/__init__.py
@@ -1,1 +1,1 @@
-"""The pure core: state machines that take inputs and return what to send, write and answer."""
+"""The core without I/O: state machines that turn inputs into messages, writes and responses."""
--- a/marblestair/core/controller.py
+++ b/marblestair/core/controller.py
@@ -1,7 +1,7 @@
-"""The controller: composes all components of one node, and routes inputs to them.
+"""The controller: composes all components of one node and routes inputs to them.
 
-Pure: every input carries the time, every output is collected for the shell to carry out. Nothing
-here does I/O, reads a clock or uses global randomness.
+It does no I/O, reads no clock and uses no global randomness: the time comes with every input, and
+the outputs are collected in an outbox for the caller to send.
 """
 
 from __future__ import annotations
@@ -37,14 +37,14 @@
 from marblestair.core.status import StatusReport
 from marblestair.core.view_synchronizer import ViewSynchronizer
 
-#: pause between two turns of summaries and migrations, and of quota transfers, in seconds
+#: interval between summaries and transfers to other shards, and between quota transfers
 SUMMARY_INTERVAL_S, REBALANCE_INTERVAL_S = 0.4, 1.0
 
 
 class Controller:
-    """One node: its components, and what is done with each input."""
+    """The scheduler core of one node: owns its components and handles every input."""
 
-    def __init__(  # noqa: PLR0913 - everything that a process is started with
+    def __init__(  # noqa: PLR0913 - all parameters of the process
         self,
         settings: Settings,
         incarnation: int,
@@ -169,7 +169,7 @@
         )
 
     def _start_shard(self, shard: Shard) -> None:
-        """A shard has been recovered: begin what goes on while it is led here."""
+        """Start the background work for a shard that has been recovered."""
         self.job_services.job_managers.shards_changed()
         progress_pages = self.leadership_services.progress_pages
         self.context.supervise(partial(progress_pages.persist, shard))
@@ -178,7 +178,7 @@
     # --- inputs ----------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Begin: load the view, take a lease."""
+        """Start the background work: loading the view, acquiring a lease, and updates."""
         capacity = self.capacity_services
         self.context.spawn(self.coordinator.start())
         self.context.supervise(capacity.catalog_updates.maintain)
@@ -186,15 +186,15 @@
         self.context.supervise(self.job_services.dependency_reads.read_unknown_ends)
 
     def set_time(self, now: float, wall_time: float) -> None:
-        """Every input comes with the time."""
+        """Set the monotonic and wall-clock times, in seconds; to be called before every input."""
         self.context.set_time(now, wall_time)
 
     def complete(self, request: int, response: Any) -> None:
-        """A request of a coroutine was answered."""
+        """Resume the coroutine that waits for the response to a request."""
         self.context.coroutines.resume(request, response)
 
     def receive_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse:
-        """An agent's heartbeat."""
+        """Handle an agent's heartbeat and return the response."""
         return self.heartbeat_receiver.receive(heartbeat)
 
     def is_healthy(self) -> bool:
@@ -207,7 +207,7 @@
     # --- time ------------------------------------------------------------------------------
 
     def tick(self) -> None:
-        """To be called a few times a second."""
+        """Run all periodic work; to be called a few times per second."""
         now = self.context.now
         self.context.coroutines.wake(now)
         self.synchronizer.synchronize()
@@ -240,7 +240,7 @@
         self.capacity_services.releases.enforce_cancel_deadline(shard)
 
     def _publish_summaries(self, led_shards: list[Shard]) -> None:
-        """Summarize the shards that are led here, and send that to the other nodes."""
+        """Send summaries of the shards led by this node to the other nodes."""
         summaries = []
         for shard in led_shards:
             summary = self.scheduling_services.summarizer.summarize(shard)
@@ -256,7 +256,7 @@
         )
 
     def _start_transfers(self, led_shards: list[Shard]) -> None:
-        """Begin what should move from the shards that are led here to others."""
+        """Start migrations of pending tasks, and transfers of idle machines, to other shards."""
         for shard in led_shards:
             self.scheduling_services.migration_planner.migrate_pending(shard)
             self.scheduling_services.machine_transfers.transfer_idle_machines(shard)
--- a/marblestair/core/heartbeat_receiver.py
+++ b/marblestair/core/heartbeat_receiver.py
@@ -1,4 +1,4 @@
-"""Agents' heartbeats: what each is answered with, and what is learned from it."""
+"""Handling of agents' heartbeats on a node that may or may not lead the machine's shard."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 
 class HeartbeatReceiver:
-    """Takes in the heartbeats that reach one node."""
+    """Answers agents' heartbeats, and places tasks on the capacity that they free."""
 
-    def __init__(  # noqa: PLR0913 - its collaborators
+    def __init__(  # noqa: PLR0913 - injected components
         self,
         context: NodeContext,
         view: StoreView,
@@ -43,7 +43,11 @@
         self._run_times = run_times
 
     def receive(self, heartbeat: Heartbeat) -> HeartbeatResponse:
-        """Take in a heartbeat, and answer it with what its machine is to do."""
+        """Handle a heartbeat and return the response.
+
+        Status 200 carries commands, 421 names the shard's leader if known, and 503 means that this
+        node cannot answer the heartbeat.
+        """
         self._connectivity.heartbeat_received()
         record = self._view.machines.get(heartbeat.machine)
         if record is None:
@@ -57,7 +61,7 @@
         return self._receive_as_leader(shard, heartbeat)
 
     def _receive_as_leader(self, shard: Shard, heartbeat: Heartbeat) -> HeartbeatResponse:
-        """A heartbeat of a machine of a shard that this node leads."""
+        """Handle a heartbeat from a machine of a shard that this node leads."""
         machine = shard.machines.get(heartbeat.machine)
         if machine is not None and machine.machine_type is None:
             machine.set_machine_type(self._catalog.types.get(machine.type_name))
@@ -75,7 +79,7 @@
         elif machine is not None and (
             machine.is_reconciled != was_reconciled or machine.free != free_before
         ):
-            # Capacity has come up: fill it with this very response rather than the next one.
+            # Use newly available capacity in this response instead of the next one.
             self._dispatcher.fill_machine(shard, machine)
         if machine is not None:
             commands += self._launch_commands(shard, machine, commands)
@@ -84,7 +88,7 @@
     def _launch_commands(
         self, shard: Shard, machine: Machine, commands: list[TaskCommand]
     ) -> list[TaskCommand]:
-        """The launches that go with other commands, counted with the stops among those."""
+        """Return the launches for a response; count them, and its stops, as decisions."""
         launches = launch_commands(shard, machine, self._context.now)
         stops = sum(command.verb is CommandVerb.STOP for command in commands)
         decisions = self._context.decisions
--- a/marblestair/core/peer_service.py
+++ b/marblestair/core/peer_service.py
@@ -1,4 +1,4 @@
-"""The messages and requests of other controllers: each kind goes to the component it concerns."""
+"""Dispatch of other controllers' messages and requests to the components that handle them."""
 
 from __future__ import annotations
 
@@ -46,9 +46,9 @@
 
 
 class PeerService:
-    """What one node does with what the others send and ask."""
+    """Handles messages and requests from other controllers."""
 
-    def __init__(  # noqa: PLR0913 - its collaborators
+    def __init__(  # noqa: PLR0913 - injected components
         self,
         context: NodeContext,
         view: StoreView,
@@ -87,7 +87,7 @@
     # --- one-way messages ------------------------------------------------------------------
 
     def receive(self, node: str, message: PeerMessage | None) -> None:
-        """A one-way message of another node; None if this version does not know its kind."""
+        """Handle a one-way message from another node; ``message`` is None if its tag is unknown."""
         self._connectivity.message_received(node)
         if isinstance(message, ShardSummaries):
             self._receive_summaries(node, message)
@@ -101,14 +101,15 @@
             self._announcements.receive(message)
 
     def reject_message(self, node: str, error: str) -> None:
-        """A message or request of another node could not be decoded."""
+        """Log a message or request from another node that could not be decoded."""
         if node in self._context.settings.nodes:
             self._connectivity.message_received(node)
-        self._context.log("error", f"{error}, from {node}")
+        self._context.log("error", f"rejected message from {node}: {error}")
 
     def _receive_summaries(self, node: str, message: ShardSummaries) -> None:
         if self._view.nodes.get(node, message.incarnation) != message.incarnation:
-            # A late message of an earlier process, or one of a process not seen yet.
+            # A late message of an earlier process on the node, or one of a process that is not in
+            # the view yet.
             return
         for summary in message.summaries:
             self._summaries.record(summary)
@@ -120,20 +121,24 @@
 
     def _receive_end(self, node: str, message: JobEnded) -> None:
         if message.state not in FINAL_STATES:
-            self._context.log("error", f"not a final state: {message.state}, from {node}")
+            self._context.log(
+                "error",
+                f"rejected end of job {message.job[:40]} from {node}: "
+                f"{message.state[:40]!r} is not a final state",
+            )
             return
         self._final_states.record(message.job, JobState(message.state))
 
     # --- requests --------------------------------------------------------------------------
 
     def receive_request(self, request_id: int, node: str, message: PeerMessage | None) -> None:
-        """A request of another node, or of an operator; answered through the outbox."""
+        """Handle a request from another node or an operator; the reply is put into the outbox."""
         if node in self._context.settings.nodes:
             self._connectivity.message_received(node)
         self._context.spawn(self._reply(request_id, message))
 
     def reject_request(self, request_id: int, node: str, error: str) -> None:
-        """A request could not be decoded: it is answered with nothing."""
+        """Reply with None to a request that could not be decoded."""
         self.reject_message(node, error)
         self._context.outbox.peer_replies.append(PeerReply(request_id, None))
 
@@ -142,7 +147,7 @@
         self._context.outbox.peer_replies.append(PeerReply(request_id, reply))
 
     def _answer(self, message: PeerMessage | None) -> Coroutine[Any]:
-        """The reply to a request; None where nothing can be replied."""
+        """Return the reply to a request; None if its kind is unknown or no reply can be given."""
         if isinstance(message, QueryJob):
             return msgspec.to_builtins(self._answers.status_from_memory(message.job))
         if isinstance(message, CancelJob):
--- a/marblestair/core/status.py
+++ b/marblestair/core/status.py
@@ -1,4 +1,4 @@
-"""What a controller shows to operators: leadership, jobs, decisions and what waits."""
+"""The status that a controller reports to operators: leadership, jobs, shards and decisions."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from marblestair.core.state.records import ShardRecord
 from marblestair.core.state.store_view import StoreView
 
-#: age shown of a view that was never filled, in seconds
+#: upper limit of the reported view age, in seconds; stands for a view that was never loaded
 MAX_VIEW_AGE_S = 1e6
 
 
 class StatusReport:
-    """Collects what one node shows."""
+    """Collects the status of one node for operators."""
 
-    def __init__(  # noqa: PLR0913 - its collaborators
+    def __init__(  # noqa: PLR0913 - injected components
         self,
         context: NodeContext,
         view: StoreView,
@@ -50,7 +50,7 @@
         self._rejected_writes = rejected_writes
 
     def collect(self) -> dict[str, object]:
-        """What this node sees and does, for operators."""
+        """Return the status of this node."""
         return {
             **self._leadership_status(),
             **self._job_status(),
@@ -80,7 +80,7 @@
         }
 
     def _pending_status(self) -> dict[str, object]:
-        """What is under way, and for how long it has been."""
+        """Return the counts of unfinished operations, and for cancels the age of the oldest."""
         shards = self._leadership.shards.values()
         managed = self._managed_jobs.values()
         return {
--- a/marblestair/core/view_synchronizer.py
+++ b/marblestair/core/view_synchronizer.py
@@ -1,4 +1,4 @@
-"""Brings shards, machines, slices and managers in line with the view whenever it changes."""
+"""Propagation of changes in the store view to shards, machines, slices and job managers."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 
 class ViewSynchronizer:
-    """Applies the changes of one node's view to what is derived from it."""
+    """Updates the state that one node derives from its view of the store."""
 
-    def __init__(  # noqa: PLR0913 - its collaborators
+    def __init__(  # noqa: PLR0913 - injected components
         self,
         context: NodeContext,
         view: StoreView,
@@ -57,7 +57,7 @@
         self._dispatcher = dispatcher
 
     def synchronize(self) -> None:
-        """Apply all that has changed in the view since the last time."""
+        """Apply all changes in the view since the last call."""
         view = self._view
         if view.shard_map_changed:
             view.shard_map_changed = False
@@ -87,7 +87,7 @@
         self._dependencies.record_changed(job)
 
     def _sync_urgency(self) -> None:
-        """Schedule by what jobs inherit from those that depend on them."""
+        """Update the slices of jobs whose urgency, inherited from dependent jobs, has changed."""
         for job in self._urgency.pop_changed():
             for shard in self._leadership.shards.values():
                 if job in shard.slices:
@@ -106,10 +106,10 @@
             shard = shards.get(shard_id)
             if (record.leader, record.incarnation) == self._context.identity:
                 if shard is not None and shard.acquired_term == record.acquired_term:
-                    # The same leadership; another leader may have raised the term, to move a
-                    # machine into this shard. The evidence is in the record itself: the map may be
-                    # read ahead of the rest of the view, and a leadership that ended and began
-                    # again must not look like one.
+                    # This node has led the shard without interruption; another leader may have
+                    # raised the term to move a machine into it. Only the acquired term in the
+                    # record shows this: the rest of the view may be older than the shard map, and
+                    # a leadership that was lost and regained must not look uninterrupted.
                     shard.term = record.term
                 else:
                     self._acquire(shard_id, record)
@@ -120,7 +120,7 @@
                 )
 
     def _acquire(self, shard_id: int, record: ShardRecord) -> None:
-        """Begin to recover a shard that this node has come to lead."""
+        """Start the recovery of a shard whose leader this node has become."""
         shard = Shard(
             shard_id,
             record.term,
@@ -135,7 +135,10 @@
         self._context.supervise(partial(self._recovery.recover, shard, revision, self))
 
     def sync_machine(self, name: str, recovering: Shard | None = None) -> None:
-        """Bring a machine in line with the view, also of a shard that is being recovered."""
+        """Update a machine from the view in all ready shards.
+
+        ``recovering`` is a shard to update too although its recovery has not finished.
+        """
         now = self._context.now
         record = self._view.machines.get(name)
         for shard in self._leadership.shards.values():
@@ -151,7 +154,7 @@
                 shard.add_machine(machine)
 
     def sync_slice(self, shard: Shard, job: str) -> None:
-        """Bring a shard's slice of a job in line with the view."""
+        """Update a shard's slice of a job from the view."""
         now = self._context.now
         job_slice = shard.slices.get(job)
         was_blocked = job_slice is None or job_slice.is_blocked
@@ -161,7 +164,7 @@
                 shard.obsolete_keys[keys.progress_page(shard.shard_id, job, page)] = version
         shard.sync_job(record, job, now)
         if job in shard.slices and self._cancels.is_known(job):
-            # Known ahead of the view: a slice that comes by an older record is over too.
+            # The cancel is known although the view's record may be older, so cancel the slice too.
             shard.cancel(job, now)
         job_slice = shard.slices.get(job)
         if job_slice is None or record is None:
