--- a/marblestair/core/controller.py
+++ b/marblestair/core/controller.py
@@ -37,7 +37,7 @@
 from marblestair.core.status import StatusReport
 from marblestair.core.view_synchronizer import ViewSynchronizer
 
-#: interval between summaries and transfers to other shards, and between quota transfers
+#: interval between summaries and transfers to other shards, and between quota rebalancings
 SUMMARY_INTERVAL_S, REBALANCE_INTERVAL_S = 0.4, 1.0
 
 
@@ -178,7 +178,7 @@
     # --- inputs ----------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Start the background work: loading the view, acquiring a lease, and updates."""
+        """Start loading the view and acquiring a lease, and the background updates."""
         capacity = self.capacity_services
         self.context.spawn(self.coordinator.start())
         self.context.supervise(capacity.catalog_updates.maintain)
--- a/marblestair/core/shard/failures.py
+++ b/marblestair/core/shard/failures.py
@@ -18,9 +18,9 @@
 
 from marblestair.core.domain.settings import Workers
 
-#: number of machines, with no other failing job on them, that quarantines a failing job
+#: a job is quarantined once it is the only failing job on this many machines
 MIN_QUARANTINE_MACHINES = 3
-#: number of counted failures that makes a machine faulty
+#: a machine is faulty once this many failures count against it
 MIN_FAULTY_FAILURES = 3
 #: jobs, and machines, with a failure record: more than the machines of the largest fleets
 MAX_TRACKED_ENTRIES = 10_000
@@ -252,17 +252,17 @@
         machine_entry = self._machines.get(machine)
         if machine_entry is None:
             return 0
-        failures_of_proven = 0
+        failures_of_proven_jobs = 0
         unproven_jobs = 0
         for job, failure_count in machine_entry.failures.items():
             entry = self._jobs.get(job)
             if entry is not None and entry.has_succeeded:
-                failures_of_proven += failure_count
+                failures_of_proven_jobs += failure_count
             elif not self.is_quarantined(job):
                 unproven_jobs += 1
         # A single job without any known success may itself be at fault.
-        return failures_of_proven + (
-            unproven_jobs if unproven_jobs > 1 or failures_of_proven else 0
+        return failures_of_proven_jobs + (
+            unproven_jobs if unproven_jobs > 1 or failures_of_proven_jobs else 0
         )
 
 
--- a/marblestair/core/shard/heartbeats.py
+++ b/marblestair/core/shard/heartbeats.py
@@ -9,8 +9,8 @@
 from marblestair.core.shard.responsiveness import MAX_IGNORED_MESSAGES
 from marblestair.core.shard.shard import Shard
 
-#: longest gap, in heartbeat intervals, between heartbeats of an agent that receives responses
-MAX_FREQUENT_INTERVALS = 2.0
+#: heartbeat intervals within which an agent that receives responses sends its next heartbeat
+MAX_FREQUENT_GAP_INTERVALS = 2.0
 #: share of an agent's lease for which heartbeats must arrive without a longer gap before the count
 #: of ignored commands is reset
 RECOVERY_LEASE_SHARE = 0.5
@@ -58,7 +58,7 @@
     last_heartbeat_at = machine.last_heartbeat_at
     is_frequent = (
         last_heartbeat_at is not None
-        and now - last_heartbeat_at < MAX_FREQUENT_INTERVALS * agents.report_s
+        and now - last_heartbeat_at < MAX_FREQUENT_GAP_INTERVALS * agents.report_s
     )
     is_new_incarnation = heartbeat.agent_incarnation != machine.agent_incarnation
     if is_new_incarnation:
@@ -96,10 +96,10 @@
     is used only from the first heartbeat with that token on, because only such a heartbeat is known
     to be newer than everything that the previous leader sent.
 
-    Returns None, for no response, when the agent has ignored the token repeatedly: its lease,
-    measured from the last response that it may have received, then expires. A new incarnation
-    alone does not reconcile the machine, since the leader may know the previous incarnation only
-    from a late duplicate.
+    Returns None, so that the lease is not renewed, when the agent has ignored the token repeatedly.
+    The lease, measured from the last response that the agent may have received, then expires. A new
+    incarnation alone does not reconcile the machine, since the leader may know the previous
+    incarnation only from a late duplicate.
     """
     if machine.responsiveness.ignored_terms > MAX_IGNORED_MESSAGES:
         machine.responsiveness.mark_unresponsive(now)
--- a/marblestair/core/shard/partition_detection.py
+++ b/marblestair/core/shard/partition_detection.py
@@ -13,8 +13,9 @@
 def partitioned_machines(shard: Shard, agent_lease_s: float, now: float) -> set[str]:
     """Return the names of the machines that are presumed partitioned rather than failed.
 
-    When the leases of many agents expire at once, the likely cause is the network, and most of the
-    machines can be expected to reconnect. ``agent_lease_s`` is the duration of an agent's lease.
+    When the leases of many agents have expired at the same time, the likely cause is the network,
+    and most of the machines can be expected to reconnect. ``agent_lease_s`` is the duration of an
+    agent's lease.
     """
     lost_contact = [
         machine
--- a/marblestair/core/shard/reclaimed_machines.py
+++ b/marblestair/core/shard/reclaimed_machines.py
@@ -14,7 +14,7 @@
 
 
 def evict_from_reclaimed_machines(shard: Shard, now: float) -> None:
-    """Stop tasks that save checkpoints in time before their machines are reclaimed."""
+    """Stop tasks that support checkpoints early enough to save one before the reclaim."""
     for machine in shard.machines.values():
         reclaim_at = machine.reclaim_at
         if reclaim_at is None:
--- a/marblestair/core/shard/responsiveness.py
+++ b/marblestair/core/shard/responsiveness.py
@@ -38,7 +38,7 @@
 
     def __init__(self, now: float) -> None:
         self.state = Reachability.RESPONSIVE
-        #: start of the current period in which the agent is not responsive
+        #: start of the current period without responsiveness; not used while the agent responds
         self.unresponsive_since = now
         #: the agent lost contact together with many others and is presumed partitioned
         self.is_partitioned = False
@@ -46,8 +46,7 @@
         self.ignored_commands = 0
         #: consecutive responses to heartbeats that did not carry the shard's fencing token
         self.ignored_terms = 0
-        #: start of the current period of frequent heartbeats, without a gap (see
-        #: :meth:`record_heartbeat`)
+        #: start of the current uninterrupted period of frequent heartbeats
         self.frequent_since = now
 
     def mark_unresponsive(self, now: float) -> None:
@@ -78,7 +77,8 @@
             Monotonic time in seconds.
         """
         if is_frequent and not is_new_incarnation and self.ignored_commands < MAX_IGNORED_MESSAGES:
-            # An agent that receives no response sends its next heartbeat to another controller.
+            # An agent that receives no response sends its next heartbeat to another controller, so
+            # frequent heartbeats show that responses arrive.
             self.state = Reachability.RESPONSIVE
         elif self.state is Reachability.LEASE_EXPIRED:
             self.state = Reachability.UNRESPONSIVE
--- a/marblestair/core/shard/shard.py
+++ b/marblestair/core/shard/shard.py
@@ -208,7 +208,7 @@
         self.machines_with_unknown_tasks.discard(machine.name)
 
     def stop_tasks(self, tasks: list[PlacedTask], reason: StopReason) -> None:
-        """Request stops that free the tasks' resources, with time to save supported checkpoints."""
+        """Request stops of tasks; those that support checkpoints get time to save one."""
         for task in tasks:
             if task.stop_grace_s is not None:
                 continue
@@ -267,7 +267,7 @@
         job_slice.pending = IndexRanges()
 
     def mark_slices_reconciled(self) -> None:
-        """Mark all slices as reconciled once every machine from before the failover is."""
+        """Mark the slices as reconciled if no machine is left unreconciled since the failover."""
         if self.unreconciled_machines:
             return
         for job_slice in self.slices.values():
--- a/marblestair/core/view_synchronizer.py
+++ b/marblestair/core/view_synchronizer.py
@@ -164,7 +164,7 @@
                 shard.obsolete_keys[keys.progress_page(shard.shard_id, job, page)] = version
         shard.sync_job(record, job, now)
         if job in shard.slices and self._cancels.is_known(job):
-            # The cancel is known although the view's record may be older, so cancel the slice too.
+            # The cancel may be newer than the record in the view, so it is applied separately.
             shard.cancel(job, now)
         job_slice = shard.slices.get(job)
         if job_slice is None or record is None:
