--- a/marblestair/core/status.py
+++ b/marblestair/core/status.py
@@ -1,4 +1,4 @@
-"""What a controller shows to operators: leadership, jobs, decisions and what waits."""
+"""The status that a controller reports to operators: leadership, jobs, shards and decisions."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from marblestair.core.state.records import ShardRecord
 from marblestair.core.state.store_view import StoreView
 
-#: age shown of a view that was never filled, in seconds
-MOST_AGE_S = 1e6
+#: upper limit of the reported view age, in seconds; stands for a view that was never loaded
+MAX_VIEW_AGE_S = 1e6
 
 
 class StatusReport:
-    """Collects what one node shows."""
+    """Collects the status of one node for operators."""
 
-    def __init__(  # noqa: PLR0913 - its collaborators
+    def __init__(  # noqa: PLR0913 - injected components
         self,
         context: NodeContext,
         view: StoreView,
@@ -50,13 +50,13 @@
         self._rejected_writes = rejected_writes
 
     def collect(self) -> dict[str, object]:
-        """What this node sees and does, for operators."""
+        """Return the status of this node."""
         return {
             **self._leadership_status(),
             **self._job_status(),
             **self._pending_status(),
             "decisions": dict(sorted(self._context.decisions.counts.items())),
-            "parts": self._shard_status(),
+            "parts": self._shard_statuses(),
         }
 
     def _leadership_status(self) -> dict[str, object]:
@@ -66,7 +66,7 @@
             "acts_for": [shard.shard_id for shard in self._leadership.led_shards()],
             "lease_s_left": round(max(0.0, self._lease.remaining_s(now) or 0.0), 1),
             "on_promises": self._promises.are_valid(now),
-            "view_s_old": round(min(MOST_AGE_S, self._view.staleness_s(now)), 1),
+            "view_s_old": round(min(MAX_VIEW_AGE_S, self._view.staleness_s(now)), 1),
         }
 
     def _job_status(self) -> dict[str, object]:
@@ -80,7 +80,7 @@
         }
 
     def _pending_status(self) -> dict[str, object]:
-        """What is under way, and for how long it has been."""
+        """Return the counts of unfinished operations, and for cancels the age of the oldest."""
         shards = self._leadership.shards.values()
         managed = self._managed_jobs.values()
         return {
@@ -93,15 +93,16 @@
             ),
         }
 
-    def _shard_status(self) -> list[dict[str, object]]:
+    def _shard_statuses(self) -> list[dict[str, object]]:
         shard_map = self._view.shard_map
         if shard_map is None:
             return []
         return [
-            self._one_shard(shard_id, record) for shard_id, record in enumerate(shard_map.shards)
+            self._status_of_shard(shard_id, record)
+            for shard_id, record in enumerate(shard_map.shards)
         ]
 
-    def _one_shard(self, shard_id: int, record: ShardRecord) -> dict[str, object]:
+    def _status_of_shard(self, shard_id: int, record: ShardRecord) -> dict[str, object]:
         backlog_cpus = received_s_ago = None
         if shard_id in self._summaries:
             received_at, summary = self._summaries[shard_id]
