--- a/marblestair/core/jobs/user_requests.py
+++ b/marblestair/core/jobs/user_requests.py
@@ -85,7 +85,7 @@
         if job in self._final_states:
             return Outcome(200, JobStatus(self._final_states[job]))
         final: JobState | None = None
-        if not self._connectivity.is_cut_off():
+        if not self._connectivity.is_disconnected():
             if job in self._view.jobs:
                 final = yield from self._cancel_live(job)
             else:
