--- a/marblestair/core/leadership/__init__.py
+++ b/marblestair/core/leadership/__init__.py
@@ -1,1 +1,1 @@
-"""Who leads which shard: leases, fencing, failover, leadership transfer and promises."""
+"""Shard leadership: leases, fencing, failover, leadership transfer and promises."""
--- a/marblestair/core/leadership/coordinator.py
+++ b/marblestair/core/leadership/coordinator.py
@@ -1,4 +1,4 @@
-"""Starts what keeps this node's leadership, and decides a few times a second who should lead."""
+"""Starts the leadership components of a node and initiates failovers and transfers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class LeadershipCoordinator:
-    """The leadership of one node over time."""
+    """Starts the lease, view and promise coroutines, and begins failovers and transfers."""
 
     def __init__(  # noqa: PLR0913 - its collaborators
         self,
@@ -32,11 +32,11 @@
         self._failover = failover
         self._transfer = transfer
         self._promises = promises
-        #: the view has been loaded once
+        #: whether the view has been loaded
         self.is_started = False
 
     def start(self) -> Coroutine[None]:
-        """Load the view, then follow it and keep a lease."""
+        """Load the view, then start the coroutines that follow the store and keep the lease."""
         yield from self._follower.load()
         self.is_started = True
         self._context.supervise(self._follower.follow)
@@ -44,9 +44,12 @@
         self._context.supervise(self._promises.maintain)
 
     def tick(self, now: float) -> None:
-        """Take over what is orphaned, or hand back what is too much."""
+        """Begin a failover of orphaned shards, or else a transfer of a shard to another node.
+
+        Called a few times a second.
+        """
         self._leadership.log_basis_change(now)
-        self._transfer.note_incarnations(now)
+        self._transfer.record_incarnations(now)
         if not self.is_started or self._failover.is_in_progress:
             return
         if not self._leadership.is_authorized(now):
--- a/marblestair/core/leadership/failover.py
+++ b/marblestair/core/leadership/failover.py
@@ -1,4 +1,4 @@
-"""Failover: taking over the shards of nodes whose lease has expired."""
+"""Failover: a node takes over the shards of leaders whose lease has expired."""
 
 from __future__ import annotations
 
@@ -10,23 +10,28 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
-from marblestair.core.runtime.store_requests import CompareAndSwap, Lane, Put, StoreResponse
+from marblestair.core.runtime.store_requests import (
+    CompareAndSwap,
+    Put,
+    RequestPriority,
+    StoreResponse,
+)
 from marblestair.core.state import keys
 from marblestair.core.state.records import ShardMap, ShardRecord
 from marblestair.core.state.store_view import StoreView
 
-#: wait for each shard that a node leads already, so that shards spread over the nodes
-WAIT_PER_SHARD_S = 0.35
-#: random part of the wait, so that nodes seldom try at once
-RANDOM_WAIT_S = 0.15
-#: share of a lease left to a node's new process to take its shards over itself
-RETURN_SHARE = 0.5
-#: a node's leases within which a shard of a node that fell has a new leader, as a rule
-FAILOVER_LEASES = 1.6
+#: delay of a takeover for each shard that the node already leads, so that shards spread evenly
+DELAY_PER_LED_SHARD_S = 0.35
+#: random part of the delay, so that nodes seldom try at the same time
+MAX_RANDOM_DELAY_S = 0.15
+#: share of a lease that a restarted leader gets to take its shards over itself
+RESTART_GRACE_LEASE_SHARE = 0.5
+#: node leases within which a failed node's shard usually has a new leader
+EXPECTED_FAILOVER_LEASES = 1.6
 
 
 class Failover:
-    """The failovers that one node carries out."""
+    """Takes over orphaned shards on behalf of one node."""
 
     def __init__(
         self,
@@ -44,30 +49,30 @@
         self._leadership = leadership
         self._updates = updates
         self._is_in_progress = False
-        #: version of the shard map at which a failover was sent whose outcome is not known
+        #: version of the shard map that the latest failover without a response was conditional on
         self._uncertain_version: int | None = None
-        #: shard -> since when its leader is gone
-        self._absent_since: dict[int, float] = {}
+        #: shard -> monotonic time at which its leader was first seen absent
+        self._leader_absent_since: dict[int, float] = {}
 
     @property
-    def duration_s(self) -> float:
-        """Time within which a shard of a node that fell has a new leader, as a rule."""
-        return FAILOVER_LEASES * self._lease.ttl_s
+    def expected_duration_s(self) -> float:
+        """Time in seconds within which a failed node's shard usually has a new leader."""
+        return EXPECTED_FAILOVER_LEASES * self._lease.ttl_s
 
     @property
     def is_in_progress(self) -> bool:
-        """Whether a failover by this node was begun and its response is awaited."""
+        """Whether this node has begun a failover and awaits the store's response."""
         return self._is_in_progress
 
     @property
     def is_pending(self) -> bool:
-        """Whether a failover is in progress, or was sent and may yet be carried out."""
+        """Whether a failover is in progress, or got no response and may still be applied."""
         if self._is_in_progress:
             return True
         return self._uncertain_version == self._view.version(keys.SHARD_MAP)
 
     def begin(self, now: float) -> bool:
-        """Begin to take over what is orphaned; False when there is nothing to take over."""
+        """Take over orphaned shards, or create the shard map; return False if neither is due."""
         current = self._view.shard_map
         if current is None:
             self._is_in_progress = True
@@ -82,7 +87,7 @@
         return True
 
     def _orphaned_shards(self, current: ShardMap, now: float) -> list[int]:
-        """Shards to take over now, as many as one transaction holds."""
+        """Return the shards to take over now, at most as many as fit into one transaction."""
         own = [
             shard_id
             for shard_id, record in enumerate(current.shards)
@@ -91,43 +96,45 @@
         orphaned: list[int] = []
         for shard_id, record in enumerate(current.shards):
             if shard_id in own:
-                self._absent_since.pop(shard_id, None)
+                self._leader_absent_since.pop(shard_id, None)
             elif self._should_take_over(shard_id, record, len(own) + len(orphaned), now):
                 orphaned.append(shard_id)
-        # Each failover is a change of the shard's fence besides that of the shard map.
+        # One change of the transaction is the shard map, the rest are the fences of the shards.
         return orphaned[: self._context.settings.cluster.state.txn_ops - 1]
 
     def _should_take_over(
         self, shard_id: int, record: ShardRecord, led_count: int, now: float
     ) -> bool:
-        """Whether to take a shard over now, by a node that leads some number already."""
+        """Return whether this node, which leads ``led_count`` shards, takes a shard over now."""
         if record.leader == self._context.node:
-            # This node's earlier process led it, and that process is dead.
+            # A previous process of this node led the shard and has ended.
             return True
         if record.leader and self._view.nodes.get(record.leader) == record.incarnation:
-            self._absent_since.pop(shard_id, None)
+            self._leader_absent_since.pop(shard_id, None)
             return False
-        if record.leader and self._promises.may_rely_on_grant(record.leader, now):
+        if record.leader and self._promises.may_hold_grant(record.leader, now):
             return False
-        since = self._absent_since.setdefault(shard_id, now)
-        wait_s = WAIT_PER_SHARD_S * led_count + RANDOM_WAIT_S * self._context.rng.random()
-        return now - since >= wait_s + self._extra_wait_s(shard_id, record)
-
-    def _extra_wait_s(self, shard_id: int, record: ShardRecord) -> float:
-        """Time left to the node that should take a shard over rather than this one."""
+        since = self._leader_absent_since.setdefault(shard_id, now)
+        delay_s = (
+            DELAY_PER_LED_SHARD_S * led_count + MAX_RANDOM_DELAY_S * self._context.rng.random()
+        )
+        return now - since >= delay_s + self._extra_delay_s(shard_id, record)
+
+    def _extra_delay_s(self, shard_id: int, record: ShardRecord) -> float:
+        """Return the extra delay that lets a better candidate take the shard over first."""
         if not record.leader:
-            # A new deployment: leave each node time to take its own.
-            is_home = self._leadership.home_node(shard_id) == self._context.node
-            return 0.0 if is_home else self._lease.ttl_s
+            # New deployment: each node gets time to take the shards it is the preferred leader of.
+            is_preferred = self._leadership.preferred_leader(shard_id) == self._context.node
+            return 0.0 if is_preferred else self._lease.ttl_s
         if self._view.nodes.get(record.leader) is not None:
-            # Its node is back as a new process, which takes the shard over itself.
-            return RETURN_SHARE * self._lease.ttl_s
+            # The leader has restarted, and its new process takes the shard over itself.
+            return RESTART_GRACE_LEASE_SHARE * self._lease.ttl_s
         return 0.0
 
     def _absence_preconditions(
         self, current: ShardMap, orphaned: list[int]
     ) -> list[tuple[str, int]]:
-        """Preconditions that hold only while the leaders of orphaned shards are gone."""
+        """Return preconditions that fail if a leader of the orphaned shards registers again."""
         preconditions = []
         for shard_id in orphaned:
             leader = current.shards[shard_id].leader
@@ -139,10 +146,12 @@
     def _create_shard_map(self) -> Coroutine[None]:
         cluster = self._context.settings.cluster
         first = shard_map.initial_shard_map(cluster.size, cluster.teams)
-        swap = CompareAndSwap([(keys.SHARD_MAP, 0)], [Put(keys.SHARD_MAP, first)], lane=Lane.LEASE)
+        swap = CompareAndSwap(
+            [(keys.SHARD_MAP, 0)], [Put(keys.SHARD_MAP, first)], priority=RequestPriority.LEASE
+        )
         response: StoreResponse = yield swap
         if response.status == 200:
-            self._view.record_commit(swap, response.revision)
+            self._view.apply_commit(swap, response.revision)
         else:
             yield Sleep(0.3)
         self._is_in_progress = False
--- a/marblestair/core/leadership/leadership.py
+++ b/marblestair/core/leadership/leadership.py
@@ -1,7 +1,7 @@
-"""Which shards this node leads, and by what it may act for them now.
+"""The shards that this node leads, and whether it may act for them now.
 
-A node acts for a shard only while its lease surely holds (or promises of all other nodes stand in
-for it), the shard map names it, and its view includes the commit that made it leader.
+A node acts for a shard only while the shard map names it as leader, its view includes the commit
+that made it leader, and its lease is certainly valid or promises of all other nodes replace it.
 """
 
 from __future__ import annotations
@@ -18,15 +18,16 @@
 
 
 class LeadershipBasis(enum.StrEnum):
-    """By what a node may act for its shards."""
+    """The authority by which a node may act for its shards."""
 
     LEASE = "lease"
     PROMISES = "promises"
+    #: the node may not act
     NONE = "none"
 
 
 class Leadership:
-    """The shards of one node, and its right to act for them."""
+    """Holds the shards of one node and decides whether the node may act for them."""
 
     def __init__(
         self, context: NodeContext, view: StoreView, lease: StoreLease, promises: PromiseLedger
@@ -35,62 +36,66 @@
         self._view = view
         self._lease = lease
         self._promises = promises
-        #: shards that the shard map gives to this process, by their ids
+        #: shard id -> shard that the shard map assigns to this process
         self.shards: dict[int, Shard] = {}
         self._basis = LeadershipBasis.NONE
 
     def is_authorized(self, now: float) -> bool:
-        """Whether this node's lease surely holds and its view is recent enough to act on."""
+        """Return whether this node may act for its shards.
+
+        The view must include the commit of this node's key. In addition, all other nodes must have
+        promised, or the lease must be certainly valid and the view younger than an agent's lease.
+        """
         if self._view.revision < self._lease.node_key_revision:
             return False
         if self._promises.are_valid(now):
             return True
         agent_lease_s = self._context.settings.cluster.workers.lease_s
-        return self._lease.is_valid(now) and self._view.age_s(now) < agent_lease_s
+        return self._lease.is_valid(now) and self._view.staleness_s(now) < agent_lease_s
 
     def is_leader(self, shard_id: int) -> bool:
-        """Whether this node may act for a shard now."""
+        """Return whether this node may act for a shard now."""
         shard = self.shards.get(shard_id)
-        if shard is None or not shard.is_ready or shard.is_closing:
+        if shard is None or not shard.is_ready or shard.is_being_transferred:
             return False
         return self.is_authorized(self._context.now)
 
     def led_shards(self) -> list[Shard]:
-        """Shards that this node may act for now, in the order of their ids."""
+        """Return the shards that this node may act for now, in the order of their ids."""
         return [
             shard for shard_id, shard in sorted(self.shards.items()) if self.is_leader(shard_id)
         ]
 
     def leader_of(self, shard_id: int) -> str | None:
-        """The node that leads a shard, as far as the view shows."""
+        """Return the leader of a shard according to the view; None when it has none."""
         shard_map = self._view.shard_map
         if shard_map is None or not 0 <= shard_id < len(shard_map.shards):
             return None
         return shard_map.shards[shard_id].leader or None
 
-    def home_node(self, shard_id: int) -> str:
-        """The node that leads a shard when all are well."""
+    def preferred_leader(self, shard_id: int) -> str:
+        """Return the node that should lead a shard while all nodes are available."""
         nodes = self._context.settings.nodes
         return nodes[shard_id % len(nodes)]
 
     def fence_precondition(self, shard_id: int) -> tuple[str, int]:
-        """A precondition that fails once the shard has another leader."""
+        """Return a precondition that fails once the shard has another leader."""
         key = f"{keys.FENCES}{shard_id}"
         return key, self._view.version(key)
 
     def log_basis_change(self, now: float) -> None:
-        """Log by what this node may act, when that has changed."""
+        """Log the authority by which this node may act, if it has changed."""
         basis = self._current_basis(now)
         if basis is self._basis:
             return
         self._basis = basis
-        self._context.decisions.note(
+        self._context.decisions.log(
             now,
             Decision.AUTHORITY,
             basis,
             lease_left_s=_rounded(self._lease.remaining_s(now)),
             promises_left_s=_rounded(self._promises.remaining_s(now)),
-            view_age_s=_rounded(self._view.age_s(now)),
+            view_age_s=_rounded(self._view.staleness_s(now)),
             view_rev=self._view.revision,
             shards={shard_id: shard.term for shard_id, shard in self.shards.items()},
         )
@@ -104,5 +109,5 @@
 
 
 def _rounded(seconds: float | None) -> float | None:
-    """A time for the log."""
+    """Round a time for the log."""
     return None if seconds is None else round(seconds, 2)
--- a/marblestair/core/leadership/promises.py
+++ b/marblestair/core/leadership/promises.py
@@ -1,20 +1,21 @@
-"""Promises between controllers, which stand in for a lease that nobody can renew.
+"""Promises between controllers, which replace lease renewals while the store is unavailable.
 
-While the store is out, a leader asks all the other controllers not to take its shards over for the
-time of a lease. Only promises of every other node let it act beyond its own lease, and only
-without a gap: a node that can still take over gives none, and one that does not answer gives none.
-With a promise come the cancels that the asker's view may lack.
+During an outage of the store, a leader asks every other controller to promise not to take its
+shards over for the duration of a lease. It may act beyond its own lease only with promises of all
+of them, and only if it was authorized to act until they arrived. A controller that can still take
+shards over refuses, and a missing reply counts as a refusal. A promise comes with the cancels that
+the asker's view may lack.
 """
 
 from __future__ import annotations
 
 from typing import Protocol
 
-from marblestair.core.domain.clocks import CLOCK_DRIFT
+from marblestair.core.domain.clocks import MAX_CLOCK_DRIFT_FRACTION
 from marblestair.core.leadership.failover import Failover
 from marblestair.core.leadership.leadership import Leadership
 from marblestair.core.leadership.promise_ledger import PromiseLedger
-from marblestair.core.leadership.store_lease import MARGIN_S, StoreLease
+from marblestair.core.leadership.store_lease import TIMER_MARGIN_S, StoreLease
 from marblestair.core.messaging.messages import RequestPromise
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
@@ -22,26 +23,29 @@
 from marblestair.core.runtime.requests import PeerRequest, Sleep
 from marblestair.core.state.store_view import StoreView
 
-#: how often in one lease it is checked whether promises are needed
+#: checks per lease whether promises are needed
 CHECKS_PER_LEASE = 8
-#: share of a lease for which promises must last, or new ones are requested
-ENOUGH = 0.6
-#: time for another controller to reply, in seconds
-REPLY_S = 0.5
+#: new promises are requested once the present ones last no longer than this share of a lease
+RENEWAL_LEASE_SHARE = 0.6
+#: time for another controller to reply
+REPLY_TIMEOUT_S = 0.5
 
 
-class CancelEntries(Protocol):
-    """The committed cancels that a node knows of."""
+class CommittedCancels(Protocol):
+    """The committed cancels that one node knows of."""
 
     def record(self, job: str, revision: int) -> object:
-        """Apply the cancel of a job, whose record held its entry at a revision."""
+        """Apply a cancel; ``revision`` is one at which the job's record contained it."""
 
     def entries_after(self, revision: int) -> list[list[object]] | None:
-        """Pairs of job and revision that a view of some revision may lack; None if too many."""
+        """Return the cancels that a view at ``revision`` may lack, or None if they are too many.
+
+        Each is a pair of a job and a revision at which the job's record contained the cancel.
+        """
 
 
 class Promises:
-    """Asks for promises and gives them, on behalf of one node."""
+    """Requests and grants promises on behalf of one node."""
 
     def __init__(  # noqa: PLR0913 - its collaborators
         self,
@@ -51,7 +55,7 @@
         ledger: PromiseLedger,
         leadership: Leadership,
         failover: Failover,
-        cancels: CancelEntries,
+        cancels: CommittedCancels,
     ) -> None:
         self._context = context
         self._view = view
@@ -61,14 +65,14 @@
         self._failover = failover
         self._cancels = cancels
 
-    # --- requested -------------------------------------------------------------------------
+    # --- requests --------------------------------------------------------------------------
 
     def maintain(self) -> Coroutine[None]:
-        """While the lease cannot be renewed, ask all the others for promises."""
+        """Request promises of all other controllers while the lease cannot be renewed."""
         while True:
             yield Sleep(self._lease.ttl_s / CHECKS_PER_LEASE)
             if self._should_request(self._context.now):
-                yield from self._request_all()
+                yield from self._request_promises()
 
     def _should_request(self, now: float) -> bool:
         if not self._leadership.shards or not self._context.settings.others:
@@ -76,14 +80,17 @@
         if not self._lease.is_renewal_overdue or not self._leadership.is_authorized(now):
             return False
         remaining_s = self._ledger.remaining_s(now)
-        return remaining_s is None or remaining_s <= ENOUGH * self._lease.ttl_s
+        return remaining_s is None or remaining_s <= RENEWAL_LEASE_SHARE * self._lease.ttl_s
+
+    def _request_promises(self) -> Coroutine[None]:
+        """Request promises of all other controllers; valid only if each of them grants one.
 
-    def _request_all(self) -> Coroutine[None]:
-        """Ask all the others, and count their promises from before the first was asked."""
+        Their validity counts from before the first request.
+        """
         requested_at = self._context.now
         for peer in self._context.settings.others:
             request = RequestPromise(*self._context.identity, self._view.revision)
-            entries = yield PeerRequest(peer.node, request, REPLY_S)
+            entries = yield PeerRequest(peer.node, request, REPLY_TIMEOUT_S)
             if not isinstance(entries, list):
                 return
             for job, revision in entries:
@@ -91,18 +98,23 @@
         if not self._leadership.is_authorized(self._context.now):
             return
         were_valid = self._ledger.are_valid(requested_at)
-        self._ledger.extend(requested_at + self._lease.ttl_s * (1 - CLOCK_DRIFT) - MARGIN_S)
+        self._ledger.extend(
+            requested_at + self._lease.ttl_s * (1 - MAX_CLOCK_DRIFT_FRACTION) - TIMER_MARGIN_S
+        )
         if not were_valid:
-            self._context.log("info", "the store is out of reach: acting on promises")
+            self._context.log(
+                "info", "lease renewal is overdue: acting on promises of all other controllers"
+            )
 
-    # --- given -----------------------------------------------------------------------------
+    # --- grants ----------------------------------------------------------------------------
 
     def grant(self, request: RequestPromise) -> list[list[object]] | None:
-        """Promise not to take a node's shards over for a lease's time, unless this node might.
+        """Promise not to take the asking node's shards over for the duration of a lease.
 
-        With the promise go the cancels that a view of the asker's revision may lack; it counts
-        the promise only after it has applied them. So a leader that acts on promises has applied
-        each cancel that any other node can have confirmed. None: no promise.
+        Returns the cancels that a view of the asker's revision may lack, or None if this node may
+        not promise or they are too many. The asker counts the promise only after it has applied
+        them, so a leader that acts on promises has applied each cancel that any other node can
+        have confirmed.
         """
         if not self._may_promise(request):
             return None
@@ -111,7 +123,7 @@
             return None
         now = self._context.now
         self._ledger.grant(request.node, now + self._lease.ttl_s)
-        self._context.decisions.note(
+        self._context.decisions.log(
             now,
             Decision.PROMISE,
             "given",
--- a/marblestair/core/leadership/services.py
+++ b/marblestair/core/leadership/services.py
@@ -1,4 +1,4 @@
-"""Composes what keeps and moves the leadership of one node's shards."""
+"""Creates and connects the leadership components of one node."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from marblestair.core.leadership.leadership import Leadership
 from marblestair.core.leadership.progress_pages import ProgressPages
 from marblestair.core.leadership.promise_ledger import PromiseLedger
-from marblestair.core.leadership.promises import CancelEntries, Promises
+from marblestair.core.leadership.promises import CommittedCancels, Promises
 from marblestair.core.leadership.shard_map_updates import ShardMapUpdates
 from marblestair.core.leadership.shard_recovery import ShardRecovery
 from marblestair.core.leadership.store_lease import StoreLease, lease_ttl_s
@@ -22,7 +22,7 @@
 
 
 class LeadershipServices:
-    """The components of this package, for one node."""
+    """The leadership components of one node."""
 
     def __init__(
         self, context: NodeContext, view: StoreView, on_shard_ready: Callable[[Shard], None]
@@ -62,8 +62,8 @@
             on_shard_ready,
         )
 
-    def promises(self, cancels: CancelEntries) -> Promises:
-        """What asks for promises and gives them; with each go the cancels that are known."""
+    def promises(self, cancels: CommittedCancels) -> Promises:
+        """Create the component that requests and grants promises, which carry known cancels."""
         return Promises(
             self._context,
             self._view,
@@ -75,7 +75,7 @@
         )
 
     def coordinator(self, promises: Promises) -> LeadershipCoordinator:
-        """What starts all of this and decides over time who should lead."""
+        """Create the coordinator, which starts the components and initiates failovers."""
         return LeadershipCoordinator(
             self._context,
             self.follower,
--- a/marblestair/core/leadership/shard_map.py
+++ b/marblestair/core/leadership/shard_map.py
@@ -1,7 +1,7 @@
-"""Changes of the shard map: leaders, terms, and quotas of teams.
+"""Changes of the shard map: leaders, terms and team quotas.
 
-Every change is a pure function from one map to the next, which the caller commits on condition of
-the version that it read.
+Each function returns a new map and leaves its input as it is. The caller commits the new map
+conditional on the version of the map that it was made from.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 
 def split_evenly(total: int, count: int) -> list[int]:
-    """Split a total into near-equal whole numbers that add up to it exactly."""
+    """Split a total into ``count`` whole numbers that differ by at most 1 and add up to it."""
     return [total // count + (1 if index < total % count else 0) for index in range(count)]
 
 
 def initial_shard_map(shard_count: int, teams: list[Team]) -> ShardMap:
-    """The map of a new deployment: no leaders, limits split evenly."""
+    """Return the map of a new deployment: no leaders, team limits split evenly over shards."""
     shards = [ShardRecord("", 0, 0, {}) for _ in range(shard_count)]
     for team in teams:
         cpus = split_evenly(fixed_point_down(team.cpu_limit), shard_count)
@@ -28,7 +28,7 @@
 
 
 def copy_shard_map(shard_map: ShardMap) -> ShardMap:
-    """A copy that can be changed."""
+    """Return a deep copy of a shard map."""
     return ShardMap(shard_map.last_term, [_copy_shard(shard) for shard in shard_map.shards])
 
 
@@ -40,7 +40,7 @@
 def assign_shards(
     shard_map: ShardMap, shard_ids: list[int], leader: str, incarnation: int
 ) -> ShardMap:
-    """Give shards to a node, each under a new term."""
+    """Assign shards to a new leader, each with a new term."""
     changed = copy_shard_map(shard_map)
     for shard_id in shard_ids:
         changed.last_term += 1
@@ -53,7 +53,7 @@
 
 
 def raise_term(shard_map: ShardMap, shard_id: int) -> ShardMap:
-    """Give a shard a new term under the same leader."""
+    """Assign a new term to a shard and keep its leader."""
     changed = copy_shard_map(shard_map)
     changed.last_term += 1
     changed.shards[shard_id].term = changed.last_term
@@ -63,18 +63,21 @@
 def shift_quota(
     shard_map: ShardMap, source_id: int, target_id: int, team: str, cpus: int, gpus: int
 ) -> ShardMap:
-    """Move a part of a team's quota from one shard to another; the sum stays the same.
+    """Move a part of a team's quota, in fixed point, to another shard; the sum stays the same.
 
     Raises
     ------
     ValueError
-        When the source has less than that.
+        If an amount is negative or exceeds the quota in the source shard.
     """
     changed = copy_shard_map(shard_map)
     source = changed.shards[source_id].quotas[team]
     target = changed.shards[target_id].quotas[team]
     if not (0 <= cpus <= source[0] and 0 <= gpus <= source[1]):
-        raise ValueError(f"more than the quota of {team} in shard {source_id}")
+        raise ValueError(
+            f"cannot move {cpus} cpus and {gpus} gpus (fixed point) of team {team} out of shard"
+            f" {source_id}: its quota is {source[0]} cpus and {source[1]} gpus"
+        )
     source[0] -= cpus
     source[1] -= gpus
     target[0] += cpus
--- a/marblestair/core/leadership/shard_map_updates.py
+++ b/marblestair/core/leadership/shard_map_updates.py
@@ -1,11 +1,16 @@
-"""Compare-and-swap of the shard map, with the fences of the shards that change leaders."""
+"""Compare-and-swap of the shard map, together with the fences of shards that change leaders."""
 
 from __future__ import annotations
 
 import enum
 
 from marblestair.core.runtime.coroutines import Coroutine
-from marblestair.core.runtime.store_requests import CompareAndSwap, Lane, Put, StoreResponse
+from marblestair.core.runtime.store_requests import (
+    CompareAndSwap,
+    Put,
+    RequestPriority,
+    StoreResponse,
+)
 from marblestair.core.state import keys
 from marblestair.core.state.records import ShardMap
 from marblestair.core.state.store_follower import StoreFollower
@@ -13,16 +18,16 @@
 
 
 class UpdateResult(enum.Enum):
-    """What became of an update of the shard map."""
+    """The result of an update of the shard map."""
 
     APPLIED = enum.auto()
     REJECTED = enum.auto()
-    #: without a response: it may yet be applied
+    #: no response: the update may have been applied, or may still be
     UNCERTAIN = enum.auto()
 
 
 class ShardMapUpdates:
-    """Updates of the shard map by one node."""
+    """Commits and rereads the shard map on behalf of one node."""
 
     def __init__(self, view: StoreView, follower: StoreFollower) -> None:
         self._view = view
@@ -31,22 +36,26 @@
     def commit(
         self,
         shard_map: ShardMap,
-        fenced: list[int],
+        fenced_ids: list[int],
         preconditions: list[tuple[str, int]],
         version: int,
     ) -> Coroutine[UpdateResult]:
-        """Replace the version of the shard map that a new one was made from.
+        """Replace the shard map if it still has the given version and the preconditions hold.
 
-        The shards in ``fenced`` get a new leader.
+        The terms of the shards in ``fenced_ids``, which get a new leader, become the new values of
+        their fences.
         """
         puts = [Put(keys.SHARD_MAP, shard_map)]
         puts += [
-            Put(f"{keys.FENCES}{shard_id}", shard_map.shards[shard_id].term) for shard_id in fenced
+            Put(f"{keys.FENCES}{shard_id}", shard_map.shards[shard_id].term)
+            for shard_id in fenced_ids
         ]
-        swap = CompareAndSwap([(keys.SHARD_MAP, version), *preconditions], puts, lane=Lane.LEASE)
+        swap = CompareAndSwap(
+            [(keys.SHARD_MAP, version), *preconditions], puts, priority=RequestPriority.LEASE
+        )
         response: StoreResponse = yield swap
         if response.status == 200:
-            self._view.record_commit(swap, response.revision)
+            self._view.apply_commit(swap, response.revision)
             self._view.publish_changes()
             return UpdateResult.APPLIED
         if response.status == 409:
@@ -55,5 +64,5 @@
         return UpdateResult.UNCERTAIN if response.status == 0 else UpdateResult.REJECTED
 
     def refresh(self) -> Coroutine[bool]:
-        """Read the shard map afresh; whether that succeeded."""
+        """Reread the shard map from the store; return whether that succeeded."""
         return (yield from self._follower.refresh(keys.SHARD_MAP))
--- a/marblestair/core/leadership/shard_recovery.py
+++ b/marblestair/core/leadership/shard_recovery.py
@@ -1,8 +1,8 @@
-"""The recovery of a shard by its new leader: from records and pages of progress, before it acts.
+"""Recovery of a shard by its new leader, from job records and progress pages, before it acts.
 
-Tasks that were there before start elsewhere only once every machine of the shard has sent a
-heartbeat under the new term, or its agent's lease has surely expired; until then the machines
-count as unreconciled.
+All machines of the shard are unreconciled at first. Tasks that an earlier leader may have launched
+are not started again until each machine has sent a heartbeat under the new term, or its agent's
+lease has certainly expired.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
 from marblestair.core.state import keys
 from marblestair.core.state.store_view import StoreView
 
-#: pause between two checks whether the view has reached the failover
-CHECK_PAUSE_S = 0.02
+#: pause between two checks whether the view includes the commit that acquired the shard
+VIEW_CHECK_PAUSE_S = 0.02
 
 
 class ShardSynchronizer(Protocol):
-    """Brings a shard in line with the view."""
+    """Updates the state of shards to match the view."""
 
     def sync_machine(self, name: str, recovering: Shard | None = None) -> None:
-        """Bring a machine in line with the view, also of a shard that is being recovered."""
+        """Update a machine to match the view, also in the shard ``recovering``."""
 
     def sync_slice(self, shard: Shard, job: str) -> None:
-        """Bring a shard's slice of a job in line with the view."""
+        """Update a shard's slice of a job to match the view."""
 
 
 class ShardRecovery:
-    """Recovers the shards that one node has come to lead."""
+    """Recovers the shards that one node has acquired."""
 
     def __init__(
         self,
@@ -56,10 +56,10 @@
     def recover(
         self, shard: Shard, acquired_revision: int, synchronizer: ShardSynchronizer
     ) -> Coroutine[None]:
-        """Recover a shard that was acquired by a commit of the shard map at a revision."""
-        # Everything committed before must be in the view first: jobs, cancels, machines.
+        """Recover a shard that was acquired by the shard map commit at ``acquired_revision``."""
+        # The view must first include all jobs, cancels and machines committed before that.
         while self._view.revision < acquired_revision:
-            yield Sleep(CHECK_PAUSE_S)
+            yield Sleep(VIEW_CHECK_PAUSE_S)
             if self._leadership.shards.get(shard.shard_id) is not shard:
                 return
         stored = yield from self._progress.load(shard)
@@ -75,7 +75,7 @@
         self._on_ready(shard)
 
     def _add_machines(self, shard: Shard, synchronizer: ShardSynchronizer) -> None:
-        """Every machine of the shard is unreconciled: what runs there is not known."""
+        """Add the machines of the shard as unreconciled, since their tasks are not known yet."""
         for name, record in self._view.machines.items():
             if record.shard_id == shard.shard_id:
                 synchronizer.sync_machine(name, shard)
@@ -84,11 +84,12 @@
     def _mark_slices(self, shard: Shard) -> None:
         has_unreconciled = bool(shard.unreconciled_machines)
         for job_slice in shard.slices.values():
-            # What depends on other jobs never had a task: it may start as soon as it is released.
+            # A blocked job has never had a running task, so it may start as soon as it is released.
             job_slice.is_unreconciled = has_unreconciled and not job_slice.is_blocked
             if job_slice.is_cancelled:
-                # Users may have been answered before the earlier leader failed.
-                job_slice.cancelled_at = self._context.now - self._failover.duration_s
+                # The cancel may have been confirmed to a user before the earlier leader failed, so
+                # it counts from then.
+                job_slice.cancelled_at = self._context.now - self._failover.expected_duration_s
 
     def _log_ready(self, shard: Shard) -> None:
         elapsed_s = self._context.now - shard.acquired_at
@@ -100,7 +101,7 @@
 
 
 def _load_progress(shard: Shard, stored: StoredProgress) -> None:
-    """What was recorded as done is done; pages of jobs that are over are of no use."""
+    """Load finished tasks into the slices; pages without a slice become obsolete keys."""
     for job, pages in stored.items():
         job_slice = shard.slices.get(job)
         for number, page in pages.items():
--- a/marblestair/core/leadership/transfer.py
+++ b/marblestair/core/leadership/transfer.py
@@ -1,8 +1,8 @@
-"""Orderly leadership transfer: shards handed back to nodes that lead none, or away from this one.
+"""Planned leadership transfers: a leader assigns a shard to another live node.
 
-A node hands shards back to one that has returned, and gives its own away when the agents of their
-machines do not reach it. Each transfer doubles the pause before the next, so that a flapping node
-does not move shards every time.
+A node transfers a shard to a stable node that leads none, for example after a restart, and
+transfers its own shards away while agents do not reach it. Each transfer doubles the pause before
+the next, so that a flapping node does not cause a transfer each time.
 """
 
 from __future__ import annotations
@@ -19,21 +19,21 @@
 from marblestair.core.state.records import ShardMap
 from marblestair.core.state.store_view import StoreView
 
-#: a node from which a message came within this time can be given a shard
-RECENT_MESSAGE_S = 3.0
-#: a node must have been seen for this many leases before it is given a shard back
-STABLE_LEASES = 1.5
-#: pause before the next transfer at first, and the longest in leases
-FIRST_PAUSE_S = 1.0
-LONGEST_PAUSE_LEASES = 10
-#: leases without a transfer after which the pause is short again
-QUIET_LEASES = 20
-#: commits tried for one transfer
-MOST_TRIES = 20
+#: a node counts as connected while its latest message is younger than this
+MAX_MESSAGE_AGE_S = 3.0
+#: a node must have been in the view for this many leases before it gets a shard as an idle node
+MIN_UPTIME_LEASES = 1.5
+#: initial pause before the next transfer, and the maximum in leases
+INITIAL_PAUSE_S = 1.0
+MAX_PAUSE_LEASES = 10
+#: the pause is reset to its initial value after this many leases without a transfer
+PAUSE_RESET_LEASES = 20
+#: maximum number of commits in one transfer that assign the shard to the target
+MAX_COMMIT_TRIES = 20
 
 
 class LeadershipTransfer:
-    """The transfers of shards away from one node."""
+    """Transfers shards from one node to others."""
 
     def __init__(
         self,
@@ -50,29 +50,29 @@
         self._leadership = leadership
         self._connectivity = connectivity
         self._updates = updates
-        #: when each node's present incarnation was first seen
+        #: node -> its incarnation, and when that was first seen
         self._incarnation_seen: dict[str, tuple[int, float]] = {}
         self._last_begun_at: float | None = None
-        self._pause_s = FIRST_PAUSE_S
+        self._pause_s = INITIAL_PAUSE_S
 
-    def note_incarnations(self, now: float) -> None:
-        """Remember since when each node's present process is there."""
+    def record_incarnations(self, now: float) -> None:
+        """Record when each node's current incarnation was first seen in the view."""
         for node, incarnation in self._view.nodes.items():
             seen, _ = self._incarnation_seen.get(node, (None, now))
             if seen != incarnation:
                 self._incarnation_seen[node] = (incarnation, now)
 
     def begin(self, now: float) -> None:
-        """Begin to transfer a shard, if one should go to another node now."""
+        """Begin to transfer a shard if one should move to another node now."""
         current = self._view.shard_map
         if current is None or not self._may_begin(now):
             return
         own = self._own_shards(current)
         movable = [shard_id for shard_id in own if self._is_movable(shard_id, now)]
         if self._connectivity.is_unreachable_by_agents(now):
-            self._give_away(movable, current, now)
+            self._transfer_away(movable, current, now)
         elif len(own) >= 2 and movable:
-            self._hand_back(movable, current, now)
+            self._transfer_to_idle_node(movable, current, now)
 
     def _may_begin(self, now: float) -> bool:
         return self._last_begun_at is None or now - self._last_begun_at >= self._pause_s
@@ -90,85 +90,89 @@
         return now - self._leadership.shards[shard_id].acquired_at > self._lease.ttl_s
 
     def _led_counts(self, current: ShardMap) -> dict[str, int]:
-        """How many shards each live node leads."""
+        """Return how many shards each live node leads."""
         counts = {node: 0 for node in self._view.nodes}
         for record in current.shards:
             if record.leader in counts:
                 counts[record.leader] += 1
         return counts
 
-    def _recent_nodes(self, counts: dict[str, int], now: float) -> list[str]:
-        """Other live nodes from which a message came lately."""
+    def _connected_nodes(self, counts: dict[str, int], now: float) -> list[str]:
+        """Return the other live nodes with a recent message."""
         return [
             node
             for node in counts
             if node != self._context.node
-            and self._connectivity.has_received_within(node, RECENT_MESSAGE_S, now)
+            and self._connectivity.has_received_within(node, MAX_MESSAGE_AGE_S, now)
         ]
 
-    def _give_away(self, movable: list[int], current: ShardMap, now: float) -> None:
-        """Give a shard to a node that its agents reach, since they do not reach this one."""
+    def _transfer_away(self, movable: list[int], current: ShardMap, now: float) -> None:
+        """Transfer a shard to another node because agents do not reach this one."""
         counts = self._led_counts(current)
-        recent = self._recent_nodes(counts, now)
-        # Where all nodes have lost the agents, it is not this node's network; and while messages
-        # of the others come, only one that its agents reach can do better.
-        others = recent if recent else [node for node in counts if node != self._context.node]
-        reached = self._connectivity.peer_can_accept_shards
-        others = [node for node in others if not recent or reached.get(node, False)]
-        if not others or not movable:
+        connected = self._connected_nodes(counts, now)
+        # If other nodes are connected, the target must be one that agents reach. If agents reach
+        # none of them, the fault is not in this node's network and a transfer would not help.
+        targets = (
+            connected if connected else [node for node in counts if node != self._context.node]
+        )
+        can_accept = self._connectivity.peer_can_accept_shards
+        targets = [node for node in targets if not connected or can_accept.get(node, False)]
+        if not targets or not movable:
             return
-        target = min(others, key=lambda node: (counts[node], node))
+        target = min(targets, key=lambda node: (counts[node], node))
         self._context.log(
-            "info", f"agents do not reach this node: transferring a shard to {target}"
+            "info", f"no recent agent heartbeats: transferring shard {movable[-1]} to {target}"
         )
         self._connectivity.begin_cooldown(now)
         self._begin_transfer(movable[-1], target, now)
 
-    def _hand_back(self, movable: list[int], current: ShardMap, now: float) -> None:
-        """Hand a shard to a node that leads none and has been there for a while."""
+    def _transfer_to_idle_node(self, movable: list[int], current: ShardMap, now: float) -> None:
+        """Transfer a shard to a stable node that leads none, if there is one."""
         counts = self._led_counts(current)
-        for node in sorted(self._recent_nodes(counts, now)):
+        for node in sorted(self._connected_nodes(counts, now)):
             if counts[node] or not self._is_stable(node, now):
                 continue
-            home_shards = (
-                shard_id for shard_id in movable if self._leadership.home_node(shard_id) == node
+            preferred_shards = (
+                shard_id
+                for shard_id in movable
+                if self._leadership.preferred_leader(shard_id) == node
             )
-            self._begin_transfer(next(home_shards, movable[-1]), node, now)
+            self._begin_transfer(next(preferred_shards, movable[-1]), node, now)
             return
 
     def _is_stable(self, node: str, now: float) -> bool:
-        """Whether a node can be given a shard: its agents reach it, and it has stayed up."""
+        """Return whether a node can accept shards and has been up for long enough."""
         _, seen_since = self._incarnation_seen.get(node, (0, now))
         if not self._connectivity.peer_can_accept_shards.get(node, False):
             return False
-        return now - seen_since > STABLE_LEASES * self._lease.ttl_s
+        return now - seen_since > MIN_UPTIME_LEASES * self._lease.ttl_s
 
     def _begin_transfer(self, shard_id: int, target: str, now: float) -> None:
-        quiet_s = QUIET_LEASES * self._lease.ttl_s
-        was_quiet = self._last_begun_at is None or now - self._last_begun_at > quiet_s
-        longest_s = LONGEST_PAUSE_LEASES * self._lease.ttl_s
-        self._pause_s = FIRST_PAUSE_S if was_quiet else min(2 * self._pause_s, longest_s)
+        reset_s = PAUSE_RESET_LEASES * self._lease.ttl_s
+        is_reset = self._last_begun_at is None or now - self._last_begun_at > reset_s
+        max_pause_s = MAX_PAUSE_LEASES * self._lease.ttl_s
+        self._pause_s = INITIAL_PAUSE_S if is_reset else min(2 * self._pause_s, max_pause_s)
         self._last_begun_at = now
         self._context.spawn(self._transfer(shard_id, target))
 
     def _transfer(self, shard_id: int, target: str) -> Coroutine[None]:
         shard = self._leadership.shards.get(shard_id)
-        if shard is None or shard.is_closing:
+        if shard is None or shard.is_being_transferred:
             return
-        # From here on this node does not act for the shard: the commit may be applied any time.
-        shard.is_closing = True
+        # The commit may be applied at any time after it was sent: stop acting for the shard now.
+        shard.is_being_transferred = True
         uncertain_version: int | None = None
         tries = 0
         while self._leadership.shards.get(shard_id) is shard and self._view.shard_map is not None:
             version = self._view.version(keys.SHARD_MAP)
             incarnation = self._view.nodes.get(target)
             tries += 1
-            if incarnation is None or tries > MOST_TRIES:
+            if incarnation is None or tries > MAX_COMMIT_TRIES:
                 if uncertain_version != version:
-                    # Nothing that was sent can be applied any more: the map has moved on.
-                    shard.is_closing = False
+                    # No earlier commit can still be applied: each got a response or is out of date.
+                    shard.is_being_transferred = False
                     return
-                # Take the shard anew, so that the commit in doubt cannot be applied late.
+                # Commit this node as the leader again, so that the commit without a response fails.
                 target, incarnation = self._context.identity
             new = shard_map.assign_shards(self._view.shard_map, [shard_id], target, incarnation)
             target_key = keys.NODES + target
