--- a/marblestair/core/jobs/answers.py
+++ b/marblestair/core/jobs/answers.py
@@ -131,7 +131,7 @@
         if record is not None:
             manager = self._leadership.leader_of(record.manager_shard)
             is_elsewhere = manager is not None and manager != self._context.node
-            if is_elsewhere and manager is not None and not self._connectivity.is_cut_off():
+            if is_elsewhere and manager is not None and not self._connectivity.is_disconnected():
                 reply = yield PeerRequest(manager, QueryJob(job), QUERY_PEER_S)
                 status = self._accept_peer_answer(job, reply)
                 if status is not None:
--- a/marblestair/core/jobs/job_managers.py
+++ b/marblestair/core/jobs/job_managers.py
@@ -253,7 +253,7 @@
 
     def _end_lane(self, managed: ManagedJob, step: ManagerStep) -> Lane:
         is_blocked = step is ManagerStep.END_BLOCKED
-        is_patient = is_blocked and not self._dependencies.must_end(managed.job)
+        is_patient = is_blocked and not self._dependencies.is_end_overdue(managed.job)
         return Lane.PROGRESS if is_patient else Lane.FINAL_STATE
 
     # --- asked by others -------------------------------------------------------------------
--- a/marblestair/core/jobs/parents.py
+++ b/marblestair/core/jobs/parents.py
@@ -45,7 +45,7 @@
     #: those that are not done
     unfinished: list[str] = []
     #: the one that decided
-    deciding: str = ""
+    deciding_job: str = ""
 
 
 class ParentLookup:
