--- a/marblestair/core/jobs/__init__.py
+++ b/marblestair/core/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""The life of a job: submission, its manager, cancellation, dependencies, answers and its end."""
+"""The job lifecycle: submission, management, cancellation, dependencies, status, completion."""
--- a/marblestair/core/jobs/acceptance.py
+++ b/marblestair/core/jobs/acceptance.py
@@ -1,7 +1,9 @@
-"""Acceptance of jobs: what can never run is refused, the rest is cut into slices and recorded.
+"""Acceptance of submitted jobs.
 
-A job is accepted by the commit of its record, on condition that neither its record nor its final
-state exists. So an id is accepted once, whoever is asked and however often.
+A job that can never run is refused. Any other job is divided into slices and its record is
+committed to the store; that commit accepts the job. Its preconditions are that neither a record nor
+a final state exists for the job's id, so an id is accepted at most once, however often it is
+submitted and to whichever controllers.
 """
 
 from __future__ import annotations
@@ -12,7 +14,7 @@
 import msgspec
 
 from marblestair.core.domain.jobs import JobSpec, JobState
-from marblestair.core.jobs.admission import AdmissionStage
+from marblestair.core.jobs.admission import AdmissionLimiter
 from marblestair.core.jobs.answers import Answers
 from marblestair.core.jobs.eligibility import rejection_reason
 from marblestair.core.jobs.final_states import FinalStates
@@ -23,29 +25,34 @@
 from marblestair.core.messaging.received_summaries import ReceivedSummaries
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
-from marblestair.core.runtime.store_requests import CompareAndSwap, Lane, Put, StoreResponse
+from marblestair.core.runtime.store_requests import (
+    CompareAndSwap,
+    Put,
+    RequestPriority,
+    StoreResponse,
+)
 from marblestair.core.state import keys
 from marblestair.core.state.machine_catalog import MachineCatalog
-from marblestair.core.state.records import DESCRIPTION_SHARE, JobRecord, exceeds_value_limit
+from marblestair.core.state.records import MAX_SPEC_SHARE, JobRecord, exceeds_value_limit
 from marblestair.core.state.store_view import StoreView
 
-#: submissions under way at once: as many as a node's changes accept within this time, in seconds
-ADMITTED_S = 0.75
-#: submissions under way at once, at the least
-LEAST_ADMITTED = 2
-#: share of a node's changes that submissions may count on: the rest is for other things
-CHANGES_SHARE = 0.5
-#: commits tried for one submission
-MOST_TRIES = 3
-#: seconds after which a user who was refused for now may come back: usually, without a shard to
-#: accept into, and when the store refuses the record itself
-RETRY_AFTER_S, NO_SHARD_RETRY_S, REFUSED_RETRY_S = 1, 2, 5
-#: parents named in a log line
-LOGGED_PARENTS = 8
+#: limit on concurrent submissions, as seconds of this node's share of the store's write rate
+SUBMISSION_WINDOW_S = 0.75
+#: lower bound of the limit on concurrent submissions
+MIN_IN_FLIGHT_SUBMISSIONS = 2
+#: share of a node's write rate that is available to submissions; other writes need the rest
+SUBMISSION_WRITE_SHARE = 0.5
+#: attempts to commit the record of one submission
+MAX_COMMIT_TRIES = 3
+#: Retry-After values: by default, when no shard is available to manage the job, and when the store
+#: refuses the record or the record would be too large at present
+RETRY_AFTER_S, NO_SHARD_RETRY_AFTER_S, STORE_REFUSED_RETRY_AFTER_S = 1, 2, 5
+#: parents listed in a log line
+MAX_LOGGED_PARENTS = 8
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """What a user's request is answered with."""
+    """The response to a user's request."""
 
     http_status: int
     status: JobStatus = UNKNOWN
@@ -54,14 +61,14 @@
 
 
 class SliceAssignment(Protocol):
-    """Decides which shard gets which tasks of a new job."""
+    """Assigns the tasks of a new job to shards."""
 
     def assign(self, spec: JobSpec, manager_shard: int) -> dict[str, list[list[int]]]:
-        """Ranges of task numbers by shard."""
+        """Return the ranges of task numbers that each shard gets, by shard."""
 
 
 class Acceptance:
-    """Submissions at one node."""
+    """Accepts or refuses the jobs that users submit to one node."""
 
     def __init__(  # noqa: PLR0913 - its collaborators
         self,
@@ -89,18 +96,20 @@
         self._parents = parents
         self._announcements = announcements
         settings = context.settings
-        changes_per_s = settings.cluster.state.write_rps / len(settings.nodes)
-        self._stage = AdmissionStage(
-            max(LEAST_ADMITTED, round(ADMITTED_S * changes_per_s)),
-            max(1.0, CHANGES_SHARE * changes_per_s),
+        writes_per_s = settings.cluster.state.write_rps / len(settings.nodes)
+        self._limiter = AdmissionLimiter(
+            max(MIN_IN_FLIGHT_SUBMISSIONS, round(SUBMISSION_WINDOW_S * writes_per_s)),
+            max(1.0, SUBMISSION_WRITE_SHARE * writes_per_s),
         )
 
     def submit(self, spec: JobSpec) -> Coroutine[Outcome]:
-        """Accept or refuse a job, or answer with the state of one that is known."""
+        """Accept or refuse a job; return its current status if it was accepted before."""
         if spec.id in self._final_states or spec.id in self._view.jobs:
-            return (yield from self._known(spec.id))
+            return (yield from self._answer_known_job(spec.id))
         if not self._catalog.types:
-            return Outcome(503, UNKNOWN, "machine types are not known yet", RETRY_AFTER_S)
+            return Outcome(
+                503, UNKNOWN, "no machine types received from the cloud yet", RETRY_AFTER_S
+            )
         reason = self._rejection_reason(spec)
         if reason is not None:
             return (yield from self._reject(spec, reason))
@@ -109,73 +118,92 @@
         return (yield from self._admit(spec))
 
     def _submit_dependent(self, spec: JobSpec) -> Coroutine[Outcome]:
-        """Accept or refuse a job that depends on others."""
+        """Accept or refuse a job that depends on other jobs."""
         parents = yield from self._parents.find(spec.depends_on)
         if parents.state is ParentsState.UNDECIDED:
-            return Outcome(503, UNKNOWN, f"nothing known of {parents.deciding_job} yet", RETRY_AFTER_S)
+            return Outcome(
+                503,
+                UNKNOWN,
+                f"awaits: state of {parents.deciding_job} is not available",
+                RETRY_AFTER_S,
+            )
         if parents.state is ParentsState.UNKNOWN:
-            reason = f"it awaits {parents.deciding_job}, which was never accepted"
+            reason = f"awaits: job {parents.deciding_job} was never accepted"
             return (yield from self._reject(spec, reason))
-        # What is done stays done: only the others need be remembered.
+        # The state "done" never changes, so the record needs only the unfinished parents.
         dependent = msgspec.structs.replace(spec, depends_on=parents.unfinished)
         if parents.state is ParentsState.CANCELLED:
             return (yield from self._accept_cancelled(dependent, parents.deciding_job))
         if self._is_too_large(dependent):
-            # Fewer are left to depend on before long.
-            error = "it awaits more unfinished jobs than can be kept"
-            return Outcome(503, UNKNOWN, error, REFUSED_RETRY_S)
+            # A later submission may fit, because some of the parents will be done by then.
+            error = (
+                f"awaits: {len(dependent.depends_on)} unfinished jobs do not fit in a job record"
+            )
+            return Outcome(503, UNKNOWN, error, STORE_REFUSED_RETRY_AFTER_S)
         return (yield from self._admit(dependent))
 
     def _admit(self, spec: JobSpec) -> Coroutine[Outcome]:
-        """Accept a job if the stage of commits has a place for it."""
+        """Accept a job unless too many submissions are in progress."""
         manager_shard = self._choose_manager_shard()
         if manager_shard is None:
-            return Outcome(503, UNKNOWN, "no part to accept into", NO_SHARD_RETRY_S)
-        if not self._stage.enter():
-            return Outcome(429, UNKNOWN, "too many submissions", self._stage.retry_after())
+            return Outcome(
+                503, UNKNOWN, "no shard is available to manage the job", NO_SHARD_RETRY_AFTER_S
+            )
+        if not self._limiter.try_acquire():
+            return Outcome(
+                429,
+                UNKNOWN,
+                f"too many concurrent submissions: the limit is {self._limiter.limit}",
+                self._limiter.retry_after_s(),
+            )
         try:
             return (yield from self._accept(spec, manager_shard))
         finally:
-            self._stage.leave()
+            self._limiter.release()
 
-    def _known(self, job: str) -> Coroutine[Outcome]:
+    def _answer_known_job(self, job: str) -> Coroutine[Outcome]:
+        """Return the status of a job that was accepted before."""
         status = yield from self._answers.lookup(job)
         if status is None or status == UNKNOWN:
-            return Outcome(503, UNKNOWN, "state not available", RETRY_AFTER_S)
+            return Outcome(503, UNKNOWN, f"state of {job} is not available", RETRY_AFTER_S)
         return Outcome(200, status)
 
     def _rejection_reason(self, spec: JobSpec) -> str | None:
-        """Why a job can never run; None if it can."""
+        """Return why a job can never be accepted, or None if it can."""
         machine_types = list(self._catalog.types.values())
         reason = rejection_reason(spec, self._context.teams, machine_types)
         if reason is not None:
             return reason
         if self._is_too_large(msgspec.structs.replace(spec, depends_on=[])):
-            return "the description is larger than what can be kept"
+            return (
+                "job description is larger than"
+                f" {MAX_SPEC_SHARE * self._context.settings.cluster.state.value_kb:g} KiB"
+            )
         return None
 
     def _is_too_large(self, spec: JobSpec) -> bool:
+        """Whether a job's description takes too large a share of one value in the store."""
         value_kb = self._context.settings.cluster.state.value_kb
-        return exceeds_value_limit(JobRecord(spec, 0, {}, []), value_kb, DESCRIPTION_SHARE)
+        return exceeds_value_limit(JobRecord(spec, 0, {}, []), value_kb, MAX_SPEC_SHARE)
 
     def _reject(self, spec: JobSpec, reason: str) -> Coroutine[Outcome]:
-        """Refuse a job for good, unless it was accepted before: then it is known."""
+        """Refuse a job permanently; return its status instead if it was accepted before."""
         status = yield from self._answers.lookup(spec.id)
         if status is None:
             return Outcome(503, UNKNOWN, "state service unavailable", RETRY_AFTER_S)
         if status != UNKNOWN:
             return Outcome(200, status)
         self._context.log(
-            "info", f"refused {spec.id} of {spec.job_class} for {spec.team}: {reason}"
+            "info", f"refused {spec.id}: class={spec.job_class} team={spec.team}: {reason}"
         )
         return Outcome(422, UNKNOWN, reason)
 
     def _choose_manager_shard(self) -> int | None:
         """Choose the shard whose leader is to run a new job's ServerManager.
 
-        It is one that this node leads or, where it leads none, one of whose leader a summary came
-        just now. A job is accepted by the commit of its record, which needs no leadership of the
-        shard; its leader finds the record by its watch.
+        Prefers a shard that this node leads; otherwise takes one whose current leader has sent a
+        recent summary. The node need not lead the shard to commit the record: the shard's leader
+        reads the record through its watch. Returns None if no shard qualifies.
         """
         shard_ids = [shard.shard_id for shard in self._leadership.led_shards()]
         shard_map = self._view.shard_map
@@ -191,25 +219,36 @@
         return shard_ids[self._context.rng.randrange(len(shard_ids))]
 
     def _accept(self, spec: JobSpec, manager_shard: int) -> Coroutine[Outcome]:
+        """Commit the record of a new job."""
         dated = msgspec.structs.replace(spec, accepted_at=round(self._context.wall_time, 3))
         slices = self._assignment.assign(spec, manager_shard)
         record = JobRecord(dated, manager_shard, slices, [])
-        for _ in range(MOST_TRIES):
+        for _ in range(MAX_COMMIT_TRIES):
             if not self._leadership.is_authorized(self._context.now):
-                return Outcome(503, UNKNOWN, "no authority", RETRY_AFTER_S)
-            swap = self._acceptance(record)
+                return Outcome(
+                    503,
+                    UNKNOWN,
+                    "controller has no valid lease, or its view of the state is outdated",
+                    RETRY_AFTER_S,
+                )
+            swap = self._acceptance_swap(record)
             response: StoreResponse = yield swap
             if response.status == 200:
-                self._view.record_commit(swap, response.revision)
+                self._view.apply_commit(swap, response.revision)
                 self._view.publish_changes()
                 self._announcements.announce(spec.id)
                 self._log_accepted(spec, record)
                 return Outcome(201, JobStatus(JobState.QUEUED, 0, 0))
             if response.status == 400:
-                return Outcome(503, UNKNOWN, "not accepted", REFUSED_RETRY_S)
+                return Outcome(
+                    503,
+                    UNKNOWN,
+                    "state service refused the job record",
+                    STORE_REFUSED_RETRY_AFTER_S,
+                )
             if response.status not in (0, 409):
                 break
-            # Perhaps an earlier try of ours, or of the user by way of another node.
+            # An earlier attempt of this node, or a submission to another node, may have succeeded.
             status = yield from self._answers.read_status(spec.id)
             if status is None:
                 break
@@ -217,55 +256,64 @@
                 return Outcome(200, status)
         return Outcome(503, UNKNOWN, "state service unavailable", RETRY_AFTER_S)
 
-    def _acceptance(self, record: JobRecord) -> CompareAndSwap:
-        """The commit that accepts a job."""
+    def _acceptance_swap(self, record: JobRecord) -> CompareAndSwap:
+        """Return the compare-and-swap that accepts a job."""
         key = keys.JOBS + record.spec.id
         preconditions = [
             (key, 0),
-            (keys.FINALS + record.spec.id, 0),
+            (keys.FINAL_STATES + record.spec.id, 0),
             self._leadership.fence_precondition(record.manager_shard),
         ]
-        return CompareAndSwap(preconditions, [Put(key, record)], [], Lane.ACCEPTANCE)
+        return CompareAndSwap(preconditions, [Put(key, record)], [], RequestPriority.ACCEPTANCE)
 
     def _accept_cancelled(self, spec: JobSpec, parent: str) -> Coroutine[Outcome]:
-        """Accept a job that depends on a cancelled one: it is over from the start."""
+        """Accept a job with a cancelled parent by recording its final state "cancelled"."""
         if not self._leadership.is_authorized(self._context.now):
-            return Outcome(503, UNKNOWN, "no authority", RETRY_AFTER_S)
-        final_key = keys.FINALS + spec.id
+            return Outcome(
+                503,
+                UNKNOWN,
+                "controller has no valid lease, or its view of the state is outdated",
+                RETRY_AFTER_S,
+            )
+        final_key = keys.FINAL_STATES + spec.id
         swap = CompareAndSwap(
             [(keys.JOBS + spec.id, 0), (final_key, 0)],
             [Put(final_key, JobState.CANCELLED)],
             [],
-            Lane.ACCEPTANCE,
+            RequestPriority.ACCEPTANCE,
         )
         response: StoreResponse = yield swap
         if response.status == 200:
             self._final_states.record(spec.id, JobState.CANCELLED)
-            self._context.log("info", f"accepted {spec.id} as cancelled, like {parent} before it")
+            self._context.log(
+                "info", f"accepted {spec.id} as cancelled: parent={parent} is cancelled"
+            )
             return Outcome(201, JobStatus(JobState.CANCELLED))
         if response.status in (0, 409):
-            # Perhaps an earlier try of ours, or of the user by way of another node.
+            # An earlier submission, to this node or to another one, may have succeeded.
             status = yield from self._answers.read_status(spec.id)
             if status is not None and status != UNKNOWN:
                 return Outcome(200, status)
-        return Outcome(503, UNKNOWN, "not accepted yet", RETRY_AFTER_S)
+        return Outcome(503, UNKNOWN, "acceptance could not be confirmed", RETRY_AFTER_S)
 
     def _log_accepted(self, spec: JobSpec, record: JobRecord) -> None:
         sizes = {
             shard_id: sum(end - start for start, end in ranges)
             for shard_id, ranges in record.slices.items()
         }
-        guarantee = ", within its guarantee" if spec.id in self._guaranteed_jobs else ""
+        guarantee = (
+            ", within the team's guaranteed quota" if spec.id in self._guaranteed_jobs else ""
+        )
         self._context.log(
             "info",
-            f"accepted {spec.id}: {spec.kind} of {spec.job_class} for {spec.team},"
-            f" tasks by shard {sizes}{guarantee}{_dependencies(spec)}",
+            f"accepted {spec.id}: kind={spec.kind} class={spec.job_class} team={spec.team}"
+            f" tasks_by_shard={sizes}{guarantee}{_format_dependencies(spec)}",
         )
 
 
-def _dependencies(spec: JobSpec) -> str:
-    """What a job depends on, for the log."""
+def _format_dependencies(spec: JobSpec) -> str:
+    """Return the part of a log line that lists a job's parents; empty if it has none."""
     if not spec.depends_on:
         return ""
-    more = ", ..." if len(spec.depends_on) > LOGGED_PARENTS else ""
-    return f", depends on {', '.join(spec.depends_on[:LOGGED_PARENTS])}{more}"
+    more = ", ..." if len(spec.depends_on) > MAX_LOGGED_PARENTS else ""
+    return f", depends on {', '.join(spec.depends_on[:MAX_LOGGED_PARENTS])}{more}"
--- a/marblestair/core/jobs/admission.py
+++ b/marblestair/core/jobs/admission.py
@@ -1,38 +1,48 @@
-"""Admission: small bounded stages, each holding back the one before it.
+"""Admission control: a limit on the number of concurrent requests.
 
-A submission that finds its stage full is answered at once with the time after which to come
-back; it is never held so that the user does not ask again.
+A request over the limit is refused at once with a Retry-After time. Requests are never queued,
+because a user who waits too long would time out and send the request again.
 """
 
 from __future__ import annotations
 
-#: bounds of the time after which a refused request may come back, in seconds
-LEAST_RETRY_S, MOST_RETRY_S = 1, 30
-#: requests per second that a stage serves, at the least
-LEAST_RATE = 0.1
+#: bounds of the Retry-After time of a refused request
+MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S = 1, 30
+#: lower bound of the rate from which the Retry-After time is computed
+MIN_RATE_PER_S = 0.1
 
 
-class AdmissionStage:
-    """Counts what is in a stage and refuses what does not fit."""
+class AdmissionLimiter:
+    """Limits the number of concurrent requests.
 
-    def __init__(self, size: int, per_second: float) -> None:
-        self.size = max(1, size)
-        self.rate = max(per_second, LEAST_RATE)
-        self.inside = 0
+    Parameters
+    ----------
+    limit
+        Requests that may be in progress at the same time; at least 1.
+    rate_per_s
+        Requests that are expected to finish per second.
+    """
+
+    def __init__(self, limit: int, rate_per_s: float) -> None:
+        self.limit = max(1, limit)
+        self.rate_per_s = max(rate_per_s, MIN_RATE_PER_S)
+        self.in_flight = 0
         self.refused = 0
 
-    def enter(self) -> bool:
-        """Take a place, if there is one."""
-        if self.inside >= self.size:
+    def try_acquire(self) -> bool:
+        """Count a new request as in progress; return False if the limit is reached."""
+        if self.in_flight >= self.limit:
             self.refused += 1
             return False
-        self.inside += 1
+        self.in_flight += 1
         return True
 
-    def leave(self) -> None:
-        """Give the place back."""
-        self.inside -= 1
+    def release(self) -> None:
+        """Count a request as finished."""
+        self.in_flight -= 1
 
-    def retry_after(self) -> int:
-        """Whole seconds after which a refused request has a chance."""
-        return max(LEAST_RETRY_S, min(MOST_RETRY_S, round(self.inside / self.rate)))
+    def retry_after_s(self) -> int:
+        """Return the Retry-After time of a refused request, in whole seconds."""
+        return max(
+            MIN_RETRY_AFTER_S, min(MAX_RETRY_AFTER_S, round(self.in_flight / self.rate_per_s))
+        )
--- a/marblestair/core/jobs/answers.py
+++ b/marblestair/core/jobs/answers.py
@@ -1,9 +1,10 @@
-"""What users may be answered about a job: the one place that every such answer comes from.
+"""Job statuses returned to users. Every status that a user receives comes from this module.
 
-An answer never goes back: once any node has answered with a final state of a job, no answer to a
-request that began later, at any node, is another one. So a state that is not final is given only
-with a proof that no final state can have been given before the request came in; what a node merely
-remembers is none. Final states are given once they are committed, and may be remembered.
+Statuses are consistent across nodes: once any node has returned a final state of a job, every
+request that arrives later, at any node, gets that same state. A state that is not final is
+therefore returned only with a proof that no node can have returned a final state before the request
+arrived; a cached state is no proof. A final state is returned once it is committed, and may come
+from a cache because it never changes.
 """
 
 from __future__ import annotations
@@ -29,16 +30,16 @@
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.decision_log import Decision
 from marblestair.core.runtime.requests import PeerRequest
-from marblestair.core.runtime.store_requests import Lane
+from marblestair.core.runtime.store_requests import RequestPriority
 from marblestair.core.state.store_view import StoreView
 
-#: time for another controller to reply to a query, within the 2 s that a user waits; what is left
-#: of them is for the store
-QUERY_PEER_S = 0.6
+#: timeout of a query to another controller; a user waits 2 s, and the rest is needed for reads of
+#: the store
+PEER_QUERY_TIMEOUT_S = 0.6
 
 
 class Answers:
-    """What one node may answer about jobs."""
+    """Determines the job statuses that one node may return to users."""
 
     def __init__(  # noqa: PLR0913 - its collaborators
         self,
@@ -68,14 +69,21 @@
         self._reader = reader
         self._lookups = lookups
 
-    # --- what may be answered --------------------------------------------------------------
+    # --- statuses from memory --------------------------------------------------------------
 
     def answerable_status(self, job: str, found: ProvenStatus | None) -> JobStatus | None:
-        """What may be answered about a job that was found in a status; None when nothing may be.
-
-        Every answer to a user, whatever the request, passes here last. Between the commit of a
-        cancel and its confirmation neither "cancelled" nor what was before is answered: another
-        node may have answered the one already, and the other is not so yet.
+        """Return the status that users may get for a job, or None if there is none at present.
+
+        Every status passes this check last, for every kind of request. Between the commit of a
+        cancel and its confirmation neither "cancelled" nor the earlier state is returned: another
+        node may have returned "cancelled" already, and some leader may not have applied the cancel.
+
+        Parameters
+        ----------
+        job
+            The job's id.
+        found
+            A status that is not final, with its proof; None if there is no proof.
         """
         if job in self._final_states:
             return JobStatus(self._final_states[job])
@@ -85,7 +93,7 @@
         if self._dependencies.has_cancelled_ancestor(job):
             if self._dependencies.may_answer_cancelled(job):
                 return JobStatus(JobState.CANCELLED)
-            # Whatever was found, here or by another node, rests on an older view than this one.
+            # The found status, from this node or another one, comes from an older view than this.
             found = None
         decisions = self._context.decisions
         if found is None:
@@ -95,10 +103,11 @@
         return found.status
 
     def status_from_memory(self, job: str) -> JobStatus | None:
-        """The status of a job if this node may answer it from memory."""
+        """Return a job's status if this node may return it without a request, else None."""
         return self.answerable_status(job, self._managed_status(job))
 
     def _managed_status(self, job: str) -> ProvenStatus | None:
+        """Return the status of a job that this node manages, or None if it has no proof of it."""
         record = self._view.jobs.get(job)
         managed = self._managed_jobs.get(job)
         if record is None or managed is None:
@@ -106,7 +115,7 @@
         if not self._leadership.is_leader(managed.shard_id):
             return None
         if not managed.is_record_known:
-            # The end may be committed already, and others may have answered with it.
+            # The final state may be committed already, and another node may have returned it.
             return None
         if record.is_blocked and not self._dependencies.knows_ancestors(job):
             return None
@@ -118,28 +127,40 @@
     # --- lookups ---------------------------------------------------------------------------
 
     def lookup(self, job: str) -> Coroutine[JobStatus | None]:
-        """The status of any job: UNKNOWN, or None when it cannot be given now."""
+        """Return a job's status: UNKNOWN if no such job exists, None if it is not available."""
         known = self.status_from_memory(job)
         if known is not None:
             return known
         return (yield from self._lookups.find(job, self.search))
 
     def search(self, job: str) -> Coroutine[JobStatus | None]:
-        """The status of a job that this node does not manage, from its manager or a new read."""
+        """Return the status of a job from its manager, or else from a new read of the store.
+
+        Called for jobs whose status this node may not return from memory; None if the status is not
+        available from either.
+        """
         record = self._view.jobs.get(job)
         self._cancellations.propagate_in_background(job)
         if record is not None:
             manager = self._leadership.leader_of(record.manager_shard)
             is_elsewhere = manager is not None and manager != self._context.node
             if is_elsewhere and manager is not None and not self._connectivity.is_disconnected():
-                reply = yield PeerRequest(manager, QueryJob(job), QUERY_PEER_S)
+                reply = yield PeerRequest(manager, QueryJob(job), PEER_QUERY_TIMEOUT_S)
                 status = self._accept_peer_answer(job, reply)
                 if status is not None:
                     return status
-        return (yield from self._lookups.bounded(self.read_status(job, Lane.LOOKUP)))
+        return (
+            yield from self._lookups.read_within_limit(
+                self.read_status(job, RequestPriority.LOOKUP)
+            )
+        )
 
     def _accept_peer_answer(self, job: str, reply: Any) -> JobStatus | None:
-        """Take in what another node said of a job when it was asked."""
+        """Return the status that users may get, given another node's reply to a query.
+
+        A final state in the reply is cached. A malformed reply, or one with the state
+        "unknown", gives None.
+        """
         try:
             status = msgspec.convert(reply, JobStatus)
         except msgspec.ValidationError:
@@ -150,25 +171,30 @@
             self._final_states.record(job, status.state)
         return self.answerable_status(job, ProvenStatus(status, Proof.PEER))
 
-    def read_status(self, job: str, lane: Lane = Lane.ACCEPTANCE) -> Coroutine[JobStatus | None]:
-        """A job's status from a new read: UNKNOWN, or None when it cannot be given now."""
-        found = yield from self._reader.read_record(job, lane)
+    def read_status(
+        self, job: str, priority: RequestPriority = RequestPriority.ACCEPTANCE
+    ) -> Coroutine[JobStatus | None]:
+        """Return a job's status from a new read of the store.
+
+        UNKNOWN if no such job exists, None if the status is not available.
+        """
+        found = yield from self._reader.read_record(job, priority)
         if found is None or found == UNKNOWN:
             return found
         if job in self._final_states:
             return self.answerable_status(job, None)
         if found.state is JobState.CANCELLED and not self._cancels.is_known(job):
-            # The record was read before the job ended, and the view is past its end: its entry
-            # is forgotten, and its final state is not read yet.
+            # The record was read before the job ended, and the view is already newer than the end:
+            # the cancel's entry has been dropped, and the final state has not been read yet.
             return self.answerable_status(job, None)
         record = self._view.jobs.get(job)
         if record is None:
-            # The view is past the end of the job: what was read is no proof, least of all that no
-            # ancestor is cancelled. The final state is committed.
-            yield from self._reader.read_final(job, lane)
+            # The job's record is deleted in this newer view, so its final state is committed. The
+            # record that was read proves nothing, in particular not that no ancestor is cancelled.
+            yield from self._reader.read_final(job, priority)
             return self.answerable_status(job, None)
         if record.is_blocked:
-            if not (yield from self._dependency_reads.may_answer_blocked(record, lane)):
+            if not (yield from self._dependency_reads.may_answer_blocked(record, priority)):
                 return self.answerable_status(job, None)
         managed = self._managed_jobs.get(job)
         done = managed.tasks_done if managed is not None else 0
--- a/marblestair/core/jobs/cancel_registry.py
+++ b/marblestair/core/jobs/cancel_registry.py
@@ -1,4 +1,7 @@
-"""The committed cancels that one node knows of."""
+"""Registry of the committed cancels that one node knows of.
+
+A cancel is committed by an entry in the change list of the job's record.
+"""
 
 from __future__ import annotations
 
@@ -10,74 +13,86 @@
 from marblestair.core.state import keys
 from marblestair.core.state.store_view import StoreView
 
-#: agents' leases after which a view that is acted on must hold an entry
+#: time in agent leases after which every node that may act for a job or report its status has
+#: learned of a committed entry
 KNOWN_EVERYWHERE_LEASES = 1.1
-#: entries in one promise, which fit into one message; a node that lacks more than these gets none,
-#: and its lease expires
-MOST_ENTRIES = 10_000
+#: limit on the entries sent with a promise, so that they fit into one message; a node that lacks
+#: more entries gets no promise, and its lease expires
+MAX_PROMISE_ENTRIES = 10_000
 
 
 class CancelEntry:
-    """The cancel of one job, as far as this node knows."""
+    """What one node knows of the committed cancel of one job."""
 
     __slots__ = ("applied_terms", "is_confirmed", "is_propagating", "known_since", "revision")
 
     def __init__(self, revision: int, now: float) -> None:
-        #: a revision at which the record had the entry
+        #: a store revision at which the job's record contained the entry
         self.revision = revision
-        #: when this node first knew of it
+        #: steady time at which this node learned of the entry
         self.known_since = now
-        #: shard -> term under which its leader said that it has the entry
+        #: shard -> term in which its leader acknowledged that it applied the entry
         self.applied_terms: dict[int, int] = {}
-        #: users may be answered so
+        #: whether users may be told that the job is cancelled
         self.is_confirmed = False
-        #: it is being propagated while nobody waits
+        #: whether a background coroutine is propagating the entry
         self.is_propagating = False
 
 
-class DependentJobs(Protocol):
-    """The jobs that depend on others."""
+class CancelSubscriber(Protocol):
+    """Receives the cancels that become known to the registry, to pass them on to dependents."""
 
     def parent_cancelled(self, parent: str) -> None:
-        """The cancel of a job is known to be committed."""
+        """Handle a cancel that is known to be committed."""
 
     def cancel_confirmed(self, parent: str) -> None:
-        """The cancel of a job is confirmed."""
+        """Handle a cancel that is confirmed."""
 
 
 class CancelRegistry:
-    """Cancels by job, from the commit of their entry until the job's record is gone."""
+    """Keeps the cancel of each job from the commit of its entry until the record is deleted."""
 
     def __init__(self, context: NodeContext, view: StoreView, leadership: Leadership) -> None:
         self._context = context
         self._view = view
         self._leadership = leadership
         self._entries: dict[str, CancelEntry] = {}
-        self._dependents: DependentJobs | None = None
+        self._subscriber: CancelSubscriber | None = None
 
-    def subscribe(self, dependents: DependentJobs) -> None:
-        """Call the jobs that depend on others with each cancel."""
-        self._dependents = dependents
+    def subscribe(self, subscriber: CancelSubscriber) -> None:
+        """Register the subscriber that is called for each cancel, replacing an earlier one."""
+        self._subscriber = subscriber
 
     def get(self, job: str) -> CancelEntry | None:
-        """The cancel of a job, or None when none is known."""
+        """Return the cancel of a job, or None if none is known."""
         return self._entries.get(job)
 
     def entries(self) -> list[CancelEntry]:
-        """All cancels that are known."""
+        """Return all known cancels."""
         return list(self._entries.values())
 
     def is_known(self, job: str) -> bool:
-        """Whether a cancel of the job is committed, by the view or ahead of it."""
+        """Whether the job is known to have a committed cancel, even if the view lacks it yet."""
         return job in self._entries
 
     def is_known_confirmed(self, job: str) -> bool:
-        """Whether a cancel is known to be confirmed, without checking whether it could be now."""
+        """Whether a cancel was marked as confirmed; does not check if it can be confirmed now."""
         entry = self._entries.get(job)
         return entry is not None and entry.is_confirmed
 
     def record(self, job: str, revision: int) -> CancelEntry:
-        """A cancel is committed: apply it to all tasks of the job here, now and later."""
+        """Register a committed cancel and apply it to the job's tasks in all local shards.
+
+        Slices of the job that arrive later are cancelled as well, because the cancel stays
+        registered. Returns the existing entry if the cancel is known already.
+
+        Parameters
+        ----------
+        job
+            The job's id.
+        revision
+            A store revision at which the job's record contained the entry.
+        """
         entry = self._entries.get(job)
         if entry is not None:
             return entry
@@ -86,31 +101,35 @@
         self.log("known", job, rev=revision, view_rev=self._view.revision)
         for shard in self._leadership.shards.values():
             shard.cancel(job, now)
-        if self._dependents is not None:
-            self._dependents.parent_cancelled(job)
+        if self._subscriber is not None:
+            self._subscriber.parent_cancelled(job)
         return entry
 
     def mark_confirmed(self, job: str, revision: int) -> None:
-        """Users may be answered so, here or as another node has announced."""
+        """Mark a cancel as confirmed, by this node's check or another node's announcement."""
         entry = self.record(job, revision)
         if not entry.is_confirmed:
             entry.is_confirmed = True
-            if self._dependents is not None:
-                self._dependents.cancel_confirmed(job)
+            if self._subscriber is not None:
+                self._subscriber.cancel_confirmed(job)
 
     def record_changed(self, job: str) -> None:
-        """A job's record changed in the view."""
+        """Handle a change of a job's record in the view."""
         record = self._view.jobs.get(job)
         if record is None:
             entry = self._entries.get(job)
             if entry is not None and self._view.revision >= entry.revision:
-                # The job has ended: from here on its final state answers.
+                # The job has ended: from now on its status comes from its final state.
                 self._forget(job)
         elif record.is_cancelled:
             self.record(job, self._view.version(keys.JOBS + job))
 
     def prune(self) -> None:
-        """Forget entries of jobs that are over, which came late or ahead of the view."""
+        """Remove the entries of ended jobs that the view's changes did not remove.
+
+        An entry that arrives by message before the view has its revision, or after the record was
+        deleted, is not removed by a change of the record.
+        """
         revision = self._view.revision
         old = [job for job, entry in self._entries.items() if entry.revision <= revision]
         for job in old:
@@ -122,25 +141,28 @@
         del self._entries[job]
 
     def entries_after(self, revision: int) -> list[list[object]] | None:
-        """Pairs of job and revision that a view of some revision may lack; None if too many."""
+        """Return the entries that a view at a given revision may lack.
+
+        Pairs of job and revision; None if there are more than ``MAX_PROMISE_ENTRIES``.
+        """
         missing: list[list[object]] = [
             [job, entry.revision]
             for job, entry in self._entries.items()
             if entry.revision > revision
         ]
-        return missing if len(missing) <= MOST_ENTRIES else None
+        return missing if len(missing) <= MAX_PROMISE_ENTRIES else None
 
     @property
     def unconfirmed_count(self) -> int:
-        """Committed cancels that users may not be answered with yet."""
+        """The number of committed cancels that are not confirmed yet."""
         return sum(not entry.is_confirmed for entry in self._entries.values())
 
     @property
     def oldest_unconfirmed_s(self) -> float:
-        """For how long the oldest of them has been known."""
+        """Seconds for which the oldest unconfirmed cancel has been known; 0.0 without any."""
         since = [e.known_since for e in self._entries.values() if not e.is_confirmed]
         return self._context.now - min(since) if since else 0.0
 
     def log(self, event: str, job: str, **facts: object) -> None:
-        """Log what happened to the cancel of a job."""
-        self._context.decisions.note(self._context.now, Decision.CANCEL, event, job=job, **facts)
+        """Log an event of a job's cancel in the decision log."""
+        self._context.decisions.log(self._context.now, Decision.CANCEL, event, job=job, **facts)
--- a/marblestair/core/jobs/completion_records.py
+++ b/marblestair/core/jobs/completion_records.py
@@ -1,9 +1,9 @@
-"""What goes by way of the store when controllers cannot reach one another.
+"""Reports of complete slices through the store when a job's manager is unreachable.
 
-A refused or silent connection shows nothing about the controller behind it: it may well hold its
-lease and act. So nothing is taken from it. A cancel's entry is committed to the job's record
-(``cancellations.py``), and a leader from whose manager nothing comes records there that its slice
-is complete.
+A refused or silent connection does not prove that a controller has failed: it may hold its lease
+and act, so its shards are not taken over. Controllers that cannot reach each other communicate
+through the job's record instead: a leader that receives nothing from a job's manager records there
+that its slice is complete. Cancels use the record in the same way (``cancellations.py``).
 """
 
 from __future__ import annotations
@@ -16,20 +16,25 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
-from marblestair.core.runtime.store_requests import CompareAndSwap, Lane, Put, StoreResponse
+from marblestair.core.runtime.store_requests import (
+    CompareAndSwap,
+    Put,
+    RequestPriority,
+    StoreResponse,
+)
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
 from marblestair.core.state.store_view import StoreView
 
-#: a manager from which nothing came for this many heartbeat intervals learns of it by the record
-SILENT_INTERVALS = 3.0
-#: pause after a commit that was refused
+#: heartbeat intervals without a message from a manager after which its complete slices are recorded
+MAX_SILENCE_INTERVALS = 3.0
+#: pause after a commit that failed
 RETRY_PAUSE_S = 0.3
 
 
 class CompletionRecords:
-    """One node's use of job records in place of messages."""
+    """Records complete slices in job records when the jobs' managers are unreachable."""
 
     def __init__(
         self,
@@ -44,13 +49,13 @@
         self._leadership = leadership
         self._connectivity = connectivity
         self._reader = reader
-        #: shards whose complete slices are being recorded
-        self._writing: set[int] = set()
+        #: shards with a commit of complete slices in progress
+        self._shards_being_written: set[int] = set()
 
     def tick(self, led_shards: list[Shard]) -> None:
-        """Record complete slices from whose managers nothing comes."""
+        """Start recording the complete slices whose managers are unreachable."""
         for shard in led_shards:
-            if shard.shard_id in self._writing:
+            if shard.shard_id in self._shards_being_written:
                 continue
             jobs = [
                 job
@@ -58,12 +63,12 @@
                 if self._is_due(shard, job, job_slice)
             ]
             if jobs:
-                self._writing.add(shard.shard_id)
+                self._shards_being_written.add(shard.shard_id)
                 batch = jobs[: self._context.max_batch_changes]
                 self._context.spawn(self._record(shard, batch))
 
     def _is_due(self, shard: Shard, job: str, job_slice: JobSlice) -> bool:
-        """Whether a slice is complete, and its manager is to learn of it by the record."""
+        """Whether a slice is complete and must be recorded because its manager is silent."""
         if not job_slice.size or job_slice.done_count != job_slice.size:
             return False
         if job_slice.is_cancelled or job_slice.migrating_ranges:
@@ -76,28 +81,33 @@
             return False
         started_at = self._context.started_at
         last = self._connectivity.last_received_at.get(manager, started_at)
-        limit_s = SILENT_INTERVALS * self._context.settings.cluster.workers.report_s
+        limit_s = MAX_SILENCE_INTERVALS * self._context.settings.cluster.workers.report_s
         return self._context.now - last > limit_s
 
     def _record(self, shard: Shard, jobs: list[str]) -> Coroutine[None]:
+        """Record the slices of some jobs in one shard as complete, in one commit."""
         try:
-            swap = self._completion(shard, jobs)
+            swap = self._completion_swap(shard, jobs)
             if not swap.puts:
                 return
             response: StoreResponse = yield swap
             if response.status == 200:
-                self._view.record_commit(swap, response.revision)
+                self._view.apply_commit(swap, response.revision)
                 self._view.publish_changes()
             else:
-                # One record that has moved on must not hold up the others.
+                # One record that has changed fails the whole commit: read all of them again, so
+                # that the next commit has their current versions.
                 for put in swap.puts:
                     yield from self._reader.read_record(put.key[len(keys.JOBS) :])
                 yield Sleep(RETRY_PAUSE_S)
         finally:
-            self._writing.discard(shard.shard_id)
+            self._shards_being_written.discard(shard.shard_id)
 
-    def _completion(self, shard: Shard, jobs: list[str]) -> CompareAndSwap:
-        """The commit that records some slices as complete."""
+    def _completion_swap(self, shard: Shard, jobs: list[str]) -> CompareAndSwap:
+        """Return the compare-and-swap that records slices as complete.
+
+        Leaves out slices whose task ranges differ from those in the job's record.
+        """
         preconditions = [self._leadership.fence_precondition(shard.shard_id)]
         puts = []
         for job in jobs:
@@ -110,4 +120,4 @@
             preconditions.append((key, self._view.version(key)))
             complete = sorted({*record.complete_shards, shard.shard_id})
             puts.append(Put(key, msgspec.structs.replace(record, complete_shards=complete)))
-        return CompareAndSwap(preconditions, puts, [], Lane.FINAL_STATE)
+        return CompareAndSwap(preconditions, puts, [], RequestPriority.FINAL_STATE)
--- a/marblestair/core/jobs/dependencies.py
+++ b/marblestair/core/jobs/dependencies.py
@@ -1,17 +1,18 @@
-"""Jobs that depend on others: which of them may start, and which never can.
+"""Dependencies between jobs: which blocked jobs may start, and which never can.
 
-A job that depends on others (it is their *dependent*; they are its *parents*) is released by an
-entry in its record's change list. Its manager commits that entry once every parent has a committed
-final state ``done``. Final states never change, so this proof does not age, and every leader of a
-slice goes by the record alone, also after a failover.
+A job may depend on other jobs, its *parents*; it is a *dependent* of each. It is *blocked* until it
+is released by an entry in its record's change list. Its manager commits that entry once every
+parent has the committed final state ``done``. Final states never change, so a release stays valid,
+and the leaders of the slices need only the record to act on it, also after a failover.
 
-A job with a cancelled ancestor never had a task, since some parent on the way never became done.
-So nothing of it has to be stopped: its manager records its end, and until then nobody answers that
-it is queued (``answers.py``). The cancel of the ancestor is confirmed only after the managers of
-all its live descendants have its entry (``cancellations.py``).
+A blocked job with a cancelled ancestor has never had a running task, because a parent on the path
+from that ancestor never became done. There are no tasks to stop: its manager records its final
+state, and until then no node reports it as queued (``answers.py``). The ancestor's cancel is
+confirmed only after the managers of all live descendants have its entry (``cancellations.py``).
 
-The index is updated per changed record, at every node alike, and walked without recursion: chains
-may be long, and both parents and dependents may be many.
+Each node keeps an index of the dependencies and updates it for each changed record. The index is
+traversed without recursion, because chains may be long and a job may have many parents and
+dependents.
 """
 
 from __future__ import annotations
@@ -26,14 +27,15 @@
 from marblestair.core.state.records import JobRecord
 from marblestair.core.state.store_view import StoreView
 
-#: share of ``cancel_s`` for which the end of a descendant lets everything else be written first
-PATIENCE = 0.2
-#: blocked jobs that an operator is shown, and parents of each
-SHOWN_JOBS, SHOWN_PARENTS = 50, 20
+#: share of ``cancel_s`` after which the final state of a cancelled descendant is overdue; until
+#: then other writes have precedence
+END_OVERDUE_SHARE = 0.2
+#: limits of the status output: blocked jobs, and parents of each
+MAX_STATUS_JOBS, MAX_STATUS_PARENTS = 50, 20
 
 
 class DependencyGraph:
-    """The blocked jobs that one node knows of, and what they depend on."""
+    """Index of the blocked jobs that one node knows of, with their parents and dependents."""
 
     def __init__(
         self,
@@ -47,16 +49,17 @@
         self._final_states = final_states
         self._cancels = cancels
         #: blocked job -> its parents that are not known to be done
-        self._unfinished: dict[str, set[str]] = {}
-        #: job -> the blocked jobs that name it
+        self._unfinished_parents: dict[str, set[str]] = {}
+        #: job -> the blocked jobs that depend on it directly
         self._dependents: dict[str, set[str]] = {}
         #: blocked jobs with a cancelled ancestor
-        self._cancelled: set[str] = set()
-        #: those of them whose ends may be recorded, and since when that is known here: the cancel
-        #: is confirmed
-        self._may_end: dict[str, float] = {}
-        #: parents whose records are gone and whose final states are not known here
-        self._unknown_ends: dict[str, None] = {}
+        self._with_cancelled_ancestor: set[str] = set()
+        #: blocked jobs with an ancestor whose cancel is confirmed, so that their final state may be
+        #: recorded -> steady time since which this node knows that
+        self._may_end_since: dict[str, float] = {}
+        #: parents whose records are deleted and whose final states are not known here; an ordered
+        #: set
+        self._parents_with_unknown_end: dict[str, None] = {}
         self._advance: Callable[[str], None] | None = None
         self._dependents_changed: Callable[[Iterable[str]], None] | None = None
         final_states.subscribe(self)
@@ -67,73 +70,80 @@
         advance: Callable[[str], None],
         dependents_changed: Callable[[Iterable[str]], None],
     ) -> None:
-        """Have ``advance`` called with a job that its manager can carry on with now.
-
-        ``dependents_changed`` is called with the jobs on which others came or ceased to depend.
+        """Register callbacks.
+
+        Parameters
+        ----------
+        advance
+            Called with a blocked job whose manager can take its next step now.
+        dependents_changed
+            Called with the jobs that gained or lost dependents.
         """
         self._advance = advance
         self._dependents_changed = dependents_changed
 
-    # --- what is known ---------------------------------------------------------------------
+    # --- queries ---------------------------------------------------------------------------
 
     def is_ready(self, job: str) -> bool:
-        """Whether a blocked job's parents are all done."""
-        unfinished = self._unfinished.get(job)
+        """Whether a job is blocked and all its parents are done."""
+        unfinished = self._unfinished_parents.get(job)
         return unfinished is not None and not unfinished
 
     def has_cancelled_ancestor(self, job: str) -> bool:
-        """Whether a blocked job can never start, because a job before it is cancelled."""
-        return job in self._cancelled
+        """Whether a blocked job can never start because one of its ancestors is cancelled."""
+        return job in self._with_cancelled_ancestor
 
     def is_cancelled(self, job: str) -> bool:
-        """Whether a live job is cancelled, or is going to be with an ancestor."""
-        return self._cancels.is_known(job) or job in self._cancelled
+        """Whether a live job or one of its ancestors has a committed cancel."""
+        return self._cancels.is_known(job) or job in self._with_cancelled_ancestor
 
     def may_end(self, job: str) -> bool:
-        """Whether the end of a blocked job, of which an ancestor is cancelled, may be recorded.
+        """Whether the final state of a blocked job with a cancelled ancestor may be recorded.
 
-        With its record goes the path from the ancestor to what depends on this job. By that path
-        the cancel finds those who must have it before it is confirmed, at any node, also at one
-        that has just started. So nothing on it ends before the confirmation.
+        Recording it deletes the job's record, and with that the path from the ancestor to the
+        dependents of this job. Every node, also one that has just started, follows that path to
+        find the managers that must apply the cancel before it is confirmed. So no job on the path
+        may end before the cancel is confirmed.
         """
-        return job in self._may_end
+        return job in self._may_end_since
 
     def is_end_overdue(self, job: str) -> bool:
-        """Whether the end of a blocked job has been due for so long that it must not be late.
+        """Whether a blocked job's final state is overdue and must be written with precedence.
 
-        Users are to be answered so within ``cancel_s``, however much else there is to write.
+        Users must get the state "cancelled" within ``cancel_s``, however many other writes there
+        are.
         """
-        since = self._may_end.get(job)
+        since = self._may_end_since.get(job)
         cancel_s = self._context.settings.cluster.workers.cancel_s
-        return since is not None and self._context.now - since > PATIENCE * cancel_s
+        return since is not None and self._context.now - since > END_OVERDUE_SHARE * cancel_s
 
     def may_answer_cancelled(self, job: str) -> bool:
-        """Whether users may be answered that a blocked job is cancelled, before its end is written.
+        """Whether users may be told that a blocked job is cancelled before that is recorded.
 
-        Its manager knows, since the cancel above it is confirmed. Another node proves "queued" by
-        a read only with a view younger than an agent's lease: after that time every such view
-        holds the cancel too, so nobody can answer another thing any more.
+        The job's manager knows the ancestor's cancel, because it is confirmed. Any other node may
+        report "queued" after a read only if its view is younger than an agent's lease. Once the
+        cancel is older than that, every such view contains it, so no node can report another state.
         """
-        since = self._may_end.get(job)
+        since = self._may_end_since.get(job)
         if since is None:
             return False
         agent_lease_s = self._context.settings.cluster.workers.lease_s
         return self._context.now - since > KNOWN_EVERYWHERE_LEASES * agent_lease_s
 
     def has_dependents(self, job: str) -> bool:
-        """Whether a blocked job names this one."""
+        """Whether any blocked job depends directly on this job."""
         return job in self._dependents
 
     def unfinished_parents(self, job: str) -> Iterable[str]:
-        """What a blocked job depends on that is not known to be done."""
-        return self._unfinished.get(job, ())
+        """Return the parents of a blocked job that are not known to be done."""
+        return self._unfinished_parents.get(job, ())
 
     def dependents(self, job: str) -> Iterable[str]:
-        """The blocked jobs that name a job."""
+        """Return the blocked jobs that depend directly on a job."""
         return self._dependents.get(job, ())
 
     def descendants(self, job: str) -> Iterator[str]:
-        """The blocked jobs that depend on a job, directly or through others, each once."""
+        """Yield each blocked job that depends on a job directly or indirectly, once."""
         seen = {job}
         stack = [job]
         while stack:
@@ -143,79 +153,84 @@
                     stack.append(dependent)
                     yield dependent
 
-    def parents_of_unknown_end(self) -> Iterable[str]:
-        """Parents whose records are gone and whose final states are not known here."""
-        return self._unknown_ends
+    def parents_with_unknown_end(self) -> Iterable[str]:
+        """Return the parents whose records are deleted and whose final states are not known."""
+        return self._parents_with_unknown_end
 
     def knows_ancestors(self, job: str) -> bool:
-        """Whether this node would know if an ancestor of a blocked job had been cancelled.
+        """Whether this node would know if an ancestor of a blocked job were cancelled.
 
-        Its view must hold all that was committed before the job's record: an ancestor may have
+        The view must contain everything committed before the job's record: an ancestor may have
         been cancelled before the job was accepted, and a node that leads by promises may not learn
-        of it for long. And it must know how each ancestor ended that is gone from the view.
+        of that for a long time. The node must also know the final state of each ancestor whose
+        record is deleted.
         """
         if self._view.revision < self._view.job_version(job):
             return False
-        return not self.ancestors_of_unknown_end(job)
+        return not self.ancestors_with_unknown_end(job)
 
-    def ancestors_of_unknown_end(self, job: str) -> list[str]:
-        """The ancestors of a blocked job that are over, and whose end is not known here."""
-        if not self._unknown_ends:
+    def ancestors_with_unknown_end(self, job: str) -> list[str]:
+        """List a blocked job's ancestors that have ended with a final state not known here."""
+        if not self._parents_with_unknown_end:
             return []
         seen = {job}
         stack = [job]
         found = []
         while stack:
-            for parent in sorted(self._unfinished.get(stack.pop(), ())):
+            for parent in sorted(self._unfinished_parents.get(stack.pop(), ())):
                 if parent in seen:
                     continue
                 seen.add(parent)
                 stack.append(parent)
-                if parent in self._unknown_ends:
+                if parent in self._parents_with_unknown_end:
                     found.append(parent)
         return found
 
     def status(self) -> list[dict[str, object]]:
-        """What blocked jobs depend on, for operators; a bounded number of them."""
+        """Return blocked jobs with their unfinished parents for the status output.
+
+        At most ``MAX_STATUS_JOBS`` jobs, with at most ``MAX_STATUS_PARENTS`` parents each.
+        """
         shown = []
-        for job in sorted(self._unfinished)[:SHOWN_JOBS]:
-            unfinished = sorted(self._unfinished[job])
+        for job in sorted(self._unfinished_parents)[:MAX_STATUS_JOBS]:
+            unfinished = sorted(self._unfinished_parents[job])
             shown.append(
                 {
                     "job": job,
-                    "awaits": unfinished[:SHOWN_PARENTS],
+                    "awaits": unfinished[:MAX_STATUS_PARENTS],
                     "awaits_in_all": len(unfinished),
-                    "ancestor_cancelled": job in self._cancelled,
+                    "ancestor_cancelled": job in self._with_cancelled_ancestor,
                 }
             )
         return shown
 
     @property
     def blocked_count(self) -> int:
-        """How many live jobs depend on others that are not done."""
-        return len(self._unfinished)
+        """The number of blocked jobs."""
+        return len(self._unfinished_parents)
 
-    # --- following the view ----------------------------------------------------------------
+    # --- updates from the view -------------------------------------------------------------
 
     def record_changed(self, job: str) -> None:
-        """A job's record changed in the view."""
+        """Update the index after a change of a job's record in the view."""
         record = self._view.jobs.get(job)
         if record is not None and record.is_blocked:
-            if job not in self._unfinished:
+            if job not in self._unfinished_parents:
                 self._add(job, record)
-        elif job in self._unfinished:
+        elif job in self._unfinished_parents:
             self._remove(job)
         if job not in self._dependents:
             return
         if record is not None:
-            # It may have come into the view after the jobs that depend on it.
-            self._unknown_ends.pop(job, None)
-            self._note_dependents_changed([job])
+            # The view may receive a parent's record after those of its dependents.
+            self._parents_with_unknown_end.pop(job, None)
+            self._notify_dependents_changed([job])
         elif self._final_states.get(job) is None:
-            self._unknown_ends[job] = None
+            self._parents_with_unknown_end[job] = None
 
     def _add(self, job: str, record: JobRecord) -> None:
-        unfinished = self._unfinished[job] = set()
+        """Add a blocked job to the index."""
+        unfinished = self._unfinished_parents[job] = set()
         is_cancelled = is_confirmed = False
         for parent in record.spec.depends_on:
             final = self._final_states.get(parent)
@@ -227,83 +242,86 @@
             is_cancelled = is_cancelled or is_over or self.is_cancelled(parent)
             is_confirmed = is_confirmed or is_over or self._is_cancel_confirmed(parent)
             if final is None and parent not in self._view.jobs:
-                self._unknown_ends[parent] = None
+                self._parents_with_unknown_end[parent] = None
         if is_cancelled:
-            self._mark_cancelled(job)
+            self._mark_ancestor_cancelled(job)
         if is_confirmed:
-            self._mark_confirmed(job)
-        self._note_dependents_changed(unfinished)
+            self._mark_cancel_confirmed(job)
+        self._notify_dependents_changed(unfinished)
 
     def _is_cancel_confirmed(self, job: str) -> bool:
-        """Whether the cancel of a live job, or of an ancestor, is confirmed as far as is known."""
-        return self._cancels.is_known_confirmed(job) or job in self._may_end
+        """Whether the cancel of a live job or of an ancestor is known to be confirmed."""
+        return self._cancels.is_known_confirmed(job) or job in self._may_end_since
 
     def _remove(self, job: str) -> None:
-        """A job is blocked no more: it is released or over."""
-        unfinished = self._unfinished.pop(job)
+        """Remove a job that is no longer blocked because it was released or has ended."""
+        unfinished = self._unfinished_parents.pop(job)
         for parent in unfinished:
-            self._forget_dependent(parent, job)
-        self._cancelled.discard(job)
-        self._may_end.pop(job, None)
-        self._note_dependents_changed(unfinished)
+            self._remove_dependent(parent, job)
+        self._with_cancelled_ancestor.discard(job)
+        self._may_end_since.pop(job, None)
+        self._notify_dependents_changed(unfinished)
 
-    def _forget_dependent(self, parent: str, job: str) -> None:
+    def _remove_dependent(self, parent: str, job: str) -> None:
         dependents = self._dependents.get(parent)
         if dependents is None:
             return
         dependents.discard(job)
         if not dependents:
             del self._dependents[parent]
-            self._unknown_ends.pop(parent, None)
+            self._parents_with_unknown_end.pop(parent, None)
 
-    def _note_dependents_changed(self, parents: Iterable[str]) -> None:
+    def _notify_dependents_changed(self, parents: Iterable[str]) -> None:
         if self._dependents_changed is not None:
             self._dependents_changed(parents)
 
-    def _note_ready(self, job: str) -> None:
+    def _notify_ready(self, job: str) -> None:
         if self._advance is not None:
             self._advance(job)
 
-    # --- ends of parents -------------------------------------------------------------------
+    # --- final states and cancels of parents -----------------------------------------------
 
     def parent_ended(self, parent: str, state: JobState) -> None:
-        """The final state of a job is known to be committed."""
-        self._unknown_ends.pop(parent, None)
+        """Apply a job's committed final state to its dependents."""
+        self._parents_with_unknown_end.pop(parent, None)
         if parent not in self._dependents:
             return
         if state is JobState.CANCELLED:
-            # No cancelled job ends before its cancel, or that of an ancestor, is confirmed.
+            # A cancelled job ends only after its cancel, or that of an ancestor, is confirmed.
             self.parent_cancelled(parent)
             self.cancel_confirmed(parent)
             return
         for job in sorted(self._dependents.pop(parent)):
-            self._unfinished[job].discard(parent)
-            if not self._unfinished[job]:
-                self._note_ready(job)
+            self._unfinished_parents[job].discard(parent)
+            if not self._unfinished_parents[job]:
+                self._notify_ready(job)
 
     def parent_cancelled(self, parent: str) -> None:
-        """The cancel of a job is known to be committed."""
+        """Mark the descendants of a job with a committed cancel as having a cancelled ancestor."""
         for job in sorted(self._dependents.get(parent, ())):
-            self._mark_cancelled(job)
+            self._mark_ancestor_cancelled(job)
 
     def cancel_confirmed(self, parent: str) -> None:
-        """The cancel of a job is confirmed: the managers of all its live descendants have it."""
+        """Allow the descendants of a job to end, because its cancel is confirmed.
+
+        The managers of all live descendants have applied the cancel.
+        """
         for job in sorted(self._dependents.get(parent, ())):
-            self._mark_confirmed(job)
+            self._mark_cancel_confirmed(job)
 
-    def _mark_cancelled(self, job: str) -> None:
-        self._cancelled.update((job, *self.descendants(job)))
+    def _mark_ancestor_cancelled(self, job: str) -> None:
+        self._with_cancelled_ancestor.update((job, *self.descendants(job)))
 
-    def _mark_confirmed(self, job: str) -> None:
+    def _mark_cancel_confirmed(self, job: str) -> None:
         for blocked in (job, *self.descendants(job)):
-            if blocked not in self._may_end:
-                self._may_end[blocked] = self._context.now
-                self._note_ready(blocked)
+            if blocked not in self._may_end_since:
+                self._may_end_since[blocked] = self._context.now
+                self._notify_ready(blocked)
 
     def announce_end(self, job: str, state: JobState) -> None:
-        """Tell the other nodes of an end that this node committed, if jobs depend on it.
+        """Send a final state that this node committed to the other nodes, if jobs depend on it.
 
-        They would find that its record is gone, and read its final state.
+        Without the message they would see the record deleted and have to read the final state.
         """
         if job in self._dependents:
             self._context.broadcast(JobEnded(job, state))
--- a/marblestair/core/jobs/dependency_reads.py
+++ b/marblestair/core/jobs/dependency_reads.py
@@ -1,4 +1,4 @@
-"""Reads of how jobs ended that others depend on, where nobody has announced it."""
+"""Reads of the final states of parents that no node has announced."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
-from marblestair.core.runtime.store_requests import Lane
+from marblestair.core.runtime.store_requests import RequestPriority
 from marblestair.core.state.records import JobRecord
 from marblestair.core.state.store_view import StoreView
 
-#: pause between two checks for parents whose end has to be read
+#: mean pause between two checks for parents whose final state must be read
 READ_PAUSE_S = 0.3
-#: parents read in one turn, so that releases never use up the rate of requests
-MOST_READS = 8
-#: parents of one job read for a user who waits
-MOST_READS_FOR_USER = 4
+#: parents read per check, so that these reads never use up the node's request rate
+MAX_READS_PER_ROUND = 8
+#: ancestors read for one user request
+MAX_READS_PER_USER_REQUEST = 4
 
 
 class DependencyReads:
-    """The reads of one node."""
+    """Reads the final states of ended parents that one node does not know."""
 
     def __init__(
         self,
@@ -38,39 +38,43 @@
         self._reader = reader
 
     def read_unknown_ends(self) -> Coroutine[None]:
-        """Read the ends of parents that nobody announced, for good."""
+        """Read the final states of parents that no node has announced, in an endless loop."""
         while True:
             yield Sleep(READ_PAUSE_S * (0.8 + 0.4 * self._context.rng.random()))
             for parent in self._parents_to_read():
-                yield from self._reader.read_final_first(parent, Lane.FINAL_STATE)
+                yield from self._reader.read_final_first(parent, RequestPriority.FINAL_STATE)
 
     def _parents_to_read(self) -> list[str]:
-        """Parents whose end decides about a job that is managed here."""
+        """Return parents with an unknown final state whose dependents are managed here.
+
+        At most ``MAX_READS_PER_ROUND``.
+        """
         found = []
-        for parent in self._dependencies.parents_of_unknown_end():
+        for parent in self._dependencies.parents_with_unknown_end():
             dependents = self._dependencies.dependents(parent)
             if any(job in self._managed_jobs for job in dependents):
                 found.append(parent)
-                if len(found) == MOST_READS:
+                if len(found) == MAX_READS_PER_ROUND:
                     break
         return found
 
-    def may_answer_blocked(self, record: JobRecord, lane: Lane) -> Coroutine[bool]:
-        """Whether users may be answered that a job is still blocked, whose record was just read.
+    def may_answer_blocked(self, record: JobRecord, priority: RequestPriority) -> Coroutine[bool]:
+        """Whether users may be told that a job is still blocked, given its newly read record.
 
-        The record alone does not show the cancel of an ancestor. This node's view does, unless
-        it is too old, or an ancestor is gone from it.
+        The record does not show whether an ancestor is cancelled. This node's view shows it, unless
+        the view is too old or lacks an ancestor's record. The final states of ancestors with
+        deleted records are read from the store.
         """
         job = record.spec.id
         agent_lease_s = self._context.settings.cluster.workers.lease_s
-        if self._view.age_s(self._context.now) > agent_lease_s:
+        if self._view.staleness_s(self._context.now) > agent_lease_s:
             return False
-        # One that is found alive may have ancestors that are gone in their turn.
-        for _ in range(MOST_READS_FOR_USER):
-            gone = self._dependencies.ancestors_of_unknown_end(job)
+        # An ancestor that turns out to be live may have ancestors with deleted records itself.
+        for _ in range(MAX_READS_PER_USER_REQUEST):
+            gone = self._dependencies.ancestors_with_unknown_end(job)
             if not gone:
                 return not self._dependencies.has_cancelled_ancestor(job)
-            yield from self._reader.read_final_first(gone[0], lane)
-        return not self._dependencies.ancestors_of_unknown_end(
+            yield from self._reader.read_final_first(gone[0], priority)
+        return not self._dependencies.ancestors_with_unknown_end(
             job
         ) and not self._dependencies.has_cancelled_ancestor(job)
--- a/marblestair/core/jobs/eligibility.py
+++ b/marblestair/core/jobs/eligibility.py
@@ -1,4 +1,4 @@
-"""Which jobs can never run."""
+"""Check for jobs that can never run."""
 
 from __future__ import annotations
 
@@ -11,32 +11,38 @@
 def rejection_reason(
     spec: JobSpec, teams: dict[str, Team], machine_types: list[MachineType]
 ) -> str | None:
-    """Why a job can never run, or None: the same answer on every controller."""
+    """Return why a job can never run, or None if it can.
+
+    The result is the same on every controller.
+    """
     team = teams.get(spec.team)
     if team is None:
-        return "unknown team"
-    options = [kind for kind in machine_types if _is_allowed(spec, kind)]
-    options = [kind for kind in options if kind.can_hold(spec.resources)]
+        return f"owner: unknown team {spec.team!r}"
+    options = [machine_type for machine_type in machine_types if _is_allowed(spec, machine_type)]
+    options = [machine_type for machine_type in options if machine_type.can_hold(spec.resources)]
     if not options:
-        return "a task fits no allowed machine type"
-    zones = {zone for kind in options for zone in kind.zones if spec.zone in (None, zone)}
+        return "no machine type that builds and room allow has the cpus, gpus and mem_gb for a task"
+    zones = {
+        zone for machine_type in options for zone in machine_type.zones if spec.zone in (None, zone)
+    }
     if spec.kind == JobKind.GANG and spec.spread_zones and spec.task_count > 1:
-        # At most half of the tasks may lie in one zone, and all run at the same time.
+        # At most half of the tasks may be in one zone, and all tasks run at the same time.
         if spec.single_zone or len(zones) < 2:
-            return "its tasks must lie apart, and there is one zone only"
+            return "scatter: the tasks need two zones, but only one is allowed or available"
     if _exceeds_limit(spec, team):
-        return "more than the team's limit"
+        return f"tasks that must run together exceed the cpus or gpus limit of team {spec.team}"
     return None
 
 
-def _is_allowed(spec: JobSpec, kind: MachineType) -> bool:
-    if spec.machine_types is not None and kind.name not in spec.machine_types:
+def _is_allowed(spec: JobSpec, machine_type: MachineType) -> bool:
+    """Whether a job may use a machine type, by its names of machine types and its zone."""
+    if spec.machine_types is not None and machine_type.name not in spec.machine_types:
         return False
-    return spec.zone is None or spec.zone in kind.zones
+    return spec.zone is None or spec.zone in machine_type.zones
 
 
 def _exceeds_limit(spec: JobSpec, team: Team) -> bool:
-    """Whether what has to run at once is more than the team may use."""
+    """Whether the tasks that must run at the same time need more than the team's limit."""
     tasks = spec.task_count if spec.kind == JobKind.GANG else 1
     cpus, gpus, _ = spec.resources
     limit_cpus = fixed_point_down(team.cpu_limit)
--- a/marblestair/core/jobs/job_managers.py
+++ b/marblestair/core/jobs/job_managers.py
@@ -24,7 +24,12 @@
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.decision_log import Decision
 from marblestair.core.runtime.requests import Sleep
-from marblestair.core.runtime.store_requests import CompareAndSwap, Lane, Put, StoreResponse
+from marblestair.core.runtime.store_requests import (
+    CompareAndSwap,
+    Put,
+    RequestPriority,
+    StoreResponse,
+)
 from marblestair.core.state import keys
 from marblestair.core.state.records import ChangeKind, JobRecord, with_cancel, with_release
 from marblestair.core.state.store_view import StoreView
@@ -205,7 +210,7 @@
         if step in FINAL_STATE_OF:
             self._dependencies.announce_end(job, FINAL_STATE_OF[step])
             self._final_states.record(job, FINAL_STATE_OF[step])
-        self._view.record_commit(swap, response.revision)
+        self._view.apply_commit(swap, response.revision)
         self._view.publish_changes()
         if step is ManagerStep.RELEASE:
             self._context.log("info", f"released {job}: all that it depends on is done")
@@ -214,7 +219,7 @@
     def _log_change(
         self, managed: ManagedJob, record: JobRecord, step: ManagerStep, response: StoreResponse
     ) -> None:
-        self._context.decisions.note(
+        self._context.decisions.log(
             self._context.now,
             Decision.RECORD,
             step.name.lower(),
@@ -235,15 +240,19 @@
             self._leadership.fence_precondition(managed.shard_id),
         ]
         if step is ManagerStep.REWRITE:
-            return CompareAndSwap(preconditions, [Put(key, record)], [], Lane.ACCEPTANCE)
+            return CompareAndSwap(preconditions, [Put(key, record)], [], RequestPriority.ACCEPTANCE)
         if step is ManagerStep.CANCEL:
             value_kb = self._context.settings.cluster.state.value_kb
             cancelled = with_cancel(record, value_kb)
-            return CompareAndSwap(preconditions, [Put(key, cancelled)], [], Lane.ACCEPTANCE)
+            return CompareAndSwap(
+                preconditions, [Put(key, cancelled)], [], RequestPriority.ACCEPTANCE
+            )
         if step is ManagerStep.RELEASE:
             released = with_release(record, self._context.wall_time)
-            return CompareAndSwap(preconditions, [Put(key, released)], [], Lane.FINAL_STATE)
-        final_key = keys.FINALS + managed.job
+            return CompareAndSwap(
+                preconditions, [Put(key, released)], [], RequestPriority.FINAL_STATE
+            )
+        final_key = keys.FINAL_STATES + managed.job
         return CompareAndSwap(
             [*preconditions, (final_key, 0)],
             [Put(final_key, FINAL_STATE_OF[step])],
@@ -251,14 +260,14 @@
             self._end_lane(managed, step),
         )
 
-    def _end_lane(self, managed: ManagedJob, step: ManagerStep) -> Lane:
+    def _end_lane(self, managed: ManagedJob, step: ManagerStep) -> RequestPriority:
         is_blocked = step is ManagerStep.END_BLOCKED
         is_patient = is_blocked and not self._dependencies.is_end_overdue(managed.job)
-        return Lane.PROGRESS if is_patient else Lane.FINAL_STATE
+        return RequestPriority.PROGRESS if is_patient else RequestPriority.FINAL_STATE
 
     # --- asked by others -------------------------------------------------------------------
 
-    def slice_arrived(self, message: AnnounceMigration) -> Coroutine[int]:
+    def receive_migration_announcement(self, message: AnnounceMigration) -> Coroutine[int]:
         """A slice was moved here: the last change entry known of its job (Algorithm 4)."""
         if self._view.version(keys.JOBS + message.job) < message.version:
             yield from self._reader.read_record(message.job)
--- a/marblestair/core/jobs/lookups.py
+++ b/marblestair/core/jobs/lookups.py
@@ -43,7 +43,7 @@
             return status
         return (yield from self._search(job, search))
 
-    def bounded(self, read: Coroutine[JobStatus | None]) -> Coroutine[JobStatus | None]:
+    def read_within_limit(self, read: Coroutine[JobStatus | None]) -> Coroutine[JobStatus | None]:
         """The result of a read, or None at once when too many are under way."""
         if self._reads >= self.max_concurrent_reads:
             return None
--- a/marblestair/core/jobs/migration_locks.py
+++ b/marblestair/core/jobs/migration_locks.py
@@ -15,9 +15,9 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
-from marblestair.core.runtime.store_requests import CompareAndSwap, Lane, Put
+from marblestair.core.runtime.store_requests import CompareAndSwap, Put, RequestPriority
 from marblestair.core.state import keys
-from marblestair.core.state.records import RECORD_SHARE, JobRecord, exceeds_value_limit
+from marblestair.core.state.records import MAX_RECORD_SHARE, JobRecord, exceeds_value_limit
 from marblestair.core.state.store_view import StoreView
 
 #: a migration's locks are given up when its source has not come back for this share of a lease
@@ -107,7 +107,7 @@
         complete = [shard_id for shard_id in record.complete_shards if shard_id not in moved]
         updated = msgspec.structs.replace(record, slices=slices, complete_shards=complete)
         value_kb = self._context.settings.cluster.state.value_kb
-        if exceeds_value_limit(updated, value_kb, RECORD_SHARE):
+        if exceeds_value_limit(updated, value_kb, MAX_RECORD_SHARE):
             # So many small ranges would outgrow the record; the tasks stay with the source.
             return None
         return updated
@@ -122,7 +122,7 @@
             tries += 1
             response = yield from managed.commit_change(swap)
             if response.status == 200:
-                self._view.record_commit(swap, response.revision)
+                self._view.apply_commit(swap, response.revision)
                 self._apply(managed, update)
                 self._view.publish_changes()
                 return [response.revision]
@@ -153,7 +153,7 @@
         ]
         if update.source != managed.shard_id:
             preconditions.append(self._leadership.fence_precondition(update.source))
-        return CompareAndSwap(preconditions, [Put(key, record)], [], Lane.FINAL_STATE)
+        return CompareAndSwap(preconditions, [Put(key, record)], [], RequestPriority.FINAL_STATE)
 
     def _apply(self, managed: ManagedJob, update: UpdateSlices) -> None:
         """An update was committed: what was reported of both slices says nothing any more."""
