--- a/marblestair/core/jobs/dependencies.py
+++ b/marblestair/core/jobs/dependencies.py
@@ -57,8 +57,7 @@
         #: blocked jobs with an ancestor whose cancel is confirmed, so that their final state may be
         #: recorded -> steady time since which this node knows that
         self._may_end_since: dict[str, float] = {}
-        #: parents whose records are deleted and whose final states are not known here; an ordered
-        #: set
+        #: ordered set of parents whose records are deleted and whose final states are not known here
         self._parents_with_unknown_end: dict[str, None] = {}
         self._advance: Callable[[str], None] | None = None
         self._dependents_changed: Callable[[Iterable[str]], None] | None = None
@@ -319,7 +318,7 @@
                 self._notify_ready(blocked)
 
     def announce_end(self, job: str, state: JobState) -> None:
-        """Send a final state that this node committed to the other nodes, if jobs depend on it.
+        """Announce a job's final state, committed here, to the other nodes if jobs depend on it.
 
         Without the message they would see the record deleted and have to read the final state.
         """
