--- a/marblestair/core/jobs/dependencies.py
+++ b/marblestair/core/jobs/dependencies.py
@@ -57,7 +57,7 @@
         #: blocked jobs with an ancestor whose cancel is confirmed, so that their final state may be
         #: recorded -> steady time since which this node knows that
         self._may_end_since: dict[str, float] = {}
-        #: ordered set of parents whose records are deleted and whose final states are not known here
+        #: ordered set of parents with deleted records and final states that are not known here
         self._parents_with_unknown_end: dict[str, None] = {}
         self._advance: Callable[[str], None] | None = None
         self._dependents_changed: Callable[[Iterable[str]], None] | None = None
