--- a/marblestair/core/jobs/request_services.py
+++ b/marblestair/core/jobs/request_services.py
@@ -35,7 +35,7 @@
         guaranteed_jobs,
         jobs.final_states,
         jobs.answers,
-        jobs.parents,
+        jobs.parent_lookup,
         jobs.announcements,
     )
     return UserRequests(
--- a/marblestair/core/jobs/services.py
+++ b/marblestair/core/jobs/services.py
@@ -74,7 +74,7 @@
             self.reader,
             self.lookups,
         )
-        self.parents = ParentLookup(
+        self.parent_lookup = ParentLookup(
             context, view, self.final_states, self.dependencies, self.reader, self.lookups
         )
 
