--- a/marblestair/core/capacity/decommissioning.py
+++ b/marblestair/core/capacity/decommissioning.py
@@ -7,8 +7,8 @@
 from marblestair.core.capacity.provisioning import MIN_RENTAL_S
 from marblestair.core.domain.agents import TaskState
 from marblestair.core.domain.jobs import JobKind
-from marblestair.core.shard.absence import absent_machines
 from marblestair.core.shard.machine import CordonReason, Machine
+from marblestair.core.shard.partition_detection import partitioned_machines
 from marblestair.core.shard.shard import Shard
 
 #: work lost by emptying a machine, against the capacity that would be idle meanwhile
@@ -103,7 +103,7 @@
 
     ``agent_lease_s`` is the time for which an agent may run tasks after a heartbeat, in seconds.
     """
-    absent = absent_machines(shard, agent_lease_s, now)
+    absent = partitioned_machines(shard, agent_lease_s, now)
     known = [machine for machine in shard.machines.values() if machine.agent_incarnation]
     # Where most machines seem unresponsive, it is this controller's responses that do not arrive.
     may_be_unresponsive = 2 * sum(machine.is_unresponsive for machine in known) <= len(known)
@@ -123,11 +123,11 @@
 
 def _is_useless(shard: Shard, machine: Machine) -> bool:
     """Whether a machine was given up, or is empty and is not to have tasks any more."""
-    if machine.is_given_up or machine.has_failed:
+    if machine.is_decommissioned or machine.has_failed:
         return True
     if machine.tasks:
         return False
-    if machine.cordon is CordonReason.RETURN or machine.reclaim_at is not None:
+    if machine.cordon is CordonReason.RELEASE or machine.reclaim_at is not None:
         return True
     return shard.failures.is_faulty(machine.name)
 
@@ -138,7 +138,7 @@
         return False
     boot_s = UNKNOWN_BOOT_LEASES * agent_lease_s
     if machine.machine_type is not None:
-        boot_s = shard.boot_times.give_up_after_s(machine.machine_type, now)
+        boot_s = shard.boot_times.boot_timeout_s(machine.machine_type, now)
     return now - machine.added_at > boot_s + agent_lease_s
 
 
@@ -146,15 +146,15 @@
     shard: Shard, machine: Machine, is_absent: bool, agent_lease_s: float, now: float
 ) -> bool:
     """Whether a machine is silent for so long that it will not be back."""
-    if not machine.is_silent or not machine.agent_incarnation or is_absent:
+    if not machine.is_lease_expired or not machine.agent_incarnation or is_absent:
         return False
-    silent_s = now - machine.last_sign_of_life_at(shard.acquired_at)
+    silent_s = now - machine.last_seen_at(shard.acquired_at)
     return silent_s > LOST_LEASES * agent_lease_s
 
 
 def _is_unresponsive(machine: Machine, agent_lease_s: float, now: float) -> bool:
     """Whether a machine sends heartbeats, but has not carried out commands for too long."""
-    if not machine.is_unresponsive or machine.is_silent:
+    if not machine.is_unresponsive or machine.is_lease_expired:
         return False
     return now - machine.responsiveness.unresponsive_since > LOST_LEASES * agent_lease_s
 
--- a/marblestair/core/capacity/machine_registry.py
+++ b/marblestair/core/capacity/machine_registry.py
@@ -16,7 +16,12 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import InspectAgent, Sleep
-from marblestair.core.runtime.store_requests import CompareAndSwap, Lane, Put, StoreResponse
+from marblestair.core.runtime.store_requests import (
+    CompareAndSwap,
+    Put,
+    RequestPriority,
+    StoreResponse,
+)
 from marblestair.core.shard.heartbeat_response import HeartbeatResponse
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
@@ -54,7 +59,7 @@
     def receive_unregistered(self, heartbeat: Heartbeat) -> HeartbeatResponse:
         """A heartbeat of a machine that belongs to no shard."""
         name = heartbeat.machine
-        if name in self._view.gone_machines or name in self._releasing:
+        if name in self._view.removed_machines or name in self._releasing:
             return HeartbeatResponse(503)
         led_shards = self._leadership.led_shards()
         shard_map = self._view.shard_map
@@ -101,10 +106,10 @@
     def _register(self, name: str, record: MachineRecord) -> Coroutine[None]:
         key = keys.MACHINES + name
         fence = self._leadership.fence_precondition(record.shard_id)
-        swap = CompareAndSwap([(key, 0), fence], [Put(key, record)], [], Lane.SHARD_MAP)
+        swap = CompareAndSwap([(key, 0), fence], [Put(key, record)], [], RequestPriority.SHARD_MAP)
         response: StoreResponse = yield swap
         if response.status == 200:
-            self._view.record_commit(swap, response.revision)
+            self._view.apply_commit(swap, response.revision)
             self._view.publish_changes()
         self._registering.discard(name)
 
@@ -141,7 +146,7 @@
 
     def _has_silent_machines(self) -> bool:
         return any(
-            machine.is_silent
+            machine.is_lease_expired
             for shard in self._leadership.led_shards()
             for machine in shard.machines.values()
         )
@@ -149,7 +154,7 @@
     def _is_unregistered(self, machine: ListedMachine, lag_s: float) -> bool:
         """Whether a listed machine is in no shard, and not about to be."""
         name = machine.name
-        if name in self._view.machines or name in self._view.gone_machines:
+        if name in self._view.machines or name in self._view.removed_machines:
             return False
         if name in self._registering:
             return False
@@ -172,7 +177,7 @@
         for shard in self._leadership.led_shards():
             for machine in shard.machines.values():
                 # A machine that still sends heartbeats is judged by those.
-                if machine.is_silent and machine.name in failed:
+                if machine.is_lease_expired and machine.name in failed:
                     machine.has_failed = True
 
     def _list(self) -> Coroutine[list[ListedMachine] | None]:
--- a/marblestair/core/capacity/plan_inputs.py
+++ b/marblestair/core/capacity/plan_inputs.py
@@ -120,7 +120,7 @@
             machine_type = self._catalog.types.get(record.machine_type)
             if (
                 machine_type is None
-                or name in reported.leaving_machines
+                or name in reported.unavailable_machines
                 or record.shard_id not in reported.recent_shards
             ):
                 continue
@@ -135,7 +135,7 @@
                     age_s=self._context.wall_time - record.added_at,
                     shard_id=record.shard_id,
                     used_cpus=reported.used_cpus.get(name, 0),
-                    is_absent=name in reported.absent_machines,
+                    is_absent=name in reported.partitioned_machines,
                 )
             )
         return machines
--- a/marblestair/core/capacity/rentals.py
+++ b/marblestair/core/capacity/rentals.py
@@ -13,9 +13,9 @@
 from marblestair.core.runtime.requests import Sleep
 from marblestair.core.runtime.store_requests import (
     CompareAndSwap,
-    Lane,
     ListKeys,
     Put,
+    RequestPriority,
     StoredKey,
     StoreResponse,
 )
@@ -71,7 +71,7 @@
         )
         fence = self._leadership.fence_precondition(shard.shard_id)
         response: StoreResponse = yield CompareAndSwap(
-            [(key, 0), fence], [Put(key, intent)], [], Lane.SHARD_MAP
+            [(key, 0), fence], [Put(key, intent)], [], RequestPriority.SHARD_MAP
         )
         if response.status != 200:
             if response.status == 0:
@@ -143,10 +143,12 @@
             preconditions = [(put.key, 0) for put in puts]
             preconditions.append(self._leadership.fence_precondition(shard.shard_id))
             preconditions.append((intent_key, intent_version))
-            swap = CompareAndSwap(preconditions, puts, [] if rest else [intent_key], Lane.SHARD_MAP)
+            swap = CompareAndSwap(
+                preconditions, puts, [] if rest else [intent_key], RequestPriority.SHARD_MAP
+            )
             response: StoreResponse = yield swap
             if response.status == 200:
-                self._view.record_commit(swap, response.revision)
+                self._view.apply_commit(swap, response.revision)
                 self._view.publish_changes()
                 remaining = rest
                 continue
@@ -170,7 +172,7 @@
         )
 
     def _is_unknown(self, machine: str) -> bool:
-        return machine not in self._view.machines and machine not in self._view.gone_machines
+        return machine not in self._view.machines and machine not in self._view.removed_machines
 
     # --- intents of earlier leaders --------------------------------------------------------
 
--- a/marblestair/core/jobs/acceptance.py
+++ b/marblestair/core/jobs/acceptance.py
@@ -23,10 +23,15 @@
 from marblestair.core.messaging.received_summaries import ReceivedSummaries
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
-from marblestair.core.runtime.store_requests import CompareAndSwap, Lane, Put, StoreResponse
+from marblestair.core.runtime.store_requests import (
+    CompareAndSwap,
+    Put,
+    RequestPriority,
+    StoreResponse,
+)
 from marblestair.core.state import keys
 from marblestair.core.state.machine_catalog import MachineCatalog
-from marblestair.core.state.records import DESCRIPTION_SHARE, JobRecord, exceeds_value_limit
+from marblestair.core.state.records import MAX_SPEC_SHARE, JobRecord, exceeds_value_limit
 from marblestair.core.state.store_view import StoreView
 
 #: submissions under way at once: as many as a node's changes accept within this time, in seconds
@@ -158,7 +163,7 @@
 
     def _is_too_large(self, spec: JobSpec) -> bool:
         value_kb = self._context.settings.cluster.state.value_kb
-        return exceeds_value_limit(JobRecord(spec, 0, {}, []), value_kb, DESCRIPTION_SHARE)
+        return exceeds_value_limit(JobRecord(spec, 0, {}, []), value_kb, MAX_SPEC_SHARE)
 
     def _reject(self, spec: JobSpec, reason: str) -> Coroutine[Outcome]:
         """Refuse a job for good, unless it was accepted before: then it is known."""
@@ -202,7 +207,7 @@
             swap = self._acceptance(record)
             response: StoreResponse = yield swap
             if response.status == 200:
-                self._view.record_commit(swap, response.revision)
+                self._view.apply_commit(swap, response.revision)
                 self._view.publish_changes()
                 self._announcements.announce(spec.id)
                 self._log_accepted(spec, record)
@@ -224,21 +229,21 @@
         key = keys.JOBS + record.spec.id
         preconditions = [
             (key, 0),
-            (keys.FINALS + record.spec.id, 0),
+            (keys.FINAL_STATES + record.spec.id, 0),
             self._leadership.fence_precondition(record.manager_shard),
         ]
-        return CompareAndSwap(preconditions, [Put(key, record)], [], Lane.ACCEPTANCE)
+        return CompareAndSwap(preconditions, [Put(key, record)], [], RequestPriority.ACCEPTANCE)
 
     def _accept_cancelled(self, spec: JobSpec, parent: str) -> Coroutine[Outcome]:
         """Accept a job that depends on a cancelled one: it is over from the start."""
         if not self._leadership.is_authorized(self._context.now):
             return Outcome(503, UNKNOWN, "no authority", RETRY_AFTER_S)
-        final_key = keys.FINALS + spec.id
+        final_key = keys.FINAL_STATES + spec.id
         swap = CompareAndSwap(
             [(keys.JOBS + spec.id, 0), (final_key, 0)],
             [Put(final_key, JobState.CANCELLED)],
             [],
-            Lane.ACCEPTANCE,
+            RequestPriority.ACCEPTANCE,
         )
         response: StoreResponse = yield swap
         if response.status == 200:
--- a/marblestair/core/jobs/final_states.py
+++ b/marblestair/core/jobs/final_states.py
@@ -1,4 +1,4 @@
-"""The final states of jobs that one node remembers: they are committed and never change."""
+"""Cache of final states of jobs at one node; a committed final state never changes."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from marblestair.core.runtime.decision_log import Decision
 from marblestair.core.state.store_view import StoreView
 
-#: final states remembered per node; others are read from the store
-REMEMBERED = 20_000
+#: final states cached per node; states that were dropped are read from the store again
+MAX_CACHED_STATES = 20_000
 
 
 class DependentJobs(Protocol):
-    """The jobs that depend on others."""
+    """Jobs that depend on other jobs, as the subscriber to final states."""
 
     def has_dependents(self, job: str) -> bool:
-        """Whether a job depends on this one."""
+        """Return whether a blocked job depends on this one."""
 
     def parent_ended(self, parent: str, state: JobState) -> None:
-        """The final state of a job is known to be committed."""
+        """Handle the committed final state of a job."""
 
 
 class FinalStates:
-    """Final states by job, the latest last."""
+    """Committed final states by job; the oldest entries are dropped first."""
 
     def __init__(self, context: NodeContext, view: StoreView) -> None:
         self._context = context
@@ -34,30 +34,30 @@
         self._dependents: DependentJobs | None = None
 
     def subscribe(self, dependents: DependentJobs) -> None:
-        """Call the jobs that depend on others with each end."""
+        """Have ``dependents`` called with each final state that becomes known."""
         self._dependents = dependents
 
     def __contains__(self, job: object) -> bool:
-        """Whether the final state of a job is remembered."""
+        """Return whether the final state of a job is cached."""
         return job in self._states
 
     def __getitem__(self, job: str) -> JobState:
-        """The final state of a job that is remembered."""
+        """Return the cached final state of a job."""
         return self._states[job]
 
     def get(self, job: str) -> JobState | None:
-        """The final state of a job, or None when it is not remembered."""
+        """Return the final state of a job, or None when it is not cached."""
         return self._states.get(job)
 
     def record(self, job: str, state: JobState) -> None:
-        """Remember a job's final state."""
+        """Cache a job's committed final state and notify the jobs that depend on it."""
         dependents = self._dependents
         if job not in self._states and dependents is not None and dependents.has_dependents(job):
-            self._context.decisions.note(
+            self._context.decisions.log(
                 self._context.now, Decision.END, state, job=job, view_rev=self._view.revision
             )
         self._states[job] = state
-        while len(self._states) > REMEMBERED:
+        while len(self._states) > MAX_CACHED_STATES:
             self._states.popitem(last=False)
         if dependents is not None:
             dependents.parent_ended(job, state)
--- a/marblestair/core/jobs/job_managers.py
+++ b/marblestair/core/jobs/job_managers.py
@@ -1,7 +1,8 @@
-"""The managers of jobs: releases, cancels and ends.
+"""The managers of jobs: they commit releases, cancels and ends to the jobs' records.
 
-The leader of a job's manager shard runs its ServerManager. It alone decides how the job ends, and
-it alone gives answers that are not final, so that no user is given an older answer than before.
+The leader of a job's manager shard runs the job's ServerManager. Only this leader decides how the
+job ends, and only it answers from memory with a state that is not final. So no user gets an
+answer that is older than an earlier one.
 """
 
 from __future__ import annotations
@@ -24,25 +25,30 @@
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.decision_log import Decision
 from marblestair.core.runtime.requests import Sleep
-from marblestair.core.runtime.store_requests import CompareAndSwap, Lane, Put, StoreResponse
+from marblestair.core.runtime.store_requests import (
+    CompareAndSwap,
+    Put,
+    RequestPriority,
+    StoreResponse,
+)
 from marblestair.core.state import keys
 from marblestair.core.state.records import ChangeKind, JobRecord, with_cancel, with_release
 from marblestair.core.state.store_view import StoreView
 
-#: time within which a manager carries out a cancel for a user who waits
-CANCEL_S = 3.0
-#: pause between two checks whether it is carried out
-CANCEL_PAUSE_S = 0.02
-#: pauses while a migration holds the locks, until a cancel is propagated again, and after a change
-#: that the record's version did not allow
-LOCKED_PAUSE_S, PROPAGATION_PAUSE_S, CONFLICT_PAUSE_S = 0.05, 0.3, 0.05
-#: pause after a change that the store refuses as malformed or too large: a defect, which no
-#: repetition mends
-REFUSED_PAUSE_S = 5.0
+#: time for a manager to get a cancel confirmed while a user waits
+CANCEL_TIMEOUT_S = 3.0
+#: pause between two checks whether the cancel is confirmed
+CANCEL_POLL_S = 0.02
+#: pauses before a retry: while a migration holds the job's locks, after a propagation that did not
+#: confirm the cancel, and after a commit whose precondition failed
+LOCK_RETRY_S, PROPAGATION_RETRY_S, CONFLICT_RETRY_S = 0.05, 0.3, 0.05
+#: pause after the store rejected a commit as malformed or too large: a defect that a retry does
+#: not repair
+REJECTED_RETRY_S = 5.0
 
 
 class JobManagers:
-    """The jobs whose managers run at one node."""
+    """Manages the jobs whose manager shards one node leads."""
 
     def __init__(  # noqa: PLR0913 - its collaborators
         self,
@@ -75,39 +81,39 @@
         self._cancellations = cancellations
         self._dependencies = dependencies
         self._reader = reader
-        #: descendants of cancelled jobs whose ends are being recorded
-        self._ending_blocked = 0
+        #: commits in flight that end a descendant of a cancelled job
+        self._blocked_ends_in_flight = 0
 
     # --- which jobs are managed here -------------------------------------------------------
 
     def shards_changed(self) -> None:
-        """Leadership moved: run the managers of the shards that are here, drop the others."""
+        """Manage the jobs of the manager shards that this node has now, and drop all other jobs."""
         for job, record in self._view.jobs.items():
-            self._manage(job, record)
+            self._manage_if_leader(job, record)
         shards = self._leadership.shards
         for job in [
             job for job, managed in self._managed_jobs.items() if managed.shard_id not in shards
         ]:
             del self._managed_jobs[job]
-        self._reports.forget_sent()
+        self._reports.clear_sent()
 
     def record_changed(self, job: str) -> None:
-        """A job's record changed in the view."""
+        """Start or stop managing a job after its record changed in the view."""
         record = self._view.jobs.get(job)
         if record is None:
             self._managed_jobs.pop(job, None)
             return
-        self._manage(job, record)
+        self._manage_if_leader(job, record)
 
-    def _manage(self, job: str, record: JobRecord) -> None:
+    def _manage_if_leader(self, job: str, record: JobRecord) -> None:
         shard = self._leadership.shards.get(record.manager_shard)
         if shard is not None and shard.is_ready and job not in self._managed_jobs:
             self._managed_jobs[job] = ManagedJob(job, record)
 
-    # --- carrying jobs on ------------------------------------------------------------------
+    # --- advancing jobs --------------------------------------------------------------------
 
     def tick(self) -> None:
-        """Report progress to managers; carry managed jobs on."""
+        """Send progress reports, record complete slices and advance the managed jobs."""
         if self._view.shard_map is None:
             return
         led_shards = self._leadership.led_shards()
@@ -117,7 +123,7 @@
             self.advance(job)
 
     def advance(self, job: str) -> None:
-        """Begin to do for a job what there is to do, if it is managed here."""
+        """Start the next step of a job, if the job is managed here and has one."""
         managed = self._managed_jobs.get(job)
         if managed is None or managed.is_advancing:
             return
@@ -128,7 +134,7 @@
             self._context.spawn(self._advance(managed))
 
     def _next_step(self, managed: ManagedJob, record: JobRecord) -> ManagerStep | None:
-        may_end_blocked = self._ending_blocked < self._context.max_batch_changes
+        may_end_blocked = self._blocked_ends_in_flight < self._context.max_batch_changes
         return self._steps.next_step(managed, record, may_end_blocked)
 
     def _is_managed_here(self, managed: ManagedJob) -> bool:
@@ -136,7 +142,7 @@
         return is_current and self._leadership.is_leader(managed.shard_id)
 
     def _advance(self, managed: ManagedJob) -> Coroutine[None]:
-        """Do for a job what there is to do, one step after the other (Algorithm 3)."""
+        """Take the steps of a job one by one until none is left (Algorithm 3)."""
         managed.is_advancing = True
         holder = ("edit", managed.job)
         try:
@@ -145,8 +151,11 @@
                 step = self._next_step(managed, record) if record is not None else None
                 if record is None or step is None:
                     return
-                if managed.is_migrating or managed.locks.request_exclusive(holder) is None:
-                    yield Sleep(LOCKED_PAUSE_S)
+                if (
+                    managed.is_committing_migration
+                    or managed.locks.acquire_exclusive(holder) is None
+                ):
+                    yield Sleep(LOCK_RETRY_S)
                 else:
                     yield from self._take_step(managed, record, step)
         finally:
@@ -158,36 +167,36 @@
     ) -> Coroutine[None]:
         if step is ManagerStep.PROPAGATE_CANCEL:
             if not (yield from self._cancellations.propagate(managed.job)):
-                yield Sleep(PROPAGATION_PAUSE_S)
+                yield Sleep(PROPAGATION_RETRY_S)
         elif step is ManagerStep.END_BLOCKED:
             yield from self._end_blocked(managed, record)
         else:
             yield from self._change_record(managed, record, step)
 
     def _end_blocked(self, managed: ManagedJob, record: JobRecord) -> Coroutine[None]:
-        """Record the end of a job that depends on a cancelled one."""
-        self._ending_blocked += 1
+        """Record the end of a blocked job that has a cancelled ancestor."""
+        self._blocked_ends_in_flight += 1
         try:
             yield from self._change_record(managed, record, ManagerStep.END_BLOCKED)
         finally:
-            self._ending_blocked -= 1
+            self._blocked_ends_in_flight -= 1
 
     def _change_record(
         self, managed: ManagedJob, record: JobRecord, step: ManagerStep
     ) -> Coroutine[None]:
-        """Send the change of the record that a step asks for, and take in what became of it."""
-        swap = self._change_for(managed, record, step)
+        """Commit the change of the record that a step requires, and handle the response."""
+        swap = self._commit_for_step(managed, record, step)
         response = yield from managed.commit_change(swap)
         if response.status == 200:
             self._apply_change(managed, record, step, swap, response)
         elif response.status == 409:
-            # The record moved on: by an earlier try of ours, or the shard has a new leader.
-            # Whatever was uncertain is known once it has been read.
+            # The record was changed, perhaps by an earlier commit of this node, or the shard has a
+            # new leader. A successful read settles a commit whose outcome was unknown.
             if (yield from self._reader.refresh(managed.job)):
-                managed.is_uncertain = False
-            yield Sleep(CONFLICT_PAUSE_S)
+                managed.has_uncertain_commit = False
+            yield Sleep(CONFLICT_RETRY_S)
         elif response.status == 400:
-            yield Sleep(REFUSED_PAUSE_S)
+            yield Sleep(REJECTED_RETRY_S)
         else:
             yield Sleep(0.1 + 0.2 * self._context.rng.random())
 
@@ -199,22 +208,22 @@
         swap: CompareAndSwap,
         response: StoreResponse,
     ) -> None:
-        """A change of the record was committed."""
+        """Apply a committed change of the record to the state of this node."""
         job = managed.job
         self._log_change(managed, record, step, response)
         if step in FINAL_STATE_OF:
             self._dependencies.announce_end(job, FINAL_STATE_OF[step])
             self._final_states.record(job, FINAL_STATE_OF[step])
-        self._view.record_commit(swap, response.revision)
+        self._view.apply_commit(swap, response.revision)
         self._view.publish_changes()
         if step is ManagerStep.RELEASE:
-            self._context.log("info", f"released {job}: all that it depends on is done")
+            self._context.log("info", f"released {job}: all its parents are done")
             self._announcements.announce(job)
 
     def _log_change(
         self, managed: ManagedJob, record: JobRecord, step: ManagerStep, response: StoreResponse
     ) -> None:
-        self._context.decisions.note(
+        self._context.decisions.log(
             self._context.now,
             Decision.RECORD,
             step.name.lower(),
@@ -225,55 +234,66 @@
             depends_on=len(record.spec.depends_on),
         )
 
-    def _change_for(
+    def _commit_for_step(
         self, managed: ManagedJob, record: JobRecord, step: ManagerStep
     ) -> CompareAndSwap:
-        """The change of the record that a step asks for."""
+        """Return the commit that changes the record as a step requires."""
         key = keys.JOBS + managed.job
         preconditions = [
             (key, self._view.version(key)),
             self._leadership.fence_precondition(managed.shard_id),
         ]
         if step is ManagerStep.REWRITE:
-            return CompareAndSwap(preconditions, [Put(key, record)], [], Lane.ACCEPTANCE)
+            return CompareAndSwap(preconditions, [Put(key, record)], [], RequestPriority.ACCEPTANCE)
         if step is ManagerStep.CANCEL:
             value_kb = self._context.settings.cluster.state.value_kb
             cancelled = with_cancel(record, value_kb)
-            return CompareAndSwap(preconditions, [Put(key, cancelled)], [], Lane.ACCEPTANCE)
+            return CompareAndSwap(
+                preconditions, [Put(key, cancelled)], [], RequestPriority.ACCEPTANCE
+            )
         if step is ManagerStep.RELEASE:
             released = with_release(record, self._context.wall_time)
-            return CompareAndSwap(preconditions, [Put(key, released)], [], Lane.FINAL_STATE)
-        final_key = keys.FINALS + managed.job
+            return CompareAndSwap(
+                preconditions, [Put(key, released)], [], RequestPriority.FINAL_STATE
+            )
+        final_key = keys.FINAL_STATES + managed.job
         return CompareAndSwap(
             [*preconditions, (final_key, 0)],
             [Put(final_key, FINAL_STATE_OF[step])],
             [key],
-            self._end_lane(managed, step),
+            self._priority_of_end(managed, step),
         )
 
-    def _end_lane(self, managed: ManagedJob, step: ManagerStep) -> Lane:
+    def _priority_of_end(self, managed: ManagedJob, step: ManagerStep) -> RequestPriority:
         is_blocked = step is ManagerStep.END_BLOCKED
-        is_patient = is_blocked and not self._dependencies.is_end_overdue(managed.job)
-        return Lane.PROGRESS if is_patient else Lane.FINAL_STATE
+        is_deferrable = is_blocked and not self._dependencies.is_end_overdue(managed.job)
+        return RequestPriority.PROGRESS if is_deferrable else RequestPriority.FINAL_STATE
 
-    # --- asked by others -------------------------------------------------------------------
+    # --- requests from other nodes and users -----------------------------------------------
 
     def receive_migration_announcement(self, message: AnnounceMigration) -> Coroutine[int]:
-        """A slice was moved here: the last change entry known of its job (Algorithm 4)."""
+        """Return how many change entries of a migrated slice's job are known here (Algorithm 4).
+
+        A record that is older than the migration is read again first.
+        """
         if self._view.version(keys.JOBS + message.job) < message.version:
             yield from self._reader.read_record(message.job)
         record = self._view.jobs.get(message.job)
         return len(record.change_list) if record is not None else 0
 
     def receive_change_entries(self, message: SendChangeEntries) -> bool:
-        """Later change entries of a job, sent by the source of a migration."""
+        """Apply later change entries of a job, sent by the source of a migration; return True."""
         if any(entry[0] == ChangeKind.CANCEL for entry in message.entries):
             self._cancels.record(message.job, message.version)
         return True
 
     def cancel_managed(self, job: str) -> Coroutine[JobState | None]:
-        """Cancel a job managed here: its final state, or None if it takes too long."""
-        until = self._context.now + CANCEL_S
+        """Cancel a job managed here, and return its final state.
+
+        Returns None when this node may not cancel the job, or when the cancel is not confirmed
+        within ``CANCEL_TIMEOUT_S``.
+        """
+        until = self._context.now + CANCEL_TIMEOUT_S
         while self._context.now < until:
             if job in self._final_states:
                 return self._final_states[job]
@@ -286,14 +306,15 @@
             if not managed.is_advancing:
                 self._context.spawn(self._advance(managed))
                 continue
-            yield Sleep(CANCEL_PAUSE_S)
+            yield Sleep(CANCEL_POLL_S)
         return None
 
     def _may_cancel(self, managed: ManagedJob) -> bool:
-        """Whether a job can be cancelled here."""
+        """Return whether this node may cancel a job as its manager."""
         if managed.job not in self._view.jobs:
             return False
         if not self._leadership.is_leader(managed.shard_id):
             return False
-        # What cannot be written here another may be able to write.
+        # While its lease renewals fail, this node may be unable to write to the store, and the node
+        # that the user asked commits the cancel. A committed cancel needs no further write here.
         return not self._lease.is_renewal_failing or self._cancels.is_known(managed.job)
--- a/marblestair/core/jobs/job_status.py
+++ b/marblestair/core/jobs/job_status.py
@@ -1,4 +1,4 @@
-"""What users are answered about a job, and the proofs that no earlier answer was newer."""
+"""The status of a job in answers to users, and the proofs that it is not stale."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class JobStatus(msgspec.Struct, frozen=True, array_like=True):
-    """The answer about a job: its state, and for display its tasks done and running."""
+    """Status of a job: its state and, for display only, its numbers of done and running tasks."""
 
     state: JobState
     done: int | None = None
@@ -18,28 +18,28 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether the job is over for good."""
+        """Whether the state is final, so that it never changes again."""
         return self.state in FINAL_STATES
 
 
-#: of a job that nobody submitted
+#: status of an id under which no job was accepted
 UNKNOWN = JobStatus(JobState.UNKNOWN)
 
 
 class Proof(enum.Enum):
-    """Why a status is not older than anything that was answered before the request came in."""
+    """Why a status is at least as recent as every answer given before the request arrived."""
 
-    #: the leader of the job's manager shard may act, and no change of the record that it sent is
-    #: on its way or uncertain: it alone can commit a final state
+    #: the answering node is the valid leader of the job's manager shard, and no commit of the
+    #: record that it sent is in flight or uncertain: no other node can commit a final state
     MANAGER = enum.auto()
-    #: a read of the store, sent after the request came in
+    #: a read of the store that was sent after the request arrived
     READ = enum.auto()
-    #: another node had such a proof when it was asked, after the request came in
+    #: another node, asked after the request arrived, had one of the other proofs
     PEER = enum.auto()
 
 
 class ProvenStatus(msgspec.Struct, frozen=True):
-    """A status that is not final, with its proof."""
+    """A status that is not final, and the proof that it is not stale."""
 
     status: JobStatus
     proof: Proof
--- a/marblestair/core/jobs/managed_job.py
+++ b/marblestair/core/jobs/managed_job.py
@@ -1,4 +1,4 @@
-"""A job whose ServerManager runs here: its locks, the progress of its slices, and its changes."""
+"""A job whose ServerManager runs at this node: its locks, slice progress and commits."""
 
 from __future__ import annotations
 
@@ -10,57 +10,58 @@
 
 
 class ManagedJob:
-    """One job whose manager shard this node leads."""
+    """A job whose manager shard this node leads."""
 
     def __init__(self, job: str, record: JobRecord) -> None:
         self.job = job
         self.shard_id = record.manager_shard
         self.locks = ServerManager({int(shard_id) for shard_id in record.slices})
-        #: shard -> what its leader last reported of the slice there
+        #: shard -> progress of the slice there, as the shard's leader last reported it
         self.progress_by_shard: dict[int, SliceProgress] = {}
         self.is_cancel_requested = False
-        #: a coroutine carries the job on
+        #: a coroutine is taking the job's next steps
         self.is_advancing = False
-        #: a change of the slices is being committed
-        self.is_migrating = False
-        #: a change of the record was sent, and whether it was carried out is not known
-        self.is_uncertain = False
-        self._changes_under_way = 0
+        #: a migration's change of the slices is being committed
+        self.is_committing_migration = False
+        #: a commit of the record got no response, so its outcome is unknown
+        self.has_uncertain_commit = False
+        self._commits_in_flight = 0
 
     @property
     def is_record_known(self) -> bool:
-        """Whether the record is surely as this node knows it, but for changes by others.
+        """Whether no commit of the record by this node is in flight or uncertain.
 
-        A change may be carried out, seen by the other nodes' watches and answered by them to
-        users long before its response is back here. So the record counts as unknown from before a
-        change is sent.
+        The store may carry out a commit, and other nodes may see it by their watches and answer
+        users by it, long before its response arrives here. So the record counts as unknown from
+        before a commit is sent. Changes by other nodes are not considered.
         """
-        return not self.is_uncertain and not self._changes_under_way
+        return not self.has_uncertain_commit and not self._commits_in_flight
 
     @property
     def tasks_done(self) -> int:
-        """Tasks done, as the shards' leaders last reported."""
+        """Number of done tasks, by the latest reports of the shards' leaders."""
         return sum(progress.done for progress in self.progress_by_shard.values())
 
     @property
     def tasks_running(self) -> int:
-        """Tasks running, as the shards' leaders last reported."""
+        """Number of running tasks, by the latest reports of the shards' leaders."""
         return sum(progress.running for progress in self.progress_by_shard.values())
 
     def commit_change(self, swap: CompareAndSwap) -> Coroutine[StoreResponse]:
-        """Send a change of the record; every change by its manager goes this way.
+        """Send a commit of the record; the manager sends all its commits by this method.
 
-        Without a response it may have been carried out, or may yet be. That uncertainty lasts until
-        a later change succeeds, or until the record has been read again after a 409.
+        A commit without a response may have been carried out, or may still be. It stays uncertain
+        until a later commit succeeds, or until the record has been read again after a failed
+        precondition (409).
         """
-        self._changes_under_way += 1
+        self._commits_in_flight += 1
         try:
             response: StoreResponse = yield swap
         finally:
-            self._changes_under_way -= 1
+            self._commits_in_flight -= 1
         if response.status == 200:
-            # On condition of the same version, no earlier try can be carried out any more.
-            self.is_uncertain = False
+            # The record has a new version, so the precondition of any earlier commit now fails.
+            self.has_uncertain_commit = False
         elif response.status == 0:
-            self.is_uncertain = True
+            self.has_uncertain_commit = True
         return response
--- a/marblestair/core/jobs/manager_steps.py
+++ b/marblestair/core/jobs/manager_steps.py
@@ -1,4 +1,4 @@
-"""What the manager of a job has to do next for it."""
+"""Chooses the next step of a job's manager."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 
 
 class ManagerStep(enum.Enum):
-    """A step of a job's manager; all but one change the job's record."""
+    """A step of a job's manager; all but PROPAGATE_CANCEL change the job's record."""
 
-    #: write the record as it is: an uncertain change is then either found applied or can never be
+    #: write the record unchanged: an uncertain commit has then been carried out, or never will be
     REWRITE = enum.auto()
-    #: have a committed cancel applied by every leader that may act
+    #: have a committed cancel applied by every leader that may act for the job
     PROPAGATE_CANCEL = enum.auto()
-    #: record the end of a cancelled job of which nothing runs any more
+    #: record the end of a cancelled job that has no task on a machine any more
     END_CANCELLED = enum.auto()
     #: record the end of a job whose tasks are all done
     FINISH = enum.auto()
-    #: commit the entry of a cancel
+    #: commit a cancel to the job's change list
     CANCEL = enum.auto()
-    #: commit the entry that lets the tasks of a job start, since all that it depends on is done
+    #: commit the release of a blocked job whose parents are all done: its tasks may start
     RELEASE = enum.auto()
-    #: record the end of a blocked job of which an ancestor is cancelled
+    #: record the end of a blocked job that has a cancelled ancestor
     END_BLOCKED = enum.auto()
 
 
-#: the final state that a step records
+#: the final state recorded by each step that ends a job
 FINAL_STATE_OF = {
     ManagerStep.FINISH: JobState.DONE,
     ManagerStep.END_CANCELLED: JobState.CANCELLED,
@@ -52,15 +52,15 @@
     def next_step(
         self, managed: ManagedJob, record: JobRecord, may_end_blocked: bool
     ) -> ManagerStep | None:
-        """What is to be done for a job now, if anything.
+        """Return the next step for a job, or None when there is nothing to do.
 
-        ``may_end_blocked`` says whether another end of a blocked job may be begun.
+        ``may_end_blocked`` says whether one more commit that ends a blocked job may start.
         """
         shard_map = self._view.shard_map
         if shard_map is None:
             return None
-        if managed.is_uncertain and not managed.is_migrating:
-            # A change is uncertain that nobody follows up.
+        if managed.has_uncertain_commit and not managed.is_committing_migration:
+            # No migration retries the uncertain commit, so the manager has to settle it.
             return ManagerStep.REWRITE
         if record.is_cancelled:
             return self._next_cancelled_step(managed, record, shard_map)
@@ -80,11 +80,12 @@
         return None
 
     def _next_blocked_step(self, managed: ManagedJob, may_end_blocked: bool) -> ManagerStep | None:
-        """What is to be done for a job that depends on others."""
+        """Return the next step for a job whose release is not committed."""
         if self._dependencies.has_cancelled_ancestor(managed.job):
             if not self._dependencies.may_end(managed.job):
                 return ManagerStep.CANCEL if managed.is_cancel_requested else None
-            # Nobody waits for these ends: only so many at once, behind all else that is written.
+            # No user waits for these ends: the number in flight is limited, and their commits have
+            # a lower priority than others until they are overdue.
             may_end = may_end_blocked or managed.is_advancing
             return ManagerStep.END_BLOCKED if may_end else None
         if managed.is_cancel_requested:
@@ -93,7 +94,7 @@
 
 
 def is_complete(managed: ManagedJob, record: JobRecord, shard_map: ShardMap) -> bool:
-    """Whether every slice of the record is reported done by its shard's present leader."""
+    """Return whether every slice is done, by the record or by its present leader's report."""
     total = 0
     for name, ranges in record.slices.items():
         shard_id = int(name)
@@ -111,12 +112,12 @@
 
 
 def has_no_placed_tasks(managed: ManagedJob, record: JobRecord, shard_map: ShardMap) -> bool:
-    """Whether no shard has a task of the job on a machine any more."""
+    """Return whether no shard has a task of a cancelled job on a machine any more."""
     for name in record.slices:
         progress = managed.progress_by_shard.get(int(name))
         if progress is None or progress.term != shard_map.shards[int(name)].term:
             return False
-        # What was reported before the cancel was applied says nothing of what started since.
+        # A report from before the cancel was applied does not cover tasks that started since.
         if progress.placed_tasks != 0 or not progress.is_cancelled:
             return False
     return True
--- a/marblestair/core/jobs/migration_locks.py
+++ b/marblestair/core/jobs/migration_locks.py
@@ -1,4 +1,4 @@
-"""Migrations of slices as the managers of jobs see them: locks, and the commit of an update."""
+"""Migrations of slices at the managers of jobs: the locks, and the commits of updates."""
 
 from __future__ import annotations
 
@@ -15,23 +15,24 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
-from marblestair.core.runtime.store_requests import CompareAndSwap, Lane, Put
+from marblestair.core.runtime.store_requests import CompareAndSwap, Put, RequestPriority
 from marblestair.core.state import keys
-from marblestair.core.state.records import RECORD_SHARE, JobRecord, exceeds_value_limit
+from marblestair.core.state.records import MAX_RECORD_SHARE, JobRecord, exceeds_value_limit
 from marblestair.core.state.store_view import StoreView
 
-#: a migration's locks are given up when its source has not come back for this share of a lease
-LOCK_RATIO = 0.5
-#: tries of a change that certainly was not carried out
-MOST_TRIES = 3
+#: a migration's locks expire after this share of an agent's lease, unless its update is being
+#: committed
+LOCK_TIMEOUT_LEASE_SHARE = 0.5
+#: retries of a commit that was certainly not carried out
+MAX_COMMIT_RETRIES = 3
 
-#: the record's new version in a list; False when nothing was and will be changed; None when that
-#: is not known
+#: the record's new version in a list; False when nothing was changed and nothing will be; None
+#: when the outcome is unknown
 UpdateReply = list[int] | bool | None
 
 
 class MigrationLocks:
-    """The migrations of jobs that one node manages."""
+    """Grants the migration locks of the jobs that one node manages, and commits the updates."""
 
     def __init__(
         self,
@@ -48,11 +49,11 @@
         self._managed_jobs = managed_jobs
         self._cancels = cancels
         self._reader = reader
-        #: job and holder -> when the lock was given
+        #: job and holder -> when the locks were granted
         self._locked_since: dict[tuple[str, Hashable], float] = {}
 
     def handle(self, message: LockSlices | UpdateSlices | ReleaseSlices) -> Coroutine[UpdateReply]:
-        """A request to a job's ServerManager; None when it is not here."""
+        """Handle a request to a job's ServerManager; return None when it does not run here."""
         managed = self._managed_jobs.get(message.job)
         if managed is None or message.job not in self._view.jobs:
             return None
@@ -67,72 +68,73 @@
     def _lock(self, managed: ManagedJob, holder: str) -> bool:
         if self._cancels.is_known(managed.job) or managed.is_cancel_requested:
             return False
-        if not managed.locks.request_migration(holder):
+        if not managed.locks.acquire_migration_locks(holder):
             return False
         self._locked_since[(managed.job, holder)] = self._context.now
         return True
 
     def _release(self, managed: ManagedJob, holder: str) -> bool:
-        if managed.is_migrating or managed.is_uncertain:
+        if managed.is_committing_migration or managed.has_uncertain_commit:
             return False
         self._locked_since.pop((managed.job, holder), None)
-        managed.locks.release_shared(holder)
+        managed.locks.release_migration_locks(holder)
         return True
 
     def _update(self, managed: ManagedJob, update: UpdateSlices) -> Coroutine[UpdateReply]:
-        """Make a migration durable."""
+        """Commit the slices of a migration to the job's record."""
         record = self._updated_record(managed, update)
         if record is None:
             return False
-        managed.is_migrating = True
+        managed.is_committing_migration = True
         try:
             return (yield from self._commit(managed, update, record))
         finally:
-            managed.is_migrating = False
+            managed.is_committing_migration = False
 
     def _updated_record(self, managed: ManagedJob, update: UpdateSlices) -> JobRecord | None:
-        """The record with the slices as they are to be; None when the update is not valid."""
+        """Return the record with the migrated slices, or None when the update is not valid."""
         shard_map = self._view.shard_map
         record = self._view.jobs[managed.job]
-        if managed.locks.short != update.holder or shard_map is None:
+        if managed.locks.short_term_holder != update.holder or shard_map is None:
             return None
         if shard_map.shards[update.source].term != update.term:
             return None
         if update.source == update.target or not update.ranges:
             return None
-        slices = _moved(record.slices, update)
+        slices = _slices_after_migration(record.slices, update)
         if slices is None:
             return None
         moved = (update.source, update.target)
         complete = [shard_id for shard_id in record.complete_shards if shard_id not in moved]
         updated = msgspec.structs.replace(record, slices=slices, complete_shards=complete)
         value_kb = self._context.settings.cluster.state.value_kb
-        if exceeds_value_limit(updated, value_kb, RECORD_SHARE):
-            # So many small ranges would outgrow the record; the tasks stay with the source.
+        if exceeds_value_limit(updated, value_kb, MAX_RECORD_SHARE):
+            # With many small ranges the record would exceed the store's limit for a value; the
+            # tasks stay with the source.
             return None
         return updated
 
     def _commit(
         self, managed: ManagedJob, update: UpdateSlices, record: JobRecord
     ) -> Coroutine[UpdateReply]:
-        swap = self._change(managed, update, record)
+        swap = self._migration_commit(managed, update, record)
         outcome: bool | None = False
         tries = 0
         while self._is_managed_here(managed):
             tries += 1
             response = yield from managed.commit_change(swap)
             if response.status == 200:
-                self._view.record_commit(swap, response.revision)
+                self._view.apply_commit(swap, response.revision)
                 self._apply(managed, update)
                 self._view.publish_changes()
                 return [response.revision]
             if response.status == 409:
                 if (yield from self._reader.refresh(managed.job)):
-                    managed.is_uncertain = False
-                    return self._found(managed, update, record)
+                    managed.has_uncertain_commit = False
+                    return self._reply_after_read(managed, update, record)
             elif response.status == 0:
                 outcome = None
-            elif not managed.is_uncertain and tries > MOST_TRIES:
+            elif not managed.has_uncertain_commit and tries > MAX_COMMIT_RETRIES:
                 return False
             yield Sleep(0.1 + 0.2 * self._context.rng.random())
         return outcome
@@ -141,60 +143,66 @@
         is_current = self._managed_jobs.get(managed.job) is managed
         return is_current and self._leadership.is_leader(managed.shard_id)
 
-    def _change(
+    def _migration_commit(
         self, managed: ManagedJob, update: UpdateSlices, record: JobRecord
     ) -> CompareAndSwap:
         key = keys.JOBS + managed.job
-        # The source's fence too: were the shard taken over meanwhile, its new leader may have
-        # started what an update still on its way would give to another shard.
+        # The source's fence is a precondition too: after a takeover of the source, its new leader
+        # may have started tasks that this commit, if still in flight, would give to the target.
         preconditions = [
             (key, self._view.version(key)),
             self._leadership.fence_precondition(managed.shard_id),
         ]
         if update.source != managed.shard_id:
             preconditions.append(self._leadership.fence_precondition(update.source))
-        return CompareAndSwap(preconditions, [Put(key, record)], [], Lane.FINAL_STATE)
+        return CompareAndSwap(preconditions, [Put(key, record)], [], RequestPriority.FINAL_STATE)
 
     def _apply(self, managed: ManagedJob, update: UpdateSlices) -> None:
-        """An update was committed: what was reported of both slices says nothing any more."""
-        managed.locks.update(update.holder, update.source, update.option, update.target)
+        """Apply a committed update; the progress reported for both slices is out of date."""
+        managed.locks.update_active_servers(
+            update.holder, update.source, update.option, update.target
+        )
         managed.progress_by_shard.pop(update.source, None)
         managed.progress_by_shard.pop(update.target, None)
 
-    def _found(self, managed: ManagedJob, update: UpdateSlices, record: JobRecord) -> UpdateReply:
-        """What became of an update whose record was read back."""
+    def _reply_after_read(
+        self, managed: ManagedJob, update: UpdateSlices, record: JobRecord
+    ) -> UpdateReply:
+        """Return the reply to an update whose precondition failed, by the record read since."""
         found = self._view.jobs.get(managed.job)
         if found is None or found.slices != record.slices:
             return False
-        managed.locks.update(update.holder, update.source, update.option, update.target)
+        managed.locks.update_active_servers(
+            update.holder, update.source, update.option, update.target
+        )
         return [self._view.version(keys.JOBS + managed.job)]
 
     def tick(self) -> None:
-        """Give up the locks of sources that have not come back."""
+        """Release the locks that their migrations have held for too long."""
         now = self._context.now
-        limit_s = LOCK_RATIO * self._context.settings.cluster.workers.lease_s
+        limit_s = LOCK_TIMEOUT_LEASE_SHARE * self._context.settings.cluster.workers.lease_s
         for (job, holder), since in list(self._locked_since.items()):
             managed = self._managed_jobs.get(job)
-            if managed is None or (now - since > limit_s and not managed.is_migrating):
+            if managed is None or (now - since > limit_s and not managed.is_committing_migration):
                 del self._locked_since[(job, holder)]
                 if managed is not None:
-                    managed.locks.release_shared(holder)
+                    managed.locks.release_migration_locks(holder)
 
 
-def _moved(
+def _slices_after_migration(
     slices: dict[str, list[list[int]]], update: UpdateSlices
 ) -> dict[str, list[list[int]]] | None:
-    """Slices after a migration; None when the source does not hold all that it gives."""
+    """Return the slices after a migration; None when the source lacks some of the moved tasks."""
     remaining = IndexRanges(slices.get(str(update.source), []))
     for start, end in update.ranges:
         for index in range(start, end):
             if not remaining.discard(index):
                 return None
-    given = IndexRanges(slices.get(str(update.target), []))
+    target_ranges = IndexRanges(slices.get(str(update.target), []))
     for start, end in update.ranges:
-        given.add(start, end)
+        target_ranges.add(start, end)
     moved = {name: ranges for name, ranges in slices.items() if int(name) != update.source}
-    moved[str(update.target)] = [list(pair) for pair in given.items]
+    moved[str(update.target)] = [list(pair) for pair in target_ranges.items]
     if remaining.items:
         moved[str(update.source)] = [list(pair) for pair in remaining.items]
     return moved
--- a/marblestair/core/jobs/parents.py
+++ b/marblestair/core/jobs/parents.py
@@ -1,7 +1,7 @@
-"""The jobs that a submission depends on, as they are found when it comes in.
+"""Lookup of the jobs that a submission depends on: its parents.
 
-Users name only jobs that were accepted, by any node: one that nobody accepted is refused, but only
-after a read of the store that was sent after the request came in.
+Parents may have been accepted by any node. A submission with a parent that was never accepted is
+refused, but only after a read of the store, sent after the request arrived, did not find it.
 """
 
 from __future__ import annotations
@@ -18,38 +18,38 @@
 from marblestair.core.jobs.record_reader import RecordReader
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
-from marblestair.core.runtime.store_requests import Lane
+from marblestair.core.runtime.store_requests import RequestPriority
 from marblestair.core.state.store_view import StoreView
 
-#: time for the reads of one submission, of the 5 s that its user waits
-READS_S = 2.5
+#: time for the parent lookups of one submission, out of the 5 s that its user waits
+LOOKUP_TIMEOUT_S = 2.5
 
 
 class ParentsState(enum.Enum):
-    """What is to become of a submission by the jobs that it depends on."""
+    """How its parents decide about a submission."""
 
-    #: all were accepted, and none is cancelled
+    #: all parents were accepted, and none is cancelled
     ACCEPTED = enum.auto()
-    #: one of them, or a job before it, is cancelled
+    #: a parent, or an ancestor of it, is cancelled
     CANCELLED = enum.auto()
-    #: one of them was never accepted
+    #: a parent was never accepted
     UNKNOWN = enum.auto()
-    #: it is not known now
+    #: the status of a parent is not available now
     UNDECIDED = enum.auto()
 
 
 class ParentLookupResult(msgspec.Struct, frozen=True):
-    """What was found of the jobs that a submission depends on."""
+    """Result of the lookup of a submission's parents."""
 
     state: ParentsState
-    #: those that are not done
+    #: parents that are neither done nor cancelled; empty for UNKNOWN and UNDECIDED
     unfinished: list[str] = []
-    #: the one that decided
+    #: the parent that determined the state; empty for ACCEPTED
     deciding_job: str = ""
 
 
 class ParentLookup:
-    """Finds parents in what is remembered, in the view, and else by a read."""
+    """Finds parents among the cached final states, in the view or by a read of the store."""
 
     def __init__(
         self,
@@ -68,11 +68,12 @@
         self._lookups = lookups
 
     def find(self, parents: list[str]) -> Coroutine[ParentLookupResult]:
-        """Find each parent.
+        """Look up the parents of a submission.
 
-        What was read is remembered, so that a repeated submission goes on where this one ended.
+        The results of reads are cached, so a retry of the submission continues where this lookup
+        stopped.
         """
-        until = self._context.now + READS_S
+        until = self._context.now + LOOKUP_TIMEOUT_S
         unfinished = []
         cancelled = ""
         for job in parents:
@@ -92,9 +93,9 @@
         return ParentLookupResult(ParentsState.ACCEPTED, unfinished)
 
     def _status(self, job: str) -> Coroutine[JobStatus | None]:
-        """One parent's status as far as it matters here; None when it is not known now."""
+        """Return a parent's status as final, cancelled or queued; None when it is not available."""
         if job not in self._final_states and job not in self._view.jobs:
-            read = self._reader.read_final_first(job, Lane.LOOKUP)
+            read = self._reader.read_final_first(job, RequestPriority.LOOKUP)
             status = yield from self._lookups.read_within_limit(read)
             if status is None or status == UNKNOWN:
                 return status
--- a/marblestair/core/jobs/progress_reports.py
+++ b/marblestair/core/jobs/progress_reports.py
@@ -1,4 +1,4 @@
-"""What the leaders of slices report to the managers of their jobs."""
+"""Progress reports from the leaders of slices to the managers of the jobs."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state.store_view import StoreView
 
-#: an unchanged report of a slice is repeated after this time
-REPEAT_S = 2.0
-#: reports remembered as sent, for each live job and in addition
-MOST_SENT_PER_JOB, MOST_SENT = 4, 200
-#: tasks on machines, where that is not known
-NOT_KNOWN = -1
+#: the unchanged progress of a slice is reported again after this time
+REPEAT_INTERVAL_S = 2.0
+#: sent reports that are kept for comparison: for each live job, and in addition to these
+MAX_SENT_REPORTS_PER_JOB, MAX_EXTRA_SENT_REPORTS = 4, 200
+#: number of placed tasks while it is not known
+PLACED_TASKS_UNKNOWN = -1
 
 
 class SentReport(NamedTuple):
-    """A report that was sent to a manager elsewhere."""
+    """Progress that was sent to a manager on another node."""
 
     sent_at: float
     progress: SliceProgress
 
 
 class ProgressReports:
-    """The reports that one node sends as leader of slices, and receives as manager of jobs."""
+    """Sends one node's reports as leader of slices, and receives reports as manager of jobs."""
 
     def __init__(
         self,
@@ -41,15 +41,15 @@
         self._view = view
         self._leadership = leadership
         self._managed_jobs = managed_jobs
-        #: shard and job -> the latest report to a manager elsewhere
+        #: shard and job -> the latest report to a manager on another node
         self._sent: dict[tuple[int, str], SentReport] = {}
 
-    def forget_sent(self) -> None:
-        """Managers may have moved: report all slices again."""
+    def clear_sent(self) -> None:
+        """Have all slices reported again, because managers may have moved to other nodes."""
         self._sent.clear()
 
     def receive(self, report: ProgressReport) -> None:
-        """The leader of a shard reports its slices."""
+        """Record the progress that the leader of some slices reports."""
         for progress in report.slices:
             self._record(progress)
 
@@ -60,13 +60,13 @@
             return
         if not 0 <= progress.shard_id < len(shard_map.shards):
             return
-        # Only the present leader's report counts: an earlier leader's count may include tasks that
-        # have since moved to another shard.
+        # Reports of earlier leaders are dropped: their counts may include tasks that have since
+        # moved to another shard.
         if shard_map.shards[progress.shard_id].term == progress.term:
             managed.progress_by_shard[progress.shard_id] = progress
 
     def send(self, led_shards: list[Shard]) -> None:
-        """Report the slices of the shards here, each to its job's manager, when they changed."""
+        """Report the slices of the led shards to their managers, if changed or due again."""
         reports: dict[str, list[SliceProgress]] = {}
         for shard in led_shards:
             for job, job_slice in shard.slices.items():
@@ -82,7 +82,10 @@
                     reports.setdefault(manager, []).append(progress)
         for node, slices in reports.items():
             self._context.send(node, ProgressReport(slices))
-        if len(self._sent) > MOST_SENT_PER_JOB * len(self._view.jobs) + MOST_SENT:
+        if (
+            len(self._sent)
+            > MAX_SENT_REPORTS_PER_JOB * len(self._view.jobs) + MAX_EXTRA_SENT_REPORTS
+        ):
             self._sent.clear()
 
     def _record_if_changed(self, shard: Shard, job: str, progress: SliceProgress) -> None:
@@ -91,15 +94,15 @@
             self._record(progress)
 
     def _is_due(self, shard: Shard, job: str, progress: SliceProgress) -> bool:
-        """Whether a slice has to be reported to a manager elsewhere now."""
+        """Return whether the progress of a slice has to be sent to another node now."""
         sent = self._sent.get((shard.shard_id, job))
         if sent is None:
             return True
-        return sent.progress != progress or self._context.now - sent.sent_at > REPEAT_S
+        return sent.progress != progress or self._context.now - sent.sent_at > REPEAT_INTERVAL_S
 
 
 def slice_progress(shard: Shard, job_slice: JobSlice) -> SliceProgress:
-    """What is to be reported of a slice."""
+    """Return the progress of a slice as it is reported."""
     is_unknown = job_slice.is_unreconciled or bool(shard.unreconciled_machines)
     return SliceProgress(
         job=job_slice.spec.id,
@@ -107,7 +110,7 @@
         term=shard.term,
         done=job_slice.done_count,
         running=job_slice.running_count,
-        placed_tasks=NOT_KNOWN if is_unknown else len(job_slice.placed_on),
+        placed_tasks=PLACED_TASKS_UNKNOWN if is_unknown else len(job_slice.placed_on),
         size=job_slice.size,
         is_cancelled=job_slice.is_cancelled,
     )
--- a/marblestair/core/jobs/record_announcements.py
+++ b/marblestair/core/jobs/record_announcements.py
@@ -1,6 +1,7 @@
-"""Announces records that this node has committed to the others, ahead of their watches.
+"""Announces committed job records to the other nodes, ahead of their watches.
 
-They can start what was released, and know an accepted job when another one depends on it.
+With an announced record, another node can start the tasks of a released job at once, and knows an
+accepted job when a submission depends on it.
 """
 
 from __future__ import annotations
@@ -14,21 +15,21 @@
 
 
 class RecordAnnouncements:
-    """The announcements that one node sends and receives."""
+    """Sends and receives announcements of committed job records."""
 
     def __init__(self, context: NodeContext, view: StoreView) -> None:
         self._context = context
         self._view = view
 
     def announce(self, job: str) -> None:
-        """Announce the record of a job that this node has just committed."""
+        """Broadcast the record of a job that this node has just committed."""
         record = self._view.jobs.get(job)
         if record is not None:
             version = self._view.version(keys.JOBS + job)
             self._context.broadcast(RecordCommitted(job, record, version))
 
     def receive(self, message: RecordCommitted) -> None:
-        """Another node has committed a job's record."""
+        """Apply a job's record that another node has committed."""
         record = msgspec.to_builtins(message.record)
-        self._view.record_read(keys.JOBS + message.job, record, message.version)
+        self._view.apply_read(keys.JOBS + message.job, record, message.version)
         self._view.publish_changes()
--- a/marblestair/core/jobs/record_reader.py
+++ b/marblestair/core/jobs/record_reader.py
@@ -1,4 +1,4 @@
-"""Fresh reads of a job's record and of its final state."""
+"""Reads of a job's record and final state from the store."""
 
 from __future__ import annotations
 
@@ -9,17 +9,18 @@
 from marblestair.core.jobs.job_status import UNKNOWN, JobStatus
 from marblestair.core.leadership.connectivity import Connectivity
 from marblestair.core.runtime.coroutines import Coroutine
-from marblestair.core.runtime.store_requests import Get, Lane, StoreResponse
+from marblestair.core.runtime.store_requests import Get, RequestPriority, StoreResponse
 from marblestair.core.state import keys
 from marblestair.core.state.records import JobRecord
 from marblestair.core.state.store_view import StoreView
 
 
 class RecordReader:
-    """The reads of one node.
+    """Reads the records and final states of jobs for one node.
 
-    Each returns the status as the store has it, UNKNOWN, or None when it could not be read. What is
-    read is applied to the view; whether users may be answered with it is for the caller to decide.
+    Each read returns the status that the store holds, UNKNOWN if the store holds none, or None if
+    the read failed. The result is also applied to the view or to the cached final states. The
+    caller decides whether users may be answered with it.
     """
 
     def __init__(
@@ -29,47 +30,50 @@
         self._connectivity = connectivity
         self._final_states = final_states
 
-    def read_record(self, job: str, lane: Lane = Lane.ACCEPTANCE) -> Coroutine[JobStatus | None]:
-        """Read a job's record, and its final state if there is no record."""
+    def read_record(
+        self, job: str, priority: RequestPriority = RequestPriority.ACCEPTANCE
+    ) -> Coroutine[JobStatus | None]:
+        """Read a job's record, and its final state if it has no record."""
         if self._connectivity.is_disconnected():
             return None
         key = keys.JOBS + job
-        response: StoreResponse = yield Get(key, lane)
+        response: StoreResponse = yield Get(key, priority)
         if response.status == 200:
-            self._view.record_read(key, response.value, response.version)
+            self._view.apply_read(key, response.value, response.version)
             self._view.publish_changes()
             record = msgspec.convert(response.value, JobRecord)
             return JobStatus(JobState.CANCELLED if record.is_cancelled else JobState.QUEUED)
         if response.status != 404:
             return None
-        self._view.record_absence(key, response.revision)
+        self._view.apply_absence(key, response.revision)
         self._view.publish_changes()
-        # In this order: a job that ends between the two reads moves from the first key to the
-        # second.
-        return (yield from self.read_final(job, lane))
+        # The record is read first: a job that ends between the two reads moves from the record's
+        # key to the final state's.
+        return (yield from self.read_final(job, priority))
 
-    def read_final(self, job: str, lane: Lane) -> Coroutine[JobStatus | None]:
-        """Read a job's final state; UNKNOWN if it has none."""
-        response: StoreResponse = yield Get(keys.FINALS + job, lane)
+    def read_final(self, job: str, priority: RequestPriority) -> Coroutine[JobStatus | None]:
+        """Read a job's final state; return UNKNOWN if it has none."""
+        response: StoreResponse = yield Get(keys.FINAL_STATES + job, priority)
         if response.status == 200 and response.value in FINAL_STATES:
             state = JobState(response.value)
             self._final_states.record(job, state)
             return JobStatus(state)
         return UNKNOWN if response.status == 404 else None
 
-    def read_final_first(self, job: str, lane: Lane) -> Coroutine[JobStatus | None]:
-        """Read a job's final state, then its record.
+    def read_final_first(self, job: str, priority: RequestPriority) -> Coroutine[JobStatus | None]:
+        """Read a job's final state, then its record if it has no final state.
 
-        For a job that the view lacks: it is most often over.
+        This order suits a job that is missing in the view, because it most often has ended.
         """
         if self._connectivity.is_disconnected():
             return None
-        final = yield from self.read_final(job, lane)
+        final = yield from self.read_final(job, priority)
         if final != UNKNOWN:
             return final
-        # Between the two reads it may have ended: the next one reads both, in that order.
-        return (yield from self.read_record(job, lane))
+        # The job may end between the two reads, so read_record() reads the final state again if the
+        # record is gone.
+        return (yield from self.read_record(job, priority))
 
     def refresh(self, job: str) -> Coroutine[bool]:
-        """Read a job's record afresh; whether that succeeded."""
+        """Read a job's record; return whether the read succeeded."""
         return (yield from self.read_record(job)) is not None
--- a/marblestair/core/jobs/request_services.py
+++ b/marblestair/core/jobs/request_services.py
@@ -1,4 +1,4 @@
-"""Composes what a node does about the requests of its users."""
+"""Composes the components that handle the requests of users."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     assignment: SliceAssignment,
     guaranteed_jobs: Container[str],
 ) -> UserRequests:
-    """Compose the requests of users, with the acceptance of jobs behind them."""
+    """Return the handler of user requests, with the acceptance of jobs that it uses."""
     acceptance = Acceptance(
         context,
         view,
--- a/marblestair/core/jobs/server_manager.py
+++ b/marblestair/core/jobs/server_manager.py
@@ -1,68 +1,86 @@
-"""The ServerManager of one job, and its three locks.
+"""The ServerManager of one job: its ActiveServers and its three locks.
 
-The paper's Algorithms 1 to 3 (Bauer and Reichert, section 3.2) need, for each instance: a shared
-lock that a migration holds to its end, a short exclusive lock that a migration holds while it
-changes ActiveServers, and an exclusive lock that a modification (here: a cancel) holds while it
-reaches every active server. The shared lock is incompatible with the exclusive one only.
+Algorithms 1 to 3 of the paper (Bauer and Reichert, section 3.2) need three locks for each
+instance: a shared lock that a migration holds until it ends, a short-term exclusive lock that a
+migration holds while it changes ActiveServers, and an exclusive lock that a modification (here: a
+cancel) holds while it is applied at every active server. The shared lock conflicts only with the
+exclusive lock.
 """
 
 from __future__ import annotations
 
 from collections.abc import Hashable
 
+#: options of a migration: its source remains an active server, or ceases to be one
 STAY, LOG_OFF = "stay", "log_off"
 
 
 class ServerManager:
-    """Locks and ActiveServers of one job; holders are any hashable names."""
+    """Locks and ActiveServers of one job; a lock's holder is any hashable name."""
 
-    __slots__ = ("active", "exclusive", "shared", "short", "waiting")
+    __slots__ = (
+        "active_servers",
+        "exclusive_holder",
+        "shared_holders",
+        "short_term_holder",
+        "waiting_modifications",
+    )
 
-    def __init__(self, active: set[int]) -> None:
-        self.active = set(active)
-        self.shared: set[Hashable] = set()
-        self.short: Hashable | None = None
-        self.exclusive: Hashable | None = None
-        #: modifications that wait; while any does, no new migration begins, so that none starves
-        self.waiting: set[Hashable] = set()
+    def __init__(self, active_servers: set[int]) -> None:
+        self.active_servers = set(active_servers)
+        self.shared_holders: set[Hashable] = set()
+        self.short_term_holder: Hashable | None = None
+        self.exclusive_holder: Hashable | None = None
+        #: modifications that wait for the exclusive lock; while there is one, no new migration gets
+        #: the shared lock, so that modifications do not starve
+        self.waiting_modifications: set[Hashable] = set()
 
-    def request_migration(self, holder: Hashable) -> bool:
-        """Shared and short-term lock in one call (footnote to Algorithm 1)."""
-        if self.exclusive is not None or self.waiting or self.short is not None:
+    def acquire_migration_locks(self, holder: Hashable) -> bool:
+        """Acquire the shared and the short-term lock in one call (footnote to Algorithm 1)."""
+        if (
+            self.exclusive_holder is not None
+            or self.waiting_modifications
+            or self.short_term_holder is not None
+        ):
             return False
-        self.shared.add(holder)
-        self.short = holder
+        self.shared_holders.add(holder)
+        self.short_term_holder = holder
         return True
 
-    def update(self, holder: Hashable, source: int, option: str, target: int) -> bool:
-        """Algorithm 2: change ActiveServers, then release the short-term lock."""
-        if self.short != holder:
+    def update_active_servers(
+        self, holder: Hashable, source: int, option: str, target: int
+    ) -> bool:
+        """Change ActiveServers, then release the short-term lock (Algorithm 2)."""
+        if self.short_term_holder != holder:
             return False
         if option == LOG_OFF:
-            self.active.discard(source)
-        self.active.add(target)
-        self.short = None
+            self.active_servers.discard(source)
+        self.active_servers.add(target)
+        self.short_term_holder = None
         return True
 
-    def release_shared(self, holder: Hashable) -> None:
-        """End of a migration, however it ended."""
-        self.shared.discard(holder)
-        if self.short == holder:
-            self.short = None
+    def release_migration_locks(self, holder: Hashable) -> None:
+        """Release the locks of a migration, whether or not it succeeded."""
+        self.shared_holders.discard(holder)
+        if self.short_term_holder == holder:
+            self.short_term_holder = None
 
-    def request_exclusive(self, holder: Hashable) -> set[int] | None:
-        """The exclusive lock together with ActiveServers; None while migrations are under way."""
-        if self.exclusive not in (None, holder):
+    def acquire_exclusive(self, holder: Hashable) -> set[int] | None:
+        """Acquire the exclusive lock and return ActiveServers; None while the lock is not free.
+
+        While migrations hold the shared lock, ``holder`` is added to the waiting modifications.
+        """
+        if self.exclusive_holder not in (None, holder):
             return None
-        if self.shared:
-            self.waiting.add(holder)
+        if self.shared_holders:
+            self.waiting_modifications.add(holder)
             return None
-        self.waiting.discard(holder)
-        self.exclusive = holder
-        return set(self.active)
+        self.waiting_modifications.discard(holder)
+        self.exclusive_holder = holder
+        return set(self.active_servers)
 
     def release_exclusive(self, holder: Hashable) -> None:
-        """End of a modification, however it ended."""
-        self.waiting.discard(holder)
-        if self.exclusive == holder:
-            self.exclusive = None
+        """Release the exclusive lock, or withdraw the request for it."""
+        self.waiting_modifications.discard(holder)
+        if self.exclusive_holder == holder:
+            self.exclusive_holder = None
--- a/marblestair/core/jobs/services.py
+++ b/marblestair/core/jobs/services.py
@@ -1,4 +1,4 @@
-"""Composes what a node does about jobs: their records, managers, cancels and answers."""
+"""Composes the job components of a node: records, managers, cancels and answers."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class JobServices:
-    """The components of this package, for one node, but for the requests of its users."""
+    """The components of this package for one node, except those for user requests."""
 
     def __init__(self, context: NodeContext, view: StoreView, leading: LeadershipServices) -> None:
         leadership, connectivity = leading.leadership, leading.connectivity
--- a/marblestair/core/jobs/user_requests.py
+++ b/marblestair/core/jobs/user_requests.py
@@ -1,4 +1,4 @@
-"""Users' requests: submission, query and cancel of a job, each ended by one reply."""
+"""User requests: submission, query and cancel of a job, each with exactly one reply."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 from marblestair.core.runtime.requests import PeerRequest
 from marblestair.core.state.store_view import StoreView
 
-#: time for another controller to reply to a cancel, within the 5 s that a user waits; what is left
-#: of them is for the store
-CANCEL_PEER_S = 2.5
-#: time for the leaders of slices to apply a cancel that is entered by way of the record
-CONFIRMATION_S = 1.0
+#: time for another controller to reply to a cancel, out of the 5 s that a user waits; the rest is
+#: for the store
+CANCEL_PEER_TIMEOUT_S = 2.5
+#: time for the confirmation of a cancel that this node committed in place of the manager
+CONFIRMATION_TIMEOUT_S = 1.0
 
 
 class UserRequests:
-    """The requests of users at one node."""
+    """Handles the requests of users at one node."""
 
     def __init__(  # noqa: PLR0913 - its collaborators
         self,
@@ -59,15 +59,17 @@
         self._reader = reader
 
     def submit(self, request_id: int, spec: JobSpec) -> Coroutine[None]:
-        """POST of a job."""
+        """Accept or refuse a job, and reply."""
         outcome = yield from self._acceptance.submit(spec)
         self._reply(request_id, spec.id, outcome)
 
     def query(self, request_id: int, job: str) -> Coroutine[None]:
-        """GET of a job."""
+        """Reply with the status of a job."""
         status = yield from self._answers.lookup(job)
         if status is None:
-            outcome = Outcome(503, UNKNOWN, "state not available", RETRY_AFTER_S)
+            outcome = Outcome(
+                503, UNKNOWN, f"the state of {job} is not available now", RETRY_AFTER_S
+            )
         elif status == UNKNOWN:
             outcome = Outcome(404, UNKNOWN, "no such job")
         else:
@@ -75,7 +77,7 @@
         self._reply(request_id, job, outcome)
 
     def cancel(self, request_id: int, job: str) -> Coroutine[None]:
-        """POST of a cancel."""
+        """Cancel a job, and reply."""
         outcome = yield from self._cancel(job)
         self._reply(request_id, job, outcome)
 
@@ -95,11 +97,11 @@
                 if status is not None and status.is_final:
                     final = status.state
         if final is None:
-            return Outcome(503, UNKNOWN, "not cancelled yet", RETRY_AFTER_S)
+            return Outcome(503, UNKNOWN, f"the cancel of {job} is not confirmed yet", RETRY_AFTER_S)
         return Outcome(200, JobStatus(final))
 
     def _cancel_live(self, job: str) -> Coroutine[JobState | None]:
-        """Have a job cancelled whose record is in the view: its final state, or None for now."""
+        """Cancel a job whose record is in the view; return its final state, or None for now."""
         known = self._answers.answerable_status(job, None)
         if known is not None:
             return known.state
@@ -107,20 +109,20 @@
         final = yield from self._ask_manager(manager, job)
         if final is not None or manager == self._context.node:
             return final
-        # The manager does not reply, or cannot write: by way of the record.
+        # The manager does not reply, or cannot write: this node commits the cancel to the record.
         if not self._cancels.is_known(job):
             yield from self._cancellations.commit_entry(job)
-        if (yield from self._cancellations.await_confirmation(job, CONFIRMATION_S)):
+        if (yield from self._cancellations.await_confirmation(job, CONFIRMATION_TIMEOUT_S)):
             return JobState.CANCELLED
         return self._final_states.get(job)
 
     def _ask_manager(self, manager: str | None, job: str) -> Coroutine[JobState | None]:
-        """Have a job's manager cancel it: its final state, or None."""
+        """Ask a job's manager to cancel it; return the final state, or None for now."""
         reply: Any = None
         if manager == self._context.node:
             reply = yield from self._job_managers.cancel_managed(job)
         elif manager is not None:
-            reply = yield PeerRequest(manager, CancelJob(job), CANCEL_PEER_S)
+            reply = yield PeerRequest(manager, CancelJob(job), CANCEL_PEER_TIMEOUT_S)
         return JobState(reply) if reply in FINAL_STATES else None
 
     def _reply(self, request_id: int, job: str, outcome: Outcome) -> None:
--- a/marblestair/core/leadership/connectivity.py
+++ b/marblestair/core/leadership/connectivity.py
@@ -61,7 +61,7 @@
         """
         now, limit_s = self._context.now, self._lease.ttl_s
         last_renewal = self._lease.renewed_at
-        if self._view.age_s(now) < limit_s or now - self._context.started_at < limit_s:
+        if self._view.staleness_s(now) < limit_s or now - self._context.started_at < limit_s:
             return False
         if last_renewal is not None and now - last_renewal < limit_s:
             return False
@@ -99,12 +99,12 @@
     def _last_heartbeats(self) -> list[float]:
         """When each machine that should send heartbeats has sent its last."""
         return [
-            machine.last_sign_of_life_at(shard.acquired_at)
+            machine.last_seen_at(shard.acquired_at)
             for shard in self._leadership.shards.values()
             if shard.is_ready
             for machine in shard.machines.values()
             if self._should_send_heartbeats(shard, machine)
-            and not machine.is_given_up
+            and not machine.is_decommissioned
             and not machine.is_releasing
         ]
 
--- a/marblestair/core/leadership/progress_pages.py
+++ b/marblestair/core/leadership/progress_pages.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from marblestair.core.domain.index_ranges import TASKS_PER_PAGE, decode_bits, encode_bits
+from marblestair.core.domain.index_ranges import TASKS_PER_PROGRESS_PAGE, decode_bits, encode_bits
 from marblestair.core.leadership.leadership import Leadership
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
@@ -19,9 +19,9 @@
 from marblestair.core.runtime.store_requests import (
     CompareAndSwap,
     Get,
-    Lane,
     ListKeys,
     Put,
+    RequestPriority,
     StoreResponse,
 )
 from marblestair.core.shard.job_slice import JobSlice
@@ -40,7 +40,7 @@
 #: keys in one page of a listing
 LISTED_KEYS = 500
 
-_PAGE_MASK = (1 << TASKS_PER_PAGE) - 1
+_PAGE_MASK = (1 << TASKS_PER_PROGRESS_PAGE) - 1
 
 
 class StoredPage(msgspec.Struct, frozen=True):
@@ -63,7 +63,7 @@
     @property
     def bits(self) -> int:
         """The bits of what is done now."""
-        return (self.job_slice.done_bits >> (self.page * TASKS_PER_PAGE)) & _PAGE_MASK
+        return (self.job_slice.done_bits >> (self.page * TASKS_PER_PROGRESS_PAGE)) & _PAGE_MASK
 
 
 class WrittenPage(msgspec.Struct, frozen=True):
@@ -91,7 +91,9 @@
         after_key = ""
         while self._is_current(shard):
             # Until it is read no agent of the shard gets an answer: it must not wait behind users.
-            response: StoreResponse = yield ListKeys(prefix, after_key, LISTED_KEYS, Lane.LEASE)
+            response: StoreResponse = yield ListKeys(
+                prefix, after_key, LISTED_KEYS, RequestPriority.LEASE
+            )
             if response.status != 200:
                 yield Sleep(0.1 + 0.2 * self._context.rng.random())
                 continue
@@ -145,7 +147,7 @@
             return 0
         fence = self._leadership.fence_precondition(shard.shard_id)
         response: StoreResponse = yield CompareAndSwap(
-            [fence, *deletions.items()], [], list(deletions), Lane.PROGRESS
+            [fence, *deletions.items()], [], list(deletions), RequestPriority.PROGRESS
         )
         for key in deletions:
             if response.status == 200:
@@ -163,7 +165,9 @@
             key = _key(shard, page)
             preconditions.append((key, page.job_slice.page_versions.get(page.page, 0)))
             puts.append(Put(key, encode_bits(page.bits)))
-        response: StoreResponse = yield CompareAndSwap(preconditions, puts, [], Lane.PROGRESS)
+        response: StoreResponse = yield CompareAndSwap(
+            preconditions, puts, [], RequestPriority.PROGRESS
+        )
         if response.status == 200:
             for page in written:
                 self._mark_durable(page, response.revision)
@@ -178,7 +182,7 @@
     def _mark_durable(self, page: WrittenPage, version: int) -> None:
         job_slice = page.job_slice
         job_slice.page_versions[page.page] = version
-        job_slice.durable_bits |= page.bits << (page.page * TASKS_PER_PAGE)
+        job_slice.durable_bits |= page.bits << (page.page * TASKS_PER_PROGRESS_PAGE)
         is_dirty = bool(job_slice.done_bits & ~job_slice.durable_bits)
         job_slice.dirty_since = self._context.now if is_dirty else None
 
@@ -198,7 +202,7 @@
         while not_durable:
             if not_durable & _PAGE_MASK:
                 found.append(DirtyPage(job_slice, page))
-            not_durable >>= TASKS_PER_PAGE
+            not_durable >>= TASKS_PER_PROGRESS_PAGE
             page += 1
     found.sort(key=lambda dirty: dirty.job_slice.dirty_since or 0.0)
     return found
@@ -211,7 +215,7 @@
 def _read_versions(shard: Shard, most: int) -> Coroutine[None]:
     """Read the versions of obsolete keys for which they are not known."""
     for key in [key for key, version in shard.obsolete_keys.items() if version is None][:most]:
-        response: StoreResponse = yield Get(key, Lane.PROGRESS)
+        response: StoreResponse = yield Get(key, RequestPriority.PROGRESS)
         if response.status == 404:
             shard.obsolete_keys.pop(key, None)
         elif response.status == 200:
@@ -232,11 +236,11 @@
 def _read_back(shard: Shard, written: list[WrittenPage]) -> Coroutine[None]:
     """Read the versions of pages; one that is read late fails the next write, and is read again."""
     for page in written:
-        response: StoreResponse = yield Get(_key(shard, page), Lane.PROGRESS)
+        response: StoreResponse = yield Get(_key(shard, page), RequestPriority.PROGRESS)
         if response.status == 200:
             page.job_slice.page_versions[page.page] = response.version
             page.job_slice.durable_bits |= decode_bits(response.value) << (
-                page.page * TASKS_PER_PAGE
+                page.page * TASKS_PER_PROGRESS_PAGE
             )
         elif response.status == 404:
             page.job_slice.page_versions[page.page] = 0
--- a/marblestair/core/leadership/store_lease.py
+++ b/marblestair/core/leadership/store_lease.py
@@ -8,16 +8,16 @@
 
 import msgspec
 
-from marblestair.core.domain.clocks import CLOCK_DRIFT
+from marblestair.core.domain.clocks import MAX_CLOCK_DRIFT_FRACTION
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
 from marblestair.core.runtime.store_requests import (
     CompareAndSwap,
     GrantLease,
-    Lane,
     Put,
     RenewLease,
+    RequestPriority,
     StoreResponse,
 )
 from marblestair.core.state import keys
@@ -128,7 +128,7 @@
         swap = CompareAndSwap(
             [(key, self._view.version(key))],
             [Put(key, self._context.incarnation, granted.lease_id)],
-            lane=Lane.LEASE,
+            priority=RequestPriority.LEASE,
         )
         response: StoreResponse = yield swap
         if response.status == 200:
@@ -136,7 +136,7 @@
             # Leadership counts only once the view includes this commit: while the key was
             # missing, another node may have taken the shards over.
             self.node_key_revision = response.revision
-            self._view.record_commit(swap, response.revision)
+            self._view.apply_commit(swap, response.revision)
             self._extend(granted.requested_at)
             self._view.publish_changes()
             return response.status
@@ -160,6 +160,6 @@
 
     def _extend(self, sent_at: float) -> None:
         self.renewed_at = sent_at
-        until = sent_at + self.ttl_s * (1 - CLOCK_DRIFT) - MARGIN_S
+        until = sent_at + self.ttl_s * (1 - MAX_CLOCK_DRIFT_FRACTION) - MARGIN_S
         if self.expires_at is None or until > self.expires_at:
             self.expires_at = until
--- a/marblestair/core/scheduling/shard_summary.py
+++ b/marblestair/core/scheduling/shard_summary.py
@@ -13,10 +13,10 @@
 from marblestair.core.scheduling.placement import FreeCapacity
 from marblestair.core.scheduling.preemption import Preemption
 from marblestair.core.scheduling.quota_ledger import QuotaLedger
-from marblestair.core.shard.absence import absent_machines
 from marblestair.core.shard.boot_times import BootTimes
 from marblestair.core.shard.failures import FailureAttribution
 from marblestair.core.shard.machine import CordonReason, Machine
+from marblestair.core.shard.partition_detection import partitioned_machines
 from marblestair.core.shard.shard import Shard
 
 
@@ -30,7 +30,7 @@
     #: with tasks of gangs
     gang_machines: list[str] = []
     #: not to be counted on
-    leaving_machines: list[str] = []
+    unavailable_machines: list[str] = []
 
 
 class ShardSummarizer:
@@ -58,7 +58,7 @@
         """Summarize a shard for the leaders of the others."""
         demand = measure_demand(self._failures, self._quotas, shard)
         agent_lease_s = self._context.settings.cluster.workers.lease_s
-        absent = absent_machines(shard, agent_lease_s, self._context.now)
+        absent = partitioned_machines(shard, agent_lease_s, self._context.now)
         use = self._machine_use(shard, absent)
         return ShardSummary(
             shard_id=shard.shard_id,
@@ -67,7 +67,7 @@
             preemptible_capacity=self._preemption.preemptible_capacity(shard),
             backlog_cpus=demand.backlog_cpus,
             free_quota=self._free_quota(shard),
-            lacking_quota=demand.lacking_quota,
+            quota_shortfall=demand.quota_shortfall,
             pending_jobs=self._pending_jobs(shard),
             busy_machines=use.busy_machines,
             idle_machines=use.idle_machines,
@@ -77,9 +77,9 @@
                 if self._machine_transfers.lacks_capacity(job_slice)
             ],
             gang_machines=use.gang_machines,
-            leaving_machines=use.leaving_machines,
-            absent_machines=sorted(absent),
-            starved_teams=demand.starved_teams,
+            unavailable_machines=use.unavailable_machines,
+            partitioned_machines=sorted(absent),
+            required_quota=demand.required_quota,
             failing_jobs=[
                 (job, machine_count)
                 for job, machine_count in self._failures.failing_jobs()
@@ -130,12 +130,12 @@
         use = MachineUse()
         gang_machines = _gang_machines(shard)
         for machine in shard.machines.values():
-            is_returning = machine.cordon is CordonReason.RETURN
-            is_given_up = machine.is_releasing or machine.is_given_up or is_returning
-            if machine.name in absent and not is_given_up:
+            is_returning = machine.cordon is CordonReason.RELEASE
+            is_decommissioned = machine.is_releasing or machine.is_decommissioned or is_returning
+            if machine.name in absent and not is_decommissioned:
                 continue
-            if is_given_up or self._is_leaving(machine):
-                use.leaving_machines.append(machine.name)
+            if is_decommissioned or self._is_leaving(machine):
+                use.unavailable_machines.append(machine.name)
             elif machine.cordon is not None:
                 # On its way to a gang's shard: neither idle nor lost to the plan, which would rent
                 # a second machine in its place.
--- a/marblestair/core/shard/machine.py
+++ b/marblestair/core/shard/machine.py
@@ -29,7 +29,7 @@
     #: other work gets its resources
     PREEMPTED = "preempted"
     #: its machine is to be released
-    MACHINE_RETURNED = "returned"
+    MACHINE_RELEASED = "returned"
 
 
 class CordonReason(enum.Enum):
@@ -38,7 +38,7 @@
     #: it is being transferred to another shard
     TRANSFER = "transfer"
     #: its tasks were stopped so that it can be released
-    RETURN = "return"
+    RELEASE = "return"
 
 
 class ExitedTask(NamedTuple):
@@ -127,7 +127,7 @@
         self.responsiveness = Responsiveness(now)
         self.cordon: CordonReason | None = None
         #: no more 200 responses, for good: its lease is to expire, and the cloud is to stop it
-        self.is_given_up = False
+        self.is_decommissioned = False
         #: a request to release it is under way
         self.is_releasing = False
         #: the cloud lists it as stopped by itself
@@ -176,7 +176,7 @@
             and self.machine_type is not None
             and self.responsiveness.state is Reachability.RESPONSIVE
             and self.cordon is None
-            and not self.is_given_up
+            and not self.is_decommissioned
             and not self.is_releasing
             and last_heartbeat_at is not None
             and (self.silence_limit_s is None or now - last_heartbeat_at < self.silence_limit_s)
@@ -201,7 +201,7 @@
     # --- reachability ----------------------------------------------------------------------
 
     @property
-    def is_silent(self) -> bool:
+    def is_lease_expired(self) -> bool:
         """Whether the agent's lease has expired without a heartbeat since."""
         return self.responsiveness.state is Reachability.SILENT
 
@@ -210,15 +210,15 @@
         """Whether responses and commands seem not to reach the agent, be it silent or not."""
         return self.responsiveness.state is not Reachability.RESPONSIVE
 
-    def mark_silent(self, now: float) -> None:
+    def mark_lease_expired(self, now: float) -> None:
         """Record that the agent's lease has expired.
 
         Late copies of heartbeats of this incarnation must not bring its tasks back.
         """
-        self.responsiveness.mark_silent(now)
+        self.responsiveness.mark_lease_expired(now)
         self.min_incarnation = self.agent_incarnation + 1 if self.agent_incarnation else 0
 
-    def last_sign_of_life_at(self, acquired_at: float) -> float:
+    def last_seen_at(self, acquired_at: float) -> float:
         """Time since which nothing shows that the machine lives.
 
         That is its last heartbeat here, or the acquisition of the shard if that is later: earlier
--- a/marblestair/core/shard/absence.py
+++ b/marblestair/core/shard/partition_detection.py
@@ -10,7 +10,7 @@
 ABSENCE_LIMIT_LEASES = 3.0
 
 
-def absent_machines(shard: Shard, agent_lease_s: float, now: float) -> set[str]:
+def partitioned_machines(shard: Shard, agent_lease_s: float, now: float) -> set[str]:
     """Return the names of machines that fell silent together with many others.
 
     That is a failure of the network rather than of the machines, and most of them will be back.
@@ -18,7 +18,7 @@
     silent = [
         machine
         for machine in shard.machines.values()
-        if machine.is_silent and machine.agent_incarnation and not machine.has_failed
+        if machine.is_lease_expired and machine.agent_incarnation and not machine.has_failed
     ]
     least = max(LEAST_ABSENT_MACHINES, LEAST_ABSENT_FRACTION * len(shard.machines))
     if len(silent) < least:
@@ -27,5 +27,5 @@
     return {
         machine.name
         for machine in silent
-        if now - machine.last_sign_of_life_at(shard.acquired_at) < limit_s
+        if now - machine.last_seen_at(shard.acquired_at) < limit_s
     }
--- a/marblestair/core/state/store_follower.py
+++ b/marblestair/core/state/store_follower.py
@@ -5,7 +5,13 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
-from marblestair.core.runtime.store_requests import Get, Lane, ListKeys, StoreResponse, Watch
+from marblestair.core.runtime.store_requests import (
+    Get,
+    ListKeys,
+    RequestPriority,
+    StoreResponse,
+    Watch,
+)
 from marblestair.core.state import keys
 from marblestair.core.state.store_view import StoreView
 
@@ -51,7 +57,9 @@
         pages: list[StoreResponse] = []
         after_key = ""
         while True:
-            page: StoreResponse = yield ListKeys(keys.VIEW, after_key, PAGE_KEYS, Lane.LEASE)
+            page: StoreResponse = yield ListKeys(
+                keys.WATCHED, after_key, PAGE_KEYS, RequestPriority.LEASE
+            )
             if page.status != 200:
                 return None
             pages.append(page)
@@ -63,10 +71,10 @@
         """Watch for changes, for good."""
         while True:
             sent_at = self._context.now
-            response: StoreResponse = yield Watch(keys.VIEW, self._view.revision, self._wait_ms)
+            response: StoreResponse = yield Watch(keys.WATCHED, self._view.revision, self._wait_ms)
             if response.status == 200:
                 self._view.apply_changes(response.events, response.revision)
-                self._view.note_current(sent_at)
+                self._view.advance_current_as_of(sent_at)
                 self._view.publish_changes()
                 yield Sleep(max(0.0, sent_at + self._pause_s - self._context.now))
             elif response.status == 410:
@@ -77,11 +85,11 @@
 
     def refresh(self, key: str) -> Coroutine[bool]:
         """Read one followed key afresh; whether that succeeded."""
-        response: StoreResponse = yield Get(key, Lane.LEASE)
+        response: StoreResponse = yield Get(key, RequestPriority.LEASE)
         if response.status == 200:
-            self._view.record_read(key, response.value, response.version)
+            self._view.apply_read(key, response.value, response.version)
         elif response.status == 404:
-            self._view.record_absence(key, response.revision)
+            self._view.apply_absence(key, response.revision)
         else:
             return False
         self._view.publish_changes()
--- a/marblestair/core/state/store_view.py
+++ b/marblestair/core/state/store_view.py
@@ -56,7 +56,7 @@
         #: pages of the latest listing, until ``revision`` has reached them
         self._listed_ranges: list[ListedRange] = []
         #: machines that are gone for good; their late heartbeats are ignored
-        self.gone_machines: OrderedDict[str, None] = OrderedDict()
+        self.removed_machines: OrderedDict[str, None] = OrderedDict()
         #: what has changed since the listeners last applied it
         self.changed_jobs: set[str] = set()
         self.changed_machines: set[str] = set()
@@ -72,12 +72,12 @@
         for listener in self._listeners:
             listener()
 
-    def note_current(self, as_of: float) -> None:
+    def advance_current_as_of(self, as_of: float) -> None:
         """Everything that was committed before a steady time is known."""
         if self.current_as_of is None or as_of > self.current_as_of:
             self.current_as_of = as_of
 
-    def age_s(self, now: float) -> float:
+    def staleness_s(self, now: float) -> float:
         """For how long a change may have been committed without being known here."""
         return math.inf if self.current_as_of is None else now - self.current_as_of
 
@@ -118,25 +118,25 @@
                 self._set(change.key, change.value, change.version)
         self._advance(revision)
 
-    def record_read(self, key: str, value: Any, version: int) -> None:
+    def apply_read(self, key: str, value: Any, version: int) -> None:
         """Apply one key as a read has found it."""
         if self._is_newer(key, version):
             self._set(key, value, version)
 
-    def record_absence(self, key: str, revision: int) -> None:
+    def apply_absence(self, key: str, revision: int) -> None:
         """Apply that a read at a revision has found no such key."""
         if key not in self.versions or revision < self.versions[key]:
             return
         self._note_absence(key, revision)
         self._set(key, None, revision)
 
-    def record_commit(self, swap: CompareAndSwap, revision: int) -> None:
+    def apply_commit(self, swap: CompareAndSwap, revision: int) -> None:
         """Apply an own commit, ahead of the watch or behind it."""
         for put in swap.puts:
-            if put.key.startswith(keys.VIEW) and self._is_newer(put.key, revision):
+            if put.key.startswith(keys.WATCHED) and self._is_newer(put.key, revision):
                 self._set(put.key, msgspec.to_builtins(put.value), revision)
         for key in swap.deletes:
-            if key.startswith(keys.VIEW) and revision > self.version(key):
+            if key.startswith(keys.WATCHED) and revision > self.version(key):
                 self._note_absence(key, revision)
                 self._set(key, None, revision)
 
@@ -203,9 +203,9 @@
         if value is not None:
             self.machines[name] = msgspec.convert(value, MachineRecord)
         elif self.machines.pop(name, None) is not None:
-            self.gone_machines[name] = None
-            while len(self.gone_machines) > MOST_GONE:
-                self.gone_machines.popitem(last=False)
+            self.removed_machines[name] = None
+            while len(self.removed_machines) > MOST_GONE:
+                self.removed_machines.popitem(last=False)
         self.changed_machines.add(name)
 
     def _set_node(self, node: str, value: Any) -> None:
--- a/marblestair/core/status.py
+++ b/marblestair/core/status.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from marblestair.core.domain.amounts import FIXED_POINT_UNIT
+from marblestair.core.domain.amounts import FIXED_POINT_SCALE
 from marblestair.core.jobs.cancel_registry import CancelRegistry
 from marblestair.core.jobs.dependencies import DependencyGraph
 from marblestair.core.jobs.managed_job import ManagedJob
@@ -66,7 +66,7 @@
             "acts_for": [shard.shard_id for shard in self._leadership.led_shards()],
             "lease_s_left": round(max(0.0, self._lease.remaining_s(now) or 0.0), 1),
             "on_promises": self._promises.are_valid(now),
-            "view_s_old": round(min(MOST_AGE_S, self._view.age_s(now)), 1),
+            "view_s_old": round(min(MOST_AGE_S, self._view.staleness_s(now)), 1),
         }
 
     def _job_status(self) -> dict[str, object]:
@@ -105,7 +105,7 @@
         backlog_cpus = received_s_ago = None
         if shard_id in self._summaries:
             received_at, summary = self._summaries[shard_id]
-            backlog_cpus = summary.backlog_cpus / FIXED_POINT_UNIT
+            backlog_cpus = summary.backlog_cpus / FIXED_POINT_SCALE
             received_s_ago = round(self._context.now - received_at, 1)
         machines = self._view.machines.values()
         return {
@@ -113,7 +113,7 @@
             "owner": record.leader,
             "term": record.term,
             "shares_cpus": {
-                team: quota[0] / FIXED_POINT_UNIT for team, quota in record.quotas.items()
+                team: quota[0] / FIXED_POINT_SCALE for team, quota in record.quotas.items()
             },
             "backlog_cpus": backlog_cpus,
             "told_s_ago": received_s_ago,
--- a/tests/core/jobs/test_answers.py
+++ b/tests/core/jobs/test_answers.py
@@ -81,7 +81,7 @@
     )
     if is_cancelled:
         users.request(manager, "cancel", job)
-    while keys.FINALS + job not in store.data:
+    while keys.FINAL_STATES + job not in store.data:
         controller = deployment.nodes.current(reader)
         controller.context.spawn(controller.job_services.reader.refresh(job))
         deployment.nodes.flush(reader)
@@ -101,7 +101,7 @@
     # accepted it gets the response. Were it recorded again, its tasks would start.
     deployment = started(13)
     spec = job_spec(1, task_count=3)
-    job, key, final_key = spec.id, keys.JOBS + spec.id, keys.FINALS + spec.id
+    job, key, final_key = spec.id, keys.JOBS + spec.id, keys.FINAL_STATES + spec.id
     deployment.store_link.response_delay_s = lambda _node, request: (
         1.15 if isinstance(request, CompareAndSwap) and (key, 0) in request.preconditions else None
     )
@@ -157,11 +157,11 @@
     reading.send(StoreResponse(404, revision=version + 5))
     assert job not in view.jobs
     # What was read or committed before that comes too late.
-    view.record_read(key, record, version + 4)
+    view.apply_read(key, record, version + 4)
     view.apply_changes([KeyChange(key, record, version + 3)], version + 3)
     assert job not in view.jobs
     # A read that was carried out before the acceptance removes nothing either.
-    view.record_read(key, record, version + 6)
+    view.apply_read(key, record, version + 6)
     result_after(controller.job_services.reader.read_record(job), StoreResponse(0))
     late = controller.job_services.reader.read_record(job)
     next(late)
--- a/tests/core/jobs/test_dependency_cancellations.py
+++ b/tests/core/jobs/test_dependency_cancellations.py
@@ -152,7 +152,7 @@
     deployment.store_link.watch_lag_s["n1"] = 1000.0
     deployment.network.dropped_tags.add("confirmed")
     assert deployment.users.cancel(parent.id) == "cancelled"
-    deployment.run_until(lambda: keys.FINALS + parent.id in deployment.store.data, 20.0)
+    deployment.run_until(lambda: keys.FINAL_STATES + parent.id in deployment.store.data, 20.0)
     deployment.run(1.0)
     child = job_spec(1, depends_on=[parent.id])
     deployment.users.submit(child, "n1")
@@ -174,7 +174,7 @@
     view = controller.view
     for number in (2, 3):
         spec = job_spec(number, depends_on=[f"job-{number - 1:06d}"])
-        view.record_read(keys.JOBS + spec.id, stored_record(spec), view.revision + 1)
+        view.apply_read(keys.JOBS + spec.id, stored_record(spec), view.revision + 1)
     view.publish_changes()
     view.revision += 2
     assert not controller.job_services.dependencies.knows_ancestors("job-000003")
--- a/tests/core/leadership/test_shard_recovery.py
+++ b/tests/core/leadership/test_shard_recovery.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from marblestair.core.leadership import shard_map
-from marblestair.core.runtime.store_requests import Lane, ListKeys
+from marblestair.core.runtime.store_requests import ListKeys, RequestPriority
 from marblestair.core.state import keys
 from tests.fakes.samples import job_spec
 from tests.helpers import manager_of, started
@@ -28,14 +28,14 @@
     other = shard_map.assign_shards(view.shard_map, [0], "n1", 7)
     regained = shard_map.assign_shards(other, [0], *controller.context.identity)
     version = view.version(keys.SHARD_MAP)
-    view.record_read(keys.SHARD_MAP, msgspec.to_builtins(regained), version + 2)
+    view.apply_read(keys.SHARD_MAP, msgspec.to_builtins(regained), version + 2)
     view.publish_changes()
     assert leadership.shards[0] is not lost
     assert not leadership.is_leader(0)
     # A higher term alone does not forget what is known.
     known = leadership.shards[1] if 1 in leadership.shards else leadership.shards[0]
     raised = shard_map.raise_term(regained, known.shard_id)
-    view.record_read(keys.SHARD_MAP, msgspec.to_builtins(raised), version + 3)
+    view.apply_read(keys.SHARD_MAP, msgspec.to_builtins(raised), version + 3)
     view.publish_changes()
     assert leadership.shards[known.shard_id] is known
     assert known.term == raised.last_term
@@ -60,5 +60,5 @@
         if isinstance(request, ListKeys) and request.prefix.startswith(keys.PROGRESS)
     ]
     assert listings
-    assert {request.lane for request in listings} == {Lane.LEASE}
+    assert {request.priority for request in listings} == {RequestPriority.LEASE}
     assert not deployment.rules.violations
--- a/tests/scenarios/test_fleet_costs.py
+++ b/tests/scenarios/test_fleet_costs.py
@@ -93,10 +93,10 @@
 def test_no_memory_or_message_is_too_small_for_four_thousand_machines() -> None:
     view = StoreView()
     for name in MACHINES:
-        view.record_read(keys.MACHINES + name, [0, "m16", "a", False, 0.0], 1)
+        view.apply_read(keys.MACHINES + name, [0, "m16", "a", False, 0.0], 1)
     for name in MACHINES:
-        view.record_absence(keys.MACHINES + name, 2)
-    assert set(view.gone_machines) == set(MACHINES)
+        view.apply_absence(keys.MACHINES + name, 2)
+    assert set(view.removed_machines) == set(MACHINES)
     failures = FailureAttribution(Workers(**FLEET_AGENTS))
     for number, name in enumerate(MACHINES):
         failures.record_failure(f"job-{number % 50}", name, True, 0.0)
@@ -123,15 +123,15 @@
         preemptible_capacity=[capacity] * 4000,
         backlog_cpus=1 << 60,
         free_quota={},
-        lacking_quota={},
+        quota_shortfall={},
         pending_jobs=[(job, 100_000, 100_000) for job in jobs],
         busy_machines=[(name, 1 << 40) for name in MACHINES],
         idle_machines=[(name, 1234.56) for name in MACHINES],
         jobs_lacking_capacity=jobs,
         gang_machines=MACHINES,
-        leaving_machines=MACHINES,
-        absent_machines=MACHINES,
-        starved_teams={},
+        unavailable_machines=MACHINES,
+        partitioned_machines=MACHINES,
+        required_quota={},
     )
 
 
@@ -142,7 +142,7 @@
     jobs = submit_arrays(deployment, 1, 12, 40, estimated_run_s=40.0)
     deployment.run(15.0)
     for number in range(500_000, 500_000 + finished):
-        store.put(f"{keys.FINALS}job-{number:06d}", "done")
+        store.put(f"{keys.FINAL_STATES}job-{number:06d}", "done")
     page_sizes: list[int] = []
     execute = store.execute
 
