--- a/marblestair/core/jobs/final_states.py
+++ b/marblestair/core/jobs/final_states.py
@@ -15,7 +15,7 @@
 
 
 class DependentJobs(Protocol):
-    """Jobs that depend on other jobs, as the subscriber to final states."""
+    """Subscriber to final states: the jobs that depend on other jobs."""
 
     def has_dependents(self, job: str) -> bool:
         """Return whether a blocked job depends on this one."""
--- a/marblestair/core/jobs/job_managers.py
+++ b/marblestair/core/jobs/job_managers.py
@@ -87,7 +87,7 @@
     # --- which jobs are managed here -------------------------------------------------------
 
     def shards_changed(self) -> None:
-        """Manage the jobs of the manager shards that this node has now, and drop all other jobs."""
+        """Manage the jobs of the manager shards that this node leads now, and drop all others."""
         for job, record in self._view.jobs.items():
             self._manage_if_leader(job, record)
         shards = self._leadership.shards
--- a/marblestair/core/jobs/lookups.py
+++ b/marblestair/core/jobs/lookups.py
@@ -17,7 +17,7 @@
 
 #: concurrent reads are limited to the requests that a node may send to the store in this time
 READ_LIMIT_WINDOW_S = 0.5
-#: minimum of the limit of concurrent reads
+#: lower bound of the limit on concurrent reads
 MIN_READ_LIMIT = 4
 
 #: finds the status of a job; its result is None when the status is not available now
--- a/marblestair/core/jobs/parents.py
+++ b/marblestair/core/jobs/parents.py
@@ -26,7 +26,7 @@
 
 
 class ParentsState(enum.Enum):
-    """How its parents decide about a submission."""
+    """Combined state of a submission's parents."""
 
     #: all parents were accepted, and none is cancelled
     ACCEPTED = enum.auto()
