--- a/marblestair/core/scheduling/dispatch.py
+++ b/marblestair/core/scheduling/dispatch.py
@@ -12,13 +12,13 @@
 from marblestair.core.scheduling.array_placement import CandidateMachines
 from marblestair.core.scheduling.arrivals import Arrivals
 from marblestair.core.scheduling.best_effort import BestEffortTasks
+from marblestair.core.scheduling.effective_quotas import EffectiveQuotas
 from marblestair.core.scheduling.fleet_plan import FleetPlan
 from marblestair.core.scheduling.guarantees import Guarantees
 from marblestair.core.scheduling.machine_filling import MachineFilling
 from marblestair.core.scheduling.pending_queue import PendingQueue
 from marblestair.core.scheduling.placement_pass import PlacementPass
 from marblestair.core.scheduling.preemption import Preemption
-from marblestair.core.scheduling.quota_ledger import QuotaLedger
 from marblestair.core.scheduling.run_times import RunTimes
 from marblestair.core.scheduling.service_order import ServiceOrder
 from marblestair.core.scheduling.slice_placement import SlicePlacement
@@ -35,7 +35,7 @@
     def __init__(  # noqa: PLR0913 - its collaborators
         self,
         context: NodeContext,
-        quotas: QuotaLedger,
+        quotas: EffectiveQuotas,
         failures: FailureAttribution,
         run_times: RunTimes,
         guarantees: Guarantees,
--- a/marblestair/core/scheduling/slice_placement.py
+++ b/marblestair/core/scheduling/slice_placement.py
@@ -10,11 +10,11 @@
     CandidateMachines,
     place_array,
 )
+from marblestair.core.scheduling.effective_quotas import EffectiveQuotas
 from marblestair.core.scheduling.fleet_plan import FleetPlan
 from marblestair.core.scheduling.gang_placement import place_gang
 from marblestair.core.scheduling.guarantees import Guarantees
 from marblestair.core.scheduling.preemption import Preemption
-from marblestair.core.scheduling.quota_ledger import QuotaLedger
 from marblestair.core.shard.failures import FailureAttribution
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
@@ -45,7 +45,7 @@
     def __init__(
         self,
         context: NodeContext,
-        quotas: QuotaLedger,
+        quotas: EffectiveQuotas,
         failures: FailureAttribution,
         guarantees: Guarantees,
         fleet_plan: FleetPlan,
--- a/marblestair/core/scheduling/starvation.py
+++ b/marblestair/core/scheduling/starvation.py
@@ -9,8 +9,8 @@
 from marblestair.core.domain.jobs import JobKind
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.scheduling.array_placement import CandidateMachines
+from marblestair.core.scheduling.effective_quotas import EffectiveQuotas
 from marblestair.core.scheduling.pending_queue import PendingQueue, StarvedSlice
-from marblestair.core.scheduling.quota_ledger import QuotaLedger
 from marblestair.core.scheduling.slice_placement import (
     START_LIMIT_S,
     ReservedQuota,
@@ -36,7 +36,7 @@
     def __init__(
         self,
         context: NodeContext,
-        quotas: QuotaLedger,
+        quotas: EffectiveQuotas,
         failures: FailureAttribution,
         placement: SlicePlacement,
     ) -> None:
@@ -121,7 +121,7 @@
         shard: Shard,
         queue: PendingQueue,
         candidates: CandidateMachines,
-        quotas: QuotaLedger,
+        quotas: EffectiveQuotas,
         placement: SlicePlacement,
         running_cpus: dict[str, int],
     ) -> None:
