--- a/marblestair/core/controller.py
+++ b/marblestair/core/controller.py
@@ -193,9 +193,9 @@
     def is_healthy(self) -> bool:
         """Whether this node can take requests."""
         connectivity = self.leadership_services.connectivity
-        if not self.coordinator.is_started or connectivity.is_cut_off():
+        if not self.coordinator.is_started or connectivity.is_disconnected():
             return False
-        return not connectivity.is_isolated(self.context.now)
+        return not connectivity.is_unreachable_by_agents(self.context.now)
 
     # --- time ------------------------------------------------------------------------------
 
@@ -243,7 +243,7 @@
             ShardSummaries(
                 self.context.incarnation,
                 summaries,
-                self.leadership_services.connectivity.reaches_agents(),
+                self.leadership_services.connectivity.can_accept_shards(),
                 self.capacity_services.capacity_refusals.current(),
             )
         )
--- a/marblestair/core/jobs/acceptance.py
+++ b/marblestair/core/jobs/acceptance.py
@@ -39,7 +39,7 @@
 MOST_TRIES = 3
 #: seconds after which a user who was refused for now may come back: usually, without a shard to
 #: accept into, and when the store refuses the record itself
-RETRY_S, NO_SHARD_RETRY_S, REFUSED_RETRY_S = 1, 2, 5
+RETRY_AFTER_S, NO_SHARD_RETRY_S, REFUSED_RETRY_S = 1, 2, 5
 #: parents named in a log line
 LOGGED_PARENTS = 8
 
@@ -100,7 +100,7 @@
         if spec.id in self._final_states or spec.id in self._view.jobs:
             return (yield from self._known(spec.id))
         if not self._catalog.types:
-            return Outcome(503, UNKNOWN, "machine types are not known yet", RETRY_S)
+            return Outcome(503, UNKNOWN, "machine types are not known yet", RETRY_AFTER_S)
         reason = self._rejection_reason(spec)
         if reason is not None:
             return (yield from self._reject(spec, reason))
@@ -112,14 +112,14 @@
         """Accept or refuse a job that depends on others."""
         parents = yield from self._parents.find(spec.depends_on)
         if parents.state is ParentsState.UNDECIDED:
-            return Outcome(503, UNKNOWN, f"nothing known of {parents.deciding} yet", RETRY_S)
+            return Outcome(503, UNKNOWN, f"nothing known of {parents.deciding_job} yet", RETRY_AFTER_S)
         if parents.state is ParentsState.UNKNOWN:
-            reason = f"it awaits {parents.deciding}, which was never accepted"
+            reason = f"it awaits {parents.deciding_job}, which was never accepted"
             return (yield from self._reject(spec, reason))
         # What is done stays done: only the others need be remembered.
         dependent = msgspec.structs.replace(spec, depends_on=parents.unfinished)
         if parents.state is ParentsState.CANCELLED:
-            return (yield from self._accept_cancelled(dependent, parents.deciding))
+            return (yield from self._accept_cancelled(dependent, parents.deciding_job))
         if self._is_too_large(dependent):
             # Fewer are left to depend on before long.
             error = "it awaits more unfinished jobs than can be kept"
@@ -141,7 +141,7 @@
     def _known(self, job: str) -> Coroutine[Outcome]:
         status = yield from self._answers.lookup(job)
         if status is None or status == UNKNOWN:
-            return Outcome(503, UNKNOWN, "state not available", RETRY_S)
+            return Outcome(503, UNKNOWN, "state not available", RETRY_AFTER_S)
         return Outcome(200, status)
 
     def _rejection_reason(self, spec: JobSpec) -> str | None:
@@ -162,7 +162,7 @@
         """Refuse a job for good, unless it was accepted before: then it is known."""
         status = yield from self._answers.lookup(spec.id)
         if status is None:
-            return Outcome(503, UNKNOWN, "state service unavailable", RETRY_S)
+            return Outcome(503, UNKNOWN, "state service unavailable", RETRY_AFTER_S)
         if status != UNKNOWN:
             return Outcome(200, status)
         self._context.log(
@@ -196,7 +196,7 @@
         record = JobRecord(dated, manager_shard, slices, [])
         for _ in range(MOST_TRIES):
             if not self._leadership.is_authorized(self._context.now):
-                return Outcome(503, UNKNOWN, "no authority", RETRY_S)
+                return Outcome(503, UNKNOWN, "no authority", RETRY_AFTER_S)
             swap = self._acceptance(record)
             response: StoreResponse = yield swap
             if response.status == 200:
@@ -215,7 +215,7 @@
                 break
             if status != UNKNOWN:
                 return Outcome(200, status)
-        return Outcome(503, UNKNOWN, "state service unavailable", RETRY_S)
+        return Outcome(503, UNKNOWN, "state service unavailable", RETRY_AFTER_S)
 
     def _acceptance(self, record: JobRecord) -> CompareAndSwap:
         """The commit that accepts a job."""
@@ -230,7 +230,7 @@
     def _accept_cancelled(self, spec: JobSpec, parent: str) -> Coroutine[Outcome]:
         """Accept a job that depends on a cancelled one: it is over from the start."""
         if not self._leadership.is_authorized(self._context.now):
-            return Outcome(503, UNKNOWN, "no authority", RETRY_S)
+            return Outcome(503, UNKNOWN, "no authority", RETRY_AFTER_S)
         final_key = keys.FINALS + spec.id
         swap = CompareAndSwap(
             [(keys.JOBS + spec.id, 0), (final_key, 0)],
@@ -248,7 +248,7 @@
             status = yield from self._answers.read_status(spec.id)
             if status is not None and status != UNKNOWN:
                 return Outcome(200, status)
-        return Outcome(503, UNKNOWN, "not accepted yet", RETRY_S)
+        return Outcome(503, UNKNOWN, "not accepted yet", RETRY_AFTER_S)
 
     def _log_accepted(self, spec: JobSpec, record: JobRecord) -> None:
         sizes = {
--- a/marblestair/core/jobs/answers.py
+++ b/marblestair/core/jobs/answers.py
@@ -131,12 +131,12 @@
         if record is not None:
             manager = self._leadership.leader_of(record.manager_shard)
             is_elsewhere = manager is not None and manager != self._context.node
-            if is_elsewhere and manager is not None and not self._connectivity.is_cut_off():
+            if is_elsewhere and manager is not None and not self._connectivity.is_disconnected():
                 reply = yield PeerRequest(manager, QueryJob(job), QUERY_PEER_S)
                 status = self._accept_peer_answer(job, reply)
                 if status is not None:
                     return status
-        return (yield from self._lookups.bounded(self.read_status(job, Lane.LOOKUP)))
+        return (yield from self._lookups.read_within_limit(self.read_status(job, Lane.LOOKUP)))
 
     def _accept_peer_answer(self, job: str, reply: Any) -> JobStatus | None:
         """Take in what another node said of a job when it was asked."""
--- a/marblestair/core/jobs/cancel_registry.py
+++ b/marblestair/core/jobs/cancel_registry.py
@@ -55,7 +55,7 @@
         self._entries: dict[str, CancelEntry] = {}
         self._dependents: DependentJobs | None = None
 
-    def notify(self, dependents: DependentJobs) -> None:
+    def subscribe(self, dependents: DependentJobs) -> None:
         """Call the jobs that depend on others with each cancel."""
         self._dependents = dependents
 
--- a/marblestair/core/jobs/dependencies.py
+++ b/marblestair/core/jobs/dependencies.py
@@ -59,10 +59,10 @@
         self._unknown_ends: dict[str, None] = {}
         self._advance: Callable[[str], None] | None = None
         self._dependents_changed: Callable[[Iterable[str]], None] | None = None
-        final_states.notify(self)
-        cancels.notify(self)
+        final_states.subscribe(self)
+        cancels.subscribe(self)
 
-    def notify(
+    def subscribe(
         self,
         advance: Callable[[str], None],
         dependents_changed: Callable[[Iterable[str]], None],
@@ -98,7 +98,7 @@
         """
         return job in self._may_end
 
-    def must_end(self, job: str) -> bool:
+    def is_end_overdue(self, job: str) -> bool:
         """Whether the end of a blocked job has been due for so long that it must not be late.
 
         Users are to be answered so within ``cancel_s``, however much else there is to write.
--- a/marblestair/core/jobs/final_states.py
+++ b/marblestair/core/jobs/final_states.py
@@ -33,7 +33,7 @@
         self._states: OrderedDict[str, JobState] = OrderedDict()
         self._dependents: DependentJobs | None = None
 
-    def notify(self, dependents: DependentJobs) -> None:
+    def subscribe(self, dependents: DependentJobs) -> None:
         """Call the jobs that depend on others with each end."""
         self._dependents = dependents
 
--- a/marblestair/core/jobs/job_managers.py
+++ b/marblestair/core/jobs/job_managers.py
@@ -253,12 +253,12 @@
 
     def _end_lane(self, managed: ManagedJob, step: ManagerStep) -> Lane:
         is_blocked = step is ManagerStep.END_BLOCKED
-        is_patient = is_blocked and not self._dependencies.must_end(managed.job)
+        is_patient = is_blocked and not self._dependencies.is_end_overdue(managed.job)
         return Lane.PROGRESS if is_patient else Lane.FINAL_STATE
 
     # --- asked by others -------------------------------------------------------------------
 
-    def slice_arrived(self, message: AnnounceMigration) -> Coroutine[int]:
+    def receive_migration_announcement(self, message: AnnounceMigration) -> Coroutine[int]:
         """A slice was moved here: the last change entry known of its job (Algorithm 4)."""
         if self._view.version(keys.JOBS + message.job) < message.version:
             yield from self._reader.read_record(message.job)
--- a/marblestair/core/jobs/lookups.py
+++ b/marblestair/core/jobs/lookups.py
@@ -28,7 +28,7 @@
 
     def __init__(self, coroutines: CoroutineRunner, requests_per_s: float) -> None:
         self._coroutines = coroutines
-        self.max_reads = max(LEAST_READS, int(READ_AHEAD_S * requests_per_s))
+        self.max_concurrent_reads = max(LEAST_READS, int(READ_AHEAD_S * requests_per_s))
         self._reads = 0
         #: job under search -> what those wait for who asked after the search began
         self._searches: dict[str, Signal] = {}
@@ -43,9 +43,9 @@
             return status
         return (yield from self._search(job, search))
 
-    def bounded(self, read: Coroutine[JobStatus | None]) -> Coroutine[JobStatus | None]:
+    def read_within_limit(self, read: Coroutine[JobStatus | None]) -> Coroutine[JobStatus | None]:
         """The result of a read, or None at once when too many are under way."""
-        if self._reads >= self.max_reads:
+        if self._reads >= self.max_concurrent_reads:
             return None
         self._reads += 1
         try:
--- a/marblestair/core/jobs/manager_steps.py
+++ b/marblestair/core/jobs/manager_steps.py
@@ -75,7 +75,7 @@
     ) -> ManagerStep | None:
         if not self._cancellations.is_confirmed(managed.job):
             return ManagerStep.PROPAGATE_CANCEL
-        if is_empty(managed, record, shard_map):
+        if has_no_placed_tasks(managed, record, shard_map):
             return ManagerStep.END_CANCELLED
         return None
 
@@ -110,7 +110,7 @@
     return total == record.spec.task_count
 
 
-def is_empty(managed: ManagedJob, record: JobRecord, shard_map: ShardMap) -> bool:
+def has_no_placed_tasks(managed: ManagedJob, record: JobRecord, shard_map: ShardMap) -> bool:
     """Whether no shard has a task of the job on a machine any more."""
     for name in record.slices:
         progress = managed.progress_by_shard.get(int(name))
--- a/marblestair/core/jobs/parents.py
+++ b/marblestair/core/jobs/parents.py
@@ -38,14 +38,14 @@
     UNDECIDED = enum.auto()
 
 
-class Parents(msgspec.Struct, frozen=True):
+class ParentLookupResult(msgspec.Struct, frozen=True):
     """What was found of the jobs that a submission depends on."""
 
     state: ParentsState
     #: those that are not done
     unfinished: list[str] = []
     #: the one that decided
-    deciding: str = ""
+    deciding_job: str = ""
 
 
 class ParentLookup:
@@ -67,7 +67,7 @@
         self._reader = reader
         self._lookups = lookups
 
-    def find(self, parents: list[str]) -> Coroutine[Parents]:
+    def find(self, parents: list[str]) -> Coroutine[ParentLookupResult]:
         """Find each parent.
 
         What was read is remembered, so that a repeated submission goes on where this one ended.
@@ -77,25 +77,25 @@
         cancelled = ""
         for job in parents:
             if self._context.now > until:
-                return Parents(ParentsState.UNDECIDED, [], job)
+                return ParentLookupResult(ParentsState.UNDECIDED, [], job)
             status = yield from self._status(job)
             if status is None:
-                return Parents(ParentsState.UNDECIDED, [], job)
+                return ParentLookupResult(ParentsState.UNDECIDED, [], job)
             if status == UNKNOWN:
-                return Parents(ParentsState.UNKNOWN, [], job)
+                return ParentLookupResult(ParentsState.UNKNOWN, [], job)
             if status.state is JobState.CANCELLED:
                 cancelled = job
             elif status.state is not JobState.DONE:
                 unfinished.append(job)
         if cancelled:
-            return Parents(ParentsState.CANCELLED, unfinished, cancelled)
-        return Parents(ParentsState.ACCEPTED, unfinished)
+            return ParentLookupResult(ParentsState.CANCELLED, unfinished, cancelled)
+        return ParentLookupResult(ParentsState.ACCEPTED, unfinished)
 
     def _status(self, job: str) -> Coroutine[JobStatus | None]:
         """One parent's status as far as it matters here; None when it is not known now."""
         if job not in self._final_states and job not in self._view.jobs:
             read = self._reader.read_final_first(job, Lane.LOOKUP)
-            status = yield from self._lookups.bounded(read)
+            status = yield from self._lookups.read_within_limit(read)
             if status is None or status == UNKNOWN:
                 return status
         if job in self._final_states:
--- a/marblestair/core/jobs/record_reader.py
+++ b/marblestair/core/jobs/record_reader.py
@@ -31,7 +31,7 @@
 
     def read_record(self, job: str, lane: Lane = Lane.ACCEPTANCE) -> Coroutine[JobStatus | None]:
         """Read a job's record, and its final state if there is no record."""
-        if self._connectivity.is_cut_off():
+        if self._connectivity.is_disconnected():
             return None
         key = keys.JOBS + job
         response: StoreResponse = yield Get(key, lane)
@@ -62,7 +62,7 @@
 
         For a job that the view lacks: it is most often over.
         """
-        if self._connectivity.is_cut_off():
+        if self._connectivity.is_disconnected():
             return None
         final = yield from self.read_final(job, lane)
         if final != UNKNOWN:
--- a/marblestair/core/jobs/user_requests.py
+++ b/marblestair/core/jobs/user_requests.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from marblestair.core.domain.jobs import FINAL_STATES, JobSpec, JobState
-from marblestair.core.jobs.acceptance import RETRY_S, Acceptance, Outcome
+from marblestair.core.jobs.acceptance import RETRY_AFTER_S, Acceptance, Outcome
 from marblestair.core.jobs.answers import Answers
 from marblestair.core.jobs.cancel_registry import CancelRegistry
 from marblestair.core.jobs.cancellations import Cancellations
@@ -67,7 +67,7 @@
         """GET of a job."""
         status = yield from self._answers.lookup(job)
         if status is None:
-            outcome = Outcome(503, UNKNOWN, "state not available", RETRY_S)
+            outcome = Outcome(503, UNKNOWN, "state not available", RETRY_AFTER_S)
         elif status == UNKNOWN:
             outcome = Outcome(404, UNKNOWN, "no such job")
         else:
@@ -85,7 +85,7 @@
         if job in self._final_states:
             return Outcome(200, JobStatus(self._final_states[job]))
         final: JobState | None = None
-        if not self._connectivity.is_cut_off():
+        if not self._connectivity.is_disconnected():
             if job in self._view.jobs:
                 final = yield from self._cancel_live(job)
             else:
@@ -95,7 +95,7 @@
                 if status is not None and status.is_final:
                     final = status.state
         if final is None:
-            return Outcome(503, UNKNOWN, "not cancelled yet", RETRY_S)
+            return Outcome(503, UNKNOWN, "not cancelled yet", RETRY_AFTER_S)
         return Outcome(200, JobStatus(final))
 
     def _cancel_live(self, job: str) -> Coroutine[JobState | None]:
--- a/marblestair/core/leadership/connectivity.py
+++ b/marblestair/core/leadership/connectivity.py
@@ -32,7 +32,7 @@
         #: node -> steady time of its latest message
         self.last_received_at: dict[str, float] = {}
         #: node -> whether it last said that its agents reach it
-        self.peer_reaches_agents: dict[str, bool] = {}
+        self.peer_can_accept_shards: dict[str, bool] = {}
         #: until when this node asks for no shard, because its agents did not reach it
         self._cooldown_until: float | None = None
 
@@ -53,7 +53,7 @@
         agent_lease_s = self._context.settings.cluster.workers.lease_s
         self._cooldown_until = now + COOLDOWN_LEASES * agent_lease_s
 
-    def is_cut_off(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Whether nothing was received for the time of a lease.
 
         Neither from the store nor from another controller: this node can then answer users nothing,
@@ -79,7 +79,7 @@
         last = self.last_received_at.get(node)
         return last is not None and now - last < seconds
 
-    def is_isolated(self, now: float) -> bool:
+    def is_unreachable_by_agents(self, now: float) -> bool:
         """Whether agents do not reach this node.
 
         The sign is that the machines of its shards are silent while the store still answers.
@@ -123,8 +123,8 @@
             return False
         return self._context.wall_time - record.added_at > BOOTED * machine.machine_type.boot_s
 
-    def reaches_agents(self) -> bool:
+    def can_accept_shards(self) -> bool:
         """Whether this node can be given shards, as far as it can tell."""
         now = self._context.now
         is_cooling_down = self._cooldown_until is not None and now < self._cooldown_until
-        return not self.is_isolated(now) and not is_cooling_down
+        return not self.is_unreachable_by_agents(now) and not is_cooling_down
--- a/marblestair/core/leadership/transfer.py
+++ b/marblestair/core/leadership/transfer.py
@@ -69,7 +69,7 @@
             return
         own = self._own_shards(current)
         movable = [shard_id for shard_id in own if self._is_movable(shard_id, now)]
-        if self._connectivity.is_isolated(now):
+        if self._connectivity.is_unreachable_by_agents(now):
             self._give_away(movable, current, now)
         elif len(own) >= 2 and movable:
             self._hand_back(movable, current, now)
@@ -113,7 +113,7 @@
         # Where all nodes have lost the agents, it is not this node's network; and while messages
         # of the others come, only one that its agents reach can do better.
         others = recent if recent else [node for node in counts if node != self._context.node]
-        reached = self._connectivity.peer_reaches_agents
+        reached = self._connectivity.peer_can_accept_shards
         others = [node for node in others if not recent or reached.get(node, False)]
         if not others or not movable:
             return
@@ -139,7 +139,7 @@
     def _is_stable(self, node: str, now: float) -> bool:
         """Whether a node can be given a shard: its agents reach it, and it has stayed up."""
         _, seen_since = self._incarnation_seen.get(node, (0, now))
-        if not self._connectivity.peer_reaches_agents.get(node, False):
+        if not self._connectivity.peer_can_accept_shards.get(node, False):
             return False
         return now - seen_since > STABLE_LEASES * self._lease.ttl_s
 
--- a/marblestair/core/messaging/messages.py
+++ b/marblestair/core/messaging/messages.py
@@ -47,7 +47,7 @@
     incarnation: int
     summaries: list[ShardSummary]
     #: whether agents reach the sender
-    reaches_agents: bool
+    can_accept_shards: bool
     refusals: list[CapacityRefusal]
 
 
--- a/marblestair/core/peer_service.py
+++ b/marblestair/core/peer_service.py
@@ -115,7 +115,7 @@
             self._failures.receive_failing_jobs(
                 summary.shard_id, summary.failing_jobs, self._context.now
             )
-        self._connectivity.peer_reaches_agents[node] = message.reaches_agents
+        self._connectivity.peer_can_accept_shards[node] = message.can_accept_shards
         self._refusals.receive(message.refusals)
 
     def _receive_end(self, node: str, message: JobEnded) -> None:
@@ -154,7 +154,7 @@
         if isinstance(message, RequestPromise):
             return self._promises.grant(message)
         if isinstance(message, AnnounceMigration):
-            return (yield from self._job_managers.slice_arrived(message))
+            return (yield from self._job_managers.receive_migration_announcement(message))
         if isinstance(message, SendChangeEntries):
             return self._job_managers.receive_change_entries(message)
         if isinstance(message, RequestStatus):
--- a/tests/core/jobs/test_cancel_registry.py
+++ b/tests/core/jobs/test_cancel_registry.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from marblestair.core.jobs.manager_steps import is_empty
+from marblestair.core.jobs.manager_steps import has_no_placed_tasks
 from marblestair.core.messaging.messages import SliceProgress
 from tests.fakes.samples import job_spec
 from tests.helpers import agents_running, leader_of, leaders_running, manager_of, started
@@ -47,7 +47,7 @@
             managed_job.progress_by_shard[shard_id] = SliceProgress(
                 job, shard_id, term, 0, 0, 0, 9, is_cancel_known
             )
-        assert is_empty(managed_job, record, view.shard_map) == is_cancel_known
+        assert has_no_placed_tasks(managed_job, record, view.shard_map) == is_cancel_known
 
 
 def test_after_a_failover_the_time_of_a_cancel_counts_from_before_it() -> None:
--- a/tests/core/jobs/test_dependencies.py
+++ b/tests/core/jobs/test_dependencies.py
@@ -158,9 +158,9 @@
     deployment.run(5.0)
     # The first unknown id decides, by three reads, and two more show that the job itself is not
     # known; only so many are under way at once.
-    max_reads = deployment.nodes.current("n0").job_services.lookups.max_reads
-    assert max_reads < 20
-    assert recorder.count(Get) <= 5 * max_reads
+    max_concurrent_reads = deployment.nodes.current("n0").job_services.lookups.max_concurrent_reads
+    assert max_concurrent_reads < 20
+    assert recorder.count(Get) <= 5 * max_concurrent_reads
     job = deployment.users.submit(job_spec(1, task_count=1, estimated_run_s=1.0))
     assert deployment.users.wait_until_done(job, 40.0)
 
--- a/tests/core/jobs/test_lookups.py
+++ b/tests/core/jobs/test_lookups.py
@@ -62,18 +62,18 @@
 
 def test_polls_of_many_unknown_jobs_are_refused_at_once_beyond_a_bound() -> None:
     deployment = started(413)
-    max_reads = deployment.nodes.controller("n0").job_services.lookups.max_reads
+    max_concurrent_reads = deployment.nodes.controller("n0").job_services.lookups.max_concurrent_reads
     recorder = Recorder(deployment, "n0")
     asked = [
         deployment.users.request("n0", "query", f"job-{number:06d}")
         for number in range(900_000, 900_200)
     ]
     refusals = [replies[0] for replies in asked if replies]
-    assert len(refusals) == 200 - max_reads
+    assert len(refusals) == 200 - max_concurrent_reads
     assert all(reply.status == 503 and reply.retry_after_s >= 1 for reply in refusals)
     deployment.run(0.5)
     assert all(replies for replies in asked)
-    assert recorder.count(Get) == 2 * max_reads
+    assert recorder.count(Get) == 2 * max_concurrent_reads
     lanes = {
         request.lane
         for request in recorder.requests
