--- a/marblestair/core/jobs/cancel_registry.py
+++ b/marblestair/core/jobs/cancel_registry.py
@@ -143,4 +143,4 @@
 
     def log(self, event: str, job: str, **facts: object) -> None:
         """Log what happened to the cancel of a job."""
-        self._context.decisions.note(self._context.now, Decision.CANCEL, event, job=job, **facts)
+        self._context.decisions.log(self._context.now, Decision.CANCEL, event, job=job, **facts)
--- a/marblestair/core/jobs/final_states.py
+++ b/marblestair/core/jobs/final_states.py
@@ -53,7 +53,7 @@
         """Remember a job's final state."""
         dependents = self._dependents
         if job not in self._states and dependents is not None and dependents.has_dependents(job):
-            self._context.decisions.note(
+            self._context.decisions.log(
                 self._context.now, Decision.END, state, job=job, view_rev=self._view.revision
             )
         self._states[job] = state
--- a/marblestair/core/jobs/job_managers.py
+++ b/marblestair/core/jobs/job_managers.py
@@ -214,7 +214,7 @@
     def _log_change(
         self, managed: ManagedJob, record: JobRecord, step: ManagerStep, response: StoreResponse
     ) -> None:
-        self._context.decisions.note(
+        self._context.decisions.log(
             self._context.now,
             Decision.RECORD,
             step.name.lower(),
--- a/marblestair/core/leadership/leadership.py
+++ b/marblestair/core/leadership/leadership.py
@@ -84,7 +84,7 @@
         if basis is self._basis:
             return
         self._basis = basis
-        self._context.decisions.note(
+        self._context.decisions.log(
             now,
             Decision.AUTHORITY,
             basis,
--- a/marblestair/core/leadership/promises.py
+++ b/marblestair/core/leadership/promises.py
@@ -111,7 +111,7 @@
             return None
         now = self._context.now
         self._ledger.grant(request.node, now + self._lease.ttl_s)
-        self._context.decisions.note(
+        self._context.decisions.log(
             now,
             Decision.PROMISE,
             "given",
--- a/marblestair/core/runtime/decision_log.py
+++ b/marblestair/core/runtime/decision_log.py
@@ -50,7 +50,7 @@
         """Count a decision without a line."""
         self.counts[f"{kind} {what}"] += number
 
-    def note(self, now: float, kind: Decision, what: str, **facts: object) -> None:
+    def log(self, now: float, kind: Decision, what: str, **facts: object) -> None:
         """Count a decision and leave a line with the facts that it rested on."""
         self.count(kind, what)
         if int(now) != self._second:
--- a/tests/core/runtime/test_decision_log.py
+++ b/tests/core/runtime/test_decision_log.py
@@ -11,10 +11,10 @@
     lines: list[str] = []
     log = DecisionLog(lambda _level, text: lines.append(text))
     for number in range(5 * LINES_PER_S):
-        log.note(10.2, Decision.CANCEL, "known", job=number)
+        log.log(10.2, Decision.CANCEL, "known", job=number)
     log.count(Decision.LAUNCH, "in an answer", 7)
     assert len(lines) == LINES_PER_S
-    log.note(11.0, Decision.CANCEL, "known", job="last")
+    log.log(11.0, Decision.CANCEL, "known", job="last")
     assert lines[LINES_PER_S:] == [
         f"cancel: {4 * LINES_PER_S} more lines in one second",
         "cancel known: job=last",
