--- a/marblestair/core/capacity/fleet.py
+++ b/marblestair/core/capacity/fleet.py
@@ -16,7 +16,7 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
-from marblestair.core.shard.absence import absent_machines
+from marblestair.core.shard.partition_detection import absent_machines
 from marblestair.core.shard.machine import CordonReason, StopReason
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state.machine_catalog import MachineCatalog
