--- a/marblestair/core/capacity/catalog_updates.py
+++ b/marblestair/core/capacity/catalog_updates.py
@@ -14,7 +14,7 @@
 from marblestair.core.runtime.requests import Sleep
 from marblestair.core.runtime.store_requests import (
     CompareAndSwap,
-    Lane,
+    RequestPriority,
     ListKeys,
     Put,
     StoreResponse,
@@ -87,7 +87,7 @@
         batch = new[: self._context.settings.cluster.state.txn_ops]
         puts = [Put(keys.TYPES + kind.name, kind) for kind in batch]
         absent = [(put.key, 0) for put in puts]
-        response: StoreResponse = yield CompareAndSwap(absent, puts, [], Lane.SHARD_MAP)
+        response: StoreResponse = yield CompareAndSwap(absent, puts, [], RequestPriority.SHARD_MAP)
         if response.status == 409:
             yield from self._read_stored()
         if response.status == 200:
--- a/marblestair/core/capacity/decommissioning.py
+++ b/marblestair/core/capacity/decommissioning.py
@@ -7,7 +7,7 @@
 from marblestair.core.capacity.provisioning import MIN_RENTAL_S
 from marblestair.core.domain.agents import TaskState
 from marblestair.core.domain.jobs import JobKind
-from marblestair.core.shard.partition_detection import absent_machines
+from marblestair.core.shard.partition_detection import partitioned_machines
 from marblestair.core.shard.machine import CordonReason, Machine
 from marblestair.core.shard.shard import Shard
 
@@ -103,7 +103,7 @@
 
     ``agent_lease_s`` is the time for which an agent may run tasks after a heartbeat, in seconds.
     """
-    absent = absent_machines(shard, agent_lease_s, now)
+    absent = partitioned_machines(shard, agent_lease_s, now)
     known = [machine for machine in shard.machines.values() if machine.agent_incarnation]
     # Where most machines seem unresponsive, it is this controller's responses that do not arrive.
     may_be_unresponsive = 2 * sum(machine.is_unresponsive for machine in known) <= len(known)
--- a/marblestair/core/capacity/fleet.py
+++ b/marblestair/core/capacity/fleet.py
@@ -16,7 +16,7 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
-from marblestair.core.shard.partition_detection import absent_machines
+from marblestair.core.shard.partition_detection import partitioned_machines
 from marblestair.core.shard.machine import CordonReason, StopReason
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state.machine_catalog import MachineCatalog
@@ -81,8 +81,8 @@
         now = self._context.now
         agent_lease_s = self._context.settings.cluster.workers.lease_s
         self._spending.account(shard)
-        for name in absent_machines(shard, agent_lease_s, now):
-            shard.machines[name].responsiveness.is_silent_with_many = True
+        for name in partitioned_machines(shard, agent_lease_s, now):
+            shard.machines[name].responsiveness.is_partitioned = True
         releases = machines_to_release(shard, agent_lease_s, now)
         plan = Plan() if shard.unreconciled_machines else self._planner.compute()
         releases += [
--- a/marblestair/core/capacity/machine_registry.py
+++ b/marblestair/core/capacity/machine_registry.py
@@ -16,7 +16,7 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import InspectAgent, Sleep
-from marblestair.core.runtime.store_requests import CompareAndSwap, Lane, Put, StoreResponse
+from marblestair.core.runtime.store_requests import CompareAndSwap, RequestPriority, Put, StoreResponse
 from marblestair.core.shard.heartbeat_response import HeartbeatResponse
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
@@ -101,7 +101,7 @@
     def _register(self, name: str, record: MachineRecord) -> Coroutine[None]:
         key = keys.MACHINES + name
         fence = self._leadership.fence_precondition(record.shard_id)
-        swap = CompareAndSwap([(key, 0), fence], [Put(key, record)], [], Lane.SHARD_MAP)
+        swap = CompareAndSwap([(key, 0), fence], [Put(key, record)], [], RequestPriority.SHARD_MAP)
         response: StoreResponse = yield swap
         if response.status == 200:
             self._view.record_commit(swap, response.revision)
--- a/marblestair/core/capacity/plan_inputs.py
+++ b/marblestair/core/capacity/plan_inputs.py
@@ -135,7 +135,7 @@
                     age_s=self._context.wall_time - record.added_at,
                     shard_id=record.shard_id,
                     used_cpus=reported.used_cpus.get(name, 0),
-                    is_absent=name in reported.absent_machines,
+                    is_absent=name in reported.partitioned_machines,
                 )
             )
         return machines
--- a/marblestair/core/capacity/releases.py
+++ b/marblestair/core/capacity/releases.py
@@ -7,7 +7,7 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
-from marblestair.core.runtime.store_requests import CompareAndSwap, Lane, StoreResponse
+from marblestair.core.runtime.store_requests import CompareAndSwap, RequestPriority, StoreResponse
 from marblestair.core.shard.machine import Machine
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
@@ -66,7 +66,7 @@
             deleted = [keys.MACHINES + name for name in names[:batch_size]]
             versions = [(key, self._view.version(key)) for key in deleted]
             fence = self._leadership.fence_precondition(shard.shard_id)
-            swap = CompareAndSwap([fence, *versions], [], deleted, Lane.FINAL_STATE)
+            swap = CompareAndSwap([fence, *versions], [], deleted, RequestPriority.FINAL_STATE)
             response: StoreResponse = yield swap
             if response.status == 200:
                 self._view.record_commit(swap, response.revision)
--- a/marblestair/core/capacity/rentals.py
+++ b/marblestair/core/capacity/rentals.py
@@ -13,7 +13,7 @@
 from marblestair.core.runtime.requests import Sleep
 from marblestair.core.runtime.store_requests import (
     CompareAndSwap,
-    Lane,
+    RequestPriority,
     ListKeys,
     Put,
     StoredKey,
@@ -71,7 +71,7 @@
         )
         fence = self._leadership.fence_precondition(shard.shard_id)
         response: StoreResponse = yield CompareAndSwap(
-            [(key, 0), fence], [Put(key, intent)], [], Lane.SHARD_MAP
+            [(key, 0), fence], [Put(key, intent)], [], RequestPriority.SHARD_MAP
         )
         if response.status != 200:
             if response.status == 0:
@@ -143,7 +143,7 @@
             preconditions = [(put.key, 0) for put in puts]
             preconditions.append(self._leadership.fence_precondition(shard.shard_id))
             preconditions.append((intent_key, intent_version))
-            swap = CompareAndSwap(preconditions, puts, [] if rest else [intent_key], Lane.SHARD_MAP)
+            swap = CompareAndSwap(preconditions, puts, [] if rest else [intent_key], RequestPriority.SHARD_MAP)
             response: StoreResponse = yield swap
             if response.status == 200:
                 self._view.record_commit(swap, response.revision)
--- a/marblestair/core/capacity/reported_state.py
+++ b/marblestair/core/capacity/reported_state.py
@@ -25,7 +25,7 @@
         #: machine -> seconds without any task
         self.idle_machines: dict[str, float] = {}
         self.leaving_machines: set[str] = set()
-        self.absent_machines: set[str] = set()
+        self.partitioned_machines: set[str] = set()
         self.gang_machines: set[str] = set()
         #: machine -> cpus in use, in fixed point
         self.used_cpus: dict[str, int] = {}
@@ -50,4 +50,4 @@
         for name, idle_s in summary.idle_machines:
             self.idle_machines[name] = idle_s + (now - received_at)
         self.leaving_machines.update(summary.leaving_machines)
-        self.absent_machines.update(summary.absent_machines)
+        self.partitioned_machines.update(summary.partitioned_machines)
--- a/marblestair/core/jobs/acceptance.py
+++ b/marblestair/core/jobs/acceptance.py
@@ -23,7 +23,7 @@
 from marblestair.core.messaging.received_summaries import ReceivedSummaries
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
-from marblestair.core.runtime.store_requests import CompareAndSwap, Lane, Put, StoreResponse
+from marblestair.core.runtime.store_requests import CompareAndSwap, RequestPriority, Put, StoreResponse
 from marblestair.core.state import keys
 from marblestair.core.state.machine_catalog import MachineCatalog
 from marblestair.core.state.records import DESCRIPTION_SHARE, JobRecord, exceeds_value_limit
@@ -225,7 +225,7 @@
             (keys.FINALS + record.spec.id, 0),
             self._leadership.fence_precondition(record.manager_shard),
         ]
-        return CompareAndSwap(preconditions, [Put(key, record)], [], Lane.ACCEPTANCE)
+        return CompareAndSwap(preconditions, [Put(key, record)], [], RequestPriority.ACCEPTANCE)
 
     def _accept_cancelled(self, spec: JobSpec, parent: str) -> Coroutine[Outcome]:
         """Accept a job that depends on a cancelled one: it is over from the start."""
@@ -236,7 +236,7 @@
             [(keys.JOBS + spec.id, 0), (final_key, 0)],
             [Put(final_key, JobState.CANCELLED)],
             [],
-            Lane.ACCEPTANCE,
+            RequestPriority.ACCEPTANCE,
         )
         response: StoreResponse = yield swap
         if response.status == 200:
--- a/marblestair/core/jobs/answers.py
+++ b/marblestair/core/jobs/answers.py
@@ -29,7 +29,7 @@
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.decision_log import Decision
 from marblestair.core.runtime.requests import PeerRequest
-from marblestair.core.runtime.store_requests import Lane
+from marblestair.core.runtime.store_requests import RequestPriority
 from marblestair.core.state.store_view import StoreView
 
 #: time for another controller to reply to a query, within the 2 s that a user waits; what is left
@@ -136,7 +136,7 @@
                 status = self._accept_peer_answer(job, reply)
                 if status is not None:
                     return status
-        return (yield from self._lookups.read_within_limit(self.read_status(job, Lane.LOOKUP)))
+        return (yield from self._lookups.read_within_limit(self.read_status(job, RequestPriority.LOOKUP)))
 
     def _accept_peer_answer(self, job: str, reply: Any) -> JobStatus | None:
         """Take in what another node said of a job when it was asked."""
@@ -150,9 +150,9 @@
             self._final_states.record(job, status.state)
         return self.answerable_status(job, ProvenStatus(status, Proof.PEER))
 
-    def read_status(self, job: str, lane: Lane = Lane.ACCEPTANCE) -> Coroutine[JobStatus | None]:
+    def read_status(self, job: str, priority: RequestPriority = RequestPriority.ACCEPTANCE) -> Coroutine[JobStatus | None]:
         """A job's status from a new read: UNKNOWN, or None when it cannot be given now."""
-        found = yield from self._reader.read_record(job, lane)
+        found = yield from self._reader.read_record(job, priority)
         if found is None or found == UNKNOWN:
             return found
         if job in self._final_states:
@@ -165,10 +165,10 @@
         if record is None:
             # The view is past the end of the job: what was read is no proof, least of all that no
             # ancestor is cancelled. The final state is committed.
-            yield from self._reader.read_final(job, lane)
+            yield from self._reader.read_final(job, priority)
             return self.answerable_status(job, None)
         if record.is_blocked:
-            if not (yield from self._dependency_reads.may_answer_blocked(record, lane)):
+            if not (yield from self._dependency_reads.may_answer_blocked(record, priority)):
                 return self.answerable_status(job, None)
         managed = self._managed_jobs.get(job)
         done = managed.tasks_done if managed is not None else 0
--- a/marblestair/core/jobs/cancellations.py
+++ b/marblestair/core/jobs/cancellations.py
@@ -31,7 +31,7 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import PeerRequest, Sleep
-from marblestair.core.runtime.store_requests import CompareAndSwap, Lane, Put, StoreResponse
+from marblestair.core.runtime.store_requests import CompareAndSwap, RequestPriority, Put, StoreResponse
 from marblestair.core.state import keys
 from marblestair.core.state.records import JobRecord, ShardMap, ShardRecord, with_cancel
 from marblestair.core.state.store_view import StoreView
@@ -233,7 +233,7 @@
         key = keys.JOBS + job
         cancelled = with_cancel(record, self._context.settings.cluster.state.value_kb)
         swap = CompareAndSwap(
-            [(key, self._view.version(key))], [Put(key, cancelled)], [], Lane.ACCEPTANCE
+            [(key, self._view.version(key))], [Put(key, cancelled)], [], RequestPriority.ACCEPTANCE
         )
         response: StoreResponse = yield swap
         if response.status == 200:
--- a/marblestair/core/jobs/completion_records.py
+++ b/marblestair/core/jobs/completion_records.py
@@ -16,7 +16,7 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
-from marblestair.core.runtime.store_requests import CompareAndSwap, Lane, Put, StoreResponse
+from marblestair.core.runtime.store_requests import CompareAndSwap, RequestPriority, Put, StoreResponse
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
@@ -110,4 +110,4 @@
             preconditions.append((key, self._view.version(key)))
             complete = sorted({*record.complete_shards, shard.shard_id})
             puts.append(Put(key, msgspec.structs.replace(record, complete_shards=complete)))
-        return CompareAndSwap(preconditions, puts, [], Lane.FINAL_STATE)
+        return CompareAndSwap(preconditions, puts, [], RequestPriority.FINAL_STATE)
--- a/marblestair/core/jobs/dependency_reads.py
+++ b/marblestair/core/jobs/dependency_reads.py
@@ -8,7 +8,7 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
-from marblestair.core.runtime.store_requests import Lane
+from marblestair.core.runtime.store_requests import RequestPriority
 from marblestair.core.state.records import JobRecord
 from marblestair.core.state.store_view import StoreView
 
@@ -42,7 +42,7 @@
         while True:
             yield Sleep(READ_PAUSE_S * (0.8 + 0.4 * self._context.rng.random()))
             for parent in self._parents_to_read():
-                yield from self._reader.read_final_first(parent, Lane.FINAL_STATE)
+                yield from self._reader.read_final_first(parent, RequestPriority.FINAL_STATE)
 
     def _parents_to_read(self) -> list[str]:
         """Parents whose end decides about a job that is managed here."""
@@ -55,7 +55,7 @@
                     break
         return found
 
-    def may_answer_blocked(self, record: JobRecord, lane: Lane) -> Coroutine[bool]:
+    def may_answer_blocked(self, record: JobRecord, priority: RequestPriority) -> Coroutine[bool]:
         """Whether users may be answered that a job is still blocked, whose record was just read.
 
         The record alone does not show the cancel of an ancestor. This node's view does, unless
@@ -70,7 +70,7 @@
             gone = self._dependencies.ancestors_of_unknown_end(job)
             if not gone:
                 return not self._dependencies.has_cancelled_ancestor(job)
-            yield from self._reader.read_final_first(gone[0], lane)
+            yield from self._reader.read_final_first(gone[0], priority)
         return not self._dependencies.ancestors_of_unknown_end(
             job
         ) and not self._dependencies.has_cancelled_ancestor(job)
--- a/marblestair/core/jobs/job_managers.py
+++ b/marblestair/core/jobs/job_managers.py
@@ -24,7 +24,7 @@
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.decision_log import Decision
 from marblestair.core.runtime.requests import Sleep
-from marblestair.core.runtime.store_requests import CompareAndSwap, Lane, Put, StoreResponse
+from marblestair.core.runtime.store_requests import CompareAndSwap, RequestPriority, Put, StoreResponse
 from marblestair.core.state import keys
 from marblestair.core.state.records import ChangeKind, JobRecord, with_cancel, with_release
 from marblestair.core.state.store_view import StoreView
@@ -235,14 +235,14 @@
             self._leadership.fence_precondition(managed.shard_id),
         ]
         if step is ManagerStep.REWRITE:
-            return CompareAndSwap(preconditions, [Put(key, record)], [], Lane.ACCEPTANCE)
+            return CompareAndSwap(preconditions, [Put(key, record)], [], RequestPriority.ACCEPTANCE)
         if step is ManagerStep.CANCEL:
             value_kb = self._context.settings.cluster.state.value_kb
             cancelled = with_cancel(record, value_kb)
-            return CompareAndSwap(preconditions, [Put(key, cancelled)], [], Lane.ACCEPTANCE)
+            return CompareAndSwap(preconditions, [Put(key, cancelled)], [], RequestPriority.ACCEPTANCE)
         if step is ManagerStep.RELEASE:
             released = with_release(record, self._context.wall_time)
-            return CompareAndSwap(preconditions, [Put(key, released)], [], Lane.FINAL_STATE)
+            return CompareAndSwap(preconditions, [Put(key, released)], [], RequestPriority.FINAL_STATE)
         final_key = keys.FINALS + managed.job
         return CompareAndSwap(
             [*preconditions, (final_key, 0)],
@@ -251,10 +251,10 @@
             self._end_lane(managed, step),
         )
 
-    def _end_lane(self, managed: ManagedJob, step: ManagerStep) -> Lane:
+    def _end_lane(self, managed: ManagedJob, step: ManagerStep) -> RequestPriority:
         is_blocked = step is ManagerStep.END_BLOCKED
         is_patient = is_blocked and not self._dependencies.is_end_overdue(managed.job)
-        return Lane.PROGRESS if is_patient else Lane.FINAL_STATE
+        return RequestPriority.PROGRESS if is_patient else RequestPriority.FINAL_STATE
 
     # --- asked by others -------------------------------------------------------------------
 
--- a/marblestair/core/jobs/migration_locks.py
+++ b/marblestair/core/jobs/migration_locks.py
@@ -15,7 +15,7 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
-from marblestair.core.runtime.store_requests import CompareAndSwap, Lane, Put
+from marblestair.core.runtime.store_requests import CompareAndSwap, RequestPriority, Put
 from marblestair.core.state import keys
 from marblestair.core.state.records import RECORD_SHARE, JobRecord, exceeds_value_limit
 from marblestair.core.state.store_view import StoreView
@@ -153,7 +153,7 @@
         ]
         if update.source != managed.shard_id:
             preconditions.append(self._leadership.fence_precondition(update.source))
-        return CompareAndSwap(preconditions, [Put(key, record)], [], Lane.FINAL_STATE)
+        return CompareAndSwap(preconditions, [Put(key, record)], [], RequestPriority.FINAL_STATE)
 
     def _apply(self, managed: ManagedJob, update: UpdateSlices) -> None:
         """An update was committed: what was reported of both slices says nothing any more."""
--- a/marblestair/core/jobs/parents.py
+++ b/marblestair/core/jobs/parents.py
@@ -18,7 +18,7 @@
 from marblestair.core.jobs.record_reader import RecordReader
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
-from marblestair.core.runtime.store_requests import Lane
+from marblestair.core.runtime.store_requests import RequestPriority
 from marblestair.core.state.store_view import StoreView
 
 #: time for the reads of one submission, of the 5 s that its user waits
@@ -94,7 +94,7 @@
     def _status(self, job: str) -> Coroutine[JobStatus | None]:
         """One parent's status as far as it matters here; None when it is not known now."""
         if job not in self._final_states and job not in self._view.jobs:
-            read = self._reader.read_final_first(job, Lane.LOOKUP)
+            read = self._reader.read_final_first(job, RequestPriority.LOOKUP)
             status = yield from self._lookups.read_within_limit(read)
             if status is None or status == UNKNOWN:
                 return status
--- a/marblestair/core/jobs/record_reader.py
+++ b/marblestair/core/jobs/record_reader.py
@@ -9,7 +9,7 @@
 from marblestair.core.jobs.job_status import UNKNOWN, JobStatus
 from marblestair.core.leadership.connectivity import Connectivity
 from marblestair.core.runtime.coroutines import Coroutine
-from marblestair.core.runtime.store_requests import Get, Lane, StoreResponse
+from marblestair.core.runtime.store_requests import Get, RequestPriority, StoreResponse
 from marblestair.core.state import keys
 from marblestair.core.state.records import JobRecord
 from marblestair.core.state.store_view import StoreView
@@ -29,12 +29,12 @@
         self._connectivity = connectivity
         self._final_states = final_states
 
-    def read_record(self, job: str, lane: Lane = Lane.ACCEPTANCE) -> Coroutine[JobStatus | None]:
+    def read_record(self, job: str, priority: RequestPriority = RequestPriority.ACCEPTANCE) -> Coroutine[JobStatus | None]:
         """Read a job's record, and its final state if there is no record."""
         if self._connectivity.is_disconnected():
             return None
         key = keys.JOBS + job
-        response: StoreResponse = yield Get(key, lane)
+        response: StoreResponse = yield Get(key, priority)
         if response.status == 200:
             self._view.record_read(key, response.value, response.version)
             self._view.publish_changes()
@@ -46,29 +46,29 @@
         self._view.publish_changes()
         # In this order: a job that ends between the two reads moves from the first key to the
         # second.
-        return (yield from self.read_final(job, lane))
+        return (yield from self.read_final(job, priority))
 
-    def read_final(self, job: str, lane: Lane) -> Coroutine[JobStatus | None]:
+    def read_final(self, job: str, priority: RequestPriority) -> Coroutine[JobStatus | None]:
         """Read a job's final state; UNKNOWN if it has none."""
-        response: StoreResponse = yield Get(keys.FINALS + job, lane)
+        response: StoreResponse = yield Get(keys.FINALS + job, priority)
         if response.status == 200 and response.value in FINAL_STATES:
             state = JobState(response.value)
             self._final_states.record(job, state)
             return JobStatus(state)
         return UNKNOWN if response.status == 404 else None
 
-    def read_final_first(self, job: str, lane: Lane) -> Coroutine[JobStatus | None]:
+    def read_final_first(self, job: str, priority: RequestPriority) -> Coroutine[JobStatus | None]:
         """Read a job's final state, then its record.
 
         For a job that the view lacks: it is most often over.
         """
         if self._connectivity.is_disconnected():
             return None
-        final = yield from self.read_final(job, lane)
+        final = yield from self.read_final(job, priority)
         if final != UNKNOWN:
             return final
         # Between the two reads it may have ended: the next one reads both, in that order.
-        return (yield from self.read_record(job, lane))
+        return (yield from self.read_record(job, priority))
 
     def refresh(self, job: str) -> Coroutine[bool]:
         """Read a job's record afresh; whether that succeeded."""
--- a/marblestair/core/leadership/progress_pages.py
+++ b/marblestair/core/leadership/progress_pages.py
@@ -19,7 +19,7 @@
 from marblestair.core.runtime.store_requests import (
     CompareAndSwap,
     Get,
-    Lane,
+    RequestPriority,
     ListKeys,
     Put,
     StoreResponse,
@@ -91,7 +91,7 @@
         after_key = ""
         while self._is_current(shard):
             # Until it is read no agent of the shard gets an answer: it must not wait behind users.
-            response: StoreResponse = yield ListKeys(prefix, after_key, LISTED_KEYS, Lane.LEASE)
+            response: StoreResponse = yield ListKeys(prefix, after_key, LISTED_KEYS, RequestPriority.LEASE)
             if response.status != 200:
                 yield Sleep(0.1 + 0.2 * self._context.rng.random())
                 continue
@@ -145,7 +145,7 @@
             return 0
         fence = self._leadership.fence_precondition(shard.shard_id)
         response: StoreResponse = yield CompareAndSwap(
-            [fence, *deletions.items()], [], list(deletions), Lane.PROGRESS
+            [fence, *deletions.items()], [], list(deletions), RequestPriority.PROGRESS
         )
         for key in deletions:
             if response.status == 200:
@@ -163,7 +163,7 @@
             key = _key(shard, page)
             preconditions.append((key, page.job_slice.page_versions.get(page.page, 0)))
             puts.append(Put(key, encode_bits(page.bits)))
-        response: StoreResponse = yield CompareAndSwap(preconditions, puts, [], Lane.PROGRESS)
+        response: StoreResponse = yield CompareAndSwap(preconditions, puts, [], RequestPriority.PROGRESS)
         if response.status == 200:
             for page in written:
                 self._mark_durable(page, response.revision)
@@ -211,7 +211,7 @@
 def _read_versions(shard: Shard, most: int) -> Coroutine[None]:
     """Read the versions of obsolete keys for which they are not known."""
     for key in [key for key, version in shard.obsolete_keys.items() if version is None][:most]:
-        response: StoreResponse = yield Get(key, Lane.PROGRESS)
+        response: StoreResponse = yield Get(key, RequestPriority.PROGRESS)
         if response.status == 404:
             shard.obsolete_keys.pop(key, None)
         elif response.status == 200:
@@ -232,7 +232,7 @@
 def _read_back(shard: Shard, written: list[WrittenPage]) -> Coroutine[None]:
     """Read the versions of pages; one that is read late fails the next write, and is read again."""
     for page in written:
-        response: StoreResponse = yield Get(_key(shard, page), Lane.PROGRESS)
+        response: StoreResponse = yield Get(_key(shard, page), RequestPriority.PROGRESS)
         if response.status == 200:
             page.job_slice.page_versions[page.page] = response.version
             page.job_slice.durable_bits |= decode_bits(response.value) << (
--- a/marblestair/core/leadership/store_lease.py
+++ b/marblestair/core/leadership/store_lease.py
@@ -15,7 +15,7 @@
 from marblestair.core.runtime.store_requests import (
     CompareAndSwap,
     GrantLease,
-    Lane,
+    RequestPriority,
     Put,
     RenewLease,
     StoreResponse,
@@ -128,7 +128,7 @@
         swap = CompareAndSwap(
             [(key, self._view.version(key))],
             [Put(key, self._context.incarnation, granted.lease_id)],
-            lane=Lane.LEASE,
+            priority=RequestPriority.LEASE,
         )
         response: StoreResponse = yield swap
         if response.status == 200:
--- a/marblestair/core/messaging/shard_summary.py
+++ b/marblestair/core/messaging/shard_summary.py
@@ -34,7 +34,7 @@
     #: machines that are not to be counted on
     leaving_machines: list[str]
     #: machines that fell silent together with many others, and are waited for
-    absent_machines: list[str]
+    partitioned_machines: list[str]
     #: team -> cpus and gpus that its whole quota here must have for the first pending unit (a task,
     #: or a gang) that it is too small for
     starved_teams: dict[str, list[int]]
--- a/marblestair/core/runtime/store_requests.py
+++ b/marblestair/core/runtime/store_requests.py
@@ -15,7 +15,7 @@
 NOT_SENT = -1
 
 
-class Lane(enum.IntEnum):
+class RequestPriority(enum.IntEnum):
     """Lanes of requests, in order of precedence within a node's budget."""
 
     LEASE = 0
@@ -30,7 +30,7 @@
     """Read one key."""
 
     key: str
-    lane: Lane = Lane.ACCEPTANCE
+    priority: RequestPriority = RequestPriority.ACCEPTANCE
 
 
 class ListKeys(msgspec.Struct, frozen=True):
@@ -39,7 +39,7 @@
     prefix: str
     after_key: str = ""
     limit: int = 200
-    lane: Lane = Lane.SHARD_MAP
+    priority: RequestPriority = RequestPriority.SHARD_MAP
 
 
 class Put(msgspec.Struct, frozen=True):
@@ -59,7 +59,7 @@
     preconditions: list[tuple[str, int]]
     puts: list[Put] = []
     deletes: list[str] = []
-    lane: Lane = Lane.ACCEPTANCE
+    priority: RequestPriority = RequestPriority.ACCEPTANCE
 
     @property
     def change_count(self) -> int:
@@ -71,14 +71,14 @@
     """Ask for a lease."""
 
     ttl_ms: int
-    lane: Lane = Lane.LEASE
+    priority: RequestPriority = RequestPriority.LEASE
 
 
 class RenewLease(msgspec.Struct, frozen=True):
     """Renew a lease."""
 
     lease_id: int
-    lane: Lane = Lane.LEASE
+    priority: RequestPriority = RequestPriority.LEASE
 
 
 class Watch(msgspec.Struct, frozen=True):
@@ -87,7 +87,7 @@
     prefix: str
     after_revision: int
     wait_ms: int
-    lane: Lane = Lane.LEASE
+    priority: RequestPriority = RequestPriority.LEASE
 
 
 StoreRequest: TypeAlias = Get | ListKeys | CompareAndSwap | GrantLease | RenewLease | Watch
--- a/marblestair/core/scheduling/machine_transfers.py
+++ b/marblestair/core/scheduling/machine_transfers.py
@@ -13,7 +13,7 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
-from marblestair.core.runtime.store_requests import CompareAndSwap, Lane, Put, StoreResponse
+from marblestair.core.runtime.store_requests import CompareAndSwap, RequestPriority, Put, StoreResponse
 from marblestair.core.scheduling.dispatch import Dispatcher
 from marblestair.core.scheduling.fleet_plan import FleetPlan
 from marblestair.core.scheduling.placement import (
@@ -252,7 +252,7 @@
             record = self._view.machines[machine.name]
             puts.append(Put(key, msgspec.structs.replace(record, shard_id=target_id)))
             preconditions.append((key, self._view.version(key)))
-        return CompareAndSwap(preconditions, puts, [], Lane.SHARD_MAP)
+        return CompareAndSwap(preconditions, puts, [], RequestPriority.SHARD_MAP)
 
 
 def _price(machine: Machine) -> float:
--- a/marblestair/core/scheduling/shard_summary.py
+++ b/marblestair/core/scheduling/shard_summary.py
@@ -13,7 +13,7 @@
 from marblestair.core.scheduling.placement import FreeCapacity
 from marblestair.core.scheduling.preemption import Preemption
 from marblestair.core.scheduling.quota_ledger import QuotaLedger
-from marblestair.core.shard.partition_detection import absent_machines
+from marblestair.core.shard.partition_detection import partitioned_machines
 from marblestair.core.shard.boot_times import BootTimes
 from marblestair.core.shard.failures import FailureAttribution
 from marblestair.core.shard.machine import CordonReason, Machine
@@ -58,7 +58,7 @@
         """Summarize a shard for the leaders of the others."""
         demand = measure_demand(self._failures, self._quotas, shard)
         agent_lease_s = self._context.settings.cluster.workers.lease_s
-        absent = absent_machines(shard, agent_lease_s, self._context.now)
+        absent = partitioned_machines(shard, agent_lease_s, self._context.now)
         use = self._machine_use(shard, absent)
         return ShardSummary(
             shard_id=shard.shard_id,
@@ -78,7 +78,7 @@
             ],
             gang_machines=use.gang_machines,
             leaving_machines=use.leaving_machines,
-            absent_machines=sorted(absent),
+            partitioned_machines=sorted(absent),
             starved_teams=demand.starved_teams,
             failing_jobs=[
                 (job, machine_count)
--- a/marblestair/core/shard/partition_detection.py
+++ b/marblestair/core/shard/partition_detection.py
@@ -10,7 +10,7 @@
 ABSENCE_LIMIT_LEASES = 3.0
 
 
-def absent_machines(shard: Shard, agent_lease_s: float, now: float) -> set[str]:
+def partitioned_machines(shard: Shard, agent_lease_s: float, now: float) -> set[str]:
     """Return the names of machines that fell silent together with many others.
 
     That is a failure of the network rather than of the machines, and most of them will be back.
--- a/marblestair/core/shard/responsiveness.py
+++ b/marblestair/core/shard/responsiveness.py
@@ -31,7 +31,7 @@
         "frequent_since",
         "ignored_commands",
         "ignored_terms",
-        "is_silent_with_many",
+        "is_partitioned",
         "state",
         "unresponsive_since",
     )
@@ -41,7 +41,7 @@
         #: since when it has been unresponsive or silent, while it is
         self.unresponsive_since = now
         #: it fell silent together with many others, and is likely to be back
-        self.is_silent_with_many = False
+        self.is_partitioned = False
         #: commands or leases in a row that showed no effect
         self.ignored_commands = 0
         #: responses in a row to heartbeats that did not carry the shard's term
@@ -87,6 +87,6 @@
         elif now - self.frequent_since > recovery_s:
             # Nothing is sent to an unresponsive agent that could show whether it responds again.
             self.ignored_commands = 0
-        if self.is_silent_with_many:
+        if self.is_partitioned:
             # Whether responses reach it is shown by the heartbeats that follow.
-            self.unresponsive_since, self.is_silent_with_many = now, False
+            self.unresponsive_since, self.is_partitioned = now, False
--- a/marblestair/core/state/store_follower.py
+++ b/marblestair/core/state/store_follower.py
@@ -5,7 +5,7 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
-from marblestair.core.runtime.store_requests import Get, Lane, ListKeys, StoreResponse, Watch
+from marblestair.core.runtime.store_requests import Get, RequestPriority, ListKeys, StoreResponse, Watch
 from marblestair.core.state import keys
 from marblestair.core.state.store_view import StoreView
 
@@ -51,7 +51,7 @@
         pages: list[StoreResponse] = []
         after_key = ""
         while True:
-            page: StoreResponse = yield ListKeys(keys.VIEW, after_key, PAGE_KEYS, Lane.LEASE)
+            page: StoreResponse = yield ListKeys(keys.VIEW, after_key, PAGE_KEYS, RequestPriority.LEASE)
             if page.status != 200:
                 return None
             pages.append(page)
@@ -77,7 +77,7 @@
 
     def refresh(self, key: str) -> Coroutine[bool]:
         """Read one followed key afresh; whether that succeeded."""
-        response: StoreResponse = yield Get(key, Lane.LEASE)
+        response: StoreResponse = yield Get(key, RequestPriority.LEASE)
         if response.status == 200:
             self._view.record_read(key, response.value, response.version)
         elif response.status == 404:
--- a/marblestair/net/budget.py
+++ b/marblestair/net/budget.py
@@ -24,7 +24,7 @@
 class WaitingRequest(msgspec.Struct, order=True):
     """A request that waits for its turn; the lowest lane first, then the oldest."""
 
-    lane: int
+    priority: int
     number: int
     writes: int
     #: time of the event loop at which it is given up
@@ -65,7 +65,7 @@
         self._last_number = 0
         self._timer: asyncio.TimerHandle | None = None
 
-    async def take(self, lane: int, writes: int) -> bool:
+    async def take(self, priority: int, writes: int) -> bool:
         """Wait for a turn of a request with a number of writes; False when none came in time."""
         loop = asyncio.get_running_loop()
         now = loop.time()
@@ -75,7 +75,7 @@
         granted: asyncio.Future[bool] = loop.create_future()
         self._last_number += 1
         expires_at = now + self.max_wait_s
-        request = WaitingRequest(lane, self._last_number, writes, expires_at, granted)
+        request = WaitingRequest(priority, self._last_number, writes, expires_at, granted)
         heapq.heappush(self._waiting, request)
         self._schedule(loop)
         return await granted
--- a/marblestair/outside_calls.py
+++ b/marblestair/outside_calls.py
@@ -155,7 +155,7 @@
 
     async def _request_store(self, request: StoreRequest) -> StoreResponse:
         write_count = request.change_count if isinstance(request, CompareAndSwap) else 0
-        if not await self.store_budget.take(request.lane, write_count):
+        if not await self.store_budget.take(request.priority, write_count):
             return StoreResponse(NOT_SENT)
         wait_s = request.wait_ms / 1000 if isinstance(request, Watch) else 0.0
         encoded = encode_store_request(request)
@@ -173,8 +173,8 @@
         return decode_store_response(request, status, body)
 
     async def _request_cloud(self, request: CloudRequest) -> CloudResponse:
-        lane = LISTING_LANE if isinstance(request, ListMachines) else CLOUD_LANE
-        if not await self._cloud_budget.take(lane, 0):
+        priority = LISTING_LANE if isinstance(request, ListMachines) else CLOUD_LANE
+        if not await self._cloud_budget.take(priority, 0):
             return CloudResponse(NOT_SENT)
         encoded = encode_cloud_request(request)
         status, body = await self._cloud.request(
--- a/tests/core/jobs/test_dependency_answers.py
+++ b/tests/core/jobs/test_dependency_answers.py
@@ -6,7 +6,7 @@
 
 from marblestair.core.domain.jobs import JobState
 from marblestair.core.jobs.job_status import JobStatus, Proof, ProvenStatus
-from marblestair.core.runtime.store_requests import CompareAndSwap, Get, Lane
+from marblestair.core.runtime.store_requests import CompareAndSwap, Get, RequestPriority
 from marblestair.core.state import keys
 from tests.core.jobs.pipelines import (
     block_final_states,
@@ -111,20 +111,20 @@
 def test_the_final_state_of_a_descendant_goes_ahead_of_progress_once_it_is_due() -> None:
     """However much else there is to write, users learn of it within cancel_s."""
     deployment = started()
-    tries: list[tuple[float, Lane]] = []
+    tries: list[tuple[float, RequestPriority]] = []
 
     def record_lane(_kind: OutputKind, _node: str, output: object) -> None:
         if isinstance(output, CompareAndSwap):
             if any(put.key == keys.FINALS + "job-000002" for put in output.puts):
-                tries.append((deployment.now, output.lane))
+                tries.append((deployment.now, output.priority))
 
     deployment.nodes.on_output = record_lane
     cancel_parent_with_final_states_blocked(deployment)
     confirmed_at = deployment.rules.cancel_confirmed_at["job-000001"]
-    assert tries[0][1] == Lane.PROGRESS
-    due_at = next(at for at, lane in tries if lane == Lane.FINAL_STATE)
+    assert tries[0][1] == RequestPriority.PROGRESS
+    due_at = next(at for at, priority in tries if priority == RequestPriority.FINAL_STATE)
     assert 0.1 * deployment.cancel_s < due_at - confirmed_at < 0.3 * deployment.cancel_s
-    assert all(lane == Lane.FINAL_STATE for at, lane in tries if at > due_at)
+    assert all(priority == RequestPriority.FINAL_STATE for at, priority in tries if at > due_at)
     assert not deployment.rules.violations
 
 
--- a/tests/core/jobs/test_lookups.py
+++ b/tests/core/jobs/test_lookups.py
@@ -10,7 +10,7 @@
 from marblestair.core.messaging.messages import QueryJob
 from marblestair.core.runtime.outbox import UserReply
 from marblestair.core.runtime.requests import PeerRequest
-from marblestair.core.runtime.store_requests import CompareAndSwap, Get, Lane
+from marblestair.core.runtime.store_requests import CompareAndSwap, Get, RequestPriority
 from marblestair.core.state import keys
 from tests.fakes.samples import job_spec
 from tests.helpers import manager_of, started
@@ -75,11 +75,11 @@
     assert all(replies for replies in asked)
     assert recorder.count(Get) == 2 * max_concurrent_reads
     lanes = {
-        request.lane
+        request.priority
         for request in recorder.requests
         if isinstance(request, Get) and request.key.endswith("900000")
     }
-    assert lanes == {Lane.LOOKUP}
+    assert lanes == {RequestPriority.LOOKUP}
 
 
 @pytest.mark.parametrize("polls", [1, 5])
--- a/tests/core/leadership/test_shard_recovery.py
+++ b/tests/core/leadership/test_shard_recovery.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from marblestair.core.leadership import shard_map
-from marblestair.core.runtime.store_requests import Lane, ListKeys
+from marblestair.core.runtime.store_requests import RequestPriority, ListKeys
 from marblestair.core.state import keys
 from tests.fakes.samples import job_spec
 from tests.helpers import manager_of, started
@@ -60,5 +60,5 @@
         if isinstance(request, ListKeys) and request.prefix.startswith(keys.PROGRESS)
     ]
     assert listings
-    assert {request.lane for request in listings} == {Lane.LEASE}
+    assert {request.priority for request in listings} == {RequestPriority.LEASE}
     assert not deployment.rules.violations
--- a/tests/net/test_budget.py
+++ b/tests/net/test_budget.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from marblestair.core.runtime.store_requests import Lane
+from marblestair.core.runtime.store_requests import RequestPriority
 from marblestair.net.budget import Budget
 
 
@@ -41,8 +41,8 @@
     """The order in which requests, made at the same time, are served: name, lane, changes."""
     served: list[str] = []
 
-    async def take(name: str, lane: int, writes: int) -> None:
-        if await budget.take(lane, writes):
+    async def take(name: str, priority: int, writes: int) -> None:
+        if await budget.take(priority, writes):
             served.append(name)
 
     await asyncio.gather(*(take(*request) for request in requests))
@@ -57,8 +57,8 @@
 
     async def check() -> None:
         budget = Budget(20.0, 2.0)
-        assert await budget.take(Lane.ACCEPTANCE, 2)
-        order = await served_order(budget, ("commit", Lane.ACCEPTANCE, 2), ("read", Lane.LOOKUP, 0))
+        assert await budget.take(RequestPriority.ACCEPTANCE, 2)
+        order = await served_order(budget, ("commit", RequestPriority.ACCEPTANCE, 2), ("read", RequestPriority.LOOKUP, 0))
         assert order == ["read", "commit"]
 
     run(check())
@@ -67,12 +67,12 @@
 def test_changes_are_served_in_order_and_the_lowest_lane_first() -> None:
     async def check() -> None:
         budget = Budget(20.0, 2.0, 10.0)
-        assert await budget.take(Lane.ACCEPTANCE, 2)
+        assert await budget.take(RequestPriority.ACCEPTANCE, 2)
         order = await served_order(
             budget,
-            ("progress", Lane.PROGRESS, 1),
-            ("large", Lane.ACCEPTANCE, 2),
-            ("lease", Lane.LEASE, 1),
+            ("progress", RequestPriority.PROGRESS, 1),
+            ("large", RequestPriority.ACCEPTANCE, 2),
+            ("lease", RequestPriority.LEASE, 1),
         )
         assert order == ["lease", "large", "progress"]
 
@@ -83,8 +83,8 @@
 def test_a_request_that_waits_for_too_long_is_refused(writes: int) -> None:
     async def check() -> None:
         budget = Budget(1.0, 1.0, 0.5)
-        assert await budget.take(Lane.ACCEPTANCE, 1)
-        assert not await budget.take(Lane.ACCEPTANCE, writes)
+        assert await budget.take(RequestPriority.ACCEPTANCE, 1)
+        assert not await budget.take(RequestPriority.ACCEPTANCE, writes)
 
     run(check())
 
--- a/tests/scenarios/pipeline_search.py
+++ b/tests/scenarios/pipeline_search.py
@@ -14,7 +14,7 @@
 import sys
 
 from marblestair.core.domain.jobs import JobSpec
-from marblestair.core.runtime.store_requests import CompareAndSwap, Lane
+from marblestair.core.runtime.store_requests import CompareAndSwap, RequestPriority
 from tests.fakes.samples import job_spec
 from tests.helpers import START_UP_S
 from tests.scenarios.answer_search import BUSY_S, AnswerSearch
@@ -107,7 +107,7 @@
 
     def _draw_low_lane_delay_s(self, commit: CompareAndSwap) -> float | None:
         """Changes in the lowest lane may be delayed for long behind the others."""
-        is_low = commit.lane == Lane.PROGRESS and self.rng.random() < 0.8
+        is_low = commit.priority == RequestPriority.PROGRESS and self.rng.random() < 0.8
         return self.rng.uniform(10.0, 60.0) if is_low else None
 
     def _refuse_then_outage(self) -> None:
--- a/tests/scenarios/test_fleet_costs.py
+++ b/tests/scenarios/test_fleet_costs.py
@@ -130,7 +130,7 @@
         jobs_lacking_capacity=jobs,
         gang_machines=MACHINES,
         leaving_machines=MACHINES,
-        absent_machines=MACHINES,
+        partitioned_machines=MACHINES,
         starved_teams={},
     )
 
