--- a/marblestair/core/capacity/decommissioning.py
+++ b/marblestair/core/capacity/decommissioning.py
@@ -146,7 +146,7 @@
     shard: Shard, machine: Machine, is_absent: bool, agent_lease_s: float, now: float
 ) -> bool:
     """Whether a machine is silent for so long that it will not be back."""
-    if not machine.is_silent or not machine.agent_incarnation or is_absent:
+    if not machine.is_lease_expired or not machine.agent_incarnation or is_absent:
         return False
     silent_s = now - machine.last_sign_of_life_at(shard.acquired_at)
     return silent_s > LOST_LEASES * agent_lease_s
@@ -154,7 +154,7 @@
 
 def _is_unresponsive(machine: Machine, agent_lease_s: float, now: float) -> bool:
     """Whether a machine sends heartbeats, but has not carried out commands for too long."""
-    if not machine.is_unresponsive or machine.is_silent:
+    if not machine.is_unresponsive or machine.is_lease_expired:
         return False
     return now - machine.responsiveness.unresponsive_since > LOST_LEASES * agent_lease_s
 
--- a/marblestair/core/capacity/machine_registry.py
+++ b/marblestair/core/capacity/machine_registry.py
@@ -141,7 +141,7 @@
 
     def _has_silent_machines(self) -> bool:
         return any(
-            machine.is_silent
+            machine.is_lease_expired
             for shard in self._leadership.led_shards()
             for machine in shard.machines.values()
         )
@@ -172,7 +172,7 @@
         for shard in self._leadership.led_shards():
             for machine in shard.machines.values():
                 # A machine that still sends heartbeats is judged by those.
-                if machine.is_silent and machine.name in failed:
+                if machine.is_lease_expired and machine.name in failed:
                     machine.has_failed = True
 
     def _list(self) -> Coroutine[list[ListedMachine] | None]:
--- a/marblestair/core/capacity/spending.py
+++ b/marblestair/core/capacity/spending.py
@@ -55,7 +55,7 @@
         return
     price = machine.machine_type.spot_price if machine.spot else machine.machine_type.price
     cost = price * elapsed_s / SECONDS_PER_HOUR
-    if not machine.agent_incarnation or machine.is_silent:
+    if not machine.agent_incarnation or machine.is_lease_expired:
         spent["boot"] = spent.get("boot", 0.0) + cost
         return
     running = sum(
--- a/marblestair/core/shard/machine.py
+++ b/marblestair/core/shard/machine.py
@@ -210,12 +210,12 @@
         """Whether responses and commands seem not to reach the agent, be it silent or not."""
         return self.responsiveness.state is not Reachability.RESPONSIVE
 
-    def mark_silent(self, now: float) -> None:
+    def mark_lease_expired(self, now: float) -> None:
         """Record that the agent's lease has expired.
 
         Late copies of heartbeats of this incarnation must not bring its tasks back.
         """
-        self.responsiveness.mark_silent(now)
+        self.responsiveness.mark_lease_expired(now)
         self.min_incarnation = self.agent_incarnation + 1 if self.agent_incarnation else 0
 
     def last_sign_of_life_at(self, acquired_at: float) -> float:
--- a/marblestair/core/shard/partition_detection.py
+++ b/marblestair/core/shard/partition_detection.py
@@ -18,7 +18,7 @@
     silent = [
         machine
         for machine in shard.machines.values()
-        if machine.is_silent and machine.agent_incarnation and not machine.has_failed
+        if machine.is_lease_expired and machine.agent_incarnation and not machine.has_failed
     ]
     least = max(LEAST_ABSENT_MACHINES, LEAST_ABSENT_FRACTION * len(shard.machines))
     if len(silent) < least:
--- a/marblestair/core/shard/responsiveness.py
+++ b/marblestair/core/shard/responsiveness.py
@@ -55,7 +55,7 @@
         if self.state is Reachability.RESPONSIVE:
             self.state, self.unresponsive_since = Reachability.UNRESPONSIVE, now
 
-    def mark_silent(self, now: float) -> None:
+    def mark_lease_expired(self, now: float) -> None:
         """Record that the agent's lease has expired."""
         self.mark_unresponsive(now)
         self.state = Reachability.SILENT
--- a/tests/core/shard/test_heartbeat_duplicates.py
+++ b/tests/core/shard/test_heartbeat_duplicates.py
@@ -106,11 +106,11 @@
     assert lost.tasks
     deployment.cloud.capacity = 0
     machine = shard.machines[agent.name]
-    assert deployment.run_until(lambda: machine.is_silent, 2 * deployment.lease_s)
+    assert deployment.run_until(lambda: machine.is_lease_expired, 2 * deployment.lease_s)
     placed_on = dict(shard.slices[job].placed_on)
     deployment.agent_link.deliver_duplicate(controller.context.node, lost)
     machine = shard.machines[agent.name]
     assert not machine.tasks
-    assert machine.is_silent
+    assert machine.is_lease_expired
     assert shard.slices[job].placed_on == placed_on
     assert not deployment.rules.violations
