--- a/marblestair/core/capacity/decommissioning.py
+++ b/marblestair/core/capacity/decommissioning.py
@@ -123,7 +123,7 @@
 
 def _is_useless(shard: Shard, machine: Machine) -> bool:
     """Whether a machine was given up, or is empty and is not to have tasks any more."""
-    if machine.is_given_up or machine.has_failed:
+    if machine.is_decommissioned or machine.has_failed:
         return True
     if machine.tasks:
         return False
@@ -138,7 +138,7 @@
         return False
     boot_s = UNKNOWN_BOOT_LEASES * agent_lease_s
     if machine.machine_type is not None:
-        boot_s = shard.boot_times.give_up_after_s(machine.machine_type, now)
+        boot_s = shard.boot_times.boot_timeout_s(machine.machine_type, now)
     return now - machine.added_at > boot_s + agent_lease_s
 
 
--- a/marblestair/core/capacity/machine_registry.py
+++ b/marblestair/core/capacity/machine_registry.py
@@ -104,7 +104,7 @@
         swap = CompareAndSwap([(key, 0), fence], [Put(key, record)], [], RequestPriority.SHARD_MAP)
         response: StoreResponse = yield swap
         if response.status == 200:
-            self._view.record_commit(swap, response.revision)
+            self._view.apply_commit(swap, response.revision)
             self._view.publish_changes()
         self._registering.discard(name)
 
--- a/marblestair/core/capacity/releases.py
+++ b/marblestair/core/capacity/releases.py
@@ -47,7 +47,7 @@
             return
         for machine in machines:
             # A late copy of the request may still end the machine; its release is requested again.
-            machine.is_releasing = machine.is_given_up
+            machine.is_releasing = machine.is_decommissioned
             if not machine.tasks:
                 machine.idle_since = self._context.now
         yield Sleep(RETRY_PAUSE_S)
@@ -58,7 +58,7 @@
         for name in names:
             machine = shard.machines.get(name)
             if machine is not None:
-                shard.forget_tasks(machine, now)
+                shard.remove_all_tasks(machine, now)
             self._view.gone_machines[name] = None
         batch_size = self._context.max_batch_changes
         while names and self._leadership.shards.get(shard.shard_id) is shard:
@@ -69,7 +69,7 @@
             swap = CompareAndSwap([fence, *versions], [], deleted, RequestPriority.FINAL_STATE)
             response: StoreResponse = yield swap
             if response.status == 200:
-                self._view.record_commit(swap, response.revision)
+                self._view.apply_commit(swap, response.revision)
                 self._view.publish_changes()
                 names = names[batch_size:]
                 continue
@@ -90,6 +90,6 @@
             if not job_slice.is_cancelled or now - job_slice.cancelled_at <= limit_s:
                 continue
             for machine in job_slice.placed_on.values():
-                if not machine.is_given_up:
-                    machine.is_given_up = True
+                if not machine.is_decommissioned:
+                    machine.is_decommissioned = True
                     self._context.log("info", f"{machine.name} does not stop a cancelled task")
--- a/marblestair/core/capacity/rentals.py
+++ b/marblestair/core/capacity/rentals.py
@@ -146,7 +146,7 @@
             swap = CompareAndSwap(preconditions, puts, [] if rest else [intent_key], RequestPriority.SHARD_MAP)
             response: StoreResponse = yield swap
             if response.status == 200:
-                self._view.record_commit(swap, response.revision)
+                self._view.apply_commit(swap, response.revision)
                 self._view.publish_changes()
                 remaining = rest
                 continue
--- a/marblestair/core/jobs/acceptance.py
+++ b/marblestair/core/jobs/acceptance.py
@@ -200,7 +200,7 @@
             swap = self._acceptance(record)
             response: StoreResponse = yield swap
             if response.status == 200:
-                self._view.record_commit(swap, response.revision)
+                self._view.apply_commit(swap, response.revision)
                 self._view.publish_changes()
                 self._announcements.announce(spec.id)
                 self._log_accepted(spec, record)
--- a/marblestair/core/jobs/cancellations.py
+++ b/marblestair/core/jobs/cancellations.py
@@ -237,6 +237,6 @@
         )
         response: StoreResponse = yield swap
         if response.status == 200:
-            self._view.record_commit(swap, response.revision)
+            self._view.apply_commit(swap, response.revision)
             self._view.publish_changes()
         # Uncertain or outrun: the next request reads the record again.
--- a/marblestair/core/jobs/completion_records.py
+++ b/marblestair/core/jobs/completion_records.py
@@ -86,7 +86,7 @@
                 return
             response: StoreResponse = yield swap
             if response.status == 200:
-                self._view.record_commit(swap, response.revision)
+                self._view.apply_commit(swap, response.revision)
                 self._view.publish_changes()
             else:
                 # One record that has moved on must not hold up the others.
--- a/marblestair/core/jobs/job_managers.py
+++ b/marblestair/core/jobs/job_managers.py
@@ -205,7 +205,7 @@
         if step in FINAL_STATE_OF:
             self._dependencies.announce_end(job, FINAL_STATE_OF[step])
             self._final_states.record(job, FINAL_STATE_OF[step])
-        self._view.record_commit(swap, response.revision)
+        self._view.apply_commit(swap, response.revision)
         self._view.publish_changes()
         if step is ManagerStep.RELEASE:
             self._context.log("info", f"released {job}: all that it depends on is done")
--- a/marblestair/core/jobs/migration_locks.py
+++ b/marblestair/core/jobs/migration_locks.py
@@ -122,7 +122,7 @@
             tries += 1
             response = yield from managed.commit_change(swap)
             if response.status == 200:
-                self._view.record_commit(swap, response.revision)
+                self._view.apply_commit(swap, response.revision)
                 self._apply(managed, update)
                 self._view.publish_changes()
                 return [response.revision]
--- a/marblestair/core/jobs/record_announcements.py
+++ b/marblestair/core/jobs/record_announcements.py
@@ -30,5 +30,5 @@
     def receive(self, message: RecordCommitted) -> None:
         """Another node has committed a job's record."""
         record = msgspec.to_builtins(message.record)
-        self._view.record_read(keys.JOBS + message.job, record, message.version)
+        self._view.apply_read(keys.JOBS + message.job, record, message.version)
         self._view.publish_changes()
--- a/marblestair/core/jobs/record_reader.py
+++ b/marblestair/core/jobs/record_reader.py
@@ -36,13 +36,13 @@
         key = keys.JOBS + job
         response: StoreResponse = yield Get(key, priority)
         if response.status == 200:
-            self._view.record_read(key, response.value, response.version)
+            self._view.apply_read(key, response.value, response.version)
             self._view.publish_changes()
             record = msgspec.convert(response.value, JobRecord)
             return JobStatus(JobState.CANCELLED if record.is_cancelled else JobState.QUEUED)
         if response.status != 404:
             return None
-        self._view.record_absence(key, response.revision)
+        self._view.apply_absence(key, response.revision)
         self._view.publish_changes()
         # In this order: a job that ends between the two reads moves from the first key to the
         # second.
--- a/marblestair/core/leadership/connectivity.py
+++ b/marblestair/core/leadership/connectivity.py
@@ -104,7 +104,7 @@
             if shard.is_ready
             for machine in shard.machines.values()
             if self._should_send_heartbeats(shard, machine)
-            and not machine.is_given_up
+            and not machine.is_decommissioned
             and not machine.is_releasing
         ]
 
--- a/marblestair/core/leadership/failover.py
+++ b/marblestair/core/leadership/failover.py
@@ -142,7 +142,7 @@
         swap = CompareAndSwap([(keys.SHARD_MAP, 0)], [Put(keys.SHARD_MAP, first)], priority=RequestPriority.LEASE)
         response: StoreResponse = yield swap
         if response.status == 200:
-            self._view.record_commit(swap, response.revision)
+            self._view.apply_commit(swap, response.revision)
         else:
             yield Sleep(0.3)
         self._is_in_progress = False
--- a/marblestair/core/leadership/shard_map_updates.py
+++ b/marblestair/core/leadership/shard_map_updates.py
@@ -46,7 +46,7 @@
         swap = CompareAndSwap([(keys.SHARD_MAP, version), *preconditions], puts, priority=RequestPriority.LEASE)
         response: StoreResponse = yield swap
         if response.status == 200:
-            self._view.record_commit(swap, response.revision)
+            self._view.apply_commit(swap, response.revision)
             self._view.publish_changes()
             return UpdateResult.APPLIED
         if response.status == 409:
--- a/marblestair/core/leadership/store_lease.py
+++ b/marblestair/core/leadership/store_lease.py
@@ -136,7 +136,7 @@
             # Leadership counts only once the view includes this commit: while the key was
             # missing, another node may have taken the shards over.
             self.node_key_revision = response.revision
-            self._view.record_commit(swap, response.revision)
+            self._view.apply_commit(swap, response.revision)
             self._extend(granted.requested_at)
             self._view.publish_changes()
             return response.status
--- a/marblestair/core/scheduling/machine_transfers.py
+++ b/marblestair/core/scheduling/machine_transfers.py
@@ -215,7 +215,7 @@
             swap = self._change(shard, remaining, target_id, shard_map)
             response: StoreResponse = yield swap
             if response.status == 200:
-                self._view.record_commit(swap, response.revision)
+                self._view.apply_commit(swap, response.revision)
                 self._view.publish_changes()
                 return
             if response.status == 0:
--- a/marblestair/core/scheduling/shard_summary.py
+++ b/marblestair/core/scheduling/shard_summary.py
@@ -131,10 +131,10 @@
         gang_machines = _gang_machines(shard)
         for machine in shard.machines.values():
             is_returning = machine.cordon is CordonReason.RETURN
-            is_given_up = machine.is_releasing or machine.is_given_up or is_returning
-            if machine.name in absent and not is_given_up:
+            is_decommissioned = machine.is_releasing or machine.is_decommissioned or is_returning
+            if machine.name in absent and not is_decommissioned:
                 continue
-            if is_given_up or self._is_leaving(machine):
+            if is_decommissioned or self._is_leaving(machine):
                 use.leaving_machines.append(machine.name)
             elif machine.cordon is not None:
                 # On its way to a gang's shard: neither idle nor lost to the plan, which would rent
--- a/marblestair/core/shard/agent_leases.py
+++ b/marblestair/core/shard/agent_leases.py
@@ -36,5 +36,5 @@
 
 def _expire_lease(shard: Shard, machine: Machine, now: float) -> None:
     machine.mark_lease_expired(now)
-    shard.forget_tasks(machine, now)
+    shard.remove_all_tasks(machine, now)
     shard.mark_reconciled(machine.name)
--- a/marblestair/core/shard/boot_times.py
+++ b/marblestair/core/shard/boot_times.py
@@ -62,7 +62,7 @@
         limit = OVERDUE_BOOT_TIMES * self.expected_ratio(machine_type, now)
         return age_s > limit * machine_type.boot_s
 
-    def give_up_after_s(self, machine_type: MachineType, now: float) -> float:
+    def boot_timeout_s(self, machine_type: MachineType, now: float) -> float:
         """Age at which a machine without a heartbeat is given up, in seconds."""
         limit = GIVE_UP_BOOT_TIMES * self.expected_ratio(machine_type, now)
         return max(LEAST_GIVE_UP_BOOT_TIMES, limit) * machine_type.boot_s
--- a/marblestair/core/shard/commands.py
+++ b/marblestair/core/shard/commands.py
@@ -68,7 +68,7 @@
     A planned task that may not start any more is removed instead.
     """
     commands: list[TaskCommand] = []
-    if not machine.is_reconciled or machine.is_given_up or machine.is_releasing:
+    if not machine.is_reconciled or machine.is_decommissioned or machine.is_releasing:
         return commands
     for task in list(machine.tasks.values()):
         if task.state != TaskState.PLANNED:
--- a/marblestair/core/shard/heartbeats.py
+++ b/marblestair/core/shard/heartbeats.py
@@ -42,7 +42,7 @@
 
 def _is_acceptable(shard: Shard, machine: Machine, heartbeat: Heartbeat) -> bool:
     """Whether a heartbeat counts: the newest of a machine that is not being given up."""
-    if machine.is_given_up or machine.is_releasing or heartbeat.fencing_token > shard.term:
+    if machine.is_decommissioned or machine.is_releasing or heartbeat.fencing_token > shard.term:
         return False
     # A late copy: the agent expects no response to it any more, and its list is old.
     return heartbeat.agent_incarnation >= machine.min_incarnation and (
@@ -82,7 +82,7 @@
             # It sent heartbeats all the while: the responses did not reach it.
             machine.responsiveness.ignored_commands += 1
             machine.responsiveness.mark_unresponsive(now)
-        shard.forget_tasks(machine, now)
+        shard.remove_all_tasks(machine, now)
     machine.agent_incarnation = incarnation
 
 
--- a/marblestair/core/shard/machine.py
+++ b/marblestair/core/shard/machine.py
@@ -127,7 +127,7 @@
         self.responsiveness = Responsiveness(now)
         self.cordon: CordonReason | None = None
         #: no more 200 responses, for good: its lease is to expire, and the cloud is to stop it
-        self.is_given_up = False
+        self.is_decommissioned = False
         #: a request to release it is under way
         self.is_releasing = False
         #: the cloud lists it as stopped by itself
@@ -176,7 +176,7 @@
             and self.machine_type is not None
             and self.responsiveness.state is Reachability.RESPONSIVE
             and self.cordon is None
-            and not self.is_given_up
+            and not self.is_decommissioned
             and not self.is_releasing
             and last_heartbeat_at is not None
             and (self.silence_limit_s is None or now - last_heartbeat_at < self.silence_limit_s)
--- a/marblestair/core/shard/shard.py
+++ b/marblestair/core/shard/shard.py
@@ -197,7 +197,7 @@
             if task.state == TaskState.PLANNED:
                 self.remove_task(machine, task, now)
 
-    def forget_tasks(self, machine: Machine, now: float) -> None:
+    def remove_all_tasks(self, machine: Machine, now: float) -> None:
         """Remove all tasks of a machine: its agent incarnation so far has surely ended."""
         for task in list(machine.tasks.values()):
             self.remove_task(machine, task, now)
--- a/marblestair/core/state/store_follower.py
+++ b/marblestair/core/state/store_follower.py
@@ -79,9 +79,9 @@
         """Read one followed key afresh; whether that succeeded."""
         response: StoreResponse = yield Get(key, RequestPriority.LEASE)
         if response.status == 200:
-            self._view.record_read(key, response.value, response.version)
+            self._view.apply_read(key, response.value, response.version)
         elif response.status == 404:
-            self._view.record_absence(key, response.revision)
+            self._view.apply_absence(key, response.revision)
         else:
             return False
         self._view.publish_changes()
--- a/marblestair/core/state/store_view.py
+++ b/marblestair/core/state/store_view.py
@@ -118,19 +118,19 @@
                 self._set(change.key, change.value, change.version)
         self._advance(revision)
 
-    def record_read(self, key: str, value: Any, version: int) -> None:
+    def apply_read(self, key: str, value: Any, version: int) -> None:
         """Apply one key as a read has found it."""
         if self._is_newer(key, version):
             self._set(key, value, version)
 
-    def record_absence(self, key: str, revision: int) -> None:
+    def apply_absence(self, key: str, revision: int) -> None:
         """Apply that a read at a revision has found no such key."""
         if key not in self.versions or revision < self.versions[key]:
             return
         self._note_absence(key, revision)
         self._set(key, None, revision)
 
-    def record_commit(self, swap: CompareAndSwap, revision: int) -> None:
+    def apply_commit(self, swap: CompareAndSwap, revision: int) -> None:
         """Apply an own commit, ahead of the watch or behind it."""
         for put in swap.puts:
             if put.key.startswith(keys.VIEW) and self._is_newer(put.key, revision):
--- a/tests/core/jobs/test_answers.py
+++ b/tests/core/jobs/test_answers.py
@@ -157,11 +157,11 @@
     reading.send(StoreResponse(404, revision=version + 5))
     assert job not in view.jobs
     # What was read or committed before that comes too late.
-    view.record_read(key, record, version + 4)
+    view.apply_read(key, record, version + 4)
     view.apply_changes([KeyChange(key, record, version + 3)], version + 3)
     assert job not in view.jobs
     # A read that was carried out before the acceptance removes nothing either.
-    view.record_read(key, record, version + 6)
+    view.apply_read(key, record, version + 6)
     result_after(controller.job_services.reader.read_record(job), StoreResponse(0))
     late = controller.job_services.reader.read_record(job)
     next(late)
--- a/tests/core/jobs/test_dependencies.py
+++ b/tests/core/jobs/test_dependencies.py
@@ -188,7 +188,7 @@
     top = job_spec(1, task_count=1)
     descendants = chain_after(top, range(2, 3000))
     for place, spec in enumerate([top, *descendants]):
-        controller.view.record_read(keys.JOBS + spec.id, stored_record(spec), 10_000 + place)
+        controller.view.apply_read(keys.JOBS + spec.id, stored_record(spec), 10_000 + place)
     controller.view.publish_changes()
     assert sum(1 for _ in controller.job_services.dependencies.descendants(top.id)) == 2998
     controller.job_services.cancels.record(top.id, 20_000)
--- a/tests/core/jobs/test_dependency_cancellations.py
+++ b/tests/core/jobs/test_dependency_cancellations.py
@@ -174,7 +174,7 @@
     view = controller.view
     for number in (2, 3):
         spec = job_spec(number, depends_on=[f"job-{number - 1:06d}"])
-        view.record_read(keys.JOBS + spec.id, stored_record(spec), view.revision + 1)
+        view.apply_read(keys.JOBS + spec.id, stored_record(spec), view.revision + 1)
     view.publish_changes()
     view.revision += 2
     assert not controller.job_services.dependencies.knows_ancestors("job-000003")
--- a/tests/core/leadership/test_pauses.py
+++ b/tests/core/leadership/test_pauses.py
@@ -173,11 +173,11 @@
     name = leader_of(deployment, 0)
     commits: list[CompareAndSwap] = []
 
-    def record_commit(_kind: OutputKind, node: str, output: Any) -> None:
+    def apply_commit(_kind: OutputKind, node: str, output: Any) -> None:
         if node == name and isinstance(output, CompareAndSwap) and is_commit_for_a_shard(output):
             commits.append(output)
 
-    deployment.nodes.on_output = record_commit
+    deployment.nodes.on_output = apply_commit
     jobs = [
         deployment.users.submit(job_spec(number, task_count=8, estimated_run_s=3.0), node=name)
         for number in range(1, 7)
--- a/tests/core/leadership/test_shard_recovery.py
+++ b/tests/core/leadership/test_shard_recovery.py
@@ -28,14 +28,14 @@
     other = shard_map.assign_shards(view.shard_map, [0], "n1", 7)
     regained = shard_map.assign_shards(other, [0], *controller.context.identity)
     version = view.version(keys.SHARD_MAP)
-    view.record_read(keys.SHARD_MAP, msgspec.to_builtins(regained), version + 2)
+    view.apply_read(keys.SHARD_MAP, msgspec.to_builtins(regained), version + 2)
     view.publish_changes()
     assert leadership.shards[0] is not lost
     assert not leadership.is_leader(0)
     # A higher term alone does not forget what is known.
     known = leadership.shards[1] if 1 in leadership.shards else leadership.shards[0]
     raised = shard_map.raise_term(regained, known.shard_id)
-    view.record_read(keys.SHARD_MAP, msgspec.to_builtins(raised), version + 3)
+    view.apply_read(keys.SHARD_MAP, msgspec.to_builtins(raised), version + 3)
     view.publish_changes()
     assert leadership.shards[known.shard_id] is known
     assert known.term == raised.last_term
--- a/tests/core/state/test_store_view.py
+++ b/tests/core/state/test_store_view.py
@@ -73,16 +73,16 @@
         puts = [] if is_deletion else [Put(key, revision)]
         own = CompareAndSwap([], puts, [key] if is_deletion else [])
         if self.rng.random() < 0.5:
-            self.on_their_way.append(lambda: self.view.record_commit(own, revision))
+            self.on_their_way.append(lambda: self.view.apply_commit(own, revision))
 
     def read(self) -> None:
         """Read a key; the response comes later."""
         key = self.rng.choice(NODE_KEYS)
         version, revision = self.history.version(key), self.history.revision
         if version:
-            self.on_their_way.append(lambda: self.view.record_read(key, version, version))
+            self.on_their_way.append(lambda: self.view.apply_read(key, version, version))
         else:
-            self.on_their_way.append(lambda: self.view.record_absence(key, revision))
+            self.on_their_way.append(lambda: self.view.apply_absence(key, revision))
 
     def arrive(self) -> None:
         """Have something that was on its way arrive, in any order."""
@@ -165,8 +165,8 @@
     record = [0, "t8", "a", False, 0.0]
     view = StoreView()
     view.apply_changes([KeyChange(key, record, 3), KeyChange(key, None, 5)], 5)
-    view.record_commit(CompareAndSwap([], [Put(key, record)]), 3)
-    view.record_read(key, record, 4)
+    view.apply_commit(CompareAndSwap([], [Put(key, record)]), 3)
+    view.apply_read(key, record, 4)
     assert not view.machines
     assert list(view.gone_machines) == ["host-000001"]
 
@@ -176,9 +176,9 @@
     followed = [f"{keys.NODES}{number}" for number in range(1000)]
     view.apply_changes([KeyChange(key, 1, 1) for key in followed], 1)
     for key in followed:
-        view.record_absence(key, 2)
+        view.apply_absence(key, 2)
         # Nothing is remembered of keys that the view never had, however many users ask for.
-        view.record_absence(key + "/unknown", 2)
+        view.apply_absence(key + "/unknown", 2)
     assert len(view._absent_at) == 1000
     view.apply_changes([KeyChange(key, None, 2) for key in followed], 2)
     assert not view._absent_at
--- a/tests/scenarios/test_fleet_costs.py
+++ b/tests/scenarios/test_fleet_costs.py
@@ -93,9 +93,9 @@
 def test_no_memory_or_message_is_too_small_for_four_thousand_machines() -> None:
     view = StoreView()
     for name in MACHINES:
-        view.record_read(keys.MACHINES + name, [0, "m16", "a", False, 0.0], 1)
+        view.apply_read(keys.MACHINES + name, [0, "m16", "a", False, 0.0], 1)
     for name in MACHINES:
-        view.record_absence(keys.MACHINES + name, 2)
+        view.apply_absence(keys.MACHINES + name, 2)
     assert set(view.gone_machines) == set(MACHINES)
     failures = FailureAttribution(Workers(**FLEET_AGENTS))
     for number, name in enumerate(MACHINES):
