--- a/marblestair/core/capacity/decommissioning.py
+++ b/marblestair/core/capacity/decommissioning.py
@@ -148,7 +148,7 @@
     """Whether a machine is silent for so long that it will not be back."""
     if not machine.is_lease_expired or not machine.agent_incarnation or is_absent:
         return False
-    silent_s = now - machine.last_sign_of_life_at(shard.acquired_at)
+    silent_s = now - machine.last_seen_at(shard.acquired_at)
     return silent_s > LOST_LEASES * agent_lease_s
 
 
--- a/marblestair/core/leadership/connectivity.py
+++ b/marblestair/core/leadership/connectivity.py
@@ -99,7 +99,7 @@
     def _last_heartbeats(self) -> list[float]:
         """When each machine that should send heartbeats has sent its last."""
         return [
-            machine.last_sign_of_life_at(shard.acquired_at)
+            machine.last_seen_at(shard.acquired_at)
             for shard in self._leadership.shards.values()
             if shard.is_ready
             for machine in shard.machines.values()
--- a/marblestair/core/shard/machine.py
+++ b/marblestair/core/shard/machine.py
@@ -218,7 +218,7 @@
         self.responsiveness.mark_lease_expired(now)
         self.min_incarnation = self.agent_incarnation + 1 if self.agent_incarnation else 0
 
-    def last_sign_of_life_at(self, acquired_at: float) -> float:
+    def last_seen_at(self, acquired_at: float) -> float:
         """Time since which nothing shows that the machine lives.
 
         That is its last heartbeat here, or the acquisition of the shard if that is later: earlier
--- a/marblestair/core/shard/partition_detection.py
+++ b/marblestair/core/shard/partition_detection.py
@@ -27,5 +27,5 @@
     return {
         machine.name
         for machine in silent
-        if now - machine.last_sign_of_life_at(shard.acquired_at) < limit_s
+        if now - machine.last_seen_at(shard.acquired_at) < limit_s
     }
