--- a/marblestair/core/capacity/fleet.py
+++ b/marblestair/core/capacity/fleet.py
@@ -111,7 +111,7 @@
         }
         for machine in nearly_empty_machines(shard, names, now)[:1]:
             machine.cordon = CordonReason.RETURN
-            shard.stop_tasks(list(machine.tasks.values()), StopReason.MACHINE_RETURNED)
+            shard.stop_tasks(list(machine.tasks.values()), StopReason.MACHINE_RELEASED)
             self._context.log(
                 "info", f"emptying {machine.name}: {len(machine.tasks)} tasks run again elsewhere"
             )
--- a/marblestair/core/jobs/dependency_reads.py
+++ b/marblestair/core/jobs/dependency_reads.py
@@ -63,7 +63,7 @@
         """
         job = record.spec.id
         agent_lease_s = self._context.settings.cluster.workers.lease_s
-        if self._view.age_s(self._context.now) > agent_lease_s:
+        if self._view.staleness_s(self._context.now) > agent_lease_s:
             return False
         # One that is found alive may have ancestors that are gone in their turn.
         for _ in range(MOST_READS_FOR_USER):
--- a/marblestair/core/leadership/connectivity.py
+++ b/marblestair/core/leadership/connectivity.py
@@ -61,7 +61,7 @@
         """
         now, limit_s = self._context.now, self._lease.ttl_s
         last_renewal = self._lease.renewed_at
-        if self._view.age_s(now) < limit_s or now - self._context.started_at < limit_s:
+        if self._view.staleness_s(now) < limit_s or now - self._context.started_at < limit_s:
             return False
         if last_renewal is not None and now - last_renewal < limit_s:
             return False
--- a/marblestair/core/leadership/leadership.py
+++ b/marblestair/core/leadership/leadership.py
@@ -46,12 +46,12 @@
         if self._promises.are_valid(now):
             return True
         agent_lease_s = self._context.settings.cluster.workers.lease_s
-        return self._lease.is_valid(now) and self._view.age_s(now) < agent_lease_s
+        return self._lease.is_valid(now) and self._view.staleness_s(now) < agent_lease_s
 
     def is_leader(self, shard_id: int) -> bool:
         """Whether this node may act for a shard now."""
         shard = self.shards.get(shard_id)
-        if shard is None or not shard.is_ready or shard.is_closing:
+        if shard is None or not shard.is_ready or shard.is_being_transferred:
             return False
         return self.is_authorized(self._context.now)
 
@@ -90,7 +90,7 @@
             basis,
             lease_left_s=_rounded(self._lease.remaining_s(now)),
             promises_left_s=_rounded(self._promises.remaining_s(now)),
-            view_age_s=_rounded(self._view.age_s(now)),
+            view_age_s=_rounded(self._view.staleness_s(now)),
             view_rev=self._view.revision,
             shards={shard_id: shard.term for shard_id, shard in self.shards.items()},
         )
--- a/marblestair/core/leadership/transfer.py
+++ b/marblestair/core/leadership/transfer.py
@@ -153,10 +153,10 @@
 
     def _transfer(self, shard_id: int, target: str) -> Coroutine[None]:
         shard = self._leadership.shards.get(shard_id)
-        if shard is None or shard.is_closing:
+        if shard is None or shard.is_being_transferred:
             return
         # From here on this node does not act for the shard: the commit may be applied any time.
-        shard.is_closing = True
+        shard.is_being_transferred = True
         uncertain_version: int | None = None
         tries = 0
         while self._leadership.shards.get(shard_id) is shard and self._view.shard_map is not None:
@@ -166,7 +166,7 @@
             if incarnation is None or tries > MOST_TRIES:
                 if uncertain_version != version:
                     # Nothing that was sent can be applied any more: the map has moved on.
-                    shard.is_closing = False
+                    shard.is_being_transferred = False
                     return
                 # Take the shard anew, so that the commit in doubt cannot be applied late.
                 target, incarnation = self._context.identity
--- a/marblestair/core/shard/machine.py
+++ b/marblestair/core/shard/machine.py
@@ -29,7 +29,7 @@
     #: other work gets its resources
     PREEMPTED = "preempted"
     #: its machine is to be released
-    MACHINE_RETURNED = "returned"
+    MACHINE_RELEASED = "returned"
 
 
 class CordonReason(enum.Enum):
--- a/marblestair/core/state/store_follower.py
+++ b/marblestair/core/state/store_follower.py
@@ -66,7 +66,7 @@
             response: StoreResponse = yield Watch(keys.VIEW, self._view.revision, self._wait_ms)
             if response.status == 200:
                 self._view.apply_changes(response.events, response.revision)
-                self._view.note_current(sent_at)
+                self._view.advance_current_as_of(sent_at)
                 self._view.publish_changes()
                 yield Sleep(max(0.0, sent_at + self._pause_s - self._context.now))
             elif response.status == 410:
--- a/marblestair/core/state/store_view.py
+++ b/marblestair/core/state/store_view.py
@@ -72,12 +72,12 @@
         for listener in self._listeners:
             listener()
 
-    def note_current(self, as_of: float) -> None:
+    def advance_current_as_of(self, as_of: float) -> None:
         """Everything that was committed before a steady time is known."""
         if self.current_as_of is None or as_of > self.current_as_of:
             self.current_as_of = as_of
 
-    def age_s(self, now: float) -> float:
+    def staleness_s(self, now: float) -> float:
         """For how long a change may have been committed without being known here."""
         return math.inf if self.current_as_of is None else now - self.current_as_of
 
--- a/marblestair/core/status.py
+++ b/marblestair/core/status.py
@@ -66,7 +66,7 @@
             "acts_for": [shard.shard_id for shard in self._leadership.led_shards()],
             "lease_s_left": round(max(0.0, self._lease.remaining_s(now) or 0.0), 1),
             "on_promises": self._promises.are_valid(now),
-            "view_s_old": round(min(MOST_AGE_S, self._view.age_s(now)), 1),
+            "view_s_old": round(min(MOST_AGE_S, self._view.staleness_s(now)), 1),
         }
 
     def _job_status(self) -> dict[str, object]:
