--- a/marblestair/core/capacity/decommissioning.py
+++ b/marblestair/core/capacity/decommissioning.py
@@ -127,7 +127,7 @@
         return True
     if machine.tasks:
         return False
-    if machine.cordon is CordonReason.RETURN or machine.reclaim_at is not None:
+    if machine.cordon is CordonReason.RELEASE or machine.reclaim_at is not None:
         return True
     return shard.failures.is_faulty(machine.name)
 
--- a/marblestair/core/capacity/fleet.py
+++ b/marblestair/core/capacity/fleet.py
@@ -110,7 +110,7 @@
             and now - surplus_since > MIN_SURPLUS_BOOT_TIMES * machine.machine_type.boot_s
         }
         for machine in nearly_empty_machines(shard, names, now)[:1]:
-            machine.cordon = CordonReason.RETURN
+            machine.cordon = CordonReason.RELEASE
             shard.stop_tasks(list(machine.tasks.values()), StopReason.MACHINE_RELEASED)
             self._context.log(
                 "info", f"emptying {machine.name}: {len(machine.tasks)} tasks run again elsewhere"
--- a/marblestair/core/scheduling/shard_summary.py
+++ b/marblestair/core/scheduling/shard_summary.py
@@ -130,7 +130,7 @@
         use = MachineUse()
         gang_machines = _gang_machines(shard)
         for machine in shard.machines.values():
-            is_returning = machine.cordon is CordonReason.RETURN
+            is_returning = machine.cordon is CordonReason.RELEASE
             is_decommissioned = machine.is_releasing or machine.is_decommissioned or is_returning
             if machine.name in absent and not is_decommissioned:
                 continue
--- a/tests/core/scheduling/test_gangs.py
+++ b/tests/core/scheduling/test_gangs.py
@@ -68,7 +68,7 @@
     summary = summarize(shard)
     assert machine.name not in summary.leaving_machines
     assert machine.name not in [name for name, _ in summary.idle_machines]
-    machine.cordon = CordonReason.RETURN
+    machine.cordon = CordonReason.RELEASE
     assert machine.name in summarize(shard).leaving_machines
     machine.cordon = None
     assert deployment.users.wait_until_done(gang, 90.0)
