--- a/marblestair/core/capacity/machine_registry.py
+++ b/marblestair/core/capacity/machine_registry.py
@@ -54,7 +54,7 @@
     def receive_unregistered(self, heartbeat: Heartbeat) -> HeartbeatResponse:
         """A heartbeat of a machine that belongs to no shard."""
         name = heartbeat.machine
-        if name in self._view.gone_machines or name in self._releasing:
+        if name in self._view.removed_machines or name in self._releasing:
             return HeartbeatResponse(503)
         led_shards = self._leadership.led_shards()
         shard_map = self._view.shard_map
@@ -149,7 +149,7 @@
     def _is_unregistered(self, machine: ListedMachine, lag_s: float) -> bool:
         """Whether a listed machine is in no shard, and not about to be."""
         name = machine.name
-        if name in self._view.machines or name in self._view.gone_machines:
+        if name in self._view.machines or name in self._view.removed_machines:
             return False
         if name in self._registering:
             return False
--- a/marblestair/core/capacity/releases.py
+++ b/marblestair/core/capacity/releases.py
@@ -59,7 +59,7 @@
             machine = shard.machines.get(name)
             if machine is not None:
                 shard.remove_all_tasks(machine, now)
-            self._view.gone_machines[name] = None
+            self._view.removed_machines[name] = None
         batch_size = self._context.max_batch_changes
         while names and self._leadership.shards.get(shard.shard_id) is shard:
             names = [name for name in names if name in self._view.machines]
--- a/marblestair/core/capacity/rentals.py
+++ b/marblestair/core/capacity/rentals.py
@@ -170,7 +170,7 @@
         )
 
     def _is_unknown(self, machine: str) -> bool:
-        return machine not in self._view.machines and machine not in self._view.gone_machines
+        return machine not in self._view.machines and machine not in self._view.removed_machines
 
     # --- intents of earlier leaders --------------------------------------------------------
 
--- a/marblestair/core/controller.py
+++ b/marblestair/core/controller.py
@@ -28,7 +28,7 @@
 from marblestair.core.runtime.rejected_writes import RejectedWrites
 from marblestair.core.scheduling.services import SchedulingServices
 from marblestair.core.shard.agent_leases import expire_agent_leases
-from marblestair.core.shard.commands import overdue_stops
+from marblestair.core.shard.commands import direct_stops
 from marblestair.core.shard.heartbeat_response import HeartbeatResponse
 from marblestair.core.shard.reclaimed_machines import evict_from_reclaimed_machines
 from marblestair.core.shard.shard import Shard
@@ -224,7 +224,7 @@
         evict_from_reclaimed_machines(shard, now)
         expire_agent_leases(shard, now)
         self.scheduling_services.dispatcher.place_all(shard)
-        for machine, commands in overdue_stops(shard, now):
+        for machine, commands in direct_stops(shard, now):
             self.context.decisions.count(Decision.STOP, "direct", len(commands))
             command = DirectCommand(
                 machine.address, shard.term, machine.agent_incarnation, commands
--- a/marblestair/core/shard/commands.py
+++ b/marblestair/core/shard/commands.py
@@ -93,7 +93,7 @@
     )
 
 
-def overdue_stops(shard: Shard, now: float) -> list[DirectStops]:
+def direct_stops(shard: Shard, now: float) -> list[DirectStops]:
     """Return stops that should not wait for their machines' next heartbeats.
 
     They are harmless when late: attempts are never reused.
--- a/marblestair/core/state/store_view.py
+++ b/marblestair/core/state/store_view.py
@@ -56,7 +56,7 @@
         #: pages of the latest listing, until ``revision`` has reached them
         self._listed_ranges: list[ListedRange] = []
         #: machines that are gone for good; their late heartbeats are ignored
-        self.gone_machines: OrderedDict[str, None] = OrderedDict()
+        self.removed_machines: OrderedDict[str, None] = OrderedDict()
         #: what has changed since the listeners last applied it
         self.changed_jobs: set[str] = set()
         self.changed_machines: set[str] = set()
@@ -203,9 +203,9 @@
         if value is not None:
             self.machines[name] = msgspec.convert(value, MachineRecord)
         elif self.machines.pop(name, None) is not None:
-            self.gone_machines[name] = None
-            while len(self.gone_machines) > MOST_GONE:
-                self.gone_machines.popitem(last=False)
+            self.removed_machines[name] = None
+            while len(self.removed_machines) > MOST_GONE:
+                self.removed_machines.popitem(last=False)
         self.changed_machines.add(name)
 
     def _set_node(self, node: str, value: Any) -> None:
--- a/tests/core/state/test_store_view.py
+++ b/tests/core/state/test_store_view.py
@@ -168,7 +168,7 @@
     view.apply_commit(CompareAndSwap([], [Put(key, record)]), 3)
     view.apply_read(key, record, 4)
     assert not view.machines
-    assert list(view.gone_machines) == ["host-000001"]
+    assert list(view.removed_machines) == ["host-000001"]
 
 
 def test_what_is_known_beyond_the_watch_is_forgotten_once_it_is_there() -> None:
--- a/tests/scenarios/test_fleet_costs.py
+++ b/tests/scenarios/test_fleet_costs.py
@@ -96,7 +96,7 @@
         view.apply_read(keys.MACHINES + name, [0, "m16", "a", False, 0.0], 1)
     for name in MACHINES:
         view.apply_absence(keys.MACHINES + name, 2)
-    assert set(view.gone_machines) == set(MACHINES)
+    assert set(view.removed_machines) == set(MACHINES)
     failures = FailureAttribution(Workers(**FLEET_AGENTS))
     for number, name in enumerate(MACHINES):
         failures.record_failure(f"job-{number % 50}", name, True, 0.0)
