--- a/marblestair/node.py
+++ b/marblestair/node.py
@@ -164,7 +164,7 @@
         try:
             message = decode_message(tag, arguments)
         except MalformedMessageError as error:
-            self.core.peer_service.reject(sender, str(error))
+            self.core.peer_service.reject_message(sender, str(error))
         else:
             self.core.peer_service.receive(sender, message)
         self._flush()
@@ -179,7 +179,7 @@
         try:
             message = decode_request(tag, arguments)
         except MalformedMessageError as error:
-            self.core.peer_service.refuse_request(request_id, sender, str(error))
+            self.core.peer_service.reject_request(request_id, sender, str(error))
         else:
             self.core.peer_service.receive_request(request_id, sender, message)
         self._flush()
--- a/tests/fakes/peer_wire.py
+++ b/tests/fakes/peer_wire.py
@@ -31,7 +31,7 @@
     try:
         decoded = decode_message(message.tag, message.arguments)
     except MalformedMessageError as error:
-        controller.peer_service.reject(sender, str(error))
+        controller.peer_service.reject_message(sender, str(error))
     else:
         controller.peer_service.receive(sender, decoded)
 
