--- a/marblestair/core/capacity/catalog_updates.py
+++ b/marblestair/core/capacity/catalog_updates.py
@@ -76,16 +76,16 @@
             self.update([msgspec.convert(kind, MachineType) for kind in self._stored.values()])
 
     def _read_stored(self) -> Coroutine[bool]:
-        response: StoreResponse = yield ListKeys(keys.TYPES, "", LISTED_KEYS)
+        response: StoreResponse = yield ListKeys(keys.MACHINE_TYPES, "", LISTED_KEYS)
         if response.status != 200:
             return False
-        self._stored = {item.key[len(keys.TYPES) :]: item.value for item in response.items}
+        self._stored = {item.key[len(keys.MACHINE_TYPES) :]: item.value for item in response.items}
         return True
 
     def _store(self, new: list[MachineType]) -> Coroutine[None]:
         """Write types that the store lacks; only the first node to write a type succeeds."""
         batch = new[: self._context.settings.cluster.state.txn_ops]
-        puts = [Put(keys.TYPES + kind.name, kind) for kind in batch]
+        puts = [Put(keys.MACHINE_TYPES + kind.name, kind) for kind in batch]
         absent = [(put.key, 0) for put in puts]
         response: StoreResponse = yield CompareAndSwap(absent, puts, [], RequestPriority.SHARD_MAP)
         if response.status == 409:
--- a/marblestair/core/jobs/acceptance.py
+++ b/marblestair/core/jobs/acceptance.py
@@ -222,7 +222,7 @@
         key = keys.JOBS + record.spec.id
         preconditions = [
             (key, 0),
-            (keys.FINALS + record.spec.id, 0),
+            (keys.FINAL_STATES + record.spec.id, 0),
             self._leadership.fence_precondition(record.manager_shard),
         ]
         return CompareAndSwap(preconditions, [Put(key, record)], [], RequestPriority.ACCEPTANCE)
@@ -231,7 +231,7 @@
         """Accept a job that depends on a cancelled one: it is over from the start."""
         if not self._leadership.is_authorized(self._context.now):
             return Outcome(503, UNKNOWN, "no authority", RETRY_AFTER_S)
-        final_key = keys.FINALS + spec.id
+        final_key = keys.FINAL_STATES + spec.id
         swap = CompareAndSwap(
             [(keys.JOBS + spec.id, 0), (final_key, 0)],
             [Put(final_key, JobState.CANCELLED)],
--- a/marblestair/core/jobs/job_managers.py
+++ b/marblestair/core/jobs/job_managers.py
@@ -243,7 +243,7 @@
         if step is ManagerStep.RELEASE:
             released = with_release(record, self._context.wall_time)
             return CompareAndSwap(preconditions, [Put(key, released)], [], RequestPriority.FINAL_STATE)
-        final_key = keys.FINALS + managed.job
+        final_key = keys.FINAL_STATES + managed.job
         return CompareAndSwap(
             [*preconditions, (final_key, 0)],
             [Put(final_key, FINAL_STATE_OF[step])],
--- a/marblestair/core/jobs/record_reader.py
+++ b/marblestair/core/jobs/record_reader.py
@@ -50,7 +50,7 @@
 
     def read_final(self, job: str, priority: RequestPriority) -> Coroutine[JobStatus | None]:
         """Read a job's final state; UNKNOWN if it has none."""
-        response: StoreResponse = yield Get(keys.FINALS + job, priority)
+        response: StoreResponse = yield Get(keys.FINAL_STATES + job, priority)
         if response.status == 200 and response.value in FINAL_STATES:
             state = JobState(response.value)
             self._final_states.record(job, state)
--- a/marblestair/core/shard/boot_times.py
+++ b/marblestair/core/shard/boot_times.py
@@ -17,7 +17,7 @@
 #: age at which a machine is given up, in expected boot times, and at least, in usual boot times
 GIVE_UP_BOOT_TIMES, LEAST_GIVE_UP_BOOT_TIMES = 2.0, 3.0
 #: bounds of the expected boot time, in usual boot times
-LEAST_RATIO, MOST_RATIO = 1.0, 4.0
+LEAST_RATIO, MAX_BOOT_RATIO = 1.0, 4.0
 #: boot times of one type that are remembered: their number, and for how many usual boot times
 REMEMBERED_BOOTS, MEMORY_BOOT_TIMES = 16, 8.0
 #: fraction of the remembered boot times that took no longer than the expected boot time
@@ -55,7 +55,7 @@
         if not ratios:
             return LEAST_RATIO
         ratio = ratios[int(EXPECTED_QUANTILE * (len(ratios) - 1))]
-        return min(MOST_RATIO, max(LEAST_RATIO, ratio))
+        return min(MAX_BOOT_RATIO, max(LEAST_RATIO, ratio))
 
     def is_overdue(self, machine_type: MachineType, age_s: float, now: float) -> bool:
         """Whether a machine without a heartbeat is not to be counted on at its age."""
--- a/marblestair/core/shard/failures.py
+++ b/marblestair/core/shard/failures.py
@@ -22,7 +22,7 @@
 #: failures that count against a machine, by proven jobs or by distinct jobs, until it is faulty
 MACHINE_FAILURES = 3
 #: jobs and machines with evidence: more than the largest fleets have machines
-REMEMBERED = 10_000
+MAX_TRACKED_ENTRIES = 10_000
 #: machines that are remembered of each job, and jobs of each machine
 COUNTERPARTS = 8
 #: back-off of a job whose quarantine begins, in heartbeat intervals
@@ -265,7 +265,7 @@
     known = evidence.get(key)
     if known is None:
         known = evidence[key] = make()
-        while len(evidence) > REMEMBERED:
+        while len(evidence) > MAX_TRACKED_ENTRIES:
             evidence.popitem(last=False)
     return known
 
--- a/marblestair/core/state/keys.py
+++ b/marblestair/core/state/keys.py
@@ -8,23 +8,23 @@
 TENANT = "main"
 
 #: everything that every controller follows by its watch
-VIEW = f"{TENANT}/w/"
-SHARD_MAP = f"{VIEW}split"
-NODES = f"{VIEW}node/"
+WATCHED = f"{TENANT}/w/"
+SHARD_MAP = f"{WATCHED}split"
+NODES = f"{WATCHED}node/"
 #: one key per shard, rewritten at each failover: everything that a leader commits is conditional
 #: on it, so that a transaction of an earlier leader that is applied late changes nothing
-FENCES = f"{VIEW}fence/"
-MACHINES = f"{VIEW}machine/"
-JOBS = f"{VIEW}job/"
+FENCES = f"{WATCHED}fence/"
+MACHINES = f"{WATCHED}machine/"
+JOBS = f"{WATCHED}job/"
 
 #: final states, for good
-FINALS = f"{TENANT}/f/"
+FINAL_STATES = f"{TENANT}/f/"
 #: pages of progress, by shard
 PROGRESS = f"{TENANT}/p/"
 #: rental intents, by shard
 RENTAL_INTENTS = f"{TENANT}/h/"
 #: last known machine types, one key each
-TYPES = f"{TENANT}/t/"
+MACHINE_TYPES = f"{TENANT}/t/"
 
 
 def progress_page(shard_id: int, job: str, page: int) -> str:
--- a/marblestair/core/state/store_follower.py
+++ b/marblestair/core/state/store_follower.py
@@ -51,7 +51,7 @@
         pages: list[StoreResponse] = []
         after_key = ""
         while True:
-            page: StoreResponse = yield ListKeys(keys.VIEW, after_key, PAGE_KEYS, RequestPriority.LEASE)
+            page: StoreResponse = yield ListKeys(keys.WATCHED, after_key, PAGE_KEYS, RequestPriority.LEASE)
             if page.status != 200:
                 return None
             pages.append(page)
@@ -63,7 +63,7 @@
         """Watch for changes, for good."""
         while True:
             sent_at = self._context.now
-            response: StoreResponse = yield Watch(keys.VIEW, self._view.revision, self._wait_ms)
+            response: StoreResponse = yield Watch(keys.WATCHED, self._view.revision, self._wait_ms)
             if response.status == 200:
                 self._view.apply_changes(response.events, response.revision)
                 self._view.advance_current_as_of(sent_at)
--- a/marblestair/core/state/store_view.py
+++ b/marblestair/core/state/store_view.py
@@ -133,10 +133,10 @@
     def apply_commit(self, swap: CompareAndSwap, revision: int) -> None:
         """Apply an own commit, ahead of the watch or behind it."""
         for put in swap.puts:
-            if put.key.startswith(keys.VIEW) and self._is_newer(put.key, revision):
+            if put.key.startswith(keys.WATCHED) and self._is_newer(put.key, revision):
                 self._set(put.key, msgspec.to_builtins(put.value), revision)
         for key in swap.deletes:
-            if key.startswith(keys.VIEW) and revision > self.version(key):
+            if key.startswith(keys.WATCHED) and revision > self.version(key):
                 self._note_absence(key, revision)
                 self._set(key, None, revision)
 
--- a/tests/core/jobs/pipelines.py
+++ b/tests/core/jobs/pipelines.py
@@ -101,7 +101,7 @@
     """Have no final state written from now on."""
 
     def delay_s(_node: str, commit: CompareAndSwap) -> float | None:
-        is_final_state = any(put.key.startswith(keys.FINALS) for put in commit.puts)
+        is_final_state = any(put.key.startswith(keys.FINAL_STATES) for put in commit.puts)
         return NEVER_S if is_final_state else None
 
     deployment.store_link.commit_delay_s = delay_s
--- a/tests/core/jobs/test_answers.py
+++ b/tests/core/jobs/test_answers.py
@@ -81,7 +81,7 @@
     )
     if is_cancelled:
         users.request(manager, "cancel", job)
-    while keys.FINALS + job not in store.data:
+    while keys.FINAL_STATES + job not in store.data:
         controller = deployment.nodes.current(reader)
         controller.context.spawn(controller.job_services.reader.refresh(job))
         deployment.nodes.flush(reader)
@@ -101,7 +101,7 @@
     # accepted it gets the response. Were it recorded again, its tasks would start.
     deployment = started(13)
     spec = job_spec(1, task_count=3)
-    job, key, final_key = spec.id, keys.JOBS + spec.id, keys.FINALS + spec.id
+    job, key, final_key = spec.id, keys.JOBS + spec.id, keys.FINAL_STATES + spec.id
     deployment.store_link.response_delay_s = lambda _node, request: (
         1.15 if isinstance(request, CompareAndSwap) and (key, 0) in request.preconditions else None
     )
--- a/tests/core/jobs/test_dependencies.py
+++ b/tests/core/jobs/test_dependencies.py
@@ -99,7 +99,7 @@
         assert users.wait_until_done(parent, 40.0)
     else:
         users.cancel(parent)
-        deployment.run_until(lambda: keys.FINALS + parent in deployment.store.data, 40.0)
+        deployment.run_until(lambda: keys.FINAL_STATES + parent in deployment.store.data, 40.0)
     deployment.nodes.kill_all(restart_after_s=0.5)
     deployment.run(15.0)
     child = job_spec(2, task_count=1, estimated_run_s=1.0, depends_on=[parent])
@@ -120,7 +120,7 @@
     parent = deployment.users.submit(job_spec(1, task_count=1, estimated_run_s=60.0))
     deployment.users.cancel(parent)
     child = job_spec(2, depends_on=[parent])
-    final_key = keys.FINALS + child.id
+    final_key = keys.FINAL_STATES + child.id
     delays = iter([100.0 if is_carried_out else 5.0])
 
     def delay_first_acceptance(_node: str, request: object) -> float | None:
@@ -170,7 +170,7 @@
     tasks = deployment.tasks
     parents = [job_spec(number) for number in range(1000, 1300)]
     for parent in parents:
-        deployment.store.put(keys.FINALS + parent.id, "done", version=1)
+        deployment.store.put(keys.FINAL_STATES + parent.id, "done", version=1)
         tasks.specs[parent.id] = parent
         tasks.done |= {(parent.id, index) for index in range(parent.task_count)}
     deployment.store_link.latency_s = 0.05
--- a/tests/core/jobs/test_dependency_answers.py
+++ b/tests/core/jobs/test_dependency_answers.py
@@ -115,7 +115,7 @@
 
     def record_lane(_kind: OutputKind, _node: str, output: object) -> None:
         if isinstance(output, CompareAndSwap):
-            if any(put.key == keys.FINALS + "job-000002" for put in output.puts):
+            if any(put.key == keys.FINAL_STATES + "job-000002" for put in output.puts):
                 tries.append((deployment.now, output.priority))
 
     deployment.nodes.on_output = record_lane
@@ -143,7 +143,7 @@
     first = job_spec(1)
     second, third = chain_after(first, range(2, 4))
     version = deployment.store.revision + 1000
-    deployment.store.put(keys.FINALS + first.id, "cancelled", version)
+    deployment.store.put(keys.FINAL_STATES + first.id, "cancelled", version)
     for spec in (second, third):
         deployment.store.put(keys.JOBS + spec.id, stored_record(spec), version)
     deployment.tasks.specs |= {spec.id: spec for spec in (first, second, third)}
--- a/tests/core/jobs/test_dependency_cancellations.py
+++ b/tests/core/jobs/test_dependency_cancellations.py
@@ -152,7 +152,7 @@
     deployment.store_link.watch_lag_s["n1"] = 1000.0
     deployment.network.dropped_tags.add("confirmed")
     assert deployment.users.cancel(parent.id) == "cancelled"
-    deployment.run_until(lambda: keys.FINALS + parent.id in deployment.store.data, 20.0)
+    deployment.run_until(lambda: keys.FINAL_STATES + parent.id in deployment.store.data, 20.0)
     deployment.run(1.0)
     child = job_spec(1, depends_on=[parent.id])
     deployment.users.submit(child, "n1")
--- a/tests/core/jobs/test_dependency_releases.py
+++ b/tests/core/jobs/test_dependency_releases.py
@@ -25,7 +25,7 @@
     parent, child = parent_and_child(3.0, child_tasks=2, child_run_s=1.0)
     submit_all(deployment, parent, child)
     deployment.network.dropped_tags.add("ended")
-    deployment.run_until(lambda: keys.FINALS + parent.id in deployment.store.data, 40.0)
+    deployment.run_until(lambda: keys.FINAL_STATES + parent.id in deployment.store.data, 40.0)
     deployment.nodes.kill(manager_of(deployment, child.id), restart_after_s)
     assert deployment.users.wait_until_done(child.id, 60.0)
     assert not deployment.rules.violations
--- a/tests/core/jobs/test_lookups.py
+++ b/tests/core/jobs/test_lookups.py
@@ -141,7 +141,7 @@
         return 1.1 if is_end else None
 
     deployment.store_link.response_delay_s = delay_final_state
-    while keys.FINALS + job not in deployment.store.data:
+    while keys.FINAL_STATES + job not in deployment.store.data:
         deployment.run(0.01)
     recorder = Recorder(deployment, manager)
     asked: list[list[UserReply]] = []
--- a/tests/core/leadership/test_pauses.py
+++ b/tests/core/leadership/test_pauses.py
@@ -163,7 +163,7 @@
 def is_commit_for_a_shard(commit: CompareAndSwap) -> bool:
     """Whether a commit changes no key that belongs to no shard: a node's own, machine types."""
     return not any(
-        key.startswith((keys.NODES, keys.TYPES)) or key == keys.SHARD_MAP
+        key.startswith((keys.NODES, keys.MACHINE_TYPES)) or key == keys.SHARD_MAP
         for key in changed_keys(commit)
     )
 
--- a/tests/core/shard/test_boot_times.py
+++ b/tests/core/shard/test_boot_times.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from marblestair.core.shard.boot_times import MOST_RATIO, BootTimes
+from marblestair.core.shard.boot_times import MAX_BOOT_RATIO, BootTimes
 from tests.fakes.samples import MACHINE_TYPES
 
 SMALL_TYPE, LARGE_TYPE = MACHINE_TYPES
@@ -31,7 +31,7 @@
 def test_what_is_learned_is_bounded() -> None:
     boot_times = BootTimes()
     boot_times.record(SMALL_TYPE, 1000.0 * SMALL_TYPE.boot_s, 0.0)
-    assert boot_times.expected_ratio(SMALL_TYPE, 1.0) == MOST_RATIO
+    assert boot_times.expected_ratio(SMALL_TYPE, 1.0) == MAX_BOOT_RATIO
     boot_times = BootTimes()
     boot_times.record(SMALL_TYPE, 0.0, 0.0)
     assert boot_times.expected_ratio(SMALL_TYPE, 1.0) == 1.0
--- a/tests/core/shard/test_failures.py
+++ b/tests/core/shard/test_failures.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from marblestair.core.shard.failures import REMEMBERED, FailureAttribution
+from marblestair.core.shard.failures import MAX_TRACKED_ENTRIES, FailureAttribution
 from tests.fakes.samples import AGENT_SETTINGS
 
 
@@ -111,10 +111,10 @@
 
 
 def test_evidence_is_bounded(failures: FailureAttribution) -> None:
-    for number in range(2 * REMEMBERED):
+    for number in range(2 * MAX_TRACKED_ENTRIES):
         failures.record_failure(f"job-{number}", f"m{number % 7}", False, 0.0)
         failures.record_failure("one", f"machine-{number}", True, 0.0)
-    assert len(failures._jobs) <= REMEMBERED
-    assert len(failures._machines) <= REMEMBERED
+    assert len(failures._jobs) <= MAX_TRACKED_ENTRIES
+    assert len(failures._machines) <= MAX_TRACKED_ENTRIES
     assert all(len(evidence.failed_on) <= 8 for evidence in failures._jobs.values())
     assert all(len(evidence.failures) <= 8 for evidence in failures._machines.values())
--- a/tests/recorder.py
+++ b/tests/recorder.py
@@ -46,7 +46,7 @@
 
     def count_reads(self, job: str) -> int:
         """How often a job's keys were read."""
-        job_keys = (keys.JOBS + job, keys.FINALS + job)
+        job_keys = (keys.JOBS + job, keys.FINAL_STATES + job)
         return sum(
             isinstance(request, Get) and request.key in job_keys for request in self.requests
         )
--- a/tests/scenarios/test_fleet_costs.py
+++ b/tests/scenarios/test_fleet_costs.py
@@ -142,7 +142,7 @@
     jobs = submit_arrays(deployment, 1, 12, 40, estimated_run_s=40.0)
     deployment.run(15.0)
     for number in range(500_000, 500_000 + finished):
-        store.put(f"{keys.FINALS}job-{number:06d}", "done")
+        store.put(f"{keys.FINAL_STATES}job-{number:06d}", "done")
     page_sizes: list[int] = []
     execute = store.execute
 
