--- a/marblestair/core/runtime/decision_log.py
+++ b/marblestair/core/runtime/decision_log.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 #: lines of one kind in one second, at the most; what is beyond that is counted
-LINES_PER_S = 20
+MAX_LINES_PER_S = 20
 
 
 class Decision(enum.StrEnum):
@@ -56,7 +56,7 @@
         if int(now) != self._second:
             self._begin_second(int(now))
         self._written[kind] += 1
-        if self._written[kind] > LINES_PER_S:
+        if self._written[kind] > MAX_LINES_PER_S:
             return
         described = " ".join(f"{name}={value}" for name, value in facts.items())
         self._write("info", f"{kind} {what}: {described}")
@@ -64,8 +64,8 @@
     def _begin_second(self, second: int) -> None:
         """Log how many lines of the last second were left out."""
         for kind, number in self._written.items():
-            if number > LINES_PER_S:
-                left_out = number - LINES_PER_S
+            if number > MAX_LINES_PER_S:
+                left_out = number - MAX_LINES_PER_S
                 self._write("info", f"{kind}: {left_out} more lines in one second")
         self._written.clear()
         self._second = second
--- a/tests/core/runtime/test_decision_log.py
+++ b/tests/core/runtime/test_decision_log.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from marblestair.core.runtime.decision_log import LINES_PER_S, Decision, DecisionLog
+from marblestair.core.runtime.decision_log import MAX_LINES_PER_S, Decision, DecisionLog
 from tests.fakes.samples import job_spec
 from tests.helpers import manager_of, started
 
@@ -10,16 +10,16 @@
 def test_lines_are_bounded_and_what_is_left_out_is_counted() -> None:
     lines: list[str] = []
     log = DecisionLog(lambda _level, text: lines.append(text))
-    for number in range(5 * LINES_PER_S):
+    for number in range(5 * MAX_LINES_PER_S):
         log.log(10.2, Decision.CANCEL, "known", job=number)
     log.count(Decision.LAUNCH, "in an answer", 7)
-    assert len(lines) == LINES_PER_S
+    assert len(lines) == MAX_LINES_PER_S
     log.log(11.0, Decision.CANCEL, "known", job="last")
-    assert lines[LINES_PER_S:] == [
-        f"cancel: {4 * LINES_PER_S} more lines in one second",
+    assert lines[MAX_LINES_PER_S:] == [
+        f"cancel: {4 * MAX_LINES_PER_S} more lines in one second",
         "cancel known: job=last",
     ]
-    assert log.counts == {"cancel known": 5 * LINES_PER_S + 1, "launch in an answer": 7}
+    assert log.counts == {"cancel known": 5 * MAX_LINES_PER_S + 1, "launch in an answer": 7}
 
 
 def test_the_log_shows_who_knew_a_cancel_before_its_confirmation_and_what_allowed_it() -> None:
