--- a/marblestair/core/jobs/acceptance.py
+++ b/marblestair/core/jobs/acceptance.py
@@ -26,7 +26,7 @@
 from marblestair.core.runtime.store_requests import CompareAndSwap, RequestPriority, Put, StoreResponse
 from marblestair.core.state import keys
 from marblestair.core.state.machine_catalog import MachineCatalog
-from marblestair.core.state.records import DESCRIPTION_SHARE, JobRecord, exceeds_value_limit
+from marblestair.core.state.records import MAX_SPEC_SHARE, JobRecord, exceeds_value_limit
 from marblestair.core.state.store_view import StoreView
 
 #: submissions under way at once: as many as a node's changes accept within this time, in seconds
@@ -156,7 +156,7 @@
 
     def _is_too_large(self, spec: JobSpec) -> bool:
         value_kb = self._context.settings.cluster.state.value_kb
-        return exceeds_value_limit(JobRecord(spec, 0, {}, []), value_kb, DESCRIPTION_SHARE)
+        return exceeds_value_limit(JobRecord(spec, 0, {}, []), value_kb, MAX_SPEC_SHARE)
 
     def _reject(self, spec: JobSpec, reason: str) -> Coroutine[Outcome]:
         """Refuse a job for good, unless it was accepted before: then it is known."""
--- a/marblestair/core/jobs/migration_locks.py
+++ b/marblestair/core/jobs/migration_locks.py
@@ -17,7 +17,7 @@
 from marblestair.core.runtime.requests import Sleep
 from marblestair.core.runtime.store_requests import CompareAndSwap, RequestPriority, Put
 from marblestair.core.state import keys
-from marblestair.core.state.records import RECORD_SHARE, JobRecord, exceeds_value_limit
+from marblestair.core.state.records import MAX_RECORD_SHARE, JobRecord, exceeds_value_limit
 from marblestair.core.state.store_view import StoreView
 
 #: a migration's locks are given up when its source has not come back for this share of a lease
@@ -107,7 +107,7 @@
         complete = [shard_id for shard_id in record.complete_shards if shard_id not in moved]
         updated = msgspec.structs.replace(record, slices=slices, complete_shards=complete)
         value_kb = self._context.settings.cluster.state.value_kb
-        if exceeds_value_limit(updated, value_kb, RECORD_SHARE):
+        if exceeds_value_limit(updated, value_kb, MAX_RECORD_SHARE):
             # So many small ranges would outgrow the record; the tasks stay with the source.
             return None
         return updated
--- a/marblestair/core/state/records.py
+++ b/marblestair/core/state/records.py
@@ -66,9 +66,9 @@
 
 
 #: share of a value in the store that a job's description may take
-DESCRIPTION_SHARE = 0.6
+MAX_SPEC_SHARE = 0.6
 #: share of a value in the store that a whole record may take, with its slices
-RECORD_SHARE = 0.95
+MAX_RECORD_SHARE = 0.95
 
 
 def exceeds_value_limit(record: JobRecord, value_kb: float, share: float) -> bool:
