--- a/marblestair/core/domain/clocks.py
+++ b/marblestair/core/domain/clocks.py
@@ -1,4 +1,4 @@
 """What is assumed of the clocks of machines."""
 
 #: allowance for clocks that run at different speeds, as a fraction of the time that is counted
-CLOCK_DRIFT = 0.002
+MAX_CLOCK_DRIFT_FRACTION = 0.002
--- a/marblestair/core/leadership/promises.py
+++ b/marblestair/core/leadership/promises.py
@@ -10,7 +10,7 @@
 
 from typing import Protocol
 
-from marblestair.core.domain.clocks import CLOCK_DRIFT
+from marblestair.core.domain.clocks import MAX_CLOCK_DRIFT_FRACTION
 from marblestair.core.leadership.failover import Failover
 from marblestair.core.leadership.leadership import Leadership
 from marblestair.core.leadership.promise_ledger import PromiseLedger
@@ -91,7 +91,7 @@
         if not self._leadership.is_authorized(self._context.now):
             return
         were_valid = self._ledger.are_valid(requested_at)
-        self._ledger.extend(requested_at + self._lease.ttl_s * (1 - CLOCK_DRIFT) - MARGIN_S)
+        self._ledger.extend(requested_at + self._lease.ttl_s * (1 - MAX_CLOCK_DRIFT_FRACTION) - MARGIN_S)
         if not were_valid:
             self._context.log("info", "the store is out of reach: acting on promises")
 
--- a/marblestair/core/leadership/store_lease.py
+++ b/marblestair/core/leadership/store_lease.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from marblestair.core.domain.clocks import CLOCK_DRIFT
+from marblestair.core.domain.clocks import MAX_CLOCK_DRIFT_FRACTION
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
@@ -160,6 +160,6 @@
 
     def _extend(self, sent_at: float) -> None:
         self.renewed_at = sent_at
-        until = sent_at + self.ttl_s * (1 - CLOCK_DRIFT) - MARGIN_S
+        until = sent_at + self.ttl_s * (1 - MAX_CLOCK_DRIFT_FRACTION) - MARGIN_S
         if self.expires_at is None or until > self.expires_at:
             self.expires_at = until
--- a/marblestair/core/shard/shard.py
+++ b/marblestair/core/shard/shard.py
@@ -18,7 +18,7 @@
 from typing import NamedTuple
 
 from marblestair.core.domain.agents import TaskState, TaskStatus
-from marblestair.core.domain.clocks import CLOCK_DRIFT
+from marblestair.core.domain.clocks import MAX_CLOCK_DRIFT_FRACTION
 from marblestair.core.domain.index_ranges import IndexRanges
 from marblestair.core.domain.jobs import JobKind, JobSpec
 from marblestair.core.domain.settings import Cluster
@@ -99,7 +99,7 @@
         #: deleted; None where it is to be read first
         self.obsolete_keys: dict[str, int | None] = {}
         #: time since the last answered heartbeat after which an agent has surely stopped its tasks
-        self.agent_lease_limit_s = cluster.workers.lease_s * (1 + CLOCK_DRIFT) + LEASE_MARGIN_S
+        self.agent_lease_limit_s = cluster.workers.lease_s * (1 + MAX_CLOCK_DRIFT_FRACTION) + LEASE_MARGIN_S
         #: time without a heartbeat after which a machine gets nothing new
         self.silence_limit_s = SILENCE_LIMIT_INTERVALS * cluster.workers.report_s
         self._attempt_count = 0
