--- a/marblestair/core/domain/amounts.py
+++ b/marblestair/core/domain/amounts.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 #: units of fixed point in one cpu, gpu or GB
-FIXED_POINT_UNIT = 1_000_000
+FIXED_POINT_SCALE = 1_000_000
 
 
 class Resources(NamedTuple):
@@ -22,13 +22,13 @@
 @lru_cache(maxsize=4096)
 def fixed_point_up(amount: float) -> int:
     """Convert a requested amount to fixed point, rounded up."""
-    return int((Decimal(repr(amount)) * FIXED_POINT_UNIT).to_integral_value(ROUND_CEILING))
+    return int((Decimal(repr(amount)) * FIXED_POINT_SCALE).to_integral_value(ROUND_CEILING))
 
 
 @lru_cache(maxsize=4096)
 def fixed_point_down(amount: float) -> int:
     """Convert an available amount to fixed point, rounded down."""
-    return int((Decimal(repr(amount)) * FIXED_POINT_UNIT).to_integral_value(ROUND_FLOOR))
+    return int((Decimal(repr(amount)) * FIXED_POINT_SCALE).to_integral_value(ROUND_FLOOR))
 
 
 @lru_cache(maxsize=4096)
--- a/marblestair/core/status.py
+++ b/marblestair/core/status.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from marblestair.core.domain.amounts import FIXED_POINT_UNIT
+from marblestair.core.domain.amounts import FIXED_POINT_SCALE
 from marblestair.core.jobs.cancel_registry import CancelRegistry
 from marblestair.core.jobs.dependencies import DependencyGraph
 from marblestair.core.jobs.managed_job import ManagedJob
@@ -105,7 +105,7 @@
         backlog_cpus = received_s_ago = None
         if shard_id in self._summaries:
             received_at, summary = self._summaries[shard_id]
-            backlog_cpus = summary.backlog_cpus / FIXED_POINT_UNIT
+            backlog_cpus = summary.backlog_cpus / FIXED_POINT_SCALE
             received_s_ago = round(self._context.now - received_at, 1)
         machines = self._view.machines.values()
         return {
@@ -113,7 +113,7 @@
             "owner": record.leader,
             "term": record.term,
             "shares_cpus": {
-                team: quota[0] / FIXED_POINT_UNIT for team, quota in record.quotas.items()
+                team: quota[0] / FIXED_POINT_SCALE for team, quota in record.quotas.items()
             },
             "backlog_cpus": backlog_cpus,
             "told_s_ago": received_s_ago,
