--- a/marblestair/core/domain/settings.py
+++ b/marblestair/core/domain/settings.py
@@ -97,7 +97,7 @@
     txn_ops: int
     next: NextStateLimits | None = None
 
-    def lasting(self) -> StateLimits:
+    def strictest(self) -> StateLimits:
         """The limits that hold now and later: of each pair the smaller one."""
         later = self.next or NextStateLimits()
         return StateLimits(
--- a/marblestair/settings/checks.py
+++ b/marblestair/settings/checks.py
@@ -141,7 +141,7 @@
     if cluster.size > MAX_SHARDS:
         raise SettingsError(f"cluster.size: must be at most {MAX_SHARDS}")
     size = len(msgspec.msgpack.encode(_largest_shard_map(settings)))
-    if size > cluster.state.lasting().value_kb * BYTES_PER_KB:
+    if size > cluster.state.strictest().value_kb * BYTES_PER_KB:
         is_later = size <= cluster.state.value_kb * BYTES_PER_KB
         limit = "cluster.state.next.value_kb" if is_later else "cluster.state.value_kb"
         raise SettingsError(
--- a/marblestair/settings/loading.py
+++ b/marblestair/settings/loading.py
@@ -33,7 +33,7 @@
         field = path.strip("`.") or "settings"
         raise SettingsError(f"{field}: {problem or text}") from None
     check_settings(settings)
-    cluster = msgspec.structs.replace(settings.cluster, state=settings.cluster.state.lasting())
+    cluster = msgspec.structs.replace(settings.cluster, state=settings.cluster.state.strictest())
     return msgspec.structs.replace(settings, cluster=cluster)
 
 
