--- a/marblestair/core/messaging/shard_summary.py
+++ b/marblestair/core/messaging/shard_summary.py
@@ -20,7 +20,7 @@
     #: team -> cpus and gpus of its quota here that are not in use
     free_quota: dict[str, list[int]]
     #: team -> cpus and gpus that its pending tasks lack in its quota here
-    lacking_quota: dict[str, list[int]]
+    quota_shortfall: dict[str, list[int]]
     #: job, tasks pending, tasks on machines
     pending_jobs: list[tuple[str, int, int]]
     #: machines with tasks, and how many of their cpus are in use
@@ -37,7 +37,7 @@
     partitioned_machines: list[str]
     #: team -> cpus and gpus that its whole quota here must have for the first pending unit (a task,
     #: or a gang) that it is too small for
-    starved_teams: dict[str, list[int]]
+    required_quota: dict[str, list[int]]
     #: jobs of which nothing succeeded, and on how many machines nothing else fails
     failing_jobs: list[tuple[str, int]] = []
 
--- a/marblestair/core/scheduling/demand.py
+++ b/marblestair/core/scheduling/demand.py
@@ -26,10 +26,10 @@
     #: cpus of all pending tasks
     backlog_cpus: int = 0
     #: team -> what its pending tasks lack in this shard's quota
-    lacking_quota: dict[str, QuotaAmounts] = {}
+    quota_shortfall: dict[str, QuotaAmounts] = {}
     #: team -> what the whole quota must be for the first pending unit (a task, or a gang) that it
     #: is too small for
-    starved_teams: dict[str, QuotaAmounts] = {}
+    required_quota: dict[str, QuotaAmounts] = {}
 
 
 def demanded_tasks(failures: FailureAttribution, job_slice: JobSlice) -> int:
@@ -61,8 +61,8 @@
         unit = task_count if job_slice.spec.kind == JobKind.GANG else 1
         quota = quotas.quota(shard, team)
         if unit * cpus > quota[0] or unit * gpus > quota[1]:
-            demand.starved_teams.setdefault(team, [unit * cpus, unit * gpus])
-    demand.lacking_quota = _lacking_quota(quotas, shard, demanded_by_team)
+            demand.required_quota.setdefault(team, [unit * cpus, unit * gpus])
+    demand.quota_shortfall = _lacking_quota(quotas, shard, demanded_by_team)
     return demand
 
 
--- a/marblestair/core/scheduling/quota_transfers.py
+++ b/marblestair/core/scheduling/quota_transfers.py
@@ -71,7 +71,7 @@
         """Begin to transfer the first quota that another shard lacks and this one can spare."""
         received = self._summaries.get(shard.shard_id)
         own = received.summary if received is not None else self._summarizer.summarize(shard)
-        for team, lacking in (*other.starved_teams.items(), *other.lacking_quota.items()):
+        for team, lacking in (*other.required_quota.items(), *other.quota_shortfall.items()):
             spare = self._spare_quota(shard, team, own, other)
             if spare is None:
                 continue
@@ -87,11 +87,11 @@
         """Quota that a shard can spare for another; None when it gives none of this team's."""
         used, quota = shard.usage(team), self._quotas.quota(shard, team)
         unused = [quota[i] - used[i] for i in range(2)]
-        if team in other.starved_teams:
+        if team in other.required_quota:
             # Of two shards that are both starved one must give way.
-            gives_way = team not in own.starved_teams or shard.shard_id > other.shard_id
+            gives_way = team not in own.required_quota or shard.shard_id > other.shard_id
             return unused if gives_way else None
-        if own.lacking_quota.get(team) is not None or team in own.starved_teams:
+        if own.quota_shortfall.get(team) is not None or team in own.required_quota:
             return None
         pending = self._pending_resources(shard, team)
         return [unused[i] - pending[i] for i in range(2)]
--- a/marblestair/core/scheduling/shard_summary.py
+++ b/marblestair/core/scheduling/shard_summary.py
@@ -67,7 +67,7 @@
             preemptible_capacity=self._preemption.preemptible_capacity(shard),
             backlog_cpus=demand.backlog_cpus,
             free_quota=self._free_quota(shard),
-            lacking_quota=demand.lacking_quota,
+            quota_shortfall=demand.quota_shortfall,
             pending_jobs=self._pending_jobs(shard),
             busy_machines=use.busy_machines,
             idle_machines=use.idle_machines,
@@ -79,7 +79,7 @@
             gang_machines=use.gang_machines,
             leaving_machines=use.leaving_machines,
             partitioned_machines=sorted(absent),
-            starved_teams=demand.starved_teams,
+            required_quota=demand.required_quota,
             failing_jobs=[
                 (job, machine_count)
                 for job, machine_count in self._failures.failing_jobs()
--- a/tests/scenarios/test_fleet_costs.py
+++ b/tests/scenarios/test_fleet_costs.py
@@ -123,7 +123,7 @@
         preemptible_capacity=[capacity] * 4000,
         backlog_cpus=1 << 60,
         free_quota={},
-        lacking_quota={},
+        quota_shortfall={},
         pending_jobs=[(job, 100_000, 100_000) for job in jobs],
         busy_machines=[(name, 1 << 40) for name in MACHINES],
         idle_machines=[(name, 1234.56) for name in MACHINES],
@@ -131,7 +131,7 @@
         gang_machines=MACHINES,
         leaving_machines=MACHINES,
         partitioned_machines=MACHINES,
-        starved_teams={},
+        required_quota={},
     )
 
 
