--- a/marblestair/core/capacity/plan_inputs.py
+++ b/marblestair/core/capacity/plan_inputs.py
@@ -120,7 +120,7 @@
             machine_type = self._catalog.types.get(record.machine_type)
             if (
                 machine_type is None
-                or name in reported.leaving_machines
+                or name in reported.unavailable_machines
                 or record.shard_id not in reported.recent_shards
             ):
                 continue
--- a/marblestair/core/capacity/reported_state.py
+++ b/marblestair/core/capacity/reported_state.py
@@ -24,7 +24,7 @@
         self.shard_of_job: dict[str, int] = {}
         #: machine -> seconds without any task
         self.idle_machines: dict[str, float] = {}
-        self.leaving_machines: set[str] = set()
+        self.unavailable_machines: set[str] = set()
         self.partitioned_machines: set[str] = set()
         self.gang_machines: set[str] = set()
         #: machine -> cpus in use, in fixed point
@@ -49,5 +49,5 @@
         self.used_cpus.update(summary.busy_machines)
         for name, idle_s in summary.idle_machines:
             self.idle_machines[name] = idle_s + (now - received_at)
-        self.leaving_machines.update(summary.leaving_machines)
+        self.unavailable_machines.update(summary.unavailable_machines)
         self.partitioned_machines.update(summary.partitioned_machines)
--- a/marblestair/core/messaging/shard_summary.py
+++ b/marblestair/core/messaging/shard_summary.py
@@ -32,7 +32,7 @@
     #: machines that run gangs
     gang_machines: list[str]
     #: machines that are not to be counted on
-    leaving_machines: list[str]
+    unavailable_machines: list[str]
     #: machines that fell silent together with many others, and are waited for
     partitioned_machines: list[str]
     #: team -> cpus and gpus that its whole quota here must have for the first pending unit (a task,
--- a/marblestair/core/scheduling/shard_summary.py
+++ b/marblestair/core/scheduling/shard_summary.py
@@ -30,7 +30,7 @@
     #: with tasks of gangs
     gang_machines: list[str] = []
     #: not to be counted on
-    leaving_machines: list[str] = []
+    unavailable_machines: list[str] = []
 
 
 class ShardSummarizer:
@@ -77,7 +77,7 @@
                 if self._machine_transfers.lacks_capacity(job_slice)
             ],
             gang_machines=use.gang_machines,
-            leaving_machines=use.leaving_machines,
+            unavailable_machines=use.unavailable_machines,
             partitioned_machines=sorted(absent),
             required_quota=demand.required_quota,
             failing_jobs=[
@@ -135,7 +135,7 @@
             if machine.name in absent and not is_decommissioned:
                 continue
             if is_decommissioned or self._is_leaving(machine):
-                use.leaving_machines.append(machine.name)
+                use.unavailable_machines.append(machine.name)
             elif machine.cordon is not None:
                 # On its way to a gang's shard: neither idle nor lost to the plan, which would rent
                 # a second machine in its place.
--- a/tests/core/capacity/test_late_machines.py
+++ b/tests/core/capacity/test_late_machines.py
@@ -84,7 +84,7 @@
         deployment.run(0.25)
         for controller in deployment.nodes.running:
             for _, summary in controller.summaries.values():
-                leaving.update(summary.leaving_machines)
+                leaving.update(summary.unavailable_machines)
     assert not leaving & machines
     assert not deployment.rules.violations
 
@@ -99,8 +99,8 @@
     machine.set_machine_type(SMALL_TYPE)
     record = MachineRecord(shard.shard_id, SMALL_TYPE.name, "a", False, 0.0)
     controller.view.machines["host-900"] = record
-    assert controller.scheduling_services.summarizer.summarize(shard).leaving_machines == []
+    assert controller.scheduling_services.summarizer.summarize(shard).unavailable_machines == []
     controller.set_time(context.now + 1.7 * SMALL_TYPE.boot_s, context.wall_time)
-    assert controller.scheduling_services.summarizer.summarize(shard).leaving_machines == [
+    assert controller.scheduling_services.summarizer.summarize(shard).unavailable_machines == [
         "host-900"
     ]
--- a/tests/core/scheduling/test_gangs.py
+++ b/tests/core/scheduling/test_gangs.py
@@ -66,10 +66,10 @@
     machine = next(iter(shard.machines.values()))
     machine.cordon = CordonReason.TRANSFER
     summary = summarize(shard)
-    assert machine.name not in summary.leaving_machines
+    assert machine.name not in summary.unavailable_machines
     assert machine.name not in [name for name, _ in summary.idle_machines]
     machine.cordon = CordonReason.RELEASE
-    assert machine.name in summarize(shard).leaving_machines
+    assert machine.name in summarize(shard).unavailable_machines
     machine.cordon = None
     assert deployment.users.wait_until_done(gang, 90.0)
     rented_types = [agent.machine_type.name for agent in deployment.agents.values()]
--- a/tests/scenarios/test_fleet_costs.py
+++ b/tests/scenarios/test_fleet_costs.py
@@ -129,7 +129,7 @@
         idle_machines=[(name, 1234.56) for name in MACHINES],
         jobs_lacking_capacity=jobs,
         gang_machines=MACHINES,
-        leaving_machines=MACHINES,
+        unavailable_machines=MACHINES,
         partitioned_machines=MACHINES,
         required_quota={},
     )
