--- a/marblestair/core/domain/agents.py
+++ b/marblestair/core/domain/agents.py
@@ -39,14 +39,14 @@
     #: stopped by a command
     STOPPED = "stopped"
     #: another task of its gang is gone
-    PEERS = "peers"
+    PEER_LOST = "peers"
     #: its gang was not complete in time
-    ALONE = "alone"
+    GANG_INCOMPLETE = "alone"
     ERROR = "error"
     #: start refused: not enough free resources
-    NO_ROOM = "no_room"
+    INSUFFICIENT_RESOURCES = "no_room"
     #: start refused: the task is on the machine with another attempt
-    BUSY = "busy"
+    OTHER_ATTEMPT_PRESENT = "busy"
     #: start refused: no such job or task
     UNKNOWN = "unknown"
     #: a reason that this version does not know
--- a/marblestair/wire/agents.py
+++ b/marblestair/wire/agents.py
@@ -32,11 +32,11 @@
     "": ExitReason.NONE,
     "done": ExitReason.DONE,
     "halted": ExitReason.STOPPED,
-    "mates_gone": ExitReason.PEERS,
-    "alone": ExitReason.ALONE,
+    "mates_gone": ExitReason.PEER_LOST,
+    "alone": ExitReason.GANG_INCOMPLETE,
     "error": ExitReason.ERROR,
-    "no_room": ExitReason.NO_ROOM,
-    "in_use": ExitReason.BUSY,
+    "no_room": ExitReason.INSUFFICIENT_RESOURCES,
+    "in_use": ExitReason.OTHER_ATTEMPT_PRESENT,
     "unknown": ExitReason.UNKNOWN,
 }
 _VERBS = {
--- a/tests/fakes/agent.py
+++ b/tests/fakes/agent.py
@@ -270,7 +270,7 @@
         ledger.record_agent(command.job, self)
         spec = ledger.specs[command.job]
         if any(need > amount for need, amount in zip(spec.resources, free, strict=True)):
-            task.exit(ExitReason.NO_ROOM)
+            task.exit(ExitReason.INSUFFICIENT_RESOURCES)
             return
         if self.fails_tasks or spec.job_class == FAILING_CLASS:
             task.exit(ExitReason.ERROR)
@@ -348,7 +348,7 @@
             for member in gang:
                 member.task.state = TaskState.RUNNING
         elif task.gang_wait_s > deployment.agent_settings.gang_wait_s:
-            task.exit(ExitReason.ALONE)
+            task.exit(ExitReason.GANG_INCOMPLETE)
 
     def _run(self, task: FakeTask) -> None:
         """Run a task, unless its gang is not whole."""
@@ -360,7 +360,7 @@
         ):
             task.gang_wait_s += STEP_S
             if task.gang_wait_s > self.deployment.agent_settings.gang_peer_s:
-                task.exit(ExitReason.PEERS)
+                task.exit(ExitReason.PEER_LOST)
             return
         task.gang_wait_s = 0.0
         task.remaining_s -= STEP_S
