--- a/marblestair/core/domain/index_ranges.py
+++ b/marblestair/core/domain/index_ranges.py
@@ -91,7 +91,7 @@
 
 
 #: tasks whose progress is in one page of the store
-TASKS_PER_PAGE = 8192
+TASKS_PER_PROGRESS_PAGE = 8192
 
 
 def encode_bits(bits: int) -> str:
--- a/marblestair/core/leadership/progress_pages.py
+++ b/marblestair/core/leadership/progress_pages.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from marblestair.core.domain.index_ranges import TASKS_PER_PAGE, decode_bits, encode_bits
+from marblestair.core.domain.index_ranges import TASKS_PER_PROGRESS_PAGE, decode_bits, encode_bits
 from marblestair.core.leadership.leadership import Leadership
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
@@ -40,7 +40,7 @@
 #: keys in one page of a listing
 LISTED_KEYS = 500
 
-_PAGE_MASK = (1 << TASKS_PER_PAGE) - 1
+_PAGE_MASK = (1 << TASKS_PER_PROGRESS_PAGE) - 1
 
 
 class StoredPage(msgspec.Struct, frozen=True):
@@ -63,7 +63,7 @@
     @property
     def bits(self) -> int:
         """The bits of what is done now."""
-        return (self.job_slice.done_bits >> (self.page * TASKS_PER_PAGE)) & _PAGE_MASK
+        return (self.job_slice.done_bits >> (self.page * TASKS_PER_PROGRESS_PAGE)) & _PAGE_MASK
 
 
 class WrittenPage(msgspec.Struct, frozen=True):
@@ -178,7 +178,7 @@
     def _mark_durable(self, page: WrittenPage, version: int) -> None:
         job_slice = page.job_slice
         job_slice.page_versions[page.page] = version
-        job_slice.durable_bits |= page.bits << (page.page * TASKS_PER_PAGE)
+        job_slice.durable_bits |= page.bits << (page.page * TASKS_PER_PROGRESS_PAGE)
         is_dirty = bool(job_slice.done_bits & ~job_slice.durable_bits)
         job_slice.dirty_since = self._context.now if is_dirty else None
 
@@ -198,7 +198,7 @@
         while not_durable:
             if not_durable & _PAGE_MASK:
                 found.append(DirtyPage(job_slice, page))
-            not_durable >>= TASKS_PER_PAGE
+            not_durable >>= TASKS_PER_PROGRESS_PAGE
             page += 1
     found.sort(key=lambda dirty: dirty.job_slice.dirty_since or 0.0)
     return found
@@ -236,7 +236,7 @@
         if response.status == 200:
             page.job_slice.page_versions[page.page] = response.version
             page.job_slice.durable_bits |= decode_bits(response.value) << (
-                page.page * TASKS_PER_PAGE
+                page.page * TASKS_PER_PROGRESS_PAGE
             )
         elif response.status == 404:
             page.job_slice.page_versions[page.page] = 0
--- a/marblestair/core/shard/job_slice.py
+++ b/marblestair/core/shard/job_slice.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from marblestair.core.domain.index_ranges import TASKS_PER_PAGE, IndexRanges
+from marblestair.core.domain.index_ranges import TASKS_PER_PROGRESS_PAGE, IndexRanges
 from marblestair.core.domain.jobs import JobKind, JobSpec
 from marblestair.core.shard.machine import Machine, StopReason
 
@@ -72,7 +72,7 @@
 
     def load_done_page(self, page: int, bits: int) -> None:
         """Add a page of progress that was read from the store."""
-        bits <<= page * TASKS_PER_PAGE
+        bits <<= page * TASKS_PER_PROGRESS_PAGE
         self.durable_bits |= bits
         self.done_bits |= bits
         for index in list(self.pending):
