--- a/marblestair/core/capacity/catalog_updates.py
+++ b/marblestair/core/capacity/catalog_updates.py
@@ -14,9 +14,9 @@
 from marblestair.core.runtime.requests import Sleep
 from marblestair.core.runtime.store_requests import (
     CompareAndSwap,
-    RequestPriority,
     ListKeys,
     Put,
+    RequestPriority,
     StoreResponse,
 )
 from marblestair.core.state import keys
--- a/marblestair/core/capacity/decommissioning.py
+++ b/marblestair/core/capacity/decommissioning.py
@@ -7,8 +7,8 @@
 from marblestair.core.capacity.provisioning import MIN_RENTAL_S
 from marblestair.core.domain.agents import TaskState
 from marblestair.core.domain.jobs import JobKind
-from marblestair.core.shard.partition_detection import partitioned_machines
 from marblestair.core.shard.machine import CordonReason, Machine
+from marblestair.core.shard.partition_detection import partitioned_machines
 from marblestair.core.shard.shard import Shard
 
 #: work lost by emptying a machine, against the capacity that would be idle meanwhile
--- a/marblestair/core/capacity/fleet.py
+++ b/marblestair/core/capacity/fleet.py
@@ -16,8 +16,8 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
-from marblestair.core.shard.partition_detection import partitioned_machines
 from marblestair.core.shard.machine import CordonReason, StopReason
+from marblestair.core.shard.partition_detection import partitioned_machines
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state.machine_catalog import MachineCatalog
 from marblestair.core.state.store_view import StoreView
--- a/marblestair/core/capacity/machine_registry.py
+++ b/marblestair/core/capacity/machine_registry.py
@@ -16,7 +16,12 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import InspectAgent, Sleep
-from marblestair.core.runtime.store_requests import CompareAndSwap, RequestPriority, Put, StoreResponse
+from marblestair.core.runtime.store_requests import (
+    CompareAndSwap,
+    Put,
+    RequestPriority,
+    StoreResponse,
+)
 from marblestair.core.shard.heartbeat_response import HeartbeatResponse
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
--- a/marblestair/core/capacity/rentals.py
+++ b/marblestair/core/capacity/rentals.py
@@ -13,9 +13,9 @@
 from marblestair.core.runtime.requests import Sleep
 from marblestair.core.runtime.store_requests import (
     CompareAndSwap,
-    RequestPriority,
     ListKeys,
     Put,
+    RequestPriority,
     StoredKey,
     StoreResponse,
 )
@@ -143,7 +143,9 @@
             preconditions = [(put.key, 0) for put in puts]
             preconditions.append(self._leadership.fence_precondition(shard.shard_id))
             preconditions.append((intent_key, intent_version))
-            swap = CompareAndSwap(preconditions, puts, [] if rest else [intent_key], RequestPriority.SHARD_MAP)
+            swap = CompareAndSwap(
+                preconditions, puts, [] if rest else [intent_key], RequestPriority.SHARD_MAP
+            )
             response: StoreResponse = yield swap
             if response.status == 200:
                 self._view.apply_commit(swap, response.revision)
--- a/marblestair/core/jobs/acceptance.py
+++ b/marblestair/core/jobs/acceptance.py
@@ -23,7 +23,12 @@
 from marblestair.core.messaging.received_summaries import ReceivedSummaries
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
-from marblestair.core.runtime.store_requests import CompareAndSwap, RequestPriority, Put, StoreResponse
+from marblestair.core.runtime.store_requests import (
+    CompareAndSwap,
+    Put,
+    RequestPriority,
+    StoreResponse,
+)
 from marblestair.core.state import keys
 from marblestair.core.state.machine_catalog import MachineCatalog
 from marblestair.core.state.records import MAX_SPEC_SHARE, JobRecord, exceeds_value_limit
@@ -112,7 +117,9 @@
         """Accept or refuse a job that depends on others."""
         parents = yield from self._parents.find(spec.depends_on)
         if parents.state is ParentsState.UNDECIDED:
-            return Outcome(503, UNKNOWN, f"nothing known of {parents.deciding_job} yet", RETRY_AFTER_S)
+            return Outcome(
+                503, UNKNOWN, f"nothing known of {parents.deciding_job} yet", RETRY_AFTER_S
+            )
         if parents.state is ParentsState.UNKNOWN:
             reason = f"it awaits {parents.deciding_job}, which was never accepted"
             return (yield from self._reject(spec, reason))
--- a/marblestair/core/jobs/answers.py
+++ b/marblestair/core/jobs/answers.py
@@ -136,7 +136,11 @@
                 status = self._accept_peer_answer(job, reply)
                 if status is not None:
                     return status
-        return (yield from self._lookups.read_within_limit(self.read_status(job, RequestPriority.LOOKUP)))
+        return (
+            yield from self._lookups.read_within_limit(
+                self.read_status(job, RequestPriority.LOOKUP)
+            )
+        )
 
     def _accept_peer_answer(self, job: str, reply: Any) -> JobStatus | None:
         """Take in what another node said of a job when it was asked."""
@@ -150,7 +154,9 @@
             self._final_states.record(job, status.state)
         return self.answerable_status(job, ProvenStatus(status, Proof.PEER))
 
-    def read_status(self, job: str, priority: RequestPriority = RequestPriority.ACCEPTANCE) -> Coroutine[JobStatus | None]:
+    def read_status(
+        self, job: str, priority: RequestPriority = RequestPriority.ACCEPTANCE
+    ) -> Coroutine[JobStatus | None]:
         """A job's status from a new read: UNKNOWN, or None when it cannot be given now."""
         found = yield from self._reader.read_record(job, priority)
         if found is None or found == UNKNOWN:
--- a/marblestair/core/jobs/cancellations.py
+++ b/marblestair/core/jobs/cancellations.py
@@ -31,7 +31,12 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import PeerRequest, Sleep
-from marblestair.core.runtime.store_requests import CompareAndSwap, RequestPriority, Put, StoreResponse
+from marblestair.core.runtime.store_requests import (
+    CompareAndSwap,
+    Put,
+    RequestPriority,
+    StoreResponse,
+)
 from marblestair.core.state import keys
 from marblestair.core.state.records import JobRecord, ShardMap, ShardRecord, with_cancel
 from marblestair.core.state.store_view import StoreView
--- a/marblestair/core/jobs/completion_records.py
+++ b/marblestair/core/jobs/completion_records.py
@@ -16,7 +16,12 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
-from marblestair.core.runtime.store_requests import CompareAndSwap, RequestPriority, Put, StoreResponse
+from marblestair.core.runtime.store_requests import (
+    CompareAndSwap,
+    Put,
+    RequestPriority,
+    StoreResponse,
+)
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
--- a/marblestair/core/jobs/job_managers.py
+++ b/marblestair/core/jobs/job_managers.py
@@ -24,7 +24,12 @@
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.decision_log import Decision
 from marblestair.core.runtime.requests import Sleep
-from marblestair.core.runtime.store_requests import CompareAndSwap, RequestPriority, Put, StoreResponse
+from marblestair.core.runtime.store_requests import (
+    CompareAndSwap,
+    Put,
+    RequestPriority,
+    StoreResponse,
+)
 from marblestair.core.state import keys
 from marblestair.core.state.records import ChangeKind, JobRecord, with_cancel, with_release
 from marblestair.core.state.store_view import StoreView
@@ -239,10 +244,14 @@
         if step is ManagerStep.CANCEL:
             value_kb = self._context.settings.cluster.state.value_kb
             cancelled = with_cancel(record, value_kb)
-            return CompareAndSwap(preconditions, [Put(key, cancelled)], [], RequestPriority.ACCEPTANCE)
+            return CompareAndSwap(
+                preconditions, [Put(key, cancelled)], [], RequestPriority.ACCEPTANCE
+            )
         if step is ManagerStep.RELEASE:
             released = with_release(record, self._context.wall_time)
-            return CompareAndSwap(preconditions, [Put(key, released)], [], RequestPriority.FINAL_STATE)
+            return CompareAndSwap(
+                preconditions, [Put(key, released)], [], RequestPriority.FINAL_STATE
+            )
         final_key = keys.FINAL_STATES + managed.job
         return CompareAndSwap(
             [*preconditions, (final_key, 0)],
--- a/marblestair/core/jobs/migration_locks.py
+++ b/marblestair/core/jobs/migration_locks.py
@@ -15,7 +15,7 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
-from marblestair.core.runtime.store_requests import CompareAndSwap, RequestPriority, Put
+from marblestair.core.runtime.store_requests import CompareAndSwap, Put, RequestPriority
 from marblestair.core.state import keys
 from marblestair.core.state.records import MAX_RECORD_SHARE, JobRecord, exceeds_value_limit
 from marblestair.core.state.store_view import StoreView
--- a/marblestair/core/jobs/record_reader.py
+++ b/marblestair/core/jobs/record_reader.py
@@ -29,7 +29,9 @@
         self._connectivity = connectivity
         self._final_states = final_states
 
-    def read_record(self, job: str, priority: RequestPriority = RequestPriority.ACCEPTANCE) -> Coroutine[JobStatus | None]:
+    def read_record(
+        self, job: str, priority: RequestPriority = RequestPriority.ACCEPTANCE
+    ) -> Coroutine[JobStatus | None]:
         """Read a job's record, and its final state if there is no record."""
         if self._connectivity.is_disconnected():
             return None
--- a/marblestair/core/leadership/failover.py
+++ b/marblestair/core/leadership/failover.py
@@ -10,7 +10,12 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
-from marblestair.core.runtime.store_requests import CompareAndSwap, RequestPriority, Put, StoreResponse
+from marblestair.core.runtime.store_requests import (
+    CompareAndSwap,
+    Put,
+    RequestPriority,
+    StoreResponse,
+)
 from marblestair.core.state import keys
 from marblestair.core.state.records import ShardMap, ShardRecord
 from marblestair.core.state.store_view import StoreView
@@ -139,7 +144,9 @@
     def _create_shard_map(self) -> Coroutine[None]:
         cluster = self._context.settings.cluster
         first = shard_map.initial_shard_map(cluster.size, cluster.teams)
-        swap = CompareAndSwap([(keys.SHARD_MAP, 0)], [Put(keys.SHARD_MAP, first)], priority=RequestPriority.LEASE)
+        swap = CompareAndSwap(
+            [(keys.SHARD_MAP, 0)], [Put(keys.SHARD_MAP, first)], priority=RequestPriority.LEASE
+        )
         response: StoreResponse = yield swap
         if response.status == 200:
             self._view.apply_commit(swap, response.revision)
--- a/marblestair/core/leadership/progress_pages.py
+++ b/marblestair/core/leadership/progress_pages.py
@@ -19,9 +19,9 @@
 from marblestair.core.runtime.store_requests import (
     CompareAndSwap,
     Get,
-    RequestPriority,
     ListKeys,
     Put,
+    RequestPriority,
     StoreResponse,
 )
 from marblestair.core.shard.job_slice import JobSlice
@@ -91,7 +91,9 @@
         after_key = ""
         while self._is_current(shard):
             # Until it is read no agent of the shard gets an answer: it must not wait behind users.
-            response: StoreResponse = yield ListKeys(prefix, after_key, LISTED_KEYS, RequestPriority.LEASE)
+            response: StoreResponse = yield ListKeys(
+                prefix, after_key, LISTED_KEYS, RequestPriority.LEASE
+            )
             if response.status != 200:
                 yield Sleep(0.1 + 0.2 * self._context.rng.random())
                 continue
@@ -163,7 +165,9 @@
             key = _key(shard, page)
             preconditions.append((key, page.job_slice.page_versions.get(page.page, 0)))
             puts.append(Put(key, encode_bits(page.bits)))
-        response: StoreResponse = yield CompareAndSwap(preconditions, puts, [], RequestPriority.PROGRESS)
+        response: StoreResponse = yield CompareAndSwap(
+            preconditions, puts, [], RequestPriority.PROGRESS
+        )
         if response.status == 200:
             for page in written:
                 self._mark_durable(page, response.revision)
--- a/marblestair/core/leadership/promises.py
+++ b/marblestair/core/leadership/promises.py
@@ -91,7 +91,9 @@
         if not self._leadership.is_authorized(self._context.now):
             return
         were_valid = self._ledger.are_valid(requested_at)
-        self._ledger.extend(requested_at + self._lease.ttl_s * (1 - MAX_CLOCK_DRIFT_FRACTION) - MARGIN_S)
+        self._ledger.extend(
+            requested_at + self._lease.ttl_s * (1 - MAX_CLOCK_DRIFT_FRACTION) - MARGIN_S
+        )
         if not were_valid:
             self._context.log("info", "the store is out of reach: acting on promises")
 
--- a/marblestair/core/leadership/shard_map_updates.py
+++ b/marblestair/core/leadership/shard_map_updates.py
@@ -5,7 +5,12 @@
 import enum
 
 from marblestair.core.runtime.coroutines import Coroutine
-from marblestair.core.runtime.store_requests import CompareAndSwap, RequestPriority, Put, StoreResponse
+from marblestair.core.runtime.store_requests import (
+    CompareAndSwap,
+    Put,
+    RequestPriority,
+    StoreResponse,
+)
 from marblestair.core.state import keys
 from marblestair.core.state.records import ShardMap
 from marblestair.core.state.store_follower import StoreFollower
@@ -43,7 +48,9 @@
         puts += [
             Put(f"{keys.FENCES}{shard_id}", shard_map.shards[shard_id].term) for shard_id in fenced
         ]
-        swap = CompareAndSwap([(keys.SHARD_MAP, version), *preconditions], puts, priority=RequestPriority.LEASE)
+        swap = CompareAndSwap(
+            [(keys.SHARD_MAP, version), *preconditions], puts, priority=RequestPriority.LEASE
+        )
         response: StoreResponse = yield swap
         if response.status == 200:
             self._view.apply_commit(swap, response.revision)
--- a/marblestair/core/leadership/store_lease.py
+++ b/marblestair/core/leadership/store_lease.py
@@ -15,9 +15,9 @@
 from marblestair.core.runtime.store_requests import (
     CompareAndSwap,
     GrantLease,
-    RequestPriority,
     Put,
     RenewLease,
+    RequestPriority,
     StoreResponse,
 )
 from marblestair.core.state import keys
--- a/marblestair/core/peer_service.py
+++ b/marblestair/core/peer_service.py
@@ -100,7 +100,7 @@
         elif isinstance(message, RecordCommitted):
             self._announcements.receive(message)
 
-    def reject(self, node: str, error: str) -> None:
+    def reject_message(self, node: str, error: str) -> None:
         """A message or request of another node could not be decoded."""
         if node in self._context.settings.nodes:
             self._connectivity.message_received(node)
@@ -132,9 +132,9 @@
             self._connectivity.message_received(node)
         self._context.spawn(self._reply(request_id, message))
 
-    def refuse_request(self, request_id: int, node: str, error: str) -> None:
+    def reject_request(self, request_id: int, node: str, error: str) -> None:
         """A request could not be decoded: it is answered with nothing."""
-        self.reject(node, error)
+        self.reject_message(node, error)
         self._context.outbox.peer_replies.append(PeerReply(request_id, None))
 
     def _reply(self, request_id: int, message: PeerMessage | None) -> Coroutine[None]:
--- a/marblestair/core/scheduling/machine_transfers.py
+++ b/marblestair/core/scheduling/machine_transfers.py
@@ -13,7 +13,12 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
-from marblestair.core.runtime.store_requests import CompareAndSwap, RequestPriority, Put, StoreResponse
+from marblestair.core.runtime.store_requests import (
+    CompareAndSwap,
+    Put,
+    RequestPriority,
+    StoreResponse,
+)
 from marblestair.core.scheduling.dispatch import Dispatcher
 from marblestair.core.scheduling.fleet_plan import FleetPlan
 from marblestair.core.scheduling.placement import (
--- a/marblestair/core/scheduling/shard_summary.py
+++ b/marblestair/core/scheduling/shard_summary.py
@@ -13,10 +13,10 @@
 from marblestair.core.scheduling.placement import FreeCapacity
 from marblestair.core.scheduling.preemption import Preemption
 from marblestair.core.scheduling.quota_ledger import QuotaLedger
-from marblestair.core.shard.partition_detection import partitioned_machines
 from marblestair.core.shard.boot_times import BootTimes
 from marblestair.core.shard.failures import FailureAttribution
 from marblestair.core.shard.machine import CordonReason, Machine
+from marblestair.core.shard.partition_detection import partitioned_machines
 from marblestair.core.shard.shard import Shard
 
 
--- a/marblestair/core/shard/machine.py
+++ b/marblestair/core/shard/machine.py
@@ -38,7 +38,7 @@
     #: it is being transferred to another shard
     TRANSFER = "transfer"
     #: its tasks were stopped so that it can be released
-    RETURN = "return"
+    RELEASE = "return"
 
 
 class ExitedTask(NamedTuple):
@@ -201,7 +201,7 @@
     # --- reachability ----------------------------------------------------------------------
 
     @property
-    def is_silent(self) -> bool:
+    def is_lease_expired(self) -> bool:
         """Whether the agent's lease has expired without a heartbeat since."""
         return self.responsiveness.state is Reachability.SILENT
 
--- a/marblestair/core/shard/reconciliation.py
+++ b/marblestair/core/shard/reconciliation.py
@@ -11,7 +11,11 @@
 #: heartbeat intervals for which nothing is placed on a machine that refused to start a task
 REFUSED_START_INTERVALS = 2
 #: reasons for which agents refuse to start a task
-START_REFUSALS = (ExitReason.INSUFFICIENT_RESOURCES, ExitReason.UNKNOWN, ExitReason.OTHER_ATTEMPT_PRESENT)
+START_REFUSALS = (
+    ExitReason.INSUFFICIENT_RESOURCES,
+    ExitReason.UNKNOWN,
+    ExitReason.OTHER_ATTEMPT_PRESENT,
+)
 
 
 def reconcile(shard: Shard, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
--- a/marblestair/core/shard/shard.py
+++ b/marblestair/core/shard/shard.py
@@ -92,14 +92,16 @@
         #: the view has caught up with the failover, and progress is loaded
         self.is_ready = False
         #: being transferred to another node
-        self.is_closing = False
+        self.is_being_transferred = False
         #: tasks completed since the receiver of heartbeats last cleared this
         self.finished_tasks: list[FinishedTask] = []
         #: keys that are of no use any more (pages, rental intents), with the version that may be
         #: deleted; None where it is to be read first
         self.obsolete_keys: dict[str, int | None] = {}
         #: time since the last answered heartbeat after which an agent has surely stopped its tasks
-        self.agent_lease_limit_s = cluster.workers.lease_s * (1 + MAX_CLOCK_DRIFT_FRACTION) + LEASE_MARGIN_S
+        self.agent_lease_limit_s = (
+            cluster.workers.lease_s * (1 + MAX_CLOCK_DRIFT_FRACTION) + LEASE_MARGIN_S
+        )
         #: time without a heartbeat after which a machine gets nothing new
         self.silence_limit_s = SILENCE_LIMIT_INTERVALS * cluster.workers.report_s
         self._attempt_count = 0
--- a/marblestair/core/state/store_follower.py
+++ b/marblestair/core/state/store_follower.py
@@ -5,7 +5,13 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
-from marblestair.core.runtime.store_requests import Get, RequestPriority, ListKeys, StoreResponse, Watch
+from marblestair.core.runtime.store_requests import (
+    Get,
+    ListKeys,
+    RequestPriority,
+    StoreResponse,
+    Watch,
+)
 from marblestair.core.state import keys
 from marblestair.core.state.store_view import StoreView
 
@@ -51,7 +57,9 @@
         pages: list[StoreResponse] = []
         after_key = ""
         while True:
-            page: StoreResponse = yield ListKeys(keys.WATCHED, after_key, PAGE_KEYS, RequestPriority.LEASE)
+            page: StoreResponse = yield ListKeys(
+                keys.WATCHED, after_key, PAGE_KEYS, RequestPriority.LEASE
+            )
             if page.status != 200:
                 return None
             pages.append(page)
--- a/tests/core/jobs/test_lookups.py
+++ b/tests/core/jobs/test_lookups.py
@@ -62,7 +62,9 @@
 
 def test_polls_of_many_unknown_jobs_are_refused_at_once_beyond_a_bound() -> None:
     deployment = started(413)
-    max_concurrent_reads = deployment.nodes.controller("n0").job_services.lookups.max_concurrent_reads
+    max_concurrent_reads = deployment.nodes.controller(
+        "n0"
+    ).job_services.lookups.max_concurrent_reads
     recorder = Recorder(deployment, "n0")
     asked = [
         deployment.users.request("n0", "query", f"job-{number:06d}")
--- a/tests/core/leadership/test_shard_recovery.py
+++ b/tests/core/leadership/test_shard_recovery.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from marblestair.core.leadership import shard_map
-from marblestair.core.runtime.store_requests import RequestPriority, ListKeys
+from marblestair.core.runtime.store_requests import ListKeys, RequestPriority
 from marblestair.core.state import keys
 from tests.fakes.samples import job_spec
 from tests.helpers import manager_of, started
--- a/tests/net/test_budget.py
+++ b/tests/net/test_budget.py
@@ -58,7 +58,9 @@
     async def check() -> None:
         budget = Budget(20.0, 2.0)
         assert await budget.take(RequestPriority.ACCEPTANCE, 2)
-        order = await served_order(budget, ("commit", RequestPriority.ACCEPTANCE, 2), ("read", RequestPriority.LOOKUP, 0))
+        order = await served_order(
+            budget, ("commit", RequestPriority.ACCEPTANCE, 2), ("read", RequestPriority.LOOKUP, 0)
+        )
         assert order == ["read", "commit"]
 
     run(check())
