--- a/marblestair/core/__init__.py
+++ b/marblestair/core/__init__.py
@@ -1,1 +1,1 @@
-"""The pure core: state machines that take inputs and return what to send, write and answer."""
+"""The scheduler's core without I/O: state machines that turn inputs into requests and replies."""
--- a/marblestair/core/domain/__init__.py
+++ b/marblestair/core/domain/__init__.py
@@ -1,1 +1,1 @@
-"""Plain values of the scheduler: jobs, machines, agents, amounts. No state, no I/O."""
+"""Value types of the scheduler: jobs, machines, agents, settings and resource amounts."""
--- a/marblestair/core/domain/agents.py
+++ b/marblestair/core/domain/agents.py
@@ -1,7 +1,7 @@
-"""Heartbeats of agents, and the commands to them.
+"""Heartbeats of agents and the commands that controllers send them.
 
-An agent is the process on one machine that runs tasks. It sends heartbeats with the status of all
-its tasks, and receives commands in the responses.
+An agent is the process on a machine that runs the machine's tasks. It sends heartbeats with the
+status of all its tasks and receives commands in the responses.
 """
 
 from __future__ import annotations
@@ -12,53 +12,53 @@
 
 
 class TaskState(enum.StrEnum):
-    """State of a task on a machine, as its agent lists it or as its leader expects it."""
+    """State of a task on a machine, as reported by the agent or expected by the shard's leader."""
 
-    #: its launch is decided, and in no response yet
+    #: the leader has assigned it to the machine and has not sent the start command yet
     PLANNED = "planned"
-    #: its launch was in a response, and no heartbeat lists it yet
+    #: the start command was in a response, and no heartbeat has listed the task yet
     SENT = "sent"
-    #: waits for its image
+    #: the agent is fetching its image
     FETCHING = "fetching"
-    #: waits for the other tasks of its gang
+    #: ready, and waiting for the other tasks of its gang
     WAITING = "waiting"
     RUNNING = "running"
-    #: received a command to stop, and saves a checkpoint
+    #: commanded to stop, and saving a checkpoint
     SAVING = "saving"
     EXITED = "exited"
-    #: a state that this version does not know
+    #: the agent reported a state that this version does not know
     UNRECOGNIZED = "unrecognized"
 
 
 class ExitReason(enum.StrEnum):
-    """Why a task ended."""
+    """Why a task exited."""
 
-    #: it has not ended
+    #: the task has not exited
     NONE = ""
     DONE = "done"
     #: stopped by a command
     STOPPED = "stopped"
-    #: another task of its gang is gone
+    #: another task of its gang is no longer running
     PEER_LOST = "peers"
-    #: its gang was not complete in time
+    #: its gang did not become complete within the agents' ``gang_wait_s``
     GANG_INCOMPLETE = "alone"
     ERROR = "error"
-    #: start refused: not enough free resources
+    #: start rejected: the machine has too few free resources
     INSUFFICIENT_RESOURCES = "no_room"
-    #: start refused: the task is on the machine with another attempt
+    #: start rejected: another attempt of the task is on the machine
     OTHER_ATTEMPT_PRESENT = "busy"
-    #: start refused: no such job or task
+    #: start rejected: no such job or task
     UNKNOWN = "unknown"
-    #: a reason that this version does not know
+    #: the agent reported a reason that this version does not know
     UNRECOGNIZED = "unrecognized"
 
 
 class CommandVerb(enum.StrEnum):
-    """What an agent is to do with a task."""
+    """Operation that a command asks an agent to perform on a task."""
 
     START = "start"
     STOP = "stop"
-    #: leave an exited task out of further heartbeats
+    #: omit an exited task from further heartbeats
     FORGET = "forget"
 
 
@@ -76,8 +76,9 @@
 class Heartbeat(msgspec.Struct, frozen=True):
     """A heartbeat of an agent, with the status of every task on its machine.
 
-    The sequence numbers of one agent incarnation ascend; ``fencing_token`` is the last that
-    the agent accepted.
+    Sequence numbers ascend within one agent incarnation. ``fencing_token`` is the latest one that
+    the agent accepted. ``reclaim_in_s`` is the time in seconds until the cloud reclaims the
+    machine, or None if the cloud has not announced that.
     """
 
     machine: str
@@ -93,10 +94,11 @@
 
 
 class TaskCommand(msgspec.Struct, frozen=True):
-    """A command to an agent about one task."""
+    """A command to an agent concerning one attempt of a task."""
 
     verb: CommandVerb
     job: str
     index: int
     attempt: int
+    #: time in seconds that a stopped task has to save a checkpoint
     grace_s: float = 0.0
--- a/marblestair/core/domain/amounts.py
+++ b/marblestair/core/domain/amounts.py
@@ -1,4 +1,4 @@
-"""Amounts of resources in fixed point, so that sums never drift from a limit."""
+"""Fixed-point resource amounts, so that sums accumulate no rounding error against a limit."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from functools import lru_cache
 from typing import NamedTuple
 
-#: units of fixed point in one cpu, gpu or GB
+#: fixed-point units in one cpu, one gpu or one GB
 FIXED_POINT_SCALE = 1_000_000
 
 
 class Resources(NamedTuple):
-    """Amounts of the three resources, each in fixed point."""
+    """Amounts of cpus, gpus and memory, each in fixed point."""
 
     cpus: int
     gpus: int
@@ -44,5 +44,5 @@
 
 
 def are_valid_amounts(*values: float | None) -> bool:
-    """Whether every amount that is given is finite and not negative."""
+    """Return whether every amount that is not None is finite and not negative."""
     return all(value is None or (math.isfinite(value) and value >= 0) for value in values)
--- a/marblestair/core/domain/clocks.py
+++ b/marblestair/core/domain/clocks.py
@@ -1,4 +1,4 @@
-"""What is assumed of the clocks of machines."""
+"""Assumption about the clocks of machines on which leases and promises rely."""
 
-#: allowance for clocks that run at different speeds, as a fraction of the time that is counted
+#: maximum difference between the rates of two machines' clocks, as a fraction of a duration
 MAX_CLOCK_DRIFT_FRACTION = 0.002
--- a/marblestair/core/domain/index_ranges.py
+++ b/marblestair/core/domain/index_ranges.py
@@ -1,4 +1,4 @@
-"""Compact sets of task indexes: no object for each task that has not started."""
+"""Compact sets of task indexes, which need no object per task that has not started."""
 
 from __future__ import annotations
 
@@ -7,32 +7,32 @@
 
 
 class IndexRanges:
-    """An ordered set of whole numbers, stored as disjoint ranges ``[start, end)``."""
+    """An ordered set of integers, stored as disjoint ranges ``[start, end)``."""
 
     __slots__ = ("count", "items")
 
     def __init__(self, items: Iterable[Iterable[int]] = ()) -> None:
-        #: the ranges in ascending order
+        #: the ranges, in ascending order
         self.items: list[list[int]] = []
         self.count = 0
         for start, end in items:
             self.add(start, end)
 
     def __len__(self) -> int:
-        """Return how many numbers are in the set."""
+        """Return the number of elements."""
         return self.count
 
     def __iter__(self) -> Iterator[int]:
-        """Iterate over the numbers in ascending order."""
+        """Iterate over the elements in ascending order."""
         for start, end in self.items:
             yield from range(start, end)
 
     def __contains__(self, index: int) -> bool:
-        """Whether a number is in the set."""
+        """Return whether an index is in the set."""
         return any(start <= index < end for start, end in self.items)
 
     def add(self, start: int, end: int) -> None:
-        """Add the numbers of ``[start, end)``, merged with the ranges that they overlap or meet."""
+        """Add ``[start, end)``, merged with the ranges that it overlaps or touches."""
         if start >= end:
             return
         merged: list[list[int]] = []
@@ -53,7 +53,7 @@
         self.count = sum(last - first for first, last in merged)
 
     def discard(self, index: int) -> bool:
-        """Remove one number, and return whether it was in the set."""
+        """Remove an index, and return whether it was in the set."""
         for position, (start, end) in enumerate(self.items):
             if start <= index < end:
                 rest = ([start, index], [index + 1, end])
@@ -63,7 +63,7 @@
         return False
 
     def pop(self) -> int:
-        """Remove the smallest number and return it.
+        """Remove the smallest index and return it.
 
         Raises
         ------
@@ -79,7 +79,7 @@
         return start
 
     def tail(self, count: int) -> list[list[int]]:
-        """Return the last numbers, up to a count, as ranges; they stay in the set."""
+        """Return the ``count`` largest indexes, or all if there are fewer, as ranges."""
         ranges: list[list[int]] = []
         for start, end in reversed(self.items):
             if count <= 0:
@@ -90,22 +90,22 @@
         return ranges[::-1]
 
 
-#: tasks whose progress is in one page of the store
+#: number of tasks whose progress is stored in one page
 TASKS_PER_PROGRESS_PAGE = 8192
 
 
 def encode_bits(bits: int) -> str:
-    """Encode a set of small numbers, given as the bits of a whole number, as text."""
+    """Encode a bit set, given as an integer, as base64 of its little-endian bytes."""
     raw = bits.to_bytes((bits.bit_length() + 7) // 8, "little")
     return base64.b64encode(raw).decode()
 
 
 def decode_bits(text: str) -> int:
-    """Decode what :func:`encode_bits` returned.
+    """Decode a bit set that :func:`encode_bits` encoded.
 
     Raises
     ------
     ValueError
-        The text is not base64.
+        The text is not valid base64.
     """
     return int.from_bytes(base64.b64decode(text, validate=True), "little")
--- a/marblestair/core/domain/jobs.py
+++ b/marblestair/core/domain/jobs.py
@@ -1,4 +1,4 @@
-"""What users submit: jobs, their kinds and priorities, and the states that users can see."""
+"""Jobs that users submit: their kinds, priorities, specifications and states."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
     #: independent tasks that run to completion
     ARRAY = "array"
-    #: tasks that run together or not at all
+    #: tasks that run all at the same time or not at all
     GANG = "gang"
     #: independent tasks that run until their job is cancelled
     SERVICE = "service"
 
 
 class Priority(enum.StrEnum):
-    """The importance of a job, as its user gave it."""
+    """Priority of a job, as given by its user."""
 
     PRODUCTION = "production"
     HIGH = "high"
@@ -29,7 +29,7 @@
     LOW = "low"
 
 
-#: the higher the rank, the earlier a job is served
+#: numeric rank of each priority; jobs of a higher rank are scheduled first
 PRIORITY_RANKS: dict[Priority, int] = {
     Priority.PRODUCTION: 3,
     Priority.HIGH: 2,
@@ -39,9 +39,9 @@
 
 
 class JobState(enum.StrEnum):
-    """State of a job as users see it."""
+    """State of a job as reported to users."""
 
-    #: nobody submitted it
+    #: no such job was submitted
     UNKNOWN = "unknown"
     QUEUED = "queued"
     RUNNING = "running"
@@ -53,7 +53,7 @@
 
 
 class JobSpec(msgspec.Struct, array_like=True, frozen=True):
-    """A job as its user described it, with the names of its fields in this package."""
+    """The specification of a job, as submitted by its user."""
 
     id: str
     job_class: str
@@ -75,29 +75,29 @@
     checkpoint_interval_s: float
     checkpoint_save_s: float
     deadline_s: float | None
-    #: wall-clock time of acceptance, for ordering and deadlines only
+    #: wall-clock time in seconds at which the job was accepted; for ordering and deadlines only
     accepted_at: float = 0.0
-    #: jobs that must be done before a task of this one starts, as far as they were not done when
-    #: it was accepted
+    #: ids of the jobs that must be done before any task of this job starts; without those that were
+    #: done already when this job was accepted
     depends_on: list[str] = []
 
     @property
     def resources(self) -> Resources:
-        """What one task uses."""
+        """Resources that one task uses."""
         return requested_resources(self.cpus, self.gpus, self.mem_gb)
 
     @property
     def saves_checkpoints(self) -> bool:
-        """Whether a task that is stopped can save what it has done."""
+        """Whether the job's tasks save checkpoints."""
         return self.checkpoint_interval_s > 0
 
     @property
     def is_indivisible(self) -> bool:
-        """Whether all tasks of the job stay in one slice."""
+        """Whether the tasks of the job must not be divided among several slices."""
         return self.kind == JobKind.GANG or self.single_zone or self.spread_zones
 
     def may_run_on(self, type_name: str, zone: str, spot: bool) -> bool:
-        """Whether the job may run on a kind of machine."""
+        """Return whether the job may run on machines of a type, a zone and a purchase option."""
         return (
             (self.machine_types is None or type_name in self.machine_types)
             and (self.zone is None or zone == self.zone)
--- a/marblestair/core/domain/machine_kinds.py
+++ b/marblestair/core/domain/machine_kinds.py
@@ -1,4 +1,4 @@
-"""Kinds of machines that can be rented: a type, a zone, and whether it is a spot instance."""
+"""Kinds of machines that can be rented: a machine type, a zone, and spot or on-demand."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from marblestair.core.domain.jobs import JobSpec
 from marblestair.core.domain.machines import MachineType
 
-#: tasks that fit on a machine where a task uses none of its resources: more than any job has
+#: task count per machine for tasks that use no resources; more than any job has tasks
 UNBOUNDED_TASKS = 1 << 20
 
 
 class MachineKind(msgspec.Struct, frozen=True):
-    """A kind of machine that can be rented."""
+    """A machine type in one zone, as a spot or an on-demand instance."""
 
     machine_type: MachineType
     zone: str
@@ -21,20 +21,20 @@
 
     @property
     def key(self) -> tuple[str, str, bool]:
-        """The name of the type, the zone, and whether it is a spot instance.
+        """Key of the kind: name of the type, zone, and whether it is a spot instance.
 
-        A plain tuple, because plans build one for each kind that they compare.
+        A plain tuple, because the planner builds one for each kind that it compares.
         """
         return self.machine_type.name, self.zone, self.spot
 
     @property
     def price(self) -> float:
-        """The price per hour."""
+        """Price per hour."""
         return self.machine_type.spot_price if self.spot else self.machine_type.price
 
 
 def tasks_per_machine(machine_type: MachineType, resources: Resources) -> int:
-    """How many tasks that use so much fit on an empty machine."""
+    """Return how many tasks with the given resources fit on an empty machine."""
     return max(
         0,
         min(
@@ -49,7 +49,7 @@
 
 
 def kinds_for_job(spec: JobSpec, types: dict[str, MachineType]) -> list[MachineKind]:
-    """List every kind of machine that a job may run on and that one of its tasks fits on."""
+    """Return the kinds of machines that a job may run on and that can hold one of its tasks."""
     kinds = []
     for machine_type in types.values():
         if tasks_per_machine(machine_type, spec.resources) < 1:
--- a/marblestair/core/domain/machines.py
+++ b/marblestair/core/domain/machines.py
@@ -1,4 +1,4 @@
-"""Types of machines that the cloud rents."""
+"""Machine types that the cloud rents out."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class MachineType(msgspec.Struct, array_like=True, frozen=True):
-    """A type of machine that the cloud rents; prices are per hour."""
+    """A machine type that the cloud rents out; prices are per hour."""
 
     name: str
     cpus: float
@@ -23,11 +23,11 @@
 
     @property
     def capacity(self) -> Resources:
-        """What tasks may use of an empty machine."""
+        """Resources of an empty machine that are available to tasks."""
         return available_resources(self.cpus, self.gpus, self.mem_gb)
 
     def can_hold(self, resources: Resources) -> bool:
-        """Whether an empty machine of this type has room for a task that uses so much."""
+        """Return whether a task with the given resources fits on an empty machine."""
         return all(
             used <= available for used, available in zip(resources, self.capacity, strict=True)
         )
--- a/marblestair/core/domain/settings.py
+++ b/marblestair/core/domain/settings.py
@@ -1,19 +1,19 @@
-"""Types of the settings file: one struct for each table, fields as the file names them.
+"""Types of the settings file: one struct per table, with the field names of the file.
 
-Times end in ``_s`` (seconds) or ``_ms`` (milliseconds), rates in ``rps`` (per second).
+The suffix ``_s`` stands for seconds, ``_ms`` for milliseconds, ``rps`` for requests per second.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-#: limit of a team that has none, in cpus or gpus: more than any fleet has. It is a number rather
-#: than None because limits are divided among the shards and stored in the shard map.
+#: limit in cpus or gpus of a team without a configured limit: more than any fleet has. A number
+#: rather than None, because limits are divided among the shards and stored in the shard map.
 UNLIMITED = 1e9
 
 
 class Peer(msgspec.Struct, frozen=True):
-    """Another controller of the same deployment."""
+    """Name and address of another controller of the same deployment."""
 
     node: str
     address: str
@@ -21,14 +21,14 @@
 
 
 class External(msgspec.Struct, frozen=True):
-    """Addresses of the outside systems."""
+    """Addresses of the external services: the cloud and the store."""
 
     cloud: str
     state: str
 
 
 class Team(msgspec.Struct, frozen=True):
-    """A team's guaranteed quota and its limit; 0 means that it has none."""
+    """Guaranteed quota and limit of a team; 0 means that it has none."""
 
     name: str
     cpus: float
@@ -38,22 +38,22 @@
 
     @property
     def cpu_limit(self) -> float:
-        """The most cpus that the team's tasks may use at once."""
+        """Maximum number of cpus that the team's tasks may use at the same time."""
         return self.cpus_max or UNLIMITED
 
     @property
     def gpu_limit(self) -> float:
-        """The most gpus that the team's tasks may use at once."""
+        """Maximum number of gpus that the team's tasks may use at the same time."""
         return self.gpus_max or UNLIMITED
 
     @property
     def is_best_effort(self) -> bool:
-        """Whether the team has no guaranteed quota: it uses what the others leave free."""
+        """Whether the team has no guaranteed quota and uses only what other teams leave free."""
         return self.cpus == 0 and self.gpus == 0
 
 
 class Objective(msgspec.Struct, frozen=True):
-    """One service-level objective, as the operators state it."""
+    """A service-level objective, as the operators configure it."""
 
     kind: str
     share: float = 0.0
@@ -67,18 +67,20 @@
 class Workers(msgspec.Struct, frozen=True):
     """Intervals and timeouts of the agents."""
 
-    #: interval of heartbeats
+    #: interval between heartbeats
     report_s: float
-    #: time without an answer after which an agent stops its tasks
+    #: time without a response to heartbeats after which an agent stops its tasks
     lease_s: float
+    #: time for which a task waits for the other tasks of its gang to be ready, before it exits
     gang_wait_s: float
+    #: time for which a running task waits for a missing task of its gang, before it exits
     gang_peer_s: float
-    #: time within which a cancelled job's tasks must have stopped
+    #: time within which the tasks of a cancelled job must have stopped
     cancel_s: float
 
 
 class NextStateLimits(msgspec.Struct, frozen=True):
-    """Limits that the store will have later, without notice; None: they do not change."""
+    """Limits of the store that may take effect at any time; None: the limit does not change."""
 
     rps: float | None = None
     write_rps: float | None = None
@@ -87,18 +89,18 @@
 
 
 class StateLimits(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Limits of the store, shared by all controllers."""
+    """Limits of the store, which all controllers share."""
 
     rps: float
     write_rps: float
-    #: largest value, in KiB
+    #: maximum size of a value, in KiB
     value_kb: float
-    #: most changes in one transaction
+    #: maximum number of changes in one transaction
     txn_ops: int
     next: NextStateLimits | None = None
 
     def strictest(self) -> StateLimits:
-        """The limits that hold now and later: of each pair the smaller one."""
+        """Return the smaller of each current limit and its announced successor."""
         later = self.next or NextStateLimits()
         return StateLimits(
             rps=min(self.rps, later.rps or self.rps),
@@ -109,15 +111,15 @@
 
 
 class CloudLimits(msgspec.Struct, frozen=True):
-    """Limits of the cloud interface, shared by all controllers."""
+    """Limits of the cloud's API, which all controllers share."""
 
     rps: float
-    #: time after which a change shows in the list of machines
+    #: time by which the list of machines may lag behind a change
     list_lag_s: float
 
 
 class MachineLimits(msgspec.Struct, frozen=True):
-    """What one controller process may use."""
+    """Resource limits of one controller process."""
 
     #: processor time, in cores
     core_share: float = 1.0
@@ -126,7 +128,7 @@
 
 
 class Cluster(msgspec.Struct, frozen=True):
-    """Everything that all controllers share."""
+    """Settings that are the same for all controllers."""
 
     #: number of shards
     size: int
@@ -141,7 +143,7 @@
 
 
 class Settings(msgspec.Struct, frozen=True):
-    """One controller's settings."""
+    """Settings of one controller."""
 
     node: str
     public_addr: str
@@ -153,5 +155,5 @@
 
     @property
     def nodes(self) -> list[str]:
-        """Names of all controllers, in the same order everywhere."""
+        """Names of all controllers, sorted, so that the order is the same on every controller."""
         return sorted([self.node, *(peer.node for peer in self.others)])
