--- a/marblestair/core/messaging/__init__.py
+++ b/marblestair/core/messaging/__init__.py
@@ -1,1 +1,1 @@
-"""The messages between controllers: one struct per message."""
+"""Messages between controllers, one struct per message, and the summaries of shards."""
--- a/marblestair/core/messaging/messages.py
+++ b/marblestair/core/messaging/messages.py
@@ -1,7 +1,4 @@
-"""The messages between controllers.
-
-Which tag each has on the wire is in ``wire/peers.py``, and nowhere else.
-"""
+"""Messages between controllers; ``wire/peers.py`` defines the tag of each on the wire."""
 
 from __future__ import annotations
 
@@ -15,7 +12,10 @@
 
 
 class CapacityRefusal(msgspec.Struct, frozen=True, array_like=True):
-    """A kind of machine that the cloud has none of, and for how long it is not asked for."""
+    """A kind of machine that the cloud has no capacity for.
+
+    Controllers request no machines of the kind for another ``remaining_s`` seconds.
+    """
 
     machine_type: str
     zone: str
@@ -24,17 +24,18 @@
 
 
 class SliceProgress(msgspec.Struct, frozen=True, array_like=True):
-    """What the leader of a shard last reported to the manager about its slice of a job."""
+    """Progress of a shard's slice of a job, reported by the shard's leader to the job's manager."""
 
     job: str
     shard_id: int
     term: int
     done: int
     running: int
-    #: tasks on machines or perhaps so; -1 while that is not known
+    #: number of tasks that are or may be on machines; -1 while the leader does not know it
     placed_tasks: int
+    #: number of tasks in the slice
     size: int
-    #: the leader has applied the job's cancel
+    #: whether the leader has applied the job's cancel
     is_cancelled: bool = False
 
 
@@ -42,37 +43,41 @@
 
 
 class ShardSummaries(PeerMessage, frozen=True):
-    """What a controller knows of the shards that it leads, and of its own connections."""
+    """Summaries of the shards that the sender leads, and the sender's own state."""
 
     incarnation: int
     summaries: list[ShardSummary]
-    #: whether agents reach the sender
+    #: whether the sender may be given shards: as far as it can tell, agents can reach it
     can_accept_shards: bool
+    #: kinds of machines that the cloud currently has no capacity for
     refusals: list[CapacityRefusal]
 
 
 class ProgressReport(PeerMessage, frozen=True):
-    """What the leader of a shard reports to the managers of jobs about their slices there."""
+    """Progress of slices, sent by the leader of their shards to the manager of their jobs."""
 
     slices: list[SliceProgress]
 
 
 class CancelConfirmed(PeerMessage, frozen=True):
-    """Users may be answered that a job is cancelled, whose record had the entry at a revision."""
+    """The cancel of a job is confirmed: any controller may report the job as cancelled to users.
+
+    ``revision`` is a revision at which the job's record held the cancel entry.
+    """
 
     job: str
     revision: int
 
 
 class JobEnded(PeerMessage, frozen=True):
-    """The final state of a job that others depend on is committed."""
+    """The final state of a job on which other jobs depend has been committed."""
 
     job: str
     state: str
 
 
 class RecordCommitted(PeerMessage, frozen=True):
-    """A job's record was committed at a version."""
+    """The sender has committed a job's record, which now has the given version."""
 
     job: str
     record: JobRecord
@@ -83,84 +88,116 @@
 
 
 class QueryJob(PeerMessage, frozen=True):
-    """The status of a job, from its manager; replied to with a JobStatus, or None."""
+    """Ask a job's manager for the job's status.
+
+    Reply: a JobStatus, or None when the receiver cannot give one.
+    """
 
     job: str
 
 
 class CancelJob(PeerMessage, frozen=True):
-    """Cancel a job that the receiver manages; replied to with its final state, or None."""
+    """Cancel a job that the receiver manages.
+
+    Reply: the job's final state, or None when the receiver cannot cancel the job or the cancel was
+    not confirmed in time.
+    """
 
     job: str
 
 
 class ApplyCancel(PeerMessage, frozen=True):
-    """Apply a committed cancel; replied to with pairs of shard and term for which that is done."""
+    """Apply the committed cancel of a job.
+
+    Reply: pairs of shard and term of all shards that the receiver leads; it has applied the cancel
+    for them.
+    """
 
     job: str
     revision: int
 
 
 class LockSlices(PeerMessage, frozen=True):
-    """Take a migration's locks at a job's manager; replied to with True if they are given."""
+    """Request the locks for a migration from the manager of a job.
+
+    Reply: True if the locks are granted, False if not, None if the receiver does not manage the
+    job.
+    """
 
     job: str
     holder: str
 
 
 class UpdateSlices(PeerMessage, frozen=True):
-    """Make a migration durable: task numbers that its source has dropped, for another shard.
+    """Commit a migration: move task indexes that the source shard has given up to the target shard.
 
-    Replied to with the record's new version in a list, False when nothing was and will be changed,
-    and None when that is not known.
+    Reply: the job record's new version in a list; False when the record was not changed and this
+    request will not change it; None when the outcome is not known.
     """
 
     job: str
     holder: str
     source: int
-    #: term under which the source dropped them
+    #: term of the source shard under which its leader gave the tasks up
     term: int
-    #: ``stay`` or ``log_off``
+    #: ``stay`` or ``log_off``: whether the source stays in ActiveServers
     option: str
     target: int
+    #: ranges [start, end) of the task indexes to move
     ranges: list[list[int]]
 
 
 class ReleaseSlices(PeerMessage, frozen=True):
-    """Give a migration's locks up; replied to with True once that is done."""
+    """Release the locks of a migration.
+
+    Reply: True if they are released; False while an update of the job's record is in progress or
+    its outcome is uncertain; None if the receiver does not manage the job.
+    """
 
     job: str
     holder: str
 
 
 class RequestStatus(PeerMessage, frozen=True):
-    """What a controller sees and does, for operators; replied to with a map."""
+    """Ask a controller for its status report, for operators.
+
+    Reply: a map.
+    """
 
 
 class RequestPromise(PeerMessage, frozen=True):
-    """Promise not to take the sender's shards over for the time of a lease.
+    """Ask the receiver to promise not to take over the sender's shards for the time of a lease.
 
-    Replied to with the cancels, as pairs of job and revision, that a view of the sender's revision
-    may lack, or with None when no promise is given.
+    Reply: the cancels, as pairs of job and revision, that a view as of ``revision`` may lack; None
+    when the receiver gives no promise.
     """
 
+    #: name and incarnation of the sender
     node: str
     incarnation: int
+    #: revision of the sender's view
     revision: int
 
 
 class AnnounceMigration(PeerMessage, frozen=True):
-    """A slice was moved to the receiver; replied to with the last change entry known there."""
+    """Announce to the target of a migration that the migration has been committed.
+
+    Reply: the number of entries that the receiver knows of the job's change list.
+    """
 
     job: str
+    #: version of the job's record that includes the migration
     version: int
 
 
 class SendChangeEntries(PeerMessage, frozen=True):
-    """Later change entries of a job; replied to with True."""
+    """Send the target of a migration the entries of a job's change list that it lacks.
+
+    Reply: True.
+    """
 
     job: str
-    #: number of entries that the receiver said it knows
+    #: number of entries that the receiver reported as known
     known: int
     entries: list[list[Any]]
     version: int
--- a/marblestair/core/messaging/received_summaries.py
+++ b/marblestair/core/messaging/received_summaries.py
@@ -1,28 +1,28 @@
-"""The latest summaries of all shards, as their leaders sent them."""
+"""The latest summary of each shard, as received from its leader."""
 
 from __future__ import annotations
 
 from marblestair.core.messaging.shard_summary import ReceivedSummary, ShardSummary
 from marblestair.core.runtime.context import NodeContext
 
-#: time for which a summary is recent enough to accept jobs into its shard, in seconds
-RECENT_S = 4.0
+#: maximum age of a summary for its shard to be given newly accepted jobs
+MAX_SUMMARY_AGE_S = 4.0
 
 
 class ReceivedSummaries(dict[int, ReceivedSummary]):
-    """Summaries by shard, with the steady time at which each came."""
+    """The latest summary of each shard, with the monotonic time at which it was received."""
 
     def __init__(self, context: NodeContext) -> None:
         super().__init__()
         self._context = context
 
     def record(self, summary: ShardSummary) -> None:
-        """Take in a summary, received or made here."""
+        """Store a summary that this node received or made."""
         self[summary.shard_id] = ReceivedSummary(self._context.now, summary)
 
     def is_recent(self, shard_id: int, term: int) -> bool:
-        """Whether a summary of a shard's present leader has come within the last seconds."""
+        """Return whether the summary of a shard is recent and was made under the given term."""
         received = self.get(shard_id)
-        if received is None or self._context.now - received.received_at > RECENT_S:
+        if received is None or self._context.now - received.received_at > MAX_SUMMARY_AGE_S:
             return False
         return received.summary.term == term
--- a/marblestair/core/messaging/shard_summary.py
+++ b/marblestair/core/messaging/shard_summary.py
@@ -1,4 +1,4 @@
-"""What the leader of a shard publishes about it, a few times a second."""
+"""Summary of a shard that its leader sends to the other controllers a few times a second."""
 
 from __future__ import annotations
 
@@ -8,41 +8,45 @@
 
 
 class ShardSummary(msgspec.Struct, array_like=True):
-    """What the other controllers need to know of a shard; amounts are in fixed point."""
+    """State of a shard for the other controllers; amounts are in fixed point."""
 
     shard_id: int
     term: int
-    #: free capacity by machine: type, zone, spot, cpus, gpus, memory
+    #: per machine: type, zone, spot, free cpus, gpus and memory
     free_capacity: list[tuple[str, str, bool, int, int, int]]
-    #: the same, with what a latency-sensitive gang of high priority could preempt there
+    #: the same, counting as free what a latency-sensitive gang could preempt on the machine
     preemptible_capacity: list[tuple[str, str, bool, int, int, int]]
+    #: cpus that all pending tasks request
     backlog_cpus: int
-    #: team -> cpus and gpus of its quota here that are not in use
+    #: team -> unused cpus and gpus of its quota in this shard
     free_quota: dict[str, list[int]]
-    #: team -> cpus and gpus that its pending tasks lack in its quota here
+    #: team -> cpus and gpus by which its quota in this shard is too small for its pending tasks
     quota_shortfall: dict[str, list[int]]
-    #: job, tasks pending, tasks on machines
+    #: job, number of pending tasks, number of tasks on machines
     pending_jobs: list[tuple[str, int, int]]
-    #: machines with tasks, and how many of their cpus are in use
+    #: machines with tasks, and the cpus in use on each
     busy_machines: list[tuple[str, int]]
-    #: machines without tasks, and for how many seconds
+    #: machines without tasks, and the seconds for which each has had none
     idle_machines: list[tuple[str, float]]
-    #: jobs whose tasks must start together and that the shard has no capacity for as it is
+    #: jobs whose tasks must start together and do not fit into the shard's capacity
     jobs_lacking_capacity: list[str]
-    #: machines that run gangs
+    #: machines that run tasks of gangs
     gang_machines: list[str]
-    #: machines that are not to be counted on
+    #: machines that must not be counted as capacity: those being released or reclaimed, and those
+    #: that are unresponsive or overdue
     unavailable_machines: list[str]
-    #: machines that fell silent together with many others, and are waited for
+    #: machines whose heartbeats stopped at the same time as those of many others, so that a network
+    #: partition is assumed; they are expected to return
     partitioned_machines: list[str]
-    #: team -> cpus and gpus that its whole quota here must have for the first pending unit (a task,
-    #: or a gang) that it is too small for
+    #: team -> cpus and gpus that its quota in this shard must have in total for its first pending
+    #: task or gang that exceeds the quota
     required_quota: dict[str, list[int]]
-    #: jobs of which nothing succeeded, and on how many machines nothing else fails
+    #: jobs of which no task has succeeded, and the number of machines on which such a job fails
+    #: while no other job does
     failing_jobs: list[tuple[str, int]] = []
 
     def snapshot(self) -> ShardSummary:
-        """A copy that later reservations of capacity and quota here do not change."""
+        """Return a copy that later reservations of capacity and quota here do not change."""
         return msgspec.structs.replace(
             self,
             free_capacity=list(self.free_capacity),
@@ -52,7 +56,7 @@
 
 
 class ReceivedSummary(NamedTuple):
-    """The latest summary of a shard, and the steady time at which it came."""
+    """A summary of a shard, and the monotonic time at which it was received."""
 
     received_at: float
     summary: ShardSummary
