--- a/marblestair/core/runtime/__init__.py
+++ b/marblestair/core/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What the core runs on: coroutines that wait for outside answers, their requests, and outputs."""
+"""Runtime of the core: coroutines, the requests that they make, and the outputs of a node."""
--- a/marblestair/core/runtime/cloud_requests.py
+++ b/marblestair/core/runtime/cloud_requests.py
@@ -1,4 +1,4 @@
-"""Requests to the cloud, and its responses. A status of 0 means that no response came."""
+"""Requests to the cloud and its responses."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class ListMachineTypes(msgspec.Struct, frozen=True):
-    """Ask for the machine types."""
+    """List the machine types that the cloud offers."""
 
 
 class RentMachines(msgspec.Struct, frozen=True):
-    """Rent machines under a name that is never reused."""
+    """Rent machines, under a name that is never reused."""
 
     name: str
     machine_type: str
@@ -24,13 +24,13 @@
 
 
 class ReleaseMachines(msgspec.Struct, frozen=True):
-    """Give machines back to the cloud."""
+    """Release rented machines."""
 
     machines: list[str]
 
 
 class ListMachines(msgspec.Struct, frozen=True):
-    """List machines by name."""
+    """List the rented machines whose names sort after ``after_name``, in pages."""
 
     after_name: str = ""
     limit: int = 500
@@ -40,7 +40,7 @@
 
 
 class ListedMachine(msgspec.Struct, frozen=True):
-    """A machine in the cloud's list."""
+    """A rented machine, as listed by the cloud."""
 
     name: str
     address: str
@@ -54,9 +54,9 @@
 class CloudResponse(msgspec.Struct, frozen=True):
     """A response of the cloud."""
 
-    #: HTTP status; 0 when no response came
+    #: HTTP status; 0 if no response was received, NOT_SENT if the request was not sent
     status: int
-    #: a rental was refused because there is no machine of the kind
+    #: whether a rental was refused because the cloud has no capacity for the kind of machine
     no_capacity: bool = False
     machine_types: list[MachineType] = []
     machines: list[str] = []
--- a/marblestair/core/runtime/context.py
+++ b/marblestair/core/runtime/context.py
@@ -1,4 +1,4 @@
-"""What all components of one controller share: its identity, settings, time and outputs."""
+"""Context that all components of a controller share: its identity, settings, time and outputs."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from marblestair.core.runtime.outbox import LogLine, Outbox, OutgoingMessage
 from marblestair.core.runtime.requests import PeerMessage
 
-#: share of a node's changes in one second that one transaction may take
-BATCH_SHARE = 0.5
+#: maximum share of a node's writes per second that one transaction may use
+MAX_BATCH_WRITE_SHARE = 0.5
 
 
 class NodeContext:
-    """One controller process: who it is, what time it is, and where its outputs go.
+    """Identity, settings, current time and outputs of one controller process.
 
-    Time comes with every input; nothing in the core reads a clock.
+    The time is set before each input; the core reads no clock.
     """
 
     def __init__(
@@ -31,14 +31,14 @@
     ) -> None:
         self.settings = settings
         self.node = settings.node
-        #: number that no other process of this node has had or will have
+        #: number that identifies this process among all past and future processes of the node
         self.incarnation = incarnation
         self.rng = rng
-        #: steady time of the present input, in seconds
+        #: monotonic time of the current input, in seconds
         self.now = now
-        #: time of day of the present input, in seconds since the epoch
+        #: wall-clock time of the current input, in seconds since the epoch
         self.wall_time = wall_time
-        #: steady time at which this process began
+        #: monotonic time at which this process started
         self.started_at = now
         self.teams: dict[str, Team] = {team.name: team for team in settings.cluster.teams}
         self.outbox = Outbox()
@@ -49,24 +49,27 @@
 
     @property
     def identity(self) -> tuple[str, int]:
-        """Node and incarnation, which together name this process."""
+        """Node and incarnation, which together identify this process."""
         return self.node, self.incarnation
 
     @property
     def max_batch_changes(self) -> int:
-        """Changes in one transaction that leave room for others within the same second."""
+        """Maximum number of changes in one transaction.
+
+        It leaves part of the node's writes per second to other transactions.
+        """
         state = self.settings.cluster.state
-        changes = BATCH_SHARE * state.write_rps / len(self.settings.nodes)
+        changes = MAX_BATCH_WRITE_SHARE * state.write_rps / len(self.settings.nodes)
         return max(1, min(state.txn_ops, int(changes)))
 
     def set_time(self, now: float, wall_time: float) -> None:
-        """Every input comes with the time."""
+        """Set the current time; called before each input."""
         self.now = now
         self.wall_time = wall_time
         self.coroutines.now = now
 
     def log(self, level: str, text: str) -> None:
-        """Leave a line for the log."""
+        """Add a log line to the outbox."""
         self.outbox.log_lines.append(LogLine(level, text))
 
     def send(self, node: str, message: PeerMessage) -> None:
@@ -79,12 +82,12 @@
             self.send(peer.node, message)
 
     def spawn(self, coroutine: Coroutine[None]) -> None:
-        """Start a coroutine."""
+        """Start a coroutine, which runs at once until its first request."""
         self.coroutines.spawn(coroutine)
 
-    def supervise(self, make: Callable[[], Coroutine[None]]) -> None:
-        """Start a coroutine that is to run for good."""
-        self.coroutines.supervise(make)
+    def supervise(self, factory: Callable[[], Coroutine[None]]) -> None:
+        """Start a coroutine, and restart it whenever it fails."""
+        self.coroutines.supervise(factory)
 
     def _coroutine_failed(self, error: BaseException) -> None:
-        self.log("error", f"a coroutine ended by {type(error).__name__}: {error}")
+        self.log("error", f"coroutine failed: {type(error).__name__}: {error}")
--- a/marblestair/core/runtime/coroutines.py
+++ b/marblestair/core/runtime/coroutines.py
@@ -1,8 +1,7 @@
-"""Coroutines of the core: generators that wait for responses from outside.
+"""Coroutines of the core: generators that yield requests and are resumed with the responses.
 
-A coroutine yields a request and is resumed with the response. The runner reads no clock and
-does no I/O: it collects the requests to send and is given the responses, so a test can answer them
-in any order, late, or never.
+The runner reads no clock and does no I/O. It collects the requests, and its caller passes in the
+responses, so a test can answer requests late, in any order, or never.
 """
 
 from __future__ import annotations
@@ -12,49 +11,54 @@
 
 from marblestair.core.runtime.requests import OutsideRequest, Sleep
 
-#: pause before a supervised coroutine that ended by an error is started again
+#: pause before a supervised coroutine that failed is restarted
 RESTART_PAUSE_S = 1.0
 
 
 class Signal:
-    """Something that coroutines wait for: yielded by each of them, fired once for all."""
+    """An event that coroutines wait for by yielding it.
+
+    :meth:`CoroutineRunner.fire` resumes all coroutines that wait.
+    """
 
     def __init__(self) -> None:
+        #: request numbers of the waiting coroutines
         self.waiting_requests: list[int] = []
 
 
 ResultT = TypeVar("ResultT")
 
-#: a coroutine that returns a result; used by others with ``yield from``
+#: a coroutine that returns a result; other coroutines call it with ``yield from``
 Coroutine: TypeAlias = Generator[OutsideRequest | Signal, Any, ResultT]
 
 
 class CoroutineRunner:
-    """Drives coroutines; the requests that they make are collected until they are sent."""
+    """Runs coroutines, and collects their requests until the caller takes and sends them."""
 
     def __init__(self) -> None:
         self._next_request = 1
+        #: request number -> coroutine that waits for the response
         self._waiting: dict[int, Coroutine[None]] = {}
-        #: when a sleep is over, and its number
+        #: time at which each sleep ends, and its request number
         self._sleeping: list[tuple[float, int]] = []
-        #: requests that were made and not sent yet, by their numbers
+        #: requests that the caller has not taken yet, each with its number
         self.requests: list[tuple[int, OutsideRequest]] = []
         self.now = 0.0
-        #: called with the error that ended a coroutine, which must not end the process
+        #: called with the exception of a coroutine that failed; if None, the exception is raised
         self.on_error: Callable[[BaseException], None] | None = None
 
     def spawn(self, coroutine: Coroutine[None]) -> None:
-        """Start a coroutine."""
+        """Start a coroutine, which runs at once until its first request."""
         self._advance(coroutine, None)
 
-    def supervise(self, make: Callable[[], Coroutine[None]]) -> None:
-        """Start a coroutine that is to run for good: one that an error ends is started again."""
-        self._advance(self._supervised(make), None)
+    def supervise(self, factory: Callable[[], Coroutine[None]]) -> None:
+        """Start a coroutine, and restart it whenever it fails, until it returns."""
+        self._advance(self._supervised(factory), None)
 
-    def _supervised(self, make: Callable[[], Coroutine[None]]) -> Coroutine[None]:
+    def _supervised(self, factory: Callable[[], Coroutine[None]]) -> Coroutine[None]:
         while True:
             try:
-                yield from make()
+                yield from factory()
             except Exception as error:
                 if self.on_error is None:
                     raise
@@ -64,19 +68,19 @@
             yield Sleep(RESTART_PAUSE_S)
 
     def resume(self, request: int, response: Any) -> None:
-        """Resume the coroutine that waits for a request; unknown requests are ignored."""
+        """Resume the coroutine that waits for a request; ignore an unknown request number."""
         coroutine = self._waiting.pop(request, None)
         if coroutine is not None:
             self._advance(coroutine, response)
 
     def fire(self, signal: Signal, result: Any) -> None:
-        """Resume all coroutines that wait for a signal."""
+        """Resume all coroutines that wait for a signal, each with the given result."""
         waiting, signal.waiting_requests = signal.waiting_requests, []
         for request in waiting:
             self.resume(request, result)
 
     def wake(self, now: float) -> None:
-        """Resume the coroutines whose sleep is over."""
+        """Set the time, and resume the coroutines whose sleep has ended."""
         self.now = now
         if not self._sleeping:
             return
--- a/marblestair/core/runtime/decision_log.py
+++ b/marblestair/core/runtime/decision_log.py
@@ -1,8 +1,8 @@
-"""Why this node started, stopped, answered or forgot something: bounded log lines, and counts.
+"""Log of a node's decisions, as counts and as log lines at a bounded rate.
 
-Each line names the kind of decision, what was decided, and the facts that it rested on (revision
-of the view, term, proof), so that a timeline can be drawn up afterwards. A decision is one line
-for a job or a lease, never one for a task or a heartbeat: those are only counted.
+Each line names the kind of decision, its outcome and the facts that it is based on (such as the
+revision of the view, a term or a proof), so that operators can reconstruct the order of events.
+Lines are written per job or per lease; decisions per task or per heartbeat are only counted.
 """
 
 from __future__ import annotations
@@ -11,61 +11,62 @@
 from collections import Counter
 from collections.abc import Callable
 
-#: lines of one kind in one second, at the most; what is beyond that is counted
+#: maximum number of lines per second of one kind of decision; further ones are only counted
 MAX_LINES_PER_S = 20
 
 
 class Decision(enum.StrEnum):
     """Kinds of decisions that are logged and counted."""
 
-    #: by what this node may act: its lease, promises of all the others, or not at all
+    #: the basis of this node's authority changed: its lease, promises of all other nodes, or none
     AUTHORITY = "authority"
-    #: a promise given to another node
+    #: this node gave a promise to another node
     PROMISE = "promise"
-    #: a cancel became known here, was confirmed, or was forgotten
+    #: a cancel became known to this node, was confirmed, or was removed from its registry
     CANCEL = "cancel"
-    #: a change of a job's record that its manager has committed
+    #: this node, as manager of a job, committed a change of the job's record
     RECORD = "record"
-    #: the final state of a job became known here
+    #: the final state of a job became known to this node
     END = "end"
-    #: commands to start tasks
+    #: commands to start tasks were sent
     LAUNCH = "launch"
-    #: commands to stop tasks
+    #: commands to stop tasks were sent
     STOP = "stop"
-    #: answers to users about a job, by their proof
+    #: a user's query was answered, by the proof of the answer, or rejected for lack of one
     ANSWER = "answer"
 
 
 class DecisionLog:
-    """The decisions of one node."""
+    """Counts and logs the decisions of one node."""
 
     def __init__(self, write: Callable[[str, str], None]) -> None:
-        #: takes a level and a line
+        #: writes a log line, given its level and text
         self._write = write
+        #: number of decisions by kind and outcome
         self.counts: Counter[str] = Counter()
         self._second: int | None = None
-        self._written: Counter[Decision] = Counter()
+        self._line_counts: Counter[Decision] = Counter()
 
-    def count(self, kind: Decision, what: str, number: int = 1) -> None:
-        """Count a decision without a line."""
-        self.counts[f"{kind} {what}"] += number
+    def count(self, kind: Decision, outcome: str, number: int = 1) -> None:
+        """Count a decision without logging it."""
+        self.counts[f"{kind} {outcome}"] += number
 
-    def log(self, now: float, kind: Decision, what: str, **facts: object) -> None:
-        """Count a decision and leave a line with the facts that it rested on."""
-        self.count(kind, what)
+    def log(self, now: float, kind: Decision, outcome: str, **facts: object) -> None:
+        """Count a decision, and log it with the facts that it is based on."""
+        self.count(kind, outcome)
         if int(now) != self._second:
             self._begin_second(int(now))
-        self._written[kind] += 1
-        if self._written[kind] > MAX_LINES_PER_S:
+        self._line_counts[kind] += 1
+        if self._line_counts[kind] > MAX_LINES_PER_S:
             return
         described = " ".join(f"{name}={value}" for name, value in facts.items())
-        self._write("info", f"{kind} {what}: {described}")
+        self._write("info", f"{kind} {outcome}: {described}")
 
     def _begin_second(self, second: int) -> None:
-        """Log how many lines of the last second were left out."""
-        for kind, number in self._written.items():
+        """Log how many lines were suppressed in the last second, and reset the line counts."""
+        for kind, number in self._line_counts.items():
             if number > MAX_LINES_PER_S:
-                left_out = number - MAX_LINES_PER_S
-                self._write("info", f"{kind}: {left_out} more lines in one second")
-        self._written.clear()
+                suppressed = number - MAX_LINES_PER_S
+                self._write("info", f"{kind}: {suppressed} log lines suppressed within one second")
+        self._line_counts.clear()
         self._second = second
--- a/marblestair/core/runtime/outbox.py
+++ b/marblestair/core/runtime/outbox.py
@@ -1,4 +1,4 @@
-"""What a controller hands to its shell, to be sent."""
+"""Outputs of a controller, which its shell sends and logs."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class UserReply(msgspec.Struct, frozen=True):
-    """Final answer to a user's request."""
+    """The reply to a user's request."""
 
     request_id: int
     status: int
@@ -20,12 +20,12 @@
     done: int | None = None
     running: int | None = None
     error: str = ""
-    #: seconds after which a refused user may come back; 0: not said
+    #: seconds after which a rejected user may retry; 0: not specified
     retry_after_s: int = 0
 
 
 class DirectCommand(msgspec.Struct, frozen=True):
-    """Commands to send straight to an agent."""
+    """Commands to send to an agent at once, rather than in the response to a heartbeat."""
 
     address: str
     fencing_token: int
@@ -41,21 +41,21 @@
 
 
 class PeerReply(msgspec.Struct, frozen=True):
-    """The reply to a request of another controller; None: no reply can be given."""
+    """The reply to a request of another controller; a value of None means that there is none."""
 
     request_id: int
     value: Any
 
 
 class LogLine(msgspec.Struct, frozen=True):
-    """A line for the log; the level is ``error``, ``info`` or ``debug``."""
+    """A log line; its level is ``error``, ``info`` or ``debug``."""
 
     level: str
     text: str
 
 
 class Outbox:
-    """All that a controller has to send and to log, until its shell takes it."""
+    """Everything that a controller has to send and to log, until its shell takes it."""
 
     def __init__(self) -> None:
         self.user_replies: list[UserReply] = []
--- a/marblestair/core/runtime/rejected_writes.py
+++ b/marblestair/core/runtime/rejected_writes.py
@@ -1,4 +1,4 @@
-"""Writes that the store has rejected as malformed or too large: defects of this program."""
+"""Writes that the store rejected as malformed or too large, which indicates a defect."""
 
 from __future__ import annotations
 
@@ -13,17 +13,21 @@
     """Counts and logs rejected writes."""
 
     def __init__(self, log: Callable[[str, str], None]) -> None:
-        #: takes a level and a line
+        #: writes a log line, given its level and text
         self._log = log
         self.count = 0
 
     def record(self, swap: CompareAndSwap) -> None:
-        """The store has rejected a write.
+        """Count and log a rejected write, unless it attaches a key to a lease.
 
-        A key whose lease has expired is rejected likewise, and is no defect.
+        The store rejects such a write in the same way when the lease has expired, which is no
+        defect.
         """
         if any(put.lease_id is not None for put in swap.puts):
             return
         self.count += 1
         sizes = {put.key: len(msgspec.msgpack.encode(put.value)) for put in swap.puts}
-        self._log("error", f"commit refused: {swap.change_count} changes, bytes by key {sizes}")
+        self._log(
+            "error",
+            f"commit refused: store rejected {swap.change_count} changes, bytes by key {sizes}",
+        )
--- a/marblestair/core/runtime/requests.py
+++ b/marblestair/core/runtime/requests.py
@@ -1,4 +1,4 @@
-"""What a coroutine of the core can ask the outside for."""
+"""Requests that coroutines of the core can make."""
 
 from __future__ import annotations
 
@@ -11,15 +11,18 @@
 
 
 class PeerMessage(msgspec.Struct, frozen=True, array_like=True):
-    """What one controller sends to another; each kind is a struct in ``core/messaging``.
+    """A message from one controller to another; its subclasses are in ``core/messaging``.
 
-    Their fields are sent in order: names may change, the order may not, and new fields come at the
-    end with a default (the version in production reads them too).
+    Messages are sent as arrays of their fields and also read by the version in production: fields
+    may be renamed but not reordered, and new fields are appended with a default.
     """
 
 
 class PeerRequest(msgspec.Struct, frozen=True):
-    """Ask another controller; answered with its reply, or None when none came in time."""
+    """Send a request to another controller.
+
+    Response: the reply, or None if there was none within ``timeout_s``.
+    """
 
     node: str
     message: PeerMessage
@@ -27,13 +30,16 @@
 
 
 class Sleep(msgspec.Struct, frozen=True):
-    """Go on later."""
+    """Resume the coroutine after some seconds."""
 
     seconds: float
 
 
 class InspectAgent(msgspec.Struct, frozen=True):
-    """Ask an agent for its heartbeat at once; None when it does not answer."""
+    """Request a heartbeat from an agent at once.
+
+    Response: the heartbeat, or None if the agent does not answer.
+    """
 
     address: str
 
--- a/marblestair/core/runtime/store_requests.py
+++ b/marblestair/core/runtime/store_requests.py
@@ -1,7 +1,7 @@
-"""Requests to the store (a consensus-backed key-value store), and its responses.
+"""Requests to the store, a consensus-backed key-value store, and its responses.
 
-A status of 0 means that no response came: the request may have been carried out, or may yet be.
-``NOT_SENT`` means that it certainly was not.
+After a status of 0, no response, the store may have executed the request or may still execute it.
+After ``NOT_SENT`` it certainly has not executed and will not execute the request.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class RequestPriority(enum.IntEnum):
-    """Lanes of requests, in order of precedence within a node's budget."""
+    """Priority of a request within a node's rate budget; the lowest value is served first."""
 
     LEASE = 0
     ACCEPTANCE = 1
@@ -34,7 +34,7 @@
 
 
 class ListKeys(msgspec.Struct, frozen=True):
-    """Read the keys with a prefix, after a key."""
+    """Read the keys with a prefix that sort after ``after_key``, up to a limit."""
 
     prefix: str
     after_key: str = ""
@@ -43,15 +43,16 @@
 
 
 class Put(msgspec.Struct, frozen=True):
-    """One change of a commit."""
+    """Set a key to a value, as part of a :class:`CompareAndSwap`."""
 
     key: str
     value: Any
+    #: lease to attach the key to; the store deletes the key when the lease expires
     lease_id: int | None = None
 
 
 class CompareAndSwap(msgspec.Struct, frozen=True):
-    """An atomic change, carried out if every key of the preconditions has its version.
+    """A transaction that is applied if every key of the preconditions has the given version.
 
     Version 0 stands for a key that does not exist.
     """
@@ -63,12 +64,12 @@
 
     @property
     def change_count(self) -> int:
-        """Changes that count against the budget."""
+        """Number of changes, which count against the node's write budget."""
         return len(self.puts) + len(self.deletes)
 
 
 class GrantLease(msgspec.Struct, frozen=True):
-    """Ask for a lease."""
+    """Request a new lease."""
 
     ttl_ms: int
     priority: RequestPriority = RequestPriority.LEASE
@@ -82,7 +83,7 @@
 
 
 class Watch(msgspec.Struct, frozen=True):
-    """Wait for changes of a prefix after a revision."""
+    """Wait up to ``wait_ms`` for changes of keys with a prefix after a revision."""
 
     prefix: str
     after_revision: int
@@ -94,7 +95,7 @@
 
 
 class StoredKey(msgspec.Struct, frozen=True):
-    """A listed key."""
+    """A key in the response to :class:`ListKeys`."""
 
     key: str
     value: Any
@@ -102,7 +103,7 @@
 
 
 class KeyChange(msgspec.Struct, frozen=True):
-    """A change seen by a watch; a value of None is a deletion."""
+    """A change returned by a watch; a value of None means that the key was deleted."""
 
     key: str
     value: Any
@@ -112,7 +113,7 @@
 class StoreResponse(msgspec.Struct, frozen=True):
     """A response of the store."""
 
-    #: HTTP status; 0 when no response came, NOT_SENT when the request was not sent
+    #: HTTP status; 0 if no response was received, NOT_SENT if the request was not sent
     status: int
     value: Any = None
     version: int = 0
--- a/tests/core/runtime/test_decision_log.py
+++ b/tests/core/runtime/test_decision_log.py
@@ -16,7 +16,7 @@
     assert len(lines) == MAX_LINES_PER_S
     log.log(11.0, Decision.CANCEL, "known", job="last")
     assert lines[MAX_LINES_PER_S:] == [
-        f"cancel: {4 * MAX_LINES_PER_S} more lines in one second",
+        f"cancel: {4 * MAX_LINES_PER_S} log lines suppressed within one second",
         "cancel known: job=last",
     ]
     assert log.counts == {"cancel known": 5 * MAX_LINES_PER_S + 1, "launch in an answer": 7}
