--- a/marblestair/core/state/records.py
+++ b/marblestair/core/state/records.py
@@ -83,19 +83,19 @@
     If the result exceeds the value limit, because the record was stored under a larger one, the
     permitted machine types are removed: tasks of a cancelled job are not placed any more.
     """
-    entered = record.with_entry(ChangeKind.CANCEL)
-    if not exceeds_value_limit(entered, value_kb, 1.0):
-        return entered
+    updated = record.with_entry(ChangeKind.CANCEL)
+    if not exceeds_value_limit(updated, value_kb, 1.0):
+        return updated
     return msgspec.structs.replace(
-        entered, spec=msgspec.structs.replace(record.spec, machine_types=None)
+        updated, spec=msgspec.structs.replace(record.spec, machine_types=None)
     )
 
 
 def with_release(record: JobRecord, wall: float) -> JobRecord:
     """Return the record with a release entry appended and its dependencies, all done, removed."""
-    entered = record.with_entry(ChangeKind.RELEASE, round(wall, 3))
+    updated = record.with_entry(ChangeKind.RELEASE, round(wall, 3))
     return msgspec.structs.replace(
-        entered, spec=msgspec.structs.replace(record.spec, depends_on=[])
+        updated, spec=msgspec.structs.replace(record.spec, depends_on=[])
     )
 
 
@@ -106,7 +106,7 @@
     incarnation: int
     term: int
     quotas: dict[str, list[int]]
-    #: term under which the leader acquired the shard; unchanged when the leader raises ``term``
+    #: term under which the leader acquired the shard; unchanged by later increases of ``term``
     acquired_term: int = 0
 
 
--- a/marblestair/core/state/store_view.py
+++ b/marblestair/core/state/store_view.py
@@ -109,7 +109,7 @@
                 if self.versions[key] <= page.revision:
                     self._set(key, None, page.revision)
             for item in page.items:
-                # The page is newer than all changes that the watch has returned, so an item is
+                # The page was read after all changes that the watch has returned, so an item is
                 # valid even if its version is below ``revision``.
                 if item.version > max(self.version(item.key), self._absence_revision(item.key)):
                     self._set(item.key, item.value, item.version)
@@ -118,7 +118,7 @@
         self._advance(pages[0].revision)
 
     def apply_changes(self, changes: list[KeyChange], revision: int) -> None:
-        """Apply the changes up to a revision that the watch returned."""
+        """Apply the changes that the watch returned, up to a revision."""
         for change in changes:
             if change.version > max(self.version(change.key), self._absence_revision(change.key)):
                 self._set(change.key, change.value, change.version)
@@ -130,7 +130,7 @@
             self._set(key, value, version)
 
     def apply_absence(self, key: str, revision: int) -> None:
-        """Apply the result of a read that found at a revision that a key does not exist."""
+        """Remove a key that a read at a revision did not find, unless the view has a newer version."""
         if key not in self.versions or revision < self.versions[key]:
             return
         self._record_absence(key, revision)
