--- a/marblestair/core/runtime/coroutines.py
+++ b/marblestair/core/runtime/coroutines.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Generator
 from typing import Any, TypeAlias, TypeVar
 
-from marblestair.core.runtime.requests import OutsideRequest, Sleep
+from marblestair.core.runtime.requests import CoroutineRequest, Sleep
 
 #: pause before a supervised coroutine that failed is restarted
 RESTART_PAUSE_S = 1.0
@@ -29,7 +29,7 @@
 ResultT = TypeVar("ResultT")
 
 #: a coroutine that returns a result; other coroutines call it with ``yield from``
-Coroutine: TypeAlias = Generator[OutsideRequest | Signal, Any, ResultT]
+Coroutine: TypeAlias = Generator[CoroutineRequest | Signal, Any, ResultT]
 
 
 class CoroutineRunner:
@@ -42,7 +42,7 @@
         #: time at which each sleep ends, and its request number
         self._sleeping: list[tuple[float, int]] = []
         #: requests that the caller has not taken yet, each with its number
-        self.requests: list[tuple[int, OutsideRequest]] = []
+        self.requests: list[tuple[int, CoroutineRequest]] = []
         self.now = 0.0
         #: called with the exception of a coroutine that failed; if None, the exception is raised
         self.on_error: Callable[[BaseException], None] | None = None
