--- a/marblestair/core/runtime/store_requests.py
+++ b/marblestair/core/runtime/store_requests.py
@@ -16,7 +16,7 @@
 
 
 class RequestPriority(enum.IntEnum):
-    """Priority of a request within a node's rate budget; the lowest value is served first."""
+    """Priority of a request under the node's rate limits; the lowest value is served first."""
 
     LEASE = 0
     ACCEPTANCE = 1
@@ -64,7 +64,7 @@
 
     @property
     def change_count(self) -> int:
-        """Number of changes, which count against the node's write budget."""
+        """Number of changes, which count against the node's write rate limit."""
         return len(self.puts) + len(self.deletes)
 
 
--- a/marblestair/core/state/store_view.py
+++ b/marblestair/core/state/store_view.py
@@ -130,7 +130,7 @@
             self._set(key, value, version)
 
     def apply_absence(self, key: str, revision: int) -> None:
-        """Remove a key that a read at a revision did not find, unless the view has a newer version."""
+        """Remove a key that a read at a revision did not find, unless its version is newer."""
         if key not in self.versions or revision < self.versions[key]:
             return
         self._record_absence(key, revision)
