--- a/marblestair/core/capacity/fleet.py
+++ b/marblestair/core/capacity/fleet.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from marblestair.core.capacity.decommissioning import machines_to_release, machines_to_empty
+from marblestair.core.capacity.decommissioning import machines_to_empty, machines_to_release
 from marblestair.core.capacity.fleet_planner import FleetPlanner
 from marblestair.core.capacity.provisioning import Plan, RentalRequest
 from marblestair.core.capacity.releases import Releases
