--- a/marblestair/core/__init__.py
+++ b/marblestair/core/__init__.py
@@ -1,1 +1,1 @@
-"""The core without I/O: state machines that turn inputs into messages, writes and responses."""
+"""The scheduler's core without I/O: state machines that turn inputs into requests and replies."""
