--- a/marblestair/core/capacity/array_capacity.py
+++ b/marblestair/core/capacity/array_capacity.py
@@ -80,14 +80,14 @@
         #: share of the target that is worth ordinary machines where work may run on spot ones
         self._urgent_share = 1.0
 
-    def set_target(self, usual_array_cpus: float, smooth: Callable[[float], float]) -> None:
+    def set_target(self, average_array_cpus: float, smooth: Callable[[float], float]) -> None:
         """Decide how many cpus the arrays should have, and count those that they have."""
         target = demanded_cpus(self._arrays, self._boot_s, self._tuning)
         if target > 0:
             urgent = demanded_cpus(self._arrays, self._boot_s, self._tuning, URGENT_RUN_TIMES)
             self._urgent_share = urgent / target
-        if self._arrays or usual_array_cpus:
-            target += self._tuning.headroom_jobs * usual_array_cpus
+        if self._arrays or average_array_cpus:
+            target += self._tuning.headroom_jobs * average_array_cpus
         self._plan.target_cpus = smooth(target)
         self._plan.capacity_cpus = sum(machine.machine_type.cpus for machine in self._machines)
 
--- a/marblestair/core/capacity/fleet_planner.py
+++ b/marblestair/core/capacity/fleet_planner.py
@@ -61,13 +61,13 @@
         reported = self._inputs.reported_state()
         loads = self._inputs.loads(reported, live, self._tuning.undated_run_times)
         machines = self._inputs.machines(reported)
-        self._arrivals.record_jobs(live)
+        self._arrivals.count_arrivals(live)
         computed = plan(
             loads,
             machines,
             self._catalog.types,
             self._refusals.is_refused,
-            self._arrivals.usual_array_cpus,
+            self._arrivals.average_array_cpus,
             self._arrivals.expected_gangs,
             self._tuning,
             self._smooth_target,
--- a/marblestair/core/capacity/planning.py
+++ b/marblestair/core/capacity/planning.py
@@ -36,7 +36,7 @@
     machines: list[AvailableMachine],
     types: dict[str, MachineType],
     is_refused: Callable[[MachineKind], bool],
-    usual_array_cpus: float,
+    average_array_cpus: float,
     expected_gangs: dict[str, ExpectedGangs],
     tuning: Tuning,
     smooth: Callable[[float], float] = lambda target_cpus: target_cpus,
@@ -53,7 +53,7 @@
         The machine types of the cloud, by name.
     is_refused
         Whether the cloud has no machines of a kind now.
-    usual_array_cpus
+    average_array_cpus
         Cpus of an array job of the usual size; 0 where none is expected.
     expected_gangs
         The classes of gangs that arrive, by name.
@@ -74,7 +74,7 @@
     reservations.reserve_for_pending(gangs)
     reservations.reserve_for_expected(expected_gangs, arrays, tuning.standby_gangs)
     capacity = ArrayCapacity(draft, kinds, arrays, tuning, boot_s)
-    capacity.set_target(usual_array_cpus, smooth)
+    capacity.set_target(average_array_cpus, smooth)
     capacity.rent()
     capacity.rent_in_required_zones()
     capacity.rent_for_unserved()
--- a/marblestair/core/scheduling/arrivals.py
+++ b/marblestair/core/scheduling/arrivals.py
@@ -50,7 +50,7 @@
         #: class -> its gangs
         self.expected_gangs: dict[str, ExpectedGangs] = {}
         #: usual size of an array that its team's guarantee may cover
-        self.usual_array_cpus = 0.0
+        self.average_array_cpus = 0.0
         #: class -> times of day at which its latest gangs became startable
         self._arrived_at: dict[str, deque[float]] = {}
         #: jobs that were counted, the oldest first
@@ -63,7 +63,7 @@
         gangs = self.expected_gangs.get(spec.job_class)
         return gangs is not None and gangs.is_latency_sensitive
 
-    def record_jobs(self, live: list[JobRecord]) -> None:
+    def count_arrivals(self, live: list[JobRecord]) -> None:
         """Count the jobs that may start and were not counted before."""
         wait_objectives_s = self._wait_objectives_s()
         for record in live:
@@ -123,7 +123,7 @@
     def _record_array(self, spec: JobSpec) -> None:
         """Count an array in the usual size, as far as its team's guarantee may cover it."""
         size_cpus = min(spec.task_count * spec.cpus, self._context.teams[spec.team].cpus)
-        self.usual_array_cpus += LATEST_ARRAY_WEIGHT * (size_cpus - self.usual_array_cpus)
+        self.average_array_cpus += LATEST_ARRAY_WEIGHT * (size_cpus - self.average_array_cpus)
         self._latest_at[ALL_ARRAYS] = self._context.now
 
     def _forget_expired(self) -> None:
@@ -133,4 +133,4 @@
             del self._latest_at[job_class]
             self.expected_gangs.pop(job_class, None)
             if job_class == ALL_ARRAYS:
-                self.usual_array_cpus = 0.0
+                self.average_array_cpus = 0.0
--- a/marblestair/core/scheduling/inherited_urgency.py
+++ b/marblestair/core/scheduling/inherited_urgency.py
@@ -65,11 +65,11 @@
         changed, self._changed = self._changed, set()
         return changed
 
-    def job_ended(self, job: str) -> None:
+    def remove_job(self, job: str) -> None:
         """Forget a job whose record is gone."""
         self._inherited.pop(job, None)
 
-    def dependents_changed(self, parents: Iterable[str]) -> None:
+    def recompute(self, parents: Iterable[str]) -> None:
         """Update jobs of which a dependent came or went, and so on upwards to their parents."""
         stack = sorted(parents)
         while stack:
--- a/marblestair/core/scheduling/services.py
+++ b/marblestair/core/scheduling/services.py
@@ -54,7 +54,7 @@
         self.quotas = QuotaLedger(view)
         self.guarantees = Guarantees(context, view, self.failures)
         self.urgency = InheritedUrgency(context, view, jobs.dependencies, self.run_times)
-        jobs.dependencies.subscribe(jobs.job_managers.advance, self.urgency.dependents_changed)
+        jobs.dependencies.subscribe(jobs.job_managers.advance, self.urgency.recompute)
         self.assigner = SliceAssigner(view, summaries, self.arrivals)
         self._compose_placement(dict(deadline_offsets_s))
         self._compose_moves()
--- a/marblestair/core/view_synchronizer.py
+++ b/marblestair/core/view_synchronizer.py
@@ -79,7 +79,7 @@
     def _sync_job(self, job: str) -> None:
         self._cancels.record_changed(job)
         if job not in self._view.jobs:
-            self._urgency.job_ended(job)
+            self._urgency.remove_job(job)
         for shard in self._leadership.shards.values():
             if shard.is_ready:
                 self.sync_slice(shard, job)
