--- a/marblestair/core/scheduling/__init__.py
+++ b/marblestair/core/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Scheduling: scheduling order, placement, preemption, quota, and transfers between shards."""
+"""Scheduling of pending tasks: order, placement, preemption, quota, and transfers of machines."""
--- a/marblestair/core/scheduling/machine_filling.py
+++ b/marblestair/core/scheduling/machine_filling.py
@@ -117,7 +117,7 @@
     def _fill_with_gang(
         self, shard: Shard, gang: JobSlice, free_cpus: int, reserved: ReservedQuota
     ) -> None:
-        """Launch a gang if it fits now; otherwise reserve quota for it."""
+        """Launch a gang if it fits now; otherwise reserve quota for it unless it is quarantined."""
         if gang.placed_on:
             return
         if free_cpus >= gang.resources[0] and self._placement.place_gang(shard, gang, reserved):
--- a/marblestair/core/scheduling/pending_queue.py
+++ b/marblestair/core/scheduling/pending_queue.py
@@ -9,7 +9,7 @@
 
 
 class StarvedSlice(msgspec.Struct):
-    """A starved slice, which is served ahead of all other slices, and its launch limits."""
+    """A starved slice, which is placed ahead of all other slices, with its launch limits."""
 
     job_slice: JobSlice
     #: tasks that it may still launch while its team has ``starved_cpus_left``
@@ -31,7 +31,7 @@
 
     def __init__(self, order: list[JobSlice]) -> None:
         self.order = order
-        #: slices that are served ahead of ``order``
+        #: slices that are placed ahead of those in ``order``
         self.starved: list[StarvedSlice] = []
         #: team -> cpus that its starved slices may still use, in fixed point
         self.starved_cpus_left: dict[str, int] = {}
