--- a/marblestair/core/capacity/planning.py
+++ b/marblestair/core/capacity/planning.py
@@ -53,7 +53,7 @@
         The machine types of the cloud, by name.
     is_refused
         Whether the cloud has no machines of a kind now.
-    usual_array_cpus
+    average_array_cpus
         Cpus of an array job of the usual size; 0 where none is expected.
     expected_gangs
         The classes of gangs that arrive, by name.
--- a/marblestair/core/scheduling/dispatch.py
+++ b/marblestair/core/scheduling/dispatch.py
@@ -1,8 +1,8 @@
-"""Placement of the pending work of a shard.
+"""Placement of the pending tasks of a shard.
 
-The whole queue of a shard is placed a few times a second (:meth:`Dispatcher.place_all`), and
-remains for the heartbeats that come until the next time: one that frees capacity has its machine
-filled from that queue (:meth:`Dispatcher.fill_machine`).
+All pending slices of a shard are placed a few times a second (:meth:`Dispatcher.place_all`). The
+queue of that pass is kept until the next one: when a heartbeat frees capacity on a machine, tasks
+from the queue are launched there (:meth:`Dispatcher.fill_machine`).
 """
 
 from __future__ import annotations
@@ -30,9 +30,9 @@
 
 
 class Dispatcher:
-    """Places the pending work of the shards that one node leads, and owns their queues."""
+    """Places the pending tasks of the shards that one node leads, and keeps their queues."""
 
-    def __init__(  # noqa: PLR0913 - its collaborators
+    def __init__(  # noqa: PLR0913 - injected components
         self,
         context: NodeContext,
         quotas: EffectiveQuotas,
@@ -58,17 +58,18 @@
         )
         self._starvation = StarvationPrevention(context, quotas, failures, self._placement)
         self._filling = MachineFilling(context, failures, fleet_plan, preemption, self._placement)
-        #: shard -> its queue; none where nothing was pending in the latest pass
+        #: shard -> queue of its latest pass; no entry if nothing was pending then
         self._queues: dict[int, PendingQueue] = {}
-        #: shards in which something new is pending: the next heartbeat places the whole queue
+        #: shards that got new pending tasks after their latest pass; the next heartbeat of any of
+        #: their machines triggers a pass
         self.shards_with_new_work: set[int] = set()
 
     def pending_in_order(self, shard: Shard) -> list[JobSlice]:
-        """Return a shard's slices with pending tasks, in the order in which they are served."""
+        """Return a shard's slices with pending tasks, in scheduling order."""
         return self._scheduling_order.pending_slices(shard)
 
     def place_all(self, shard: Shard) -> None:
-        """Place all that is pending in a shard, and renew its queue."""
+        """Build a new queue of a shard's pending slices, and launch all tasks that fit."""
         self.shards_with_new_work.discard(shard.shard_id)
         self._queues.pop(shard.shard_id, None)
         order = self._scheduling_order.pending_slices(shard)
@@ -90,7 +91,7 @@
         placement_pass.run(queue)
 
     def _candidates(self, shard: Shard, min_cpus: int) -> CandidateMachines:
-        """The machines that pending work may be placed on; free ones have ``min_cpus`` free."""
+        """Return the usable, unclaimed machines; those with ``min_cpus`` free count as free."""
         now, claims = self._context.now, self._preemption.claims
         usable = [
             machine
@@ -102,7 +103,7 @@
         )
 
     def fill_machine(self, shard: Shard, machine: Machine) -> None:
-        """Launch pending work on a machine whose heartbeat freed capacity."""
+        """Launch queued tasks on a machine whose heartbeat freed capacity."""
         queue = self._queues.get(shard.shard_id)
         if queue is not None and machine.free[0] >= queue.min_cpus:
             self._filling.fill(shard, machine, queue)
