--- a/marblestair/core/jobs/job_managers.py
+++ b/marblestair/core/jobs/job_managers.py
@@ -257,10 +257,10 @@
             [*preconditions, (final_key, 0)],
             [Put(final_key, FINAL_STATE_OF[step])],
             [key],
-            self._end_lane(managed, step),
+            self._end_priority(managed, step),
         )
 
-    def _end_lane(self, managed: ManagedJob, step: ManagerStep) -> RequestPriority:
+    def _end_priority(self, managed: ManagedJob, step: ManagerStep) -> RequestPriority:
         is_blocked = step is ManagerStep.END_BLOCKED
         is_patient = is_blocked and not self._dependencies.is_end_overdue(managed.job)
         return RequestPriority.PROGRESS if is_patient else RequestPriority.FINAL_STATE
