--- a/marblestair/core/scheduling/demand.py
+++ b/marblestair/core/scheduling/demand.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from marblestair.core.domain.jobs import JobKind
-from marblestair.core.scheduling.quota_ledger import QuotaLedger
+from marblestair.core.scheduling.effective_quotas import EffectiveQuotas
 from marblestair.core.shard.failures import FailureAttribution
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.shard import Shard
@@ -44,7 +44,7 @@
     return pending
 
 
-def measure_demand(failures: FailureAttribution, quotas: QuotaLedger, shard: Shard) -> Demand:
+def measure_demand(failures: FailureAttribution, quotas: EffectiveQuotas, shard: Shard) -> Demand:
     """Sum the demand of a shard's slices."""
     demand = Demand()
     demanded_by_team: dict[str, QuotaAmounts] = {}
@@ -67,7 +67,7 @@
 
 
 def _lacking_quota(
-    quotas: QuotaLedger, shard: Shard, demanded_by_team: dict[str, QuotaAmounts]
+    quotas: EffectiveQuotas, shard: Shard, demanded_by_team: dict[str, QuotaAmounts]
 ) -> dict[str, QuotaAmounts]:
     """What the teams demand beyond the unused quota in a shard."""
     lacking_by_team = {}
--- a/marblestair/core/scheduling/quota_ledger.py
+++ b/marblestair/core/scheduling/effective_quotas.py
@@ -6,14 +6,14 @@
 from marblestair.core.state.store_view import StoreView
 
 
-class QuotaLedger:
+class EffectiveQuotas:
     """The quotas of the shards that one node leads."""
 
     def __init__(self, view: StoreView) -> None:
         self._view = view
         #: shard and team -> cpus and gpus, in fixed point, that are no longer used here ahead of
         #: the commit that transfers them to another shard
-        self.pending_releases: dict[tuple[int, str], list[int]] = {}
+        self.pending_transfers: dict[tuple[int, str], list[int]] = {}
 
     def quota(self, shard: Shard, team: str) -> tuple[int, int]:
         """Cpus and gpus that a team's tasks may use in a shard, in fixed point."""
@@ -21,5 +21,5 @@
         if shard_map is None:
             return 0, 0
         cpus, gpus = shard_map.shards[shard.shard_id].quotas.get(team, [0, 0])
-        pending_cpus, pending_gpus = self.pending_releases.get((shard.shard_id, team), [0, 0])
+        pending_cpus, pending_gpus = self.pending_transfers.get((shard.shard_id, team), [0, 0])
         return cpus - pending_cpus, gpus - pending_gpus
--- a/marblestair/core/scheduling/machine_filling.py
+++ b/marblestair/core/scheduling/machine_filling.py
@@ -12,7 +12,7 @@
 from marblestair.core.scheduling.fleet_plan import FleetPlan
 from marblestair.core.scheduling.pending_queue import PendingQueue
 from marblestair.core.scheduling.preemption import Preemption
-from marblestair.core.scheduling.service_order import is_pending
+from marblestair.core.scheduling.scheduling_order import is_pending
 from marblestair.core.scheduling.slice_placement import ReservedQuota, SlicePlacement
 from marblestair.core.shard.failures import FailureAttribution
 from marblestair.core.shard.job_slice import JobSlice
--- a/marblestair/core/scheduling/migration_planner.py
+++ b/marblestair/core/scheduling/migration_planner.py
@@ -10,16 +10,16 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.scheduling.arrivals import Arrivals
 from marblestair.core.scheduling.dispatch import Dispatcher
+from marblestair.core.scheduling.effective_quotas import EffectiveQuotas
 from marblestair.core.scheduling.preemption import Preemption
-from marblestair.core.scheduling.quota_ledger import QuotaLedger
-from marblestair.core.scheduling.quota_offers import QuotaOffers
 from marblestair.core.scheduling.quota_transfers import QuotaTransfers
 from marblestair.core.scheduling.reported_capacity import (
     ReportedCapacity,
-    most_free_cpus_by_team,
+    max_free_quota_cpus_by_team,
     reserve_capacity,
 )
 from marblestair.core.scheduling.slice_migration import MAX_ACTIVE_MIGRATIONS, SliceMigrations
+from marblestair.core.scheduling.unused_quota_transfers import UnusedQuotaTransfers
 from marblestair.core.shard.failures import FailureAttribution
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.shard import Shard
@@ -45,7 +45,7 @@
         self,
         context: NodeContext,
         view: StoreView,
-        quotas: QuotaLedger,
+        quotas: EffectiveQuotas,
         quota_transfers: QuotaTransfers,
         summaries: ReceivedSummaries,
         failures: FailureAttribution,
@@ -71,11 +71,11 @@
         if not summaries:
             return
         capacity = ReportedCapacity()
-        offers = QuotaOffers(
+        unused_quota_transfers = UnusedQuotaTransfers(
             self._context, self._quotas, self._quota_transfers, shard, summaries, capacity
         )
         survey = self._preemption.survey(shard)
-        most_free_cpus = most_free_cpus_by_team(summaries)
+        most_free_cpus = max_free_quota_cpus_by_team(summaries)
         for job_slice in self._dispatcher.pending_in_order(shard):
             if self._migrations.active_count >= MAX_ACTIVE_MIGRATIONS:
                 return
@@ -91,7 +91,7 @@
             if most_free_cpus.get(spec.team, 0) >= job_slice.resources[0]:
                 target = self._best_target(job_slice, summaries, capacity, may_preempt)
             if target is None:
-                offers.offer(job_slice)
+                unused_quota_transfers.transfer_for(job_slice)
             elif self._migrate(shard, job_slice, target):
                 capacity.clear()
 
--- a/marblestair/core/scheduling/quota_transfers.py
+++ b/marblestair/core/scheduling/quota_transfers.py
@@ -15,7 +15,7 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
-from marblestair.core.scheduling.quota_ledger import QuotaLedger
+from marblestair.core.scheduling.effective_quotas import EffectiveQuotas
 from marblestair.core.scheduling.shard_summary import ShardSummarizer
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
@@ -37,7 +37,7 @@
         view: StoreView,
         leadership: Leadership,
         shard_map_updates: ShardMapUpdates,
-        quotas: QuotaLedger,
+        quotas: EffectiveQuotas,
         summaries: ReceivedSummaries,
         summarizer: ShardSummarizer,
     ) -> None:
@@ -52,7 +52,7 @@
     def rebalance(self, led_shards: list[Shard]) -> None:
         """Begin to transfer quota to a shard that lacks it, unless a transfer is in progress."""
         current = self._view.shard_map
-        if self._quotas.pending_releases or current is None:
+        if self._quotas.pending_transfers or current is None:
             return
         for shard in led_shards:
             if shard.unreconciled_machines:
@@ -123,7 +123,7 @@
 
     def begin(self, shard: Shard, target_id: int, team: str, amounts: list[int]) -> None:
         """Lower a quota here by some cpus and gpus, and begin to transfer them."""
-        self._quotas.pending_releases[(shard.shard_id, team)] = amounts
+        self._quotas.pending_transfers[(shard.shard_id, team)] = amounts
         self._context.spawn(self._transfer(shard, target_id, team, amounts))
 
     def _transfer(
@@ -132,7 +132,7 @@
         try:
             yield from self._commit(shard, target_id, team, amounts)
         finally:
-            self._quotas.pending_releases.pop((shard.shard_id, team), None)
+            self._quotas.pending_transfers.pop((shard.shard_id, team), None)
 
     def _commit(
         self, shard: Shard, target_id: int, team: str, amounts: list[int]
--- a/marblestair/core/scheduling/services.py
+++ b/marblestair/core/scheduling/services.py
@@ -10,13 +10,13 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.scheduling.arrivals import Arrivals
 from marblestair.core.scheduling.dispatch import Dispatcher
+from marblestair.core.scheduling.effective_quotas import EffectiveQuotas
 from marblestair.core.scheduling.fleet_plan import FleetPlan
 from marblestair.core.scheduling.guarantees import Guarantees
 from marblestair.core.scheduling.inherited_urgency import InheritedUrgency
 from marblestair.core.scheduling.machine_transfers import MachineTransfers
 from marblestair.core.scheduling.migration_planner import MigrationPlanner
 from marblestair.core.scheduling.preemption import Preemption
-from marblestair.core.scheduling.quota_ledger import QuotaLedger
 from marblestair.core.scheduling.quota_transfers import QuotaTransfers
 from marblestair.core.scheduling.run_times import RunTimes
 from marblestair.core.scheduling.shard_summary import ShardSummarizer
@@ -51,7 +51,7 @@
         self.run_times = RunTimes()
         self.fleet_plan = FleetPlan()
         self.arrivals = Arrivals(context, catalog)
-        self.quotas = QuotaLedger(view)
+        self.quotas = EffectiveQuotas(view)
         self.guarantees = Guarantees(context, view, self.failures)
         self.urgency = InheritedUrgency(context, view, jobs.dependencies, self.run_times)
         jobs.dependencies.subscribe(jobs.job_managers.advance, self.urgency.recompute)
--- a/marblestair/core/scheduling/shard_summary.py
+++ b/marblestair/core/scheduling/shard_summary.py
@@ -9,10 +9,10 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.scheduling.demand import demanded_tasks, measure_demand
 from marblestair.core.scheduling.dispatch import Dispatcher
+from marblestair.core.scheduling.effective_quotas import EffectiveQuotas
 from marblestair.core.scheduling.machine_transfers import MachineTransfers
 from marblestair.core.scheduling.placement import FreeCapacity
 from marblestair.core.scheduling.preemption import Preemption
-from marblestair.core.scheduling.quota_ledger import QuotaLedger
 from marblestair.core.shard.boot_times import BootTimes
 from marblestair.core.shard.failures import FailureAttribution
 from marblestair.core.shard.machine import CordonReason, Machine
@@ -39,7 +39,7 @@
     def __init__(  # noqa: PLR0913 - its collaborators
         self,
         context: NodeContext,
-        quotas: QuotaLedger,
+        quotas: EffectiveQuotas,
         failures: FailureAttribution,
         boot_times: BootTimes,
         preemption: Preemption,
--- a/marblestair/core/scheduling/starvation.py
+++ b/marblestair/core/scheduling/starvation.py
@@ -9,10 +9,10 @@
 from marblestair.core.domain.jobs import JobKind
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.scheduling.array_placement import CandidateMachines
+from marblestair.core.scheduling.effective_quotas import EffectiveQuotas
 from marblestair.core.scheduling.pending_queue import PendingQueue, StarvedSlice
-from marblestair.core.scheduling.quota_ledger import QuotaLedger
 from marblestair.core.scheduling.slice_placement import (
-    START_LIMIT_S,
+    MAX_START_DELAY_S,
     ReservedQuota,
     SlicePlacement,
 )
@@ -21,9 +21,9 @@
 from marblestair.core.shard.shard import Shard
 
 #: time since it became startable after which a pending slice counts as starved
-STARVATION_S = 0.4 * START_LIMIT_S
+STARVATION_S = 0.4 * MAX_START_DELAY_S
 #: time after which an array that has begun is not only to begin but to proceed
-PROCEED_LIMIT_S = 2 * START_LIMIT_S
+PROCEED_LIMIT_S = 2 * MAX_START_DELAY_S
 #: share of a team's quota for its starved arrays
 STARVED_QUOTA_SHARE = 0.25
 #: a starved array that has not begun gets one in this many of its tasks at first
@@ -36,7 +36,7 @@
     def __init__(
         self,
         context: NodeContext,
-        quotas: QuotaLedger,
+        quotas: EffectiveQuotas,
         failures: FailureAttribution,
         placement: SlicePlacement,
     ) -> None:
@@ -121,7 +121,7 @@
         shard: Shard,
         queue: PendingQueue,
         candidates: CandidateMachines,
-        quotas: QuotaLedger,
+        quotas: EffectiveQuotas,
         placement: SlicePlacement,
         running_cpus: dict[str, int],
     ) -> None:
--- a/marblestair/core/scheduling/quota_offers.py
+++ b/marblestair/core/scheduling/unused_quota_transfers.py
@@ -9,21 +9,21 @@
 from marblestair.core.domain.jobs import JobKind
 from marblestair.core.messaging.shard_summary import ShardSummary
 from marblestair.core.runtime.context import NodeContext
+from marblestair.core.scheduling.effective_quotas import EffectiveQuotas
 from marblestair.core.scheduling.placement import placeable_tasks
-from marblestair.core.scheduling.quota_ledger import QuotaLedger
 from marblestair.core.scheduling.quota_transfers import QuotaTransfers
 from marblestair.core.scheduling.reported_capacity import ReportedCapacity
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.shard import Shard
 
 
-class QuotaOffers:
+class UnusedQuotaTransfers:
     """The offers of one shard's quota in one pass over its pending slices."""
 
     def __init__(
         self,
         context: NodeContext,
-        quotas: QuotaLedger,
+        quotas: EffectiveQuotas,
         transfers: QuotaTransfers,
         shard: Shard,
         summaries: list[ShardSummary],
@@ -38,7 +38,7 @@
         #: team -> whether some of its quota here is not in use
         self._has_unused_quota: dict[str, bool] = {}
 
-    def offer(self, job_slice: JobSlice) -> None:
+    def transfer_for(self, job_slice: JobSlice) -> None:
         """Transfer unused quota to a shard with free capacity for a slice's tasks, if there is."""
         team = job_slice.spec.team
         has_unused = self._has_unused_quota.get(team)
@@ -46,7 +46,7 @@
             used, quota = self._shard.usage(team), self._quotas.quota(self._shard, team)
             has_unused = any(u < q for u, q in zip(used, quota, strict=True))
             self._has_unused_quota[team] = has_unused
-        if has_unused and not self._quotas.pending_releases:
+        if has_unused and not self._quotas.pending_transfers:
             self._begin_transfer(job_slice)
 
     def _begin_transfer(self, job_slice: JobSlice) -> None:
--- a/tests/core/scheduling/test_best_effort.py
+++ b/tests/core/scheduling/test_best_effort.py
@@ -8,7 +8,7 @@
 
 from marblestair.core.jobs.eligibility import rejection_reason
 from marblestair.core.leadership.shard_map import initial_shard_map
-from marblestair.core.scheduling.service_order import priority_key
+from marblestair.core.scheduling.scheduling_order import priority_key
 from marblestair.settings import UNLIMITED, Team
 from tests.fakes.samples import MACHINE_TYPES, job_spec
 from tests.fakes.simulated_deployment import SimulatedDeployment
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -9,7 +9,7 @@
 import pytest
 
 from marblestair import cli
-from marblestair.core.scheduling.service_order import priority_key
+from marblestair.core.scheduling.scheduling_order import priority_key
 from marblestair.policy import PolicyError, load
 from tests.fakes.samples import job_spec, node_settings
 
