--- a/marblestair/core/scheduling/effective_quotas.py
+++ b/marblestair/core/scheduling/effective_quotas.py
@@ -1,4 +1,4 @@
-"""What each team's tasks may use in a shard: its quota, less what is being transferred away."""
+"""Effective quotas: a team's quota in a shard, less what is being transferred away."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 
 class EffectiveQuotas:
-    """The quotas of the shards that one node leads."""
+    """Computes the effective quotas of the shards that one node leads."""
 
     def __init__(self, view: StoreView) -> None:
         self._view = view
-        #: shard and team -> cpus and gpus, in fixed point, that are no longer used here ahead of
-        #: the commit that transfers them to another shard
+        #: shard and team -> cpus and gpus, in fixed point, that are being transferred to another
+        #: shard; they are not used here any more, even before the transfer is committed
         self.pending_transfers: dict[tuple[int, str], list[int]] = {}
 
     def quota(self, shard: Shard, team: str) -> tuple[int, int]:
-        """Cpus and gpus that a team's tasks may use in a shard, in fixed point."""
+        """Return the cpus and gpus that a team's tasks may use in a shard, in fixed point."""
         shard_map = self._view.shard_map
         if shard_map is None:
             return 0, 0
--- a/marblestair/core/scheduling/placement_pass.py
+++ b/marblestair/core/scheduling/placement_pass.py
@@ -1,4 +1,4 @@
-"""One placement pass: all pending slices of a shard are placed, in the order of its queue."""
+"""A placement pass over the pending slices of a shard, in the order of its queue."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class PlacementPass:
-    """One pass over the queue of a shard, and what it finds on the way.
+    """Places the pending slices of a shard once.
 
-    It launches what fits, and preempts other work for guaranteed arrays and for latency-sensitive
-    gangs.
+    Tasks that fit are launched, and other tasks are preempted for guaranteed arrays and for
+    latency-sensitive gangs.
     """
 
     def __init__(  # noqa: PLR0913 - its collaborators
@@ -45,11 +45,11 @@
         self._survey = preemption.survey(shard)
         self._best_effort_tasks = best_effort_tasks
         self._reserved_quota = ReservedQuota()
-        #: team -> cpus of the smallest task that does not fit into its quota any more
+        #: team -> cpus of the smallest task found to exceed the rest of its quota
         self._exhausted_teams: dict[str, int] = {}
 
     def run(self, queue: PendingQueue) -> None:
-        """Place the slices of a queue."""
+        """Place the slices of a queue in its order."""
         for job_slice in queue.order:
             if self._placement.is_deferred(job_slice):
                 continue
@@ -59,9 +59,10 @@
                 self._place_array(job_slice, queue.min_cpus)
 
     def _place_array(self, array: JobSlice, min_cpus: int) -> None:
-        """Launch what fits of an array, and preempt best-effort work if it is guaranteed.
+        """Launch an array's tasks that fit; if it is guaranteed, preempt best-effort tasks for it.
 
-        Machines with less than ``min_cpus`` free are of no use to the rest of the queue.
+        ``min_cpus`` is what the smallest task of the queue needs: machines with fewer cpus free are
+        not candidates for the rest of the pass.
         """
         shard, candidates, reserved = self._shard, self._candidates, self._reserved_quota
         team, cpus = array.spec.team, array.resources[0]
@@ -81,7 +82,7 @@
             )
 
     def _place_gang(self, gang: JobSlice) -> None:
-        """Launch a gang, or reserve quota for it and clear machines if it is urgent."""
+        """Launch a gang, or reserve quota for it; preempt for it if it is latency-sensitive."""
         shard, reserved = self._shard, self._reserved_quota
         if self._placement.place_gang(shard, gang, reserved, self._candidates.free):
             return
@@ -90,12 +91,12 @@
         if self._arrivals.is_latency_sensitive(gang.spec):
             quota = self._placement.available_quota(shard, gang, reserved)
             if self._preemption.preempt_for(shard, gang, quota, self._survey):
-                # What comes after it must not fill what is being cleared.
+                # Slices later in the queue must not use the machines that are being cleared.
                 self._exclude(self._preemption.claims)
         reserved.reserve(gang)
 
     def _exclude(self, names: Container[str]) -> None:
-        """Use some machines no longer in this pass."""
+        """Exclude the named machines from the rest of this pass."""
         usable, free = self._candidates.usable, self._candidates.free
         self._candidates = CandidateMachines(
             [machine for machine in usable if machine.name not in names],
--- a/marblestair/core/scheduling/preemption.py
+++ b/marblestair/core/scheduling/preemption.py
@@ -1,7 +1,7 @@
-"""Preemption: which work is stopped so that a latency-sensitive gang can start.
+"""Preemption: stops other tasks so that a latency-sensitive gang can start.
 
-A gang claims the machines that are cleared for it, so that arrays do not fill them again bit by
-bit while the rest is still being stopped, and so that two gangs never wait for the same machine.
+A gang claims the machines that are cleared for it. The claims keep arrays from using freed capacity
+while other tasks are still being stopped, and keep two gangs from waiting for the same machine.
 """
 
 from __future__ import annotations
@@ -25,42 +25,43 @@
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state.store_view import StoreView
 
-#: a claim expires after this many heartbeat intervals: what was to be stopped is still there
-CLAIM_HEARTBEATS = 6.0
+#: heartbeat intervals after which a claim expires, as its gang still could not start
+CLAIM_TTL_INTERVALS = 6.0
 
 
 class Claim(msgspec.Struct):
-    """A machine's claim by the gang that it is being cleared for."""
+    """A gang's claim on a machine that is being cleared for it."""
 
     job: str
-    #: steady time
+    #: monotonic time in seconds
     expires_at: float
 
 
 class _ClearedMachine(msgspec.Struct):
-    """A machine for a gang, and the tasks to stop there."""
+    """A machine chosen for a gang, and the tasks to stop on it."""
 
     machine: Machine
     victims: list[PlacedTask]
 
 
 class _PreemptionPlan(msgspec.Struct):
-    """What has to be stopped so that a gang can start."""
+    """The machines chosen for a gang, and the tasks to stop so that it can start."""
 
     machines: list[_ClearedMachine]
-    #: tasks of the gang's own team, stopped for their quota
+    #: tasks of the gang's own team that are stopped to free quota
     quota_victims: list[PlacedTask]
 
 
-class _Option(msgspec.Struct):
-    """A machine that a gang could have, and the work lost for each of its tasks there."""
+class _CandidateMachine(msgspec.Struct):
+    """A machine that a gang could use, and the work lost per task of the gang placed there."""
 
+    #: cpu seconds, in fixed point
     lost_work: float
     machine: Machine
 
 
 class Preemption:
-    """The claims on machines of one node's shards, and the choice of the tasks to stop."""
+    """Chooses the tasks to preempt in one node's shards, and holds the claims on machines."""
 
     def __init__(
         self,
@@ -81,7 +82,7 @@
     # --- claims ----------------------------------------------------------------------------
 
     def is_claimed(self, machine: Machine, job: str = "") -> bool:
-        """Whether a machine is claimed by another job, or reserved for one by the plan."""
+        """Whether another job than ``job`` claims a machine, or has it reserved in the plan."""
         claim = self.claims.get(machine.name)
         if claim is not None:
             return claim.job != job
@@ -89,12 +90,12 @@
         return reserved_for not in ("", job) and reserved_for in self._view.jobs
 
     def machines_claimed_for(self, shard: Shard, job: str) -> list[Machine]:
-        """Machines of a shard that are being cleared for a job."""
+        """Return the machines of a shard that are being cleared for a job."""
         names = [name for name, claim in self.claims.items() if claim.job == job]
         return [shard.machines[name] for name in names if name in shard.machines]
 
     def expire_claims(self) -> None:
-        """Drop the claims of jobs that have started or ended, and those that have expired."""
+        """Remove claims that have expired, and those of jobs that have started or ended."""
         for name, claim in list(self.claims.items()):
             is_pending = any(
                 name in shard.machines
@@ -111,13 +112,13 @@
     # --- preemption for gangs --------------------------------------------------------------
 
     def survey(self, shard: Shard) -> PreemptionSurvey:
-        """A survey of a shard, to be used during one pass over its pending work."""
+        """Create a survey of a shard, for use during one pass over its pending slices."""
         return PreemptionSurvey(shard, self._context.now)
 
     def can_preempt_for(
         self, shard: Shard, gang: JobSlice, quota: tuple[int, int], survey: PreemptionSurvey
     ) -> bool:
-        """Whether a gang has claims, or could have its machines here by preemption.
+        """Whether a gang has claims, or can get enough machines in a shard by preemption.
 
         Parameters
         ----------
@@ -128,14 +129,14 @@
         quota
             Cpus and gpus that the team's tasks may use in the shard, in fixed point.
         survey
-            The survey of the shard in the present pass.
+            The survey of the shard for the current pass.
         """
         return self._has_claims(gang.spec.id) or self._plan(shard, gang, quota, survey) is not None
 
     def preempt_for(
         self, shard: Shard, gang: JobSlice, quota: tuple[int, int], survey: PreemptionSurvey
     ) -> bool:
-        """Stop other work and claim its machines for a gang, unless that is done already.
+        """Stop other tasks and claim machines for a gang, unless it has claims already.
 
         The parameters are those of :meth:`can_preempt_for`. Returns whether the gang has claims.
         """
@@ -147,7 +148,7 @@
             return False
         shard.stop_tasks(plan.quota_victims, StopReason.PREEMPTED)
         heartbeat_s = self._context.settings.cluster.workers.report_s
-        expires_at = self._context.now + CLAIM_HEARTBEATS * heartbeat_s
+        expires_at = self._context.now + CLAIM_TTL_INTERVALS * heartbeat_s
         for cleared in plan.machines:
             self.claims[cleared.machine.name] = Claim(job, expires_at)
             shard.stop_tasks(cleared.victims, StopReason.PREEMPTED)
@@ -157,10 +158,10 @@
     def _plan(
         self, shard: Shard, gang: JobSlice, quota: tuple[int, int], survey: PreemptionSurvey
     ) -> _PreemptionPlan | None:
-        """Choose what to stop for a gang; None if that does not suffice.
+        """Choose the tasks to stop for a gang; return None if preemption does not suffice.
 
-        The least lost work is stopped first, and work of the gang's own team where the quota is
-        what it lacks.
+        Machines with the least work to lose are chosen first. If the quota is still too small
+        then, more tasks of the gang's own team are stopped.
         """
         team, rank = gang.spec.team, PRIORITY_RANKS[gang.spec.priority]
         used_cpus = shard.usage(team)[0]
@@ -171,7 +172,7 @@
         if machines is None:
             return None
         victims = [task for cleared in machines for task in cleared.victims]
-        # What the quota lacks, less what the victims free of it.
+        # The quota shortfall, less the quota that the victims on the chosen machines free.
         lacking_cpus = needed_cpus - (quota[0] - used_cpus)
         lacking_cpus -= sum(task.resources[0] for task in victims if task.team == team)
         quota_victims = survey.choose_tasks_to_stop(team, rank, lacking_cpus, victims)
@@ -182,16 +183,16 @@
     def _cheapest_machines(
         self, shard: Shard, gang: JobSlice, rank: int, survey: PreemptionSurvey
     ) -> list[_ClearedMachine] | None:
-        """Choose machines for a gang, with the tasks to stop there; None if too few."""
+        """Choose the machines with the least work to lose; return None if there are too few."""
         lacking_tasks = gang.pending.count
         chosen: list[_ClearedMachine] = []
-        options = self._options(gang, rank, survey)
-        options.sort(key=lambda option: (option.lost_work, option.machine.name))
-        for option in options:
+        candidates = self._candidate_machines(gang, rank, survey)
+        candidates.sort(key=lambda candidate: (candidate.lost_work, candidate.machine.name))
+        for candidate in candidates:
             if lacking_tasks <= 0:
                 break
-            # Counted again: something may have been placed or stopped since the survey.
-            machine = option.machine
+            # Counted again, since tasks may have been placed or stopped after the survey.
+            machine = candidate.machine
             victims: list[PlacedTask] = []
             fits = tasks_that_fit(machine, gang.resources)
             if not fits:
@@ -204,9 +205,11 @@
                 lacking_tasks -= fits
         return chosen if lacking_tasks <= 0 else None
 
-    def _options(self, gang: JobSlice, rank: int, survey: PreemptionSurvey) -> list[_Option]:
-        """Machines that a gang could have, by the survey."""
-        options: list[_Option] = []
+    def _candidate_machines(
+        self, gang: JobSlice, rank: int, survey: PreemptionSurvey
+    ) -> list[_CandidateMachine]:
+        """Return the machines that a gang could use according to the survey."""
+        candidates: list[_CandidateMachine] = []
         spec, resources = gang.spec, gang.resources
         for surveyed in survey.machines(rank):
             machine = surveyed.machine
@@ -217,15 +220,15 @@
             ):
                 continue
             if tasks_that_fit(machine, resources):
-                options.append(_Option(0.0, machine))
+                candidates.append(_CandidateMachine(0.0, machine))
             elif fits := count_fitting_tasks(surveyed.free_after, resources):
-                options.append(_Option(surveyed.lost_work / fits, machine))
-        return options
+                candidates.append(_CandidateMachine(surveyed.lost_work / fits, machine))
+        return candidates
 
     # --- summaries -------------------------------------------------------------------------
 
     def preemptible_capacity(self, shard: Shard) -> list[FreeCapacity]:
-        """What latency-sensitive classes of gangs could have free here by preemption."""
+        """Return what each machine has free after preemption for latency-sensitive gangs."""
         specs = [
             gangs.spec
             for gangs in self._arrivals.expected_gangs.values()
@@ -259,5 +262,5 @@
 
 
 def _has_stopping_tasks(machine: Machine) -> bool:
-    """Whether tasks on a machine are being stopped."""
+    """Whether any task on a machine is being stopped."""
     return any(task.stop_grace_s is not None for task in machine.tasks.values())
--- a/marblestair/core/scheduling/preemption_survey.py
+++ b/marblestair/core/scheduling/preemption_survey.py
@@ -1,4 +1,4 @@
-"""What work of a shard could be preempted, by the rank of the priority that asks."""
+"""A survey of a shard's preemptible tasks, by the priority rank of the preempting gang."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 class SurveyedMachine(msgspec.Struct):
-    """A usable machine, and what preemption would yield there."""
+    """A usable machine, and the effect of preempting all its preemptible tasks."""
 
     machine: Machine
-    #: cpu seconds of work that would be lost, in fixed point
+    #: work that would be lost: cpu seconds, in fixed point
     lost_work: float
-    #: what would be free, in fixed point
+    #: cpus, gpus and memory that would then be free, in fixed point
     free_after: list[int]
 
 
 def preemptible_tasks(shard: Shard, machine: Machine, rank: int) -> list[PlacedTask]:
-    """Tasks on a machine that may be preempted for work whose priority has a rank."""
+    """Return the tasks on a machine that a job of a priority rank may preempt."""
     tasks = []
     for task in machine.tasks.values():
         job_slice = shard.slices.get(task.job)
@@ -31,7 +31,7 @@
 
 
 def free_after_removal(machine: Machine, tasks: list[PlacedTask]) -> list[int]:
-    """What is free on a machine once some of its tasks are gone, in fixed point."""
+    """Return a machine's free capacity after some of its tasks have ended, in fixed point."""
     free = list(machine.free)
     for task in tasks:
         for i in (0, 1, 2):
@@ -40,25 +40,28 @@
 
 
 def count_fitting_tasks(free: list[int], resources: Resources) -> int:
-    """How many tasks fit into free capacity; none if they take nothing at all."""
+    """Return how many tasks fit into free capacity; 0 if a task uses no resources."""
     fits = (amount // x for amount, x in zip(free, resources, strict=True) if x > 0)
     return max(0, min(fits, default=0))
 
 
 class PreemptionSurvey:
-    """What work of a shard could be preempted, counted once for all that ask in one pass."""
+    """Determines a shard's preemptible tasks, once for all gangs in one pass.
+
+    A ``rank`` is that of the preempting gang's priority.
+    """
 
     def __init__(self, shard: Shard, now: float) -> None:
         self._shard = shard
         self._now = now
         self._machines: dict[int, list[SurveyedMachine]] = {}
-        #: team and rank -> its tasks of lower priority, in the order in which they are preempted
+        #: team and rank -> the team's tasks of lower priority, in the order of preemption
         self._tasks: dict[tuple[str, int], list[PlacedTask]] = {}
         #: team and rank -> cpus of those tasks, in fixed point
         self._cpus: dict[tuple[str, int], int] = {}
 
     def machines(self, rank: int) -> list[SurveyedMachine]:
-        """Usable machines of the shard, with what preemption for a rank would yield."""
+        """Return the usable machines of the shard, with the effect of preemption for a rank."""
         surveyed = self._machines.get(rank)
         if surveyed is None:
             surveyed = self._machines[rank] = self._survey_machines(rank)
@@ -80,32 +83,32 @@
         return surveyed
 
     def preemptible_cpus(self, team: str, rank: int) -> int:
-        """Cpus of a team's tasks here that may be preempted for a rank, in fixed point."""
+        """Return the cpus of a team's tasks that may be preempted for a rank, in fixed point."""
         self._tasks_of(team, rank)
         return self._cpus[(team, rank)]
 
     def choose_tasks_to_stop(
-        self, team: str, rank: int, cpus: int, besides: list[PlacedTask]
+        self, team: str, rank: int, cpus: int, excluded: list[PlacedTask]
     ) -> list[PlacedTask] | None:
-        """Choose tasks of a team whose end frees so many cpus of its quota here.
+        """Choose tasks of a team to stop, so that they free ``cpus`` of its quota in the shard.
 
-        Tasks that are being stopped already come first, then the latest started. Those that end
-        in any case (``besides``) are left out. None if there are not enough.
+        Tasks that are already being stopped come first, then the latest started. Tasks in
+        ``excluded``, which are stopped anyway, are not chosen. Returns None if there are too few.
         """
         chosen: list[PlacedTask] = []
         if cpus <= 0:
             return chosen
-        left_out = {id(task) for task in besides}
+        excluded_ids = {id(task) for task in excluded}
         for task in self._tasks_of(team, rank):
             if cpus <= 0:
                 break
-            if id(task) not in left_out:
+            if id(task) not in excluded_ids:
                 chosen.append(task)
                 cpus -= task.resources[0]
         return None if cpus > 0 else chosen
 
     def _tasks_of(self, team: str, rank: int) -> list[PlacedTask]:
-        """Tasks of a team that may be preempted for a rank, in the order of preemption."""
+        """Return a team's tasks that may be preempted for a rank, in the order of preemption."""
         tasks = self._tasks.get((team, rank))
         if tasks is None:
             tasks = []
@@ -123,12 +126,12 @@
         return tasks
 
     def _preemption_order(self, task: PlacedTask) -> tuple[bool, float]:
-        """Tasks that are being stopped come first; of the others, those with the least run time."""
+        """Return a sort key: tasks being stopped first, then those with the shortest run time."""
         if task.stop_grace_s is not None:
             return False, 0.0
         return True, 0.0 if task.running_since is None else self._now - task.running_since
 
     def invalidate_team(self, team: str) -> None:
-        """Tasks of a team were stopped: their order has to be determined again."""
+        """Discard the order of a team's tasks, which changes when some of them are stopped."""
         for key in [key for key in self._tasks if key[0] == team]:
             del self._tasks[key]
--- a/marblestair/core/scheduling/quota_transfers.py
+++ b/marblestair/core/scheduling/quota_transfers.py
@@ -1,7 +1,7 @@
-"""Transfers of a team's quota from a shard that can spare it to one that lacks it.
+"""Transfers of a team's quota from a shard with spare quota to a shard that lacks it.
 
-The quota is reduced in the memory of the shard's leader first; then both quotas change in one
-commit, so that they never add up to more than the team's limit.
+The source's leader first stops using the quota. One commit then changes the quotas of both shards,
+so that all quotas of a team never add up to more than its limit.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 from marblestair.core.state.records import ShardMap
 from marblestair.core.state.store_view import StoreView
 
-#: seconds for which the demand in another shard's summary counts
-RECENT_SUMMARY_S = 3.0
-#: attempts at one transfer, unless the outcome of one of them is uncertain
-MAX_ATTEMPTS = 5
+#: age up to which the demand in another shard's summary is used, in seconds
+MAX_SUMMARY_AGE_S = 3.0
+#: attempts to commit one transfer; more are made if the outcome of one is uncertain
+MAX_COMMIT_ATTEMPTS = 5
 
 
 class QuotaTransfers:
-    """The quota that one node's shards transfer to others."""
+    """Transfers quota from the shards that one node leads to other shards."""
 
     def __init__(  # noqa: PLR0913 - its collaborators
         self,
@@ -60,15 +60,18 @@
             for shard_id, (received_at, summary) in sorted(self._summaries.items()):
                 if shard_id == shard.shard_id:
                     continue
-                if self._context.now - received_at > RECENT_SUMMARY_S:
+                if self._context.now - received_at > MAX_SUMMARY_AGE_S:
                     continue
                 if summary.term != current.shards[shard_id].term:
                     continue
-                if self._begin_lacking(shard, summary):
+                if self._begin_transfer_to(shard, summary):
                     return
 
-    def _begin_lacking(self, shard: Shard, other: ShardSummary) -> bool:
-        """Begin to transfer the first quota that another shard lacks and this one can spare."""
+    def _begin_transfer_to(self, shard: Shard, other: ShardSummary) -> bool:
+        """Begin to transfer quota that another shard lacks, if this one can spare any.
+
+        One team's quota is transferred; returns whether a transfer was begun.
+        """
         received = self._summaries.get(shard.shard_id)
         own = received.summary if received is not None else self._summarizer.summarize(shard)
         for team, lacking in (*other.required_quota.items(), *other.quota_shortfall.items()):
@@ -84,20 +87,20 @@
     def _spare_quota(
         self, shard: Shard, team: str, own: ShardSummary, other: ShardSummary
     ) -> list[int] | None:
-        """Quota that a shard can spare for another; None when it gives none of this team's."""
+        """Return the cpus and gpus that a shard can spare; None if it needs the quota itself."""
         used, quota = shard.usage(team), self._quotas.quota(shard, team)
         unused = [quota[i] - used[i] for i in range(2)]
         if team in other.required_quota:
-            # Of two shards that are both starved one must give way.
-            gives_way = team not in own.required_quota or shard.shard_id > other.shard_id
-            return unused if gives_way else None
+            # If both shards need more quota for one task or gang, the one with the higher id gives.
+            gives_quota = team not in own.required_quota or shard.shard_id > other.shard_id
+            return unused if gives_quota else None
         if own.quota_shortfall.get(team) is not None or team in own.required_quota:
             return None
         pending = self._pending_resources(shard, team)
         return [unused[i] - pending[i] for i in range(2)]
 
     def _pending_resources(self, shard: Shard, team: str) -> list[int]:
-        """Cpus and gpus of a team's pending tasks in a shard, in fixed point."""
+        """Return the cpus and gpus of a team's pending tasks in a shard, in fixed point."""
         total = [0, 0]
         for job_slice in shard.slices.values():
             if job_slice.spec.team == team and not job_slice.is_cancelled:
@@ -106,9 +109,9 @@
         return total
 
     def largest_gang_cpus(self, shard: Shard, team: str) -> int:
-        """Cpus of the largest of a team's pending gangs in a shard, in fixed point.
+        """Return the cpus of a team's largest pending gang in a shard, in fixed point.
 
-        That quota would only have to be transferred back.
+        This quota is not transferred for other tasks, since the gang would need it back.
         """
         return max(
             (
@@ -122,7 +125,7 @@
         )
 
     def begin(self, shard: Shard, target_id: int, team: str, amounts: list[int]) -> None:
-        """Lower a quota here by some cpus and gpus, and begin to transfer them."""
+        """Stop using cpus and gpus of a team's quota in a shard, and begin to transfer them."""
         self._quotas.pending_transfers[(shard.shard_id, team)] = amounts
         self._context.spawn(self._transfer(shard, target_id, team, amounts))
 
@@ -137,7 +140,7 @@
     def _commit(
         self, shard: Shard, target_id: int, team: str, amounts: list[int]
     ) -> Coroutine[None]:
-        """Change both quotas, until that is certainly carried out or impossible."""
+        """Change both quotas; return once the change is committed or can no longer be."""
         uncertain_version: int | None = None
         attempts = 0
         while True:
@@ -147,10 +150,11 @@
             if current is None or self._leadership.shards.get(shard.shard_id) is not shard:
                 return
             if uncertain_version not in (None, version):
-                # Whatever was sent has been applied or cannot be any more.
+                # The shard map has changed since the uncertain attempt, which was either applied or
+                # will be rejected, since its precondition does not hold any more.
                 return
             is_possible = _has_quota(current, shard.shard_id, team, amounts)
-            if uncertain_version is None and (not is_possible or attempts > MAX_ATTEMPTS):
+            if uncertain_version is None and (not is_possible or attempts > MAX_COMMIT_ATTEMPTS):
                 return
             changed = shard_map.shift_quota(current, shard.shard_id, target_id, team, *amounts)
             preconditions = [self._leadership.fence_precondition(shard.shard_id)]
@@ -164,6 +168,6 @@
 
 
 def _has_quota(current: ShardMap, shard_id: int, team: str, amounts: list[int]) -> bool:
-    """Whether a shard's quota of a team is at least some cpus and gpus."""
+    """Whether a shard's quota of a team is at least ``amounts``, cpus and gpus."""
     cpus, gpus = current.shards[shard_id].quotas.get(team, [0, 0])
     return cpus >= amounts[0] and gpus >= amounts[1]
--- a/marblestair/core/scheduling/reported_capacity.py
+++ b/marblestair/core/scheduling/reported_capacity.py
@@ -1,7 +1,7 @@
-"""Free capacity and quota as the leaders of other shards reported them.
+"""Free capacity and quota that the leaders of other shards reported in their summaries.
 
-A summary counts until the next one of its shard arrives. What is sent to the shard meanwhile is
-subtracted from it, so that the same capacity is not used twice.
+A summary is used until the shard's next one arrives. Tasks that are assigned to the shard in the
+meantime are subtracted from it, so that the same capacity is not used twice.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def reserve_capacity(summary: ShardSummary, spec: JobSpec, task_count: int) -> None:
-    """Subtract tasks that are on their way to a shard from the capacity and quota it reported."""
+    """Subtract tasks that were assigned to a shard from the capacity and quota it reported."""
     resources = spec.resources
     free_quota = summary.free_quota.get(spec.team, [0, 0])
     for i in range(2):
@@ -30,7 +30,7 @@
 def _reserve_on_machines(
     machines: list[FreeCapacity], spec: JobSpec, resources: Resources, task_count: int
 ) -> int:
-    """Subtract tasks from the first machines that have capacity for them; how many there were."""
+    """Subtract tasks from the first machines with capacity for them; return how many fitted."""
     remaining = task_count
     for position, machine in enumerate(machines):
         if remaining <= 0:
@@ -39,12 +39,12 @@
         count = min(remaining, fitting)
         if count > 0:
             remaining -= count
-            machines[position] = _less(machine, resources, count)
+            machines[position] = _subtract_tasks(machine, resources, count)
     return task_count - remaining
 
 
-def _less(machine: FreeCapacity, resources: Resources, task_count: int) -> FreeCapacity:
-    """What a machine has free after it was given some tasks."""
+def _subtract_tasks(machine: FreeCapacity, resources: Resources, task_count: int) -> FreeCapacity:
+    """Return a machine's free capacity less what ``task_count`` tasks use."""
     type_name, zone, spot, free_cpus, free_gpus, free_memory = machine
     cpus, gpus, memory = resources
     return (
@@ -58,7 +58,7 @@
 
 
 def max_free_quota_cpus_by_team(summaries: Iterable[ShardSummary]) -> dict[str, int]:
-    """Team -> the most cpus of free quota that one of some shards reported, in fixed point."""
+    """Return for each team the most cpus of free quota in one shard, in fixed point."""
     most: dict[str, int] = {}
     for summary in summaries:
         for team, free_quota in summary.free_quota.items():
@@ -66,8 +66,8 @@
     return most
 
 
-class TaskShape(NamedTuple):
-    """What decides how many tasks of a job fit into a shard's free capacity."""
+class TaskFitKey(NamedTuple):
+    """The values that determine how many tasks of a job fit into a shard's free capacity."""
 
     shard_id: int
     machine_types: tuple[str, ...] | None
@@ -76,60 +76,60 @@
     resources: Resources
 
 
-class GangShape(NamedTuple):
-    """What decides whether tasks that start together fit into a shard's capacity."""
+class GangFitKey(NamedTuple):
+    """The values that determine whether tasks that start together fit into a shard's capacity."""
 
     shard_id: int
     machine_types: tuple[str, ...] | None
     zone: str | None
     allows_spot: bool
     resources: Resources
-    #: tasks to place, and tasks of the whole job, which limit how many one zone may hold
+    #: tasks to place, and tasks of the whole job, which determine the limit per zone
     task_count: int
     job_task_count: int
     single_zone: bool
     spread_zones: bool
-    #: also with the capacity that preemption would free
+    #: whether the capacity that preemption would free is included
     with_preemptible: bool
 
 
 class ReportedCapacity:
-    """How many tasks fit into the reported free capacity, counted once for each shape of task.
+    """Computes how many tasks fit into the reported free capacity, and caches the results.
 
-    Many jobs have the same shape.
+    Many jobs have the same requirements, and so the same cache key.
     """
 
     def __init__(self) -> None:
-        self._fitting_tasks: dict[TaskShape, int] = {}
-        self._fitting_gangs: dict[GangShape, bool] = {}
+        self._fitting_tasks: dict[TaskFitKey, int] = {}
+        self._fitting_gangs: dict[GangFitKey, bool] = {}
 
     def clear(self) -> None:
-        """Drop the counts, after capacity was reserved in a summary."""
+        """Clear the cache; called after capacity was reserved in a summary."""
         self._fitting_tasks.clear()
         self._fitting_gangs.clear()
 
     def fitting_tasks(self, summary: ShardSummary, job_slice: JobSlice) -> int:
-        """How many tasks of a slice fit into the free capacity of a shard."""
+        """Return how many tasks of a slice fit into the free capacity of a shard."""
         spec = job_slice.spec
-        shape = TaskShape(
+        key = TaskFitKey(
             summary.shard_id,
             None if spec.machine_types is None else tuple(spec.machine_types),
             spec.zone,
             spec.allows_spot,
             job_slice.resources,
         )
-        count = self._fitting_tasks.get(shape)
+        count = self._fitting_tasks.get(key)
         if count is None:
             by_zone = capacity_by_zone(spec, job_slice.resources, summary.free_capacity)
-            count = self._fitting_tasks[shape] = sum(by_zone.values())
+            count = self._fitting_tasks[key] = sum(by_zone.values())
         return count
 
     def fits_together(
         self, summary: ShardSummary, job_slice: JobSlice, count: int, with_preemptible: bool
     ) -> bool:
-        """Whether so many tasks of a slice fit into a shard at the same time."""
+        """Whether ``count`` tasks of a slice fit into a shard at the same time."""
         spec = job_slice.spec
-        shape = GangShape(
+        key = GangFitKey(
             summary.shard_id,
             None if spec.machine_types is None else tuple(spec.machine_types),
             spec.zone,
@@ -141,11 +141,11 @@
             spec.spread_zones,
             with_preemptible,
         )
-        fits = self._fitting_gangs.get(shape)
+        fits = self._fitting_gangs.get(key)
         if fits is None:
             machines = summary.free_capacity
             if with_preemptible:
                 machines = machines + summary.preemptible_capacity
             fits = gang_fits(spec, job_slice.resources, machines, count)
-            self._fitting_gangs[shape] = fits
+            self._fitting_gangs[key] = fits
         return fits
--- a/marblestair/core/scheduling/scheduling_order.py
+++ b/marblestair/core/scheduling/scheduling_order.py
@@ -1,4 +1,4 @@
-"""The order in which the pending slices of a shard are served."""
+"""The order in which the pending slices of a shard are scheduled."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.shard import Shard
 
-#: what puts a job behind others: the sum of those that apply is compared before anything else
+#: penalties of a job: their sum is compared first, and a larger sum is scheduled later
 QUARANTINED_PENALTY = 8
 BEST_EFFORT_PENALTY = 4
 OVERDUE_PENALTY = 2
 INFEASIBLE_PENALTY = 1
-#: a job is overdue when it cannot be done within its deadline and this share of it more
-OVERDUE_SHARE = 0.5
-#: slack of a job without a deadline when it becomes startable
+#: a job is overdue when it cannot be done within its deadline plus this share of the deadline
+OVERDUE_TOLERANCE_SHARE = 0.5
+#: slack of a job without a deadline at the time when it becomes startable
 NO_DEADLINE_SLACK_S = 120.0
 
-#: penalties, whether it has to wait for urgent work, rank of the priority (negative), slack in
-#: seconds, and the job. A plain tuple: one is made and compared for each slice that is sorted, and
-#: a NamedTuple costs a call more for each.
+#: sum of the penalties, 0 if guaranteed or of at least high priority and else 1, negative rank of
+#: the priority, slack in seconds, and job id. A plain tuple, since one is built for each sorted
+#: slice and a NamedTuple would cost one more call each time.
 PriorityKey: TypeAlias = tuple[int, int, int, float, str]
 
 
-def priority_key(  # noqa: PLR0913 - all that it depends on, each by its name
+def priority_key(  # noqa: PLR0913 - the inputs of the key
     spec: JobSpec,
     *,
     wall_time: float,
@@ -42,36 +42,38 @@
     is_best_effort: bool = False,
     has_dependents: bool = False,
 ) -> PriorityKey:
-    """Return the key by which jobs are served, the smallest first.
+    """Return the sort key of a job; the job with the smallest key is scheduled first.
 
-    Guaranteed work and high priorities come first, then the priority, then the slack to the
-    deadline, or the age. Best-effort work comes after all other, and quarantined jobs, which
-    probably fail anyway, come last. A job on which others depend is never put off for its
-    deadline, which is only when they should begin.
+    Guaranteed jobs and those of at least high priority come first. Jobs are then ordered by
+    priority, and by the slack to the deadline, or by age if there is none. Best-effort jobs come
+    after all others, and quarantined jobs, which will probably fail, come last. A job with
+    dependents gets no penalty for its deadline, which is only the time at which the dependents
+    should start.
 
     Parameters
     ----------
     spec
         The job, with the priority and the deadline by which it is scheduled.
     wall_time
-        Time of day in seconds; later than the present for a class that operators prefer.
+        Wall-clock time in seconds; a later time advances a class that the operators prefer.
     run_time_ratio
         Factor that corrects the estimated run time.
     startable_since
-        Time of day from which age counts; by default the acceptance.
+        Wall-clock time from which the age counts; by default the time of acceptance.
     is_guaranteed
         Whether the job is within its team's guaranteed quota.
     is_infeasible
-        Whether the team's limit does not let the job be done in time.
+        Whether the team's limit prevents the job from being done by its deadline.
     is_quarantined, is_best_effort, has_dependents
-        Whether the job probably fails, its team has no guarantee, and others depend on it.
+        Whether the job is quarantined, its team has no guaranteed quota, and other jobs depend on
+        it.
     """
     penalty = QUARANTINED_PENALTY * is_quarantined + BEST_EFFORT_PENALTY * is_best_effort
     if spec.deadline_s is not None:
         slack_s = spec.accepted_at + spec.deadline_s - wall_time
         slack_s -= spec.estimated_run_s * run_time_ratio
         if not has_dependents:
-            is_overdue = slack_s + OVERDUE_SHARE * spec.deadline_s < 0
+            is_overdue = slack_s + OVERDUE_TOLERANCE_SHARE * spec.deadline_s < 0
             penalty += INFEASIBLE_PENALTY * is_infeasible + OVERDUE_PENALTY * is_overdue
     else:
         age_since = spec.accepted_at if startable_since is None else startable_since
@@ -82,7 +84,7 @@
 
 
 def is_pending(shard: Shard, job_slice: JobSlice) -> bool:
-    """Whether a slice that was pending a moment ago still has tasks to start in a shard."""
+    """Whether a slice that was pending at an earlier sort still has pending tasks in a shard."""
     return (
         job_slice.pending.count > 0
         and not job_slice.is_cancelled
@@ -90,8 +92,8 @@
     )
 
 
-class _Ordered(NamedTuple):
-    """The pending slices of a shard as they were sorted at a steady time."""
+class _SortedSlices(NamedTuple):
+    """The pending slices of a shard, as sorted at a monotonic time."""
 
     sorted_at: float
     slices: list[JobSlice]
@@ -116,20 +118,21 @@
         self._guarantees = guarantees
         self._fleet_plan = fleet_plan
         self._dependencies = dependencies
-        #: class -> seconds by which it is served earlier, from the operators' policy
+        #: class -> seconds by which the operators' policy advances its jobs
         self._deadline_offsets_s = deadline_offsets_s
-        self._latest: dict[int, _Ordered] = {}
+        #: shard -> the result of its latest sort
+        self._latest: dict[int, _SortedSlices] = {}
 
     def pending_slices(self, shard: Shard) -> list[JobSlice]:
-        """Return a shard's slices with pending tasks, in the order in which they are served.
+        """Return a shard's slices with pending tasks, in scheduling order.
 
-        They are sorted once for all callers at the same moment.
+        They are sorted only once for all calls at the same monotonic time.
         """
         latest = self._latest.get(shard.shard_id)
         if latest is not None and latest.sorted_at == self._context.now:
             return [job_slice for job_slice in latest.slices if is_pending(shard, job_slice)]
         slices = self._sorted_slices(shard)
-        self._latest[shard.shard_id] = _Ordered(self._context.now, slices)
+        self._latest[shard.shard_id] = _SortedSlices(self._context.now, slices)
         return list(slices)
 
     def _sorted_slices(self, shard: Shard) -> list[JobSlice]:
--- a/marblestair/core/scheduling/services.py
+++ b/marblestair/core/scheduling/services.py
@@ -1,4 +1,4 @@
-"""Composes what decides which task starts where, and what moves between shards."""
+"""Creates and connects the scheduling components of one node."""
 
 from __future__ import annotations
 
@@ -29,9 +29,9 @@
 
 
 class SchedulingServices:
-    """The components of this package, for one node."""
+    """The scheduling components of one node."""
 
-    def __init__(  # noqa: PLR0913 - what the components of a whole package need
+    def __init__(  # noqa: PLR0913 - the collaborators of all components
         self,
         context: NodeContext,
         view: StoreView,
@@ -56,10 +56,10 @@
         self.urgency = InheritedUrgency(context, view, jobs.dependencies, self.run_times)
         jobs.dependencies.subscribe(jobs.job_managers.advance, self.urgency.recompute)
         self.assigner = SliceAssigner(view, summaries, self.arrivals)
-        self._compose_placement(dict(deadline_offsets_s))
-        self._compose_moves()
+        self._create_placement(dict(deadline_offsets_s))
+        self._create_transfers()
 
-    def _compose_placement(self, deadline_offsets_s: dict[str, float]) -> None:
+    def _create_placement(self, deadline_offsets_s: dict[str, float]) -> None:
         self.preemption = Preemption(
             self._context, self._view, self._leading.leadership, self.arrivals, self.fleet_plan
         )
@@ -76,7 +76,7 @@
             deadline_offsets_s,
         )
 
-    def _compose_moves(self) -> None:
+    def _create_transfers(self) -> None:
         context, view, leading = self._context, self._view, self._leading
         self.machine_transfers = MachineTransfers(
             context,
--- a/marblestair/core/scheduling/shard_summary.py
+++ b/marblestair/core/scheduling/shard_summary.py
@@ -1,4 +1,4 @@
-"""What the leader of a shard publishes about it, a few times a second."""
+"""Creation of the summaries that the leader of a shard publishes a few times a second."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
 
 
 class MachineUse(msgspec.Struct):
-    """The machines of a shard by how they are used."""
+    """The machines of a shard, grouped by their use."""
 
-    #: with tasks, and cpus in use in fixed point
+    #: machines with tasks, and their cpus in use, in fixed point
     busy_machines: list[tuple[str, int]] = []
-    #: without tasks, and for how many seconds
+    #: machines without tasks, and how long they have been idle, in seconds
     idle_machines: list[tuple[str, float]] = []
-    #: with tasks of gangs
+    #: machines with tasks of gangs
     gang_machines: list[str] = []
-    #: not to be counted on
+    #: machines that do not count as capacity: unresponsive, overdue, or about to be taken away
     unavailable_machines: list[str] = []
 
 
 class ShardSummarizer:
-    """Summarizes the shards that one node leads."""
+    """Creates the summaries of the shards that one node leads."""
 
     def __init__(  # noqa: PLR0913 - its collaborators
         self,
@@ -55,11 +55,11 @@
         self._machine_transfers = machine_transfers
 
     def summarize(self, shard: Shard) -> ShardSummary:
-        """Summarize a shard for the leaders of the others."""
+        """Create a shard's summary for the leaders of the other shards."""
         demand = measure_demand(self._failures, self._quotas, shard)
         agent_lease_s = self._context.settings.cluster.workers.lease_s
-        absent = partitioned_machines(shard, agent_lease_s, self._context.now)
-        use = self._machine_use(shard, absent)
+        partitioned = partitioned_machines(shard, agent_lease_s, self._context.now)
+        use = self._machine_use(shard, partitioned)
         return ShardSummary(
             shard_id=shard.shard_id,
             term=shard.term,
@@ -78,7 +78,7 @@
             ],
             gang_machines=use.gang_machines,
             unavailable_machines=use.unavailable_machines,
-            partitioned_machines=sorted(absent),
+            partitioned_machines=sorted(partitioned),
             required_quota=demand.required_quota,
             failing_jobs=[
                 (job, machine_count)
@@ -88,7 +88,7 @@
         )
 
     def _free_capacity(self, shard: Shard) -> list[FreeCapacity]:
-        """What the usable machines have free."""
+        """Return the free capacity of the usable machines that no gang has claimed."""
         return [
             (
                 machine.type_name,
@@ -105,7 +105,7 @@
         ]
 
     def _free_quota(self, shard: Shard) -> dict[str, list[int]]:
-        """Team -> cpus and gpus of its quota that are not in use, in fixed point."""
+        """Return the cpus and gpus of each team's quota that are not in use, in fixed point."""
         free_quota = {}
         for team in self._context.teams:
             used, quota = shard.usage(team), self._quotas.quota(shard, team)
@@ -113,7 +113,7 @@
         return free_quota
 
     def _pending_jobs(self, shard: Shard) -> list[tuple[str, int, int]]:
-        """Jobs with unfinished tasks: tasks that demand capacity, and tasks on machines."""
+        """Return unfinished jobs: id, number of tasks that demand capacity, and number placed."""
         pending_jobs = []
         for job, job_slice in shard.slices.items():
             if job_slice.is_cancelled or not (
@@ -125,20 +125,22 @@
             pending_jobs.append((job, pending, len(job_slice.placed_on)))
         return pending_jobs
 
-    def _machine_use(self, shard: Shard, absent: set[str]) -> MachineUse:
-        """Sort a shard's machines; those that are absent for a while are left out."""
+    def _machine_use(self, shard: Shard, partitioned: set[str]) -> MachineUse:
+        """Group a shard's machines by use; partitioned ones are omitted unless being released."""
         use = MachineUse()
         gang_machines = _gang_machines(shard)
         for machine in shard.machines.values():
-            is_returning = machine.cordon is CordonReason.RELEASE
-            is_decommissioned = machine.is_releasing or machine.is_decommissioned or is_returning
-            if machine.name in absent and not is_decommissioned:
+            is_cordoned_for_release = machine.cordon is CordonReason.RELEASE
+            is_decommissioned = (
+                machine.is_releasing or machine.is_decommissioned or is_cordoned_for_release
+            )
+            if machine.name in partitioned and not is_decommissioned:
                 continue
-            if is_decommissioned or self._is_leaving(machine):
+            if is_decommissioned or self._is_unavailable(machine):
                 use.unavailable_machines.append(machine.name)
             elif machine.cordon is not None:
-                # On its way to a gang's shard: neither idle nor lost to the plan, which would rent
-                # a second machine in its place.
+                # The machine is being transferred to a gang's shard, so it is not idle; if it
+                # counted as unavailable, the fleet plan would rent a second machine.
                 continue
             elif (
                 machine.is_reconciled
@@ -155,18 +157,19 @@
                 use.busy_machines.append((machine.name, used_cpus))
         return use
 
-    def _is_leaving(self, machine: Machine) -> bool:
-        """Whether a machine is not to be counted on."""
+    def _is_unavailable(self, machine: Machine) -> bool:
+        """Whether a machine is unresponsive, about to be reclaimed, or overdue."""
         if machine.is_unresponsive or machine.reclaim_at is not None:
             return True
         return self._is_overdue(machine)
 
     def _is_overdue(self, machine: Machine) -> bool:
-        """Whether a rented machine should have sent a heartbeat by now.
+        """Whether a rented machine should have sent this leader a heartbeat by now.
 
-        The time counts from its arrival in the shard: after a failover, or a transfer from another
-        shard, it may have sent heartbeats elsewhere. Were it left out until it sends one here, the
-        others would rent machines in place of the whole shard.
+        The time counts from when the machine was added to the shard, since it may have sent
+        heartbeats to another leader before a failover or a transfer. If machines did not count as
+        capacity until their first heartbeat here, replacements for the whole shard would be rented
+        after a failover.
         """
         if machine.agent_incarnation or machine.machine_type is None:
             return False
@@ -176,7 +179,7 @@
 
 
 def _gang_machines(shard: Shard) -> set[str]:
-    """Machines with tasks of gangs."""
+    """Return the names of the machines that run tasks of gangs."""
     return {
         machine.name
         for job_slice in shard.slices.values()
--- a/marblestair/core/scheduling/slice_assignment.py
+++ b/marblestair/core/scheduling/slice_assignment.py
@@ -1,4 +1,4 @@
-"""Which shard gets which tasks of a new job; unstarted ones can migrate later."""
+"""Assignment of a new job's tasks to shards; pending tasks can migrate later."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
         self._arrivals = arrivals
 
     def assign(self, spec: JobSpec, manager_shard: int) -> dict[str, list[list[int]]]:
-        """Ranges of task numbers by shard."""
+        """Return the ranges of task indexes ``[start, end)`` by shard id."""
         current = self._view.shard_map
         assert current is not None
         load = self._load_by_shard(current, manager_shard)
-        able = _shards_with_quota(spec, current, load) or [manager_shard]
-        if spec.is_indivisible or spec.task_count < 2 * len(able):
-            shard_id = self._shard_for_one_slice(spec, able, load, manager_shard)
+        eligible = _shards_with_quota(spec, current, load) or [manager_shard]
+        if spec.is_indivisible or spec.task_count < 2 * len(eligible):
+            shard_id = self._choose_shard(spec, eligible, load, manager_shard)
             return {str(shard_id): [[0, spec.task_count]]}
         slices: dict[str, list[list[int]]] = {}
         start = 0
-        sizes = shard_map.split_evenly(spec.task_count, len(able))
-        for shard_id, size in zip(sorted(able), sizes, strict=True):
+        sizes = shard_map.split_evenly(spec.task_count, len(eligible))
+        for shard_id, size in zip(sorted(eligible), sizes, strict=True):
             slices[str(shard_id)] = [[start, start + size]]
             start += size
         return slices
@@ -43,7 +43,10 @@
         return received.summary if received is not None else None
 
     def _load_by_shard(self, current: ShardMap, manager_shard: int) -> dict[int, float]:
-        """Pending cpus less free ones, of the manager shard and those with a recent summary."""
+        """Return each shard's backlog less its free cpus, in fixed point.
+
+        Only the manager shard and shards with a recent summary are included.
+        """
         load: dict[int, float] = {}
         for shard_id, shard in enumerate(current.shards):
             is_recent = self._summaries.is_recent(shard_id, shard.term)
@@ -56,29 +59,33 @@
                 load[shard_id] = summary.backlog_cpus - free_cpus
         return load
 
-    def _shard_for_one_slice(
-        self, spec: JobSpec, able: list[int], load: dict[int, float], manager_shard: int
+    def _choose_shard(
+        self, spec: JobSpec, eligible: list[int], load: dict[int, float], manager_shard: int
     ) -> int:
-        """Choose the shard for a job in one slice: one with free capacity, and of least load."""
+        """Choose the least loaded shard for a whole job, preferably one with free capacity."""
         count = spec.task_count if spec.is_indivisible else 1
         summaries = {
             shard_id: summary
-            for shard_id in able
+            for shard_id in eligible
             if (summary := self._summary(shard_id)) is not None
         }
-        candidates = self._fitting_shards(spec, summaries, count) or able
+        candidates = self._fitting_shards(spec, summaries, count) or eligible
         best = min(
             candidates, key=lambda shard_id: (load[shard_id], shard_id != manager_shard, shard_id)
         )
         if best in summaries and spec.kind == JobKind.GANG:
-            # Gangs that are accepted at the same time are not all assigned to the same machines.
+            # Otherwise gangs accepted before the next summary would all count on the same machines.
             reserve_capacity(summaries[best], spec, count)
         return best
 
     def _fitting_shards(
         self, spec: JobSpec, summaries: dict[int, ShardSummary], count: int
     ) -> list[int]:
-        """Shards with free capacity for so many tasks."""
+        """Return the shards where ``count`` tasks fit into the reported capacity.
+
+        Capacity that preemption would free counts only if a latency-sensitive job fits nowhere
+        else.
+        """
         fitting = [
             shard_id
             for shard_id, summary in summaries.items()
@@ -86,7 +93,6 @@
         ]
         if fitting or not self._arrivals.is_latency_sensitive(spec):
             return fitting
-        # Else where it may preempt what runs there.
         return [
             shard_id
             for shard_id, summary in summaries.items()
@@ -100,11 +106,11 @@
 
 
 def _shards_with_quota(spec: JobSpec, current: ShardMap, load: dict[int, float]) -> list[int]:
-    """Shards whose quota of the team holds a task, or the whole gang."""
-    unit = spec.task_count if spec.kind == JobKind.GANG else 1
-    able = []
+    """Return the shards whose quota of the team covers one task, or a whole gang."""
+    min_tasks = spec.task_count if spec.kind == JobKind.GANG else 1
+    eligible = []
     for shard_id in load:
         cpus, gpus = current.shards[shard_id].quotas.get(spec.team, [0, 0])
-        if cpus >= unit * spec.resources[0] and gpus >= unit * spec.resources[1]:
-            able.append(shard_id)
-    return able
+        if cpus >= min_tasks * spec.resources[0] and gpus >= min_tasks * spec.resources[1]:
+            eligible.append(shard_id)
+    return eligible
--- a/marblestair/core/scheduling/slice_migration.py
+++ b/marblestair/core/scheduling/slice_migration.py
@@ -1,10 +1,10 @@
 """Migration of pending tasks between shards: Algorithms 1, 2 and 4 of Bauer and Reichert.
 
-The source drops the task numbers first, then asks the job's ServerManager for the shared and the
-short-term lock in one call, reports the change of ActiveServers (``stay`` or ``log_off``),
-notifies the target, and releases the shared lock. The manager commits the change of the record
-before it replies, so the target starts nothing that the record does not give it. Without a reply
-no shard starts the task numbers until the record has been read back.
+The source first removes the tasks from its pending ones. It then requests the shared and the
+short-term lock from the job's ServerManager in one call, requests the change of ActiveServers
+(``stay`` or ``log_off``), notifies the target, and releases the shared lock. The manager commits
+the change of the job record before it replies, so the target starts only tasks that the record
+assigns to it. Without a reply, the source does not start the tasks before it has read the record.
 """
 
 from __future__ import annotations
@@ -31,33 +31,33 @@
 from marblestair.core.state import keys
 from marblestair.core.state.store_view import StoreView
 
-#: time for a manager, and for the target, to reply, in seconds
+#: reply timeouts for the ServerManager and for the leader of the target, in seconds
 MANAGER_TIMEOUT_S, TARGET_TIMEOUT_S = 1.5, 0.5
-#: migrations in progress at once, per node
+#: maximum number of concurrent migrations from the shards of one node
 MAX_ACTIVE_MIGRATIONS = 4
-#: attempts to get the locks of a job, and the pause between two, in seconds
-MAX_LOCK_ATTEMPTS, LOCK_RETRY_S = 8, 0.1
-#: pause between two attempts to learn the outcome of an update, in seconds
-OUTCOME_RETRY_S = 0.2
+#: attempts to acquire a job's locks, and the delay between two attempts in seconds
+MAX_LOCK_ATTEMPTS, LOCK_RETRY_DELAY_S = 8, 0.1
+#: delay between two attempts to determine the outcome of a migration, in seconds
+OUTCOME_RETRY_DELAY_S = 0.2
 
 
 class Migration(NamedTuple):
-    """A migration in progress."""
+    """A migration of pending tasks to another shard."""
 
     shard: Shard
     job_slice: JobSlice
     target_id: int
-    #: name under which it has the job's locks; no other migration has the same
+    #: unique name under which the migration holds the job's locks
     holder: str
 
     @property
     def job(self) -> str:
-        """The job whose tasks migrate."""
+        """The id of the job whose tasks migrate."""
         return self.job_slice.spec.id
 
 
 class SliceMigrations:
-    """The migrations from one node's shards."""
+    """Runs the migrations from the shards that one node leads."""
 
     def __init__(
         self,
@@ -74,18 +74,21 @@
         self._reader = reader
         self.active_count = 0
         self.completed_count = 0
-        #: migrations of this process, for the names of lock holders
-        self._count = 0
+        #: migrations started by this process; makes the names of lock holders unique
+        self._started_count = 0
 
     def start(
         self, shard: Shard, job_slice: JobSlice, ranges: list[list[int]], target_id: int
     ) -> bool:
-        """Begin to migrate pending tasks of a slice, unless too many migrations are in progress.
+        """Start the migration of pending tasks of a slice; return whether it was started.
+
+        It is not started if too many migrations are active, or if the slice is already migrating,
+        cancelled, or not reconciled yet.
 
         Raises
         ------
         ValueError
-            When one of the tasks is not pending.
+            If one of the tasks is not pending.
         """
         if (
             self.active_count >= MAX_ACTIVE_MIGRATIONS
@@ -97,10 +100,12 @@
         for start, end in ranges:
             for index in range(start, end):
                 if not job_slice.pending.discard(index):
-                    raise ValueError("only pending tasks migrate")
+                    raise ValueError(
+                        f"cannot migrate task {job_slice.spec.id}/{index}: it is not pending"
+                    )
         self.active_count += 1
-        self._count += 1
-        holder = f"{self._context.node}-{self._context.incarnation}-{self._count}"
+        self._started_count += 1
+        holder = f"{self._context.node}-{self._context.incarnation}-{self._started_count}"
         job_slice.migrating_ranges = [list(pair) for pair in ranges]
         job_slice.migration_holder = holder
         self._context.spawn(self._migrate(Migration(shard, job_slice, target_id, holder)))
@@ -111,11 +116,11 @@
             if not (yield from self._lock(migration)):
                 yield from self._abort(migration)
                 return
-            if not _has_dropped_tasks(migration):
-                # The record no longer gives them to this shard.
-                yield from self._ask_manager(ReleaseSlices(migration.job, migration.holder))
+            if not _has_unconfirmed_tasks(migration):
+                # The job record no longer assigns the tasks to this shard.
+                yield from self._send_to_manager(ReleaseSlices(migration.job, migration.holder))
                 return
-            reply = yield from self._ask_manager(_update_message(migration))
+            reply = yield from self._send_to_manager(_update_message(migration))
             if reply is False:
                 yield from self._abort(migration)
                 return
@@ -127,26 +132,26 @@
             self.active_count -= 1
 
     def _lock(self, migration: Migration) -> Coroutine[bool]:
-        """Get the locks of the job; False when they were not given in some attempts."""
+        """Acquire the job's locks; return whether they were granted."""
         shard, job_slice, _, holder = migration
         job = migration.job
         for _ in range(MAX_LOCK_ATTEMPTS):
-            if (yield from self._ask_manager(LockSlices(job, holder))) is True:
+            if (yield from self._send_to_manager(LockSlices(job, holder))) is True:
                 return True
             if job_slice.is_cancelled or shard.slices.get(job) is not job_slice:
                 return False
-            yield Sleep(LOCK_RETRY_S)
+            yield Sleep(LOCK_RETRY_DELAY_S)
         return False
 
     def _abort(self, migration: Migration) -> Coroutine[None]:
-        """End a migration that has certainly changed nothing."""
+        """End a migration that certainly did not change the job record."""
         self._restore(migration.shard, migration.job_slice, migration.holder)
-        yield from self._ask_manager(ReleaseSlices(migration.job, migration.holder))
+        yield from self._send_to_manager(ReleaseSlices(migration.job, migration.holder))
 
-    def _ask_manager(
+    def _send_to_manager(
         self, message: LockSlices | UpdateSlices | ReleaseSlices
     ) -> Coroutine[UpdateReply]:
-        """Ask the job's ServerManager, wherever it runs; None without a reply."""
+        """Send a request to the job's ServerManager, local or remote; None if there is no reply."""
         record = self._view.jobs.get(message.job)
         if record is None:
             return None
@@ -159,10 +164,10 @@
         return reply
 
     def _notify_target(self, migration: Migration, version: int) -> Coroutine[None]:
-        """Announce a migration to the leader of its target.
+        """Announce a migration to the leader of the target shard.
 
-        That replies with the last change entry of the job that it knows, and gets only later ones
-        (Algorithm 4).
+        The leader replies with the number of the job's change entries that it knows, and is sent
+        only the later ones (Algorithm 4).
         """
         job = migration.job
         leader = self._leadership.leader_of(migration.target_id)
@@ -177,24 +182,24 @@
             yield PeerRequest(leader, later, TARGET_TIMEOUT_S)
 
     def _await_outcome(self, migration: Migration) -> Coroutine[None]:
-        """Wait until the record shows what became of the task numbers that were dropped.
+        """Wait until the job record shows the migration's outcome; restore tasks that stay here.
 
-        They may be pending here again only once the manager has released the holder's locks, so
-        that an update that is still on its way will be refused, and only after the record has
+        The tasks may become pending here again only after the manager has released the
+        migration's locks, so that an in-flight update will be rejected, and the record has then
         been read again.
         """
         shard, job_slice, _, holder = migration
         job = migration.job
         is_released = False
         while True:
-            is_released = (yield from self._ask_manager(ReleaseSlices(job, holder))) is True
+            is_released = (yield from self._send_to_manager(ReleaseSlices(job, holder))) is True
             is_here = (
                 self._leadership.shards.get(shard.shard_id) is shard
                 and shard.slices.get(job) is job_slice
             )
-            # Once the outcome of this migration is known, the slice may be in the middle of the
-            # next one, whose dropped numbers are not this one's to restore.
-            if not is_here or not _has_dropped_tasks(migration):
+            # Once the outcome is known, the slice may already be in another migration, whose
+            # tasks must not be restored here.
+            if not is_here or not _has_unconfirmed_tasks(migration):
                 if is_released or not is_here:
                     return
             elif is_released and (yield from self._reader.refresh(job)):
@@ -202,16 +207,16 @@
                 return
             if job not in self._view.jobs:
                 return
-            yield Sleep(OUTCOME_RETRY_S)
+            yield Sleep(OUTCOME_RETRY_DELAY_S)
 
     def _restore(self, shard: Shard, job_slice: JobSlice, holder: str) -> None:
-        """Make the task numbers that were dropped, and are still the slice's, pending again."""
+        """Make the tasks of a migration that still belong to the slice pending again."""
         if job_slice.migration_holder != holder:
             return
-        dropped, job_slice.migrating_ranges = job_slice.migrating_ranges, []
+        unconfirmed, job_slice.migrating_ranges = job_slice.migrating_ranges, []
         if job_slice.is_cancelled or shard.slices.get(job_slice.spec.id) is not job_slice:
             return
-        for start, end in dropped:
+        for start, end in unconfirmed:
             for index in range(start, end):
                 if (
                     job_slice.contains(index)
@@ -221,14 +226,14 @@
                     job_slice.pending.add(index, index + 1)
 
 
-def _has_dropped_tasks(migration: Migration) -> bool:
-    """Whether the slice still lacks task numbers that this migration dropped."""
+def _has_unconfirmed_tasks(migration: Migration) -> bool:
+    """Whether the slice has tasks whose migration by this holder is not confirmed yet."""
     job_slice = migration.job_slice
     return bool(job_slice.migrating_ranges) and job_slice.migration_holder == migration.holder
 
 
 def _update_message(migration: Migration) -> UpdateSlices:
-    """The change of the record that a migration asks for."""
+    """Build the request to change the job record for a migration."""
     shard, job_slice, target_id, holder = migration
     remaining = IndexRanges(job_slice.ranges)
     for start, end in job_slice.migrating_ranges:
--- a/marblestair/core/scheduling/slice_placement.py
+++ b/marblestair/core/scheduling/slice_placement.py
@@ -1,4 +1,4 @@
-"""Launches of the pending tasks of one slice, within its team's quota and the fleet's plan."""
+"""Launches of a slice's pending tasks, within its team's quota and the fleet plan."""
 
 from __future__ import annotations
 
@@ -20,27 +20,27 @@
 from marblestair.core.shard.machine import Machine
 from marblestair.core.shard.shard import Shard
 
-#: the users' rules: every job, also the largest, is to start within this time
+#: the users require that every job, even the largest, starts within this time
 MAX_START_DELAY_S = 240.0
-#: time after which a slice of which nothing runs may use machines that are reserved for expected
-#: gangs; after twice as long, also those that are reserved for gangs that wait
-RESERVATION_LIMIT_S = MAX_START_DELAY_S / 8
-#: weight of the wait for the image in the choice of a machine for guaranteed jobs
+#: time after which a slice without placed tasks may use machines that are reserved for expected
+#: gangs; after twice this time it may also use those reserved for pending gangs
+MAX_RESERVATION_WAIT_S = MAX_START_DELAY_S / 8
+#: weight of the image fetch time when a machine is chosen for a guaranteed job
 GUARANTEED_FETCH_WEIGHT = 3.0
 
 
 class ReservedQuota(dict[str, list[int]]):
-    """Team -> cpus and gpus in fixed point that are reserved for gangs ahead in the queue."""
+    """Quota reserved for gangs ahead in the queue: team -> cpus and gpus, in fixed point."""
 
     def reserve(self, gang: JobSlice) -> None:
-        """Leave the quota for a gang's pending tasks to the gang."""
+        """Reserve the quota that a gang's pending tasks need."""
         amounts = self.setdefault(gang.spec.team, [0, 0])
         amounts[0] += gang.pending.count * gang.resources[0]
         amounts[1] += gang.pending.count * gang.resources[1]
 
 
 class SlicePlacement:
-    """Places slices of the shards that one node leads."""
+    """Places tasks of the slices in the shards that one node leads."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         self._preemption = preemption
 
     def is_deferred(self, job_slice: JobSlice) -> bool:
-        """Whether a slice may start nothing now, whatever capacity is free."""
+        """Whether a slice is deferred: it is not reconciled yet, or its job is backing off."""
         return job_slice.is_unreconciled or self._failures.is_backing_off(
             job_slice.spec.id, self._context.now
         )
@@ -69,13 +69,16 @@
     def available_quota(
         self, shard: Shard, job_slice: JobSlice, reserved: ReservedQuota
     ) -> tuple[int, int]:
-        """Cpus and gpus of its team's quota that are not reserved for gangs ahead of a slice."""
+        """Return the quota of a slice's team less what gangs ahead in the queue have reserved.
+
+        The amounts are cpus and gpus in fixed point, including those in use.
+        """
         quota = self._quotas.quota(shard, job_slice.spec.team)
         amounts = reserved.get(job_slice.spec.team)
         return quota if amounts is None else (quota[0] - amounts[0], quota[1] - amounts[1])
 
     def has_quota_for_one(self, shard: Shard, job_slice: JobSlice, reserved: ReservedQuota) -> bool:
-        """Whether one more of the slice's tasks fits into its team's quota."""
+        """Whether one more task of a slice fits into its team's available quota."""
         quota = self.available_quota(shard, job_slice, reserved)
         used = shard.usage(job_slice.spec.team)
         resources = job_slice.resources
@@ -84,7 +87,7 @@
     def pending_cpus_within_quota(
         self, shard: Shard, job_slice: JobSlice, reserved: ReservedQuota
     ) -> int:
-        """Cpus in fixed point that a slice's pending tasks take, as far as the quota allows."""
+        """Return the cpus of a slice's pending tasks, up to the unused quota, in fixed point."""
         quota = self.available_quota(shard, job_slice, reserved)
         free_cpus = quota[0] - shard.usage(job_slice.spec.team)[0]
         return max(0, min(free_cpus, job_slice.pending.count * job_slice.resources[0]))
@@ -99,21 +102,21 @@
         reserved: ReservedQuota,
         max_tasks: int | None = None,
     ) -> int:
-        """Launch pending tasks of an array, up to ``max_tasks`` if given; return how many."""
+        """Launch pending tasks of an array, up to ``max_tasks`` if given; return their number."""
         job = job_slice.spec.id
         if max_tasks is None:
             max_tasks = job_slice.pending.count
         if self._failures.is_quarantined(job):
             if job_slice.placed_on:
                 return 0
-            # It tries with one task at a time.
+            # A quarantined job retries with one task at a time.
             max_tasks = min(max_tasks, 1)
         excluded: Collection[str] = self._fleet_plan.reserved_machines.keys()
         waited_s = self._context.now - job_slice.pending_since
-        if excluded and not job_slice.placed_on and waited_s > RESERVATION_LIMIT_S:
-            excluded = self._machines_reserved_after(waited_s)
+        if excluded and not job_slice.placed_on and waited_s > MAX_RESERVATION_WAIT_S:
+            excluded = self._machines_still_reserved(waited_s)
             if not self._has_unreserved_machine(candidates.free, job_slice.resources[0]):
-                # One task is enough to start; the rest leaves the gang its machines.
+                # One task is enough for the job to start; the gang keeps the other machines.
                 max_tasks = min(max_tasks, 1)
         avoided = self._failures.avoided_machines(job, self._context.now)
         constraints = ArrayConstraints(
@@ -125,14 +128,14 @@
         )
         return place_array(shard, job_slice, candidates, constraints, self._context.rng)
 
-    def _machines_reserved_after(self, waited_s: float) -> set[str]:
-        """Machines that a slice leaves to gangs although it has waited for some time."""
-        if waited_s > 2 * RESERVATION_LIMIT_S:
+    def _machines_still_reserved(self, waited_s: float) -> set[str]:
+        """Return the reserved machines that a slice which has waited this long may not use yet."""
+        if waited_s > 2 * MAX_RESERVATION_WAIT_S:
             return set()
         return {name for name, job in self._fleet_plan.reserved_machines.items() if job}
 
     def _has_unreserved_machine(self, machines: list[Machine], cpus: int) -> bool:
-        """Whether a machine that is reserved for no gang has so many cpus free."""
+        """Whether any machine that is not reserved for a gang has this many cpus free."""
         reserved = self._fleet_plan.reserved_machines
         return any(machine.name not in reserved and machine.free[0] >= cpus for machine in machines)
 
@@ -145,9 +148,10 @@
         reserved: ReservedQuota,
         free: list[Machine] | None = None,
     ) -> bool:
-        """Launch a gang whole, if it fits; return whether it was launched.
+        """Launch all tasks of a gang if they fit; return whether they were launched.
 
-        It is placed on ``free`` machines and those that are claimed for it, or else on any.
+        The gang is placed on ``free`` machines and on those claimed for it; if ``free`` is None,
+        on any machines of the shard.
         """
         job, cpus = gang.spec.id, gang.resources[0]
         machines: Iterable[Machine] = shard.machines.values() if free is None else free
@@ -172,13 +176,13 @@
             self._context.now,
         )
         if is_launched:
-            self._log_start(shard, gang)
+            self._log_launch(shard, gang)
         return is_launched
 
-    def _log_start(self, shard: Shard, gang: JobSlice) -> None:
+    def _log_launch(self, shard: Shard, gang: JobSlice) -> None:
         waited_s = self._context.wall_time - gang.startable_since
         self._context.log(
             "info",
-            f"shard {shard.shard_id} starts {gang.spec.id}: gang of {gang.spec.job_class},"
-            f" {waited_s:.1f} s after it could start",
+            f"shard {shard.shard_id} launched gang {gang.spec.id}:"
+            f" class={gang.spec.job_class} waited_s={waited_s:.1f}",
         )
--- a/marblestair/core/scheduling/starvation.py
+++ b/marblestair/core/scheduling/starvation.py
@@ -1,7 +1,9 @@
-"""Prevention of starvation: work that has waited for too long is served ahead of everything else.
+"""Starvation prevention: slices that have waited too long are scheduled before all others.
 
-Each array that has not begun gets a few tasks at first. Arrays that have begun, and are older
-still, get tasks within a share of their team's quota. Gangs go to the head of the queue.
+A starved array that has not started may launch a few of its tasks. A started array is starved only
+after a longer time, and may then launch any number. The starved arrays of a team together get at
+most a share of its quota, which only a minimum of one task may exceed. Starved gangs move to the
+head of the queue.
 """
 
 from __future__ import annotations
@@ -20,18 +22,19 @@
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.shard import Shard
 
-#: time since it became startable after which a pending slice counts as starved
-STARVATION_S = 0.4 * MAX_START_DELAY_S
-#: time after which an array that has begun is not only to begin but to proceed
-PROCEED_LIMIT_S = 2 * MAX_START_DELAY_S
-#: share of a team's quota for its starved arrays
+#: time since a pending slice became startable after which it is starved
+MIN_STARVED_AGE_S = 0.4 * MAX_START_DELAY_S
+#: time since an array became startable after which it is scheduled as starved even if it has
+#: already started
+MIN_STARVED_AGE_STARTED_S = 2 * MAX_START_DELAY_S
+#: share of a team's quota that its starved arrays may use together
 STARVED_QUOTA_SHARE = 0.25
-#: a starved array that has not begun gets one in this many of its tasks at first
-FIRST_TASKS_DIVISOR = 16
+#: a starved array that has not started may launch its number of tasks divided by this
+INITIAL_TASKS_DIVISOR = 16
 
 
 class StarvationPrevention:
-    """Serves the starved slices of the shards that one node leads."""
+    """Schedules the starved slices of the shards that one node leads."""
 
     def __init__(
         self,
@@ -45,17 +48,19 @@
         self._failures = failures
         self._placement = placement
 
-    def schedule_starved(self, shard: Shard, queue: PendingQueue, candidates: CandidateMachines) -> None:
-        """Launch starved work, and note in the queue what is to be launched ahead of the rest."""
+    def schedule_starved(
+        self, shard: Shard, queue: PendingQueue, candidates: CandidateMachines
+    ) -> None:
+        """Launch tasks of starved arrays; queue their other tasks and starved gangs first."""
         wall_time = self._context.wall_time
         starved = [
             job_slice
             for job_slice in queue.order
-            if wall_time - job_slice.startable_since > STARVATION_S
+            if wall_time - job_slice.startable_since > MIN_STARVED_AGE_S
         ]
         if not starved:
             return
-        self._serve_arrays(shard, starved, queue, candidates)
+        self._schedule_arrays(shard, starved, queue, candidates)
         is_quarantined = self._failures.is_quarantined
         gangs = [
             job_slice
@@ -66,7 +71,7 @@
             others = [job_slice for job_slice in queue.order if job_slice not in gangs]
             queue.order = [*gangs, *others]
 
-    def _serve_arrays(
+    def _schedule_arrays(
         self,
         shard: Shard,
         starved: list[JobSlice],
@@ -81,8 +86,8 @@
             and not self._failures.is_quarantined(job_slice.spec.id)
         ]
         arrays.sort(key=lambda job_slice: (job_slice.startable_since, job_slice.spec.id))
-        not_begun = [array for array in arrays if not (array.placed_on or array.done_count)]
-        begun = [array for array in arrays if array.placed_on or array.done_count]
+        unstarted = [array for array in arrays if not (array.placed_on or array.done_count)]
+        started = [array for array in arrays if array.placed_on or array.done_count]
         launches = _StarvedLaunches(
             shard,
             queue,
@@ -91,20 +96,20 @@
             self._placement,
             running_cpus=self._running_cpus(shard),
         )
-        for array in not_begun:
-            launches.begin(array)
-        for array in begun:
-            if self._context.wall_time - array.startable_since >= PROCEED_LIMIT_S:
-                launches.proceed(array)
+        for array in unstarted:
+            launches.start_array(array)
+        for array in started:
+            if self._context.wall_time - array.startable_since >= MIN_STARVED_AGE_STARTED_S:
+                launches.continue_array(array)
 
     def _running_cpus(self, shard: Shard) -> dict[str, int]:
-        """Team -> cpus in fixed point that its starved arrays use in a shard."""
+        """Return the cpus that each team's starved arrays use in a shard, in fixed point."""
         wall_time = self._context.wall_time
         running_cpus: dict[str, int] = {}
         for job_slice in shard.slices.values():
             if (
                 job_slice.placed_on
-                and wall_time - job_slice.startable_since > STARVATION_S
+                and wall_time - job_slice.startable_since > MIN_STARVED_AGE_S
                 and job_slice.spec.kind != JobKind.GANG
             ):
                 team = job_slice.spec.team
@@ -114,7 +119,7 @@
 
 
 class _StarvedLaunches:
-    """The launches of starved arrays in one placement pass over a shard."""
+    """Launches tasks of starved arrays in one placement pass over a shard."""
 
     def __init__(
         self,
@@ -131,25 +136,25 @@
         self._quotas = quotas
         self._placement = placement
         self._running_cpus = running_cpus
-        #: teams of which an array that has begun is still to get a task in any case
-        self._teams_with_pending_task: set[str] = set()
+        #: teams of which a started array was already added to the queue's starved slices
+        self._teams_with_queued_array: set[str] = set()
 
-    def begin(self, array: JobSlice) -> None:
-        """Launch a few tasks of an array that has not begun; one of them in any case."""
-        self._launch(array, max(1, array.size // FIRST_TASKS_DIVISOR), 1)
+    def start_array(self, array: JobSlice) -> None:
+        """Launch a few tasks of an array that has not started; one may exceed the team's share."""
+        self._launch(array, max(1, array.size // INITIAL_TASKS_DIVISOR), 1)
 
-    def proceed(self, array: JobSlice) -> None:
-        """Launch tasks of an array that has begun.
+    def continue_array(self, array: JobSlice) -> None:
+        """Launch tasks of an array that has started.
 
-        A team of which no starved array runs gets one task in any case, however large.
+        If no starved array of the team is running, one task may exceed the team's share.
         """
         team = array.spec.team
-        is_served = self._running_cpus.get(team) or team in self._teams_with_pending_task
-        if self._launch(array, array.size, 0 if is_served else 1):
-            self._teams_with_pending_task.add(team)
+        has_minimum = self._running_cpus.get(team) or team in self._teams_with_queued_array
+        if self._launch(array, array.size, 0 if has_minimum else 1):
+            self._teams_with_queued_array.add(team)
 
     def _launch(self, array: JobSlice, max_tasks: int, min_tasks: int) -> bool:
-        """Launch tasks within the share for starved work; whether the queue holds the rest."""
+        """Launch tasks within the team's share; return whether the remaining ones were queued."""
         team, cpus = array.spec.team, array.resources[0]
         cpus_left = self._cpus_left(team)
         count = max(min_tasks, min(max_tasks, cpus_left // cpus)) if cpus else max_tasks
@@ -167,7 +172,7 @@
         return True
 
     def _cpus_left(self, team: str) -> int:
-        """Cpus in fixed point that a team's starved arrays may still use."""
+        """Return the cpus that a team's starved arrays may still use, in fixed point."""
         cpus_left = self._queue.starved_cpus_left.get(team)
         if cpus_left is None:
             quota_cpus = self._quotas.quota(self._shard, team)[0]
--- a/marblestair/core/scheduling/unused_quota_transfers.py
+++ b/marblestair/core/scheduling/unused_quota_transfers.py
@@ -1,7 +1,8 @@
-"""Quota for shards that have free capacity for tasks which can be placed in no shard now.
+"""Transfers of unused quota to shards that have free capacity for pending tasks.
 
-The tasks follow their quota by migration. Quota that no machine of its shard can use would
-otherwise be lost to the team.
+They are for tasks that cannot be placed in any shard now, since no shard has both the capacity and
+the quota for them. The tasks then migrate to the target shard. Without a transfer, the team could
+not use quota in a shard whose machines have no capacity for its tasks.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 
 class UnusedQuotaTransfers:
-    """The offers of one shard's quota in one pass over its pending slices."""
+    """Transfers a shard's unused quota during one pass over its pending slices."""
 
     def __init__(
         self,
@@ -35,11 +36,14 @@
         self._shard = shard
         self._summaries = summaries
         self._capacity = capacity
-        #: team -> whether some of its quota here is not in use
+        #: team -> whether part of its quota in the shard is unused
         self._has_unused_quota: dict[str, bool] = {}
 
     def transfer_for(self, job_slice: JobSlice) -> None:
-        """Transfer unused quota to a shard with free capacity for a slice's tasks, if there is."""
+        """Begin to transfer unused quota to a shard with capacity for a slice's tasks, if any.
+
+        Only one transfer at a time is in progress per node.
+        """
         team = job_slice.spec.team
         has_unused = self._has_unused_quota.get(team)
         if has_unused is None:
@@ -50,7 +54,7 @@
             self._begin_transfer(job_slice)
 
     def _begin_transfer(self, job_slice: JobSlice) -> None:
-        """Transfer quota to the first shard whose machines have free capacity for the tasks."""
+        """Begin a transfer to the first shard whose machines have free capacity for the tasks."""
         spec, resources = job_slice.spec, job_slice.resources
         used = self._shard.usage(spec.team)
         cpus, gpus = self._quotas.quota(self._shard, spec.team)
