--- a/marblestair/request_executor.py
+++ b/marblestair/request_executor.py
@@ -16,7 +16,7 @@
 )
 from marblestair.core.runtime.outbox import DirectCommand
 from marblestair.core.runtime.rejected_writes import RejectedWrites
-from marblestair.core.runtime.requests import InspectAgent, OutsideRequest, PeerRequest
+from marblestair.core.runtime.requests import InspectAgent, CoroutineRequest, PeerRequest
 from marblestair.core.runtime.store_requests import (
     NOT_SENT,
     CompareAndSwap,
@@ -117,7 +117,7 @@
         for link in self.links.values():
             link.close()
 
-    async def execute(self, request: OutsideRequest) -> Any:
+    async def execute(self, request: CoroutineRequest) -> Any:
         """The response to a request, of the type that belongs to it; :func:`no_response` if none.
 
         A defect in what is called ends this request only: it is logged.
@@ -135,7 +135,7 @@
         )
         await self._agents.request(command.address, "POST", COMMAND_PATH, body, AGENT_TIMEOUT_S)
 
-    async def _send(self, request: OutsideRequest) -> Any:
+    async def _send(self, request: CoroutineRequest) -> Any:
         if isinstance(request, PeerRequest):
             return await self._request_peer(request)
         if isinstance(request, STORE_REQUESTS):
@@ -198,7 +198,7 @@
             return None
 
 
-def no_response(request: OutsideRequest) -> StoreResponse | CloudResponse | None:
+def no_response(request: CoroutineRequest) -> StoreResponse | CloudResponse | None:
     """The response to a request that got none."""
     if isinstance(request, (PeerRequest, InspectAgent)):
         return None
