--- a/marblestair/core/scheduling/services.py
+++ b/marblestair/core/scheduling/services.py
@@ -35,7 +35,7 @@
         self,
         context: NodeContext,
         view: StoreView,
-        leading: LeadershipServices,
+        leadership_services: LeadershipServices,
         jobs: JobServices,
         catalog: MachineCatalog,
         summaries: ReceivedSummaries,
@@ -43,7 +43,7 @@
     ) -> None:
         self._context = context
         self._view = view
-        self._leading = leading
+        self._leadership_services = leadership_services
         self._jobs = jobs
         self._summaries = summaries
         self.failures = FailureAttribution(context.settings.cluster.workers)
@@ -61,7 +61,11 @@
 
     def _create_placement(self, deadline_offsets_s: dict[str, float]) -> None:
         self.preemption = Preemption(
-            self._context, self._view, self._leading.leadership, self.arrivals, self.fleet_plan
+            self._context,
+            self._view,
+            self._leadership_services.leadership,
+            self.arrivals,
+            self.fleet_plan,
         )
         self.dispatcher = Dispatcher(
             self._context,
@@ -77,13 +81,13 @@
         )
 
     def _create_transfers(self) -> None:
-        context, view, leading = self._context, self._view, self._leading
+        context, view, leadership_services = self._context, self._view, self._leadership_services
         self.machine_transfers = MachineTransfers(
             context,
             view,
-            leading.leadership,
-            leading.follower,
-            leading.shard_map_updates,
+            leadership_services.leadership,
+            leadership_services.follower,
+            leadership_services.shard_map_updates,
             self._summaries,
             self.failures,
             self.fleet_plan,
@@ -102,14 +106,18 @@
         self.quota_transfers = QuotaTransfers(
             context,
             view,
-            leading.leadership,
-            leading.shard_map_updates,
+            leadership_services.leadership,
+            leadership_services.shard_map_updates,
             self.quotas,
             self._summaries,
             self.summarizer,
         )
         self.slice_migrations = SliceMigrations(
-            context, view, leading.leadership, self._jobs.migration_locks, self._jobs.reader
+            context,
+            view,
+            leadership_services.leadership,
+            self._jobs.migration_locks,
+            self._jobs.reader,
         )
         self.migration_planner = MigrationPlanner(
             context,
