--- a/marblestair/request_executor.py
+++ b/marblestair/request_executor.py
@@ -16,7 +16,7 @@
 )
 from marblestair.core.runtime.outbox import DirectCommand
 from marblestair.core.runtime.rejected_writes import RejectedWrites
-from marblestair.core.runtime.requests import InspectAgent, CoroutineRequest, PeerRequest
+from marblestair.core.runtime.requests import CoroutineRequest, InspectAgent, PeerRequest
 from marblestair.core.runtime.store_requests import (
     NOT_SENT,
     CompareAndSwap,
