--- a/marblestair/core/capacity/__init__.py
+++ b/marblestair/core/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""How many machines there should be: demand, planning, scaling out and in, and their failures."""
+"""Autoscaling of the fleet: planning, rental and release of machines, and handling of lost ones."""
--- a/marblestair/core/capacity/array_capacity.py
+++ b/marblestair/core/capacity/array_capacity.py
@@ -1,41 +1,43 @@
-"""Capacity for arrays: how many cpus they should have, and what to rent for that.
+"""Planning of the capacity for arrays: the cpus they should have, and the rentals to get there.
 
-What is due before a machine rented now could have done it cannot be helped by renting, so it
-counts as due when such a machine would have done it.
+Renting cannot help work whose deadline a machine rented now would miss, so a later completion time
+is planned for that work.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from marblestair.core.capacity.machine_kinds_by_price import MIN_CPUS, KindsByPrice
+from marblestair.core.capacity.machine_kinds_by_price import MIN_DIVISOR_CPUS, KindsByPrice
 from marblestair.core.capacity.plan_draft import PlanDraft
 from marblestair.core.capacity.provisioning import JobLoad, Tuning
 from marblestair.core.domain.jobs import JobSpec
 from marblestair.core.domain.machine_kinds import MachineKind, tasks_per_machine
 
-#: run times ahead of its due time from which on work is worth ordinary machines, though it may run
-#: on spot ones
+#: work that may run on spot machines is urgent, and worth on-demand ones, when fewer than this many
+#: run times are left until it is due
 URGENT_RUN_TIMES = 1.5
-#: share of the capacity that must lack before ordinary machines are rented for work that may run on
-#: spot ones
-MIN_ORDINARY_LACK = 0.03
-#: price of spot work against an ordinary machine's below which the latter is to be replaced
+#: shortfall, as a share of the capacity, from which on-demand machines are rented for work that may
+#: run on spot ones
+MIN_ON_DEMAND_SHORTFALL_SHARE = 0.03
+#: ratio of the price of a spot cpu to that of an on-demand machine's cpu below which the on-demand
+#: machine is replaced
 REPLACEMENT_PRICE_RATIO = 0.7
-#: an ordinary machine with more than this many times the cpus that lack would be half empty
-MAX_SIZE_RATIO = 2
-#: work that has less than this share of its run time left is not done by its deadline
+#: maximum ratio of an on-demand machine's cpus to the shortfall; a larger one would be mostly empty
+MAX_MACHINE_SIZE_RATIO = 2
+#: work that is due in less than this share of its run time is considered infeasible
 INFEASIBLE_RUN_SHARE = 0.3
-#: time in which such work should be done, in times of a boot and a run
+#: planned time to completion of infeasible work, as a multiple of the time for a boot and a run
 INFEASIBLE_TIME_RATIO = 3.0
 
 
 def demanded_cpus(
     arrays: list[JobLoad], boot_s: float, tuning: Tuning, lead_run_times: float | None = None
 ) -> float:
-    """Return the cpus with which the pending arrays are done well before they are due.
+    """Return the cpus that run the placed tasks and complete the pending ones before they are due.
 
-    With ``lead_run_times``, they need not be done earlier than so many run times ahead of that.
+    With ``lead_run_times``, the pending tasks need not be completed earlier than this many run
+    times before they are due.
     """
     total = 0.0
     for load in arrays:
@@ -44,7 +46,7 @@
         if not load.pending:
             continue
         if load.due_in_s < INFEASIBLE_RUN_SHARE * load.run_s:
-            # What can no longer be done in time is served last, at leisure.
+            # The deadline can no longer be met, so this work does not need capacity soon.
             time_s = INFEASIBLE_TIME_RATIO * (boot_s + load.run_s)
         else:
             time_s = max(tuning.deadline_share * load.due_in_s, load.run_s)
@@ -55,12 +57,12 @@
 
 
 def _largest_backlog(loads: list[JobLoad]) -> JobLoad:
-    """The job with most pending cpus."""
+    """Return the job whose pending tasks need the most cpus."""
     return max(loads, key=lambda load: (load.pending * load.spec.cpus, load.spec.id))
 
 
 class ArrayCapacity:
-    """Plans the capacity for arrays, beside the machines that gangs were allocated."""
+    """Plans the capacity for arrays, without the machines that run or are allocated to gangs."""
 
     def __init__(
         self,
@@ -77,11 +79,12 @@
         self._tuning = tuning
         self._boot_s = boot_s
         self._machines = draft.array_machines()
-        #: share of the target that is worth ordinary machines where work may run on spot ones
+        #: share of the target that urgent work demands, for which on-demand machines are rented
+        #: though it may run on spot ones
         self._urgent_share = 1.0
 
     def set_target(self, average_array_cpus: float, smooth: Callable[[float], float]) -> None:
-        """Decide how many cpus the arrays should have, and count those that they have."""
+        """Set the plan's target for the arrays' cpus, and the cpus that they have now."""
         target = demanded_cpus(self._arrays, self._boot_s, self._tuning)
         if target > 0:
             urgent = demanded_cpus(self._arrays, self._boot_s, self._tuning, URGENT_RUN_TIMES)
@@ -91,32 +94,35 @@
         self._plan.target_cpus = smooth(target)
         self._plan.capacity_cpus = sum(machine.machine_type.cpus for machine in self._machines)
 
-    def rent(self) -> None:
-        """Request the cheapest kind for what lacks, beyond machines that spot ones replace."""
+    def request_shortfall(self) -> None:
+        """Request machines of the cheapest kind for the shortfall of the capacity to the target.
+
+        On-demand machines that spot ones should replace do not count as capacity.
+        """
         if not self._arrays:
             return
-        target, capacity = self._plan.target_cpus, self._competitive_cpus()
+        target, capacity = self._plan.target_cpus, self._cost_effective_cpus()
         if target <= capacity:
             return
         spec = _largest_backlog(self._arrays).spec
-        lack = target - capacity
-        kind = _first_of_fitting_size(self._kinds.cheapest_first(spec), lack)
+        shortfall = target - capacity
+        kind = _first_of_fitting_size(self._kinds.cheapest_first(spec), shortfall)
         if kind is None:
             return
         if not kind.spot and spec.allows_spot and self._plan.capacity_cpus > 0:
-            # Neither work that has time left nor noise in the demand of a large fleet is worth an
-            # ordinary machine.
-            lack = self._urgent_share * target - capacity
-            if lack < MIN_ORDINARY_LACK * self._plan.capacity_cpus:
+            # Neither work that is not urgent nor noise in the demand of a large fleet justifies an
+            # on-demand machine.
+            shortfall = self._urgent_share * target - capacity
+            if shortfall < MIN_ON_DEMAND_SHORTFALL_SHARE * self._plan.capacity_cpus:
                 return
-        # Less than half a machine is not worth one, unless there is none at all.
-        count = round(lack / kind.machine_type.cpus)
+        # A shortfall of less than half a machine is ignored, unless there is no capacity at all.
+        count = round(shortfall / kind.machine_type.cpus)
         if self._plan.capacity_cpus <= 0:
             count = max(1, count)
         self._draft.request(kind, count)
 
-    def _competitive_cpus(self) -> float:
-        """Cpus of the machines, without the ordinary ones that spot ones would replace."""
+    def _cost_effective_cpus(self) -> float:
+        """Return the cpus of all machines but the on-demand ones that spot ones should replace."""
         spot_price = self._kinds.spot_price_per_cpu(self._arrays)
         if spot_price is None:
             return sum(machine.machine_type.cpus for machine in self._machines)
@@ -125,11 +131,12 @@
             machine.machine_type.cpus
             for machine in self._machines
             if machine.spot
-            or machine.machine_type.price / max(machine.machine_type.cpus, MIN_CPUS) <= max_price
+            or machine.machine_type.price / max(machine.machine_type.cpus, MIN_DIVISOR_CPUS)
+            <= max_price
         )
 
-    def rent_in_required_zones(self) -> None:
-        """Request machines for work that must run in a zone, whatever there is in others."""
+    def request_in_required_zones(self) -> None:
+        """Request machines for work that must run in one zone, by the capacity of that zone."""
         by_zone: dict[str, list[JobLoad]] = {}
         for load in self._arrays:
             if load.spec.zone is not None and load.pending:
@@ -141,15 +148,15 @@
             cpus = sum(
                 machine.machine_type.cpus
                 for machine in self._machines
-                if machine.zone == zone and not machine.is_absent
+                if machine.zone == zone and not machine.is_partitioned
             )
             requested = self._draft.requested_cpus(zone, self._kinds.types)
             target = demanded_cpus(loads, self._boot_s, self._tuning)
             count = round((target - cpus - requested) / kinds[0].machine_type.cpus)
             self._draft.request(kinds[0], count)
 
-    def rent_for_unserved(self) -> None:
-        """Request a machine for work that may run on none at hand, whatever the capacity."""
+    def request_for_unserved(self) -> None:
+        """Request a machine for each array that may run on no machine of the fleet."""
         for load in self._arrays:
             if not load.pending or self._is_served(load.spec):
                 continue
@@ -158,7 +165,7 @@
                 self._draft.request(kinds[0], 1)
 
     def _is_served(self, spec: JobSpec) -> bool:
-        """Whether a job may run on a machine at hand that is not reserved."""
+        """Whether a job may run on a machine of the fleet that is not reserved for a gang."""
         return any(
             spec.may_run_on(machine.machine_type.name, machine.zone, machine.spot)
             and tasks_per_machine(machine.machine_type, spec.resources)
@@ -167,9 +174,9 @@
         )
 
 
-def _first_of_fitting_size(kinds: list[MachineKind], lack: float) -> MachineKind | None:
-    """The first kind that is not much larger than what lacks; any spot kind, or else the last."""
+def _first_of_fitting_size(kinds: list[MachineKind], shortfall: float) -> MachineKind | None:
+    """Return the first kind that is spot or not much larger than the shortfall, else the last."""
     for kind in kinds:
-        if kind.spot or kind.machine_type.cpus <= MAX_SIZE_RATIO * lack:
+        if kind.spot or kind.machine_type.cpus <= MAX_MACHINE_SIZE_RATIO * shortfall:
             return kind
     return kinds[-1] if kinds else None
--- a/marblestair/core/capacity/capacity_refusals.py
+++ b/marblestair/core/capacity/capacity_refusals.py
@@ -1,4 +1,4 @@
-"""Kinds of machines of which the cloud has none, and until when they are not requested."""
+"""Kinds of machines that the cloud has no capacity for, and until when they are not requested."""
 
 from __future__ import annotations
 
@@ -9,46 +9,46 @@
 from marblestair.core.messaging.messages import CapacityRefusal
 from marblestair.core.runtime.context import NodeContext
 
-#: the longest time for which a refusal that another controller reports counts, in seconds
-MAX_REPORTED_S = 300.0
+#: maximum time for which a refusal reported by another controller is valid, in seconds
+MAX_REPORTED_REFUSAL_S = 300.0
 
-#: type, zone, and whether spot
+#: name of the machine type, zone, and whether it is a spot machine
 KindKey: TypeAlias = tuple[str, str, bool]
 
 
 class CapacityRefusals:
-    """The refusals that one node received from the cloud, or that other nodes reported."""
+    """The refusals that one node received from the cloud, and those that other nodes reported."""
 
     def __init__(self, context: NodeContext) -> None:
         self._context = context
-        self._until: dict[KindKey, float] = {}
+        #: kind -> monotonic time until which it is not requested
+        self._refused_until: dict[KindKey, float] = {}
 
-    def refuse(self, kind: KindKey, seconds: float) -> None:
-        """The cloud has refused a kind to this node, which requests it again after some time."""
-        self._until[kind] = self._context.now + seconds
+    def record_refusal(self, kind: KindKey, seconds: float) -> None:
+        """Record that the cloud refused a kind, which is not requested for this many seconds."""
+        self._refused_until[kind] = self._context.now + seconds
 
     def is_refused(self, kind: MachineKind) -> bool:
-        """Whether a kind is not to be requested now."""
-        until = self._until.get(kind.key)
+        """Whether a refusal of a kind is still valid, so that it must not be requested now."""
+        until = self._refused_until.get(kind.key)
         return until is not None and self._context.now < until
 
     def current(self) -> list[CapacityRefusal]:
-        """List the refusals that count now.
+        """Return the refusals that are still valid.
 
-        They are sent to the others, so that each does not have to learn them by a request of its
-        own.
+        They are sent to the other nodes, so that these need no refused request of their own.
         """
         now = self._context.now
         return [
             CapacityRefusal(*kind, round(until - now, 2))
-            for kind, until in sorted(self._until.items())
+            for kind, until in sorted(self._refused_until.items())
             if until > now
         ]
 
     def receive(self, refusals: Iterable[CapacityRefusal]) -> None:
-        """Record the refusals that another controller reports."""
+        """Record the refusals that another controller reports; a later expiry is kept."""
         for refusal in refusals:
             kind = (refusal.machine_type, refusal.zone, refusal.spot)
-            until = self._context.now + min(refusal.remaining_s, MAX_REPORTED_S)
-            known = self._until.get(kind)
-            self._until[kind] = until if known is None else max(until, known)
+            until = self._context.now + min(refusal.remaining_s, MAX_REPORTED_REFUSAL_S)
+            known = self._refused_until.get(kind)
+            self._refused_until[kind] = until if known is None else max(until, known)
--- a/marblestair/core/capacity/catalog_updates.py
+++ b/marblestair/core/capacity/catalog_updates.py
@@ -1,4 +1,7 @@
-"""Updates of the machine types: from the store first, since the cloud may be down."""
+"""Updates of the catalog of machine types from the store and the cloud.
+
+The types are read from the store first, since the cloud may be down.
+"""
 
 from __future__ import annotations
 
@@ -22,14 +25,14 @@
 from marblestair.core.state import keys
 from marblestair.core.state.machine_catalog import MachineCatalog
 
-#: keys in one page of a listing
-LISTED_KEYS = 1000
-#: seconds between two requests to the cloud: at least, and the random part
-REFRESH_S, RANDOM_REFRESH_S = 60.0, 30.0
-#: the same while the cloud does not answer: with types known, and without
-RETRY_KNOWN_S, RETRY_UNKNOWN_S = 5.0, 0.8
-#: pause after types were written to the store
-WRITTEN_PAUSE_S = 1.0
+#: maximum number of keys in one page of a listing
+MAX_LISTED_KEYS = 1000
+#: pause between two requests to the cloud: its minimum, and the bound of its random part
+MIN_REFRESH_PAUSE_S, REFRESH_JITTER_S = 60.0, 30.0
+#: mean pause after a failed request to the cloud: with types known, and without
+RETRY_WITH_TYPES_S, RETRY_WITHOUT_TYPES_S = 5.0, 0.8
+#: pause after an attempt to write new types to the store
+STORE_PAUSE_S = 1.0
 
 
 class CatalogUpdates:
@@ -41,53 +44,55 @@
         self._context = context
         self._leadership = leadership
         self._catalog = catalog
-        #: types as the store has them, by name
+        #: name -> machine type, as read from or written to the store
         self._stored: dict[str, Any] = {}
 
     def maintain(self) -> Coroutine[None]:
-        """Read the types, and their prices again and again, without end."""
+        """Read the types from the store, then keep refreshing them from the cloud, with prices."""
         yield from self._load_stored()
         while True:
             response: CloudResponse = yield ListMachineTypes()
             if response.status != 200 or not response.machine_types:
-                retry_s = RETRY_KNOWN_S if self._catalog.types else RETRY_UNKNOWN_S
+                retry_s = RETRY_WITH_TYPES_S if self._catalog.types else RETRY_WITHOUT_TYPES_S
                 yield Sleep(retry_s * (0.8 + 0.4 * self._context.rng.random()))
                 continue
             self.update(response.machine_types)
             new = [kind for kind in response.machine_types if kind.name not in self._stored]
             if new:
                 yield from self._store(new)
-                yield Sleep(WRITTEN_PAUSE_S)
+                yield Sleep(STORE_PAUSE_S)
             else:
-                yield Sleep(REFRESH_S + RANDOM_REFRESH_S * self._context.rng.random())
+                yield Sleep(MIN_REFRESH_PAUSE_S + REFRESH_JITTER_S * self._context.rng.random())
 
     def update(self, machine_types: list[MachineType]) -> None:
-        """Replace the types, also those of the machines of the shards here."""
+        """Replace the types in the catalog, and set them on machines that have none yet."""
         self._catalog.update(machine_types)
         for shard in self._leadership.shards.values():
             for machine in shard.machines.values():
                 machine.set_machine_type(self._catalog.types.get(machine.type_name))
 
     def _load_stored(self) -> Coroutine[None]:
-        """Read the types in the store, until that succeeds."""
+        """Read the types from the store, with retries until it succeeds."""
         while not (yield from self._read_stored()):
             yield Sleep(0.3 + 0.3 * self._context.rng.random())
         if self._stored:
             self.update([msgspec.convert(kind, MachineType) for kind in self._stored.values()])
 
     def _read_stored(self) -> Coroutine[bool]:
-        response: StoreResponse = yield ListKeys(keys.MACHINE_TYPES, "", LISTED_KEYS)
+        response: StoreResponse = yield ListKeys(keys.MACHINE_TYPES, "", MAX_LISTED_KEYS)
         if response.status != 200:
             return False
         self._stored = {item.key[len(keys.MACHINE_TYPES) :]: item.value for item in response.items}
         return True
 
     def _store(self, new: list[MachineType]) -> Coroutine[None]:
-        """Write types that the store lacks; only the first node to write a type succeeds."""
+        """Write types that are not in the store yet; only the first node to write one succeeds."""
         batch = new[: self._context.settings.cluster.state.txn_ops]
         puts = [Put(keys.MACHINE_TYPES + kind.name, kind) for kind in batch]
-        absent = [(put.key, 0) for put in puts]
-        response: StoreResponse = yield CompareAndSwap(absent, puts, [], RequestPriority.SHARD_MAP)
+        preconditions = [(put.key, 0) for put in puts]
+        response: StoreResponse = yield CompareAndSwap(
+            preconditions, puts, [], RequestPriority.SHARD_MAP
+        )
         if response.status == 409:
             yield from self._read_stored()
         if response.status == 200:
--- a/marblestair/core/capacity/decommissioning.py
+++ b/marblestair/core/capacity/decommissioning.py
@@ -1,4 +1,4 @@
-"""Which machines to empty, and which to release because they are of no use."""
+"""Choice of the machines to empty and of the machines to release because they are unusable."""
 
 from __future__ import annotations
 
@@ -11,39 +11,41 @@
 from marblestair.core.shard.partition_detection import partitioned_machines
 from marblestair.core.shard.shard import Shard
 
-#: work lost by emptying a machine, against the capacity that would be idle meanwhile
-MAX_LOSS_RATIO = 0.5
-#: heartbeat intervals until a task that was stopped and has a checkpoint goes on elsewhere
+#: maximum ratio of the work lost by emptying a machine to the capacity that would otherwise stay
+#: idle on it until its tasks end
+MAX_LOST_WORK_RATIO = 0.5
+#: heartbeat intervals until a stopped task with a checkpoint resumes on another machine
 RESTART_HEARTBEATS = 3.0
-#: share of the time that a task has run for which it is likely to run on
-RUN_ON_SHARE = 0.5
-#: agent leases after which a machine of an unknown type that never sent a heartbeat is released
-UNKNOWN_BOOT_LEASES = 9.0
-#: agent leases for which a machine is silent, or unresponsive, before it is released
-LOST_LEASES = 1.5
-#: time after which a reclaimed machine is due to be gone, in seconds, and the part of an agent's
-#: lease without a heartbeat which shows that it is
-RECLAIM_MARGIN_S, RECLAIMED_SILENT_LEASES = 1.0, 0.25
+#: minimum of a task's expected remaining run time, as a share of the time that it has run
+MIN_REMAINING_RUN_SHARE = 0.5
+#: boot timeout of a machine of unknown type, in agent leases
+UNKNOWN_TYPE_BOOT_LEASES = 9.0
+#: agent leases after which a silent or unresponsive machine is released
+RELEASE_DELAY_LEASES = 1.5
+#: time after the announced reclaim, in seconds, and the time without a heartbeat, in agent leases,
+#: after which a reclaimed machine counts as gone
+RECLAIM_DELAY_S, RECLAIMED_SILENT_LEASES = 1.0, 0.25
 
 
 class EmptyingCandidate(NamedTuple):
-    """A machine that is worth emptying, and the work that this loses."""
+    """A machine that is worth emptying, and the work that emptying it loses."""
 
-    #: in fixed-point cpus times seconds
+    #: work that has to be repeated, in fixed-point cpus times seconds
     lost_work: float
     machine: Machine
 
 
 def machines_to_empty(shard: Shard, names: set[str], now: float) -> list[Machine]:
-    """Choose nearly empty machines that are worth emptying.
+    """Return the nearly empty machines among ``names`` that are worth emptying.
 
-    Of the machines that are to fall idle, those where stopping what still runs, to run it again
-    elsewhere, loses less than waiting for its end; as many as the others have capacity for.
+    ``names`` are machines beyond the demand. One of them is worth emptying if repeating its tasks
+    elsewhere wastes less capacity than waiting for them to end. The tasks of all chosen machines
+    fit on the free cpus of the machines that are not in ``names``.
     """
     candidates = []
     for name in names:
         machine = shard.machines.get(name)
-        if machine is None or not _may_be_emptied(machine, now):
+        if machine is None or not _can_be_emptied(machine, now):
             continue
         lost_work = _lost_work(shard, machine, now)
         if lost_work is not None:
@@ -64,8 +66,8 @@
     return chosen
 
 
-def _may_be_emptied(machine: Machine, now: float) -> bool:
-    """Whether a machine has only running tasks, and is not so new that it is paid for anyway."""
+def _can_be_emptied(machine: Machine, now: float) -> bool:
+    """Whether a machine has only running tasks and is past its minimum rental time."""
     if machine.machine_type is None or not machine.is_usable(now) or not machine.tasks:
         return False
     if now - machine.added_at < MIN_RENTAL_S:
@@ -77,7 +79,7 @@
 
 
 def _lost_work(shard: Shard, machine: Machine, now: float) -> float | None:
-    """The work that emptying a machine loses; None when that is too much, or not possible."""
+    """Return the work that emptying a machine loses; None if it is too much or not possible."""
     lost_work = remaining_s = 0.0
     for task in machine.tasks.values():
         job_slice = shard.slices.get(task.job)
@@ -92,37 +94,42 @@
             restart_s = RESTART_HEARTBEATS * shard.cluster.workers.report_s
             lost_s = min(ran_s, spec.checkpoint_save_s + restart_s)
         lost_work += task.resources[0] * lost_s
-        # What has run long already is as likely as not to run as long again.
-        remaining_s = max(remaining_s, spec.estimated_run_s - ran_s, RUN_ON_SHARE * ran_s)
-    is_worth_it = lost_work < MAX_LOSS_RATIO * machine.free[0] * remaining_s
+        # A task that has exceeded its estimate is likely to run on for a while.
+        remaining_s = max(
+            remaining_s, spec.estimated_run_s - ran_s, MIN_REMAINING_RUN_SHARE * ran_s
+        )
+    is_worth_it = lost_work < MAX_LOST_WORK_RATIO * machine.free[0] * remaining_s
     return lost_work if is_worth_it else None
 
 
 def machines_to_release(shard: Shard, agent_lease_s: float, now: float) -> list[str]:
-    """Names of the machines to release: those that never came up, or are lost, faulty or empty.
+    """Return the names of the machines to release because they are unusable.
 
-    ``agent_lease_s`` is the time for which an agent may run tasks after a heartbeat, in seconds.
+    These are decommissioned, failed, faulty, lost, unresponsive and reclaimed machines, emptied
+    ones, and those that did not boot in time. ``agent_lease_s`` is the duration of an agent's lease
+    in seconds.
     """
-    absent = partitioned_machines(shard, agent_lease_s, now)
+    partitioned = partitioned_machines(shard, agent_lease_s, now)
     known = [machine for machine in shard.machines.values() if machine.agent_incarnation]
-    # Where most machines seem unresponsive, it is this controller's responses that do not arrive.
+    # When most machines seem unresponsive, the likely cause is that responses of this controller
+    # do not arrive anywhere.
     may_be_unresponsive = 2 * sum(machine.is_unresponsive for machine in known) <= len(known)
     return [
         machine.name
         for machine in shard.machines.values()
         if not machine.is_releasing
         and (
-            _is_useless(shard, machine)
-            or _is_overdue(shard, machine, agent_lease_s, now)
-            or _is_lost(shard, machine, machine.name in absent, agent_lease_s, now)
+            _is_out_of_service(shard, machine)
+            or _has_boot_timed_out(shard, machine, agent_lease_s, now)
+            or _is_lost(shard, machine, machine.name in partitioned, agent_lease_s, now)
             or (may_be_unresponsive and _is_unresponsive(machine, agent_lease_s, now))
             or _is_reclaimed(machine, agent_lease_s, now)
         )
     ]
 
 
-def _is_useless(shard: Shard, machine: Machine) -> bool:
-    """Whether a machine was given up, or is empty and is not to have tasks any more."""
+def _is_out_of_service(shard: Shard, machine: Machine) -> bool:
+    """Whether a machine is decommissioned or failed, or is empty and must get no more tasks."""
     if machine.is_decommissioned or machine.has_failed:
         return True
     if machine.tasks:
@@ -132,39 +139,40 @@
     return shard.failures.is_faulty(machine.name)
 
 
-def _is_overdue(shard: Shard, machine: Machine, agent_lease_s: float, now: float) -> bool:
-    """Whether a machine has become unlikely to come up."""
+def _has_boot_timed_out(shard: Shard, machine: Machine, agent_lease_s: float, now: float) -> bool:
+    """Whether a machine has sent no heartbeat within its boot timeout plus one agent lease."""
     if machine.agent_incarnation:
         return False
-    boot_s = UNKNOWN_BOOT_LEASES * agent_lease_s
+    boot_s = UNKNOWN_TYPE_BOOT_LEASES * agent_lease_s
     if machine.machine_type is not None:
         boot_s = shard.boot_times.boot_timeout_s(machine.machine_type, now)
     return now - machine.added_at > boot_s + agent_lease_s
 
 
 def _is_lost(
-    shard: Shard, machine: Machine, is_absent: bool, agent_lease_s: float, now: float
+    shard: Shard, machine: Machine, is_partitioned: bool, agent_lease_s: float, now: float
 ) -> bool:
-    """Whether a machine is silent for so long that it will not be back."""
-    if not machine.is_lease_expired or not machine.agent_incarnation or is_absent:
+    """Whether a machine that is not presumed partitioned has been silent for too long."""
+    if not machine.is_lease_expired or not machine.agent_incarnation or is_partitioned:
         return False
     silent_s = now - machine.last_seen_at(shard.acquired_at)
-    return silent_s > LOST_LEASES * agent_lease_s
+    return silent_s > RELEASE_DELAY_LEASES * agent_lease_s
 
 
 def _is_unresponsive(machine: Machine, agent_lease_s: float, now: float) -> bool:
-    """Whether a machine sends heartbeats, but has not carried out commands for too long."""
+    """Whether a machine sends heartbeats but has been unresponsive to commands for too long."""
     if not machine.is_unresponsive or machine.is_lease_expired:
         return False
-    return now - machine.responsiveness.unresponsive_since > LOST_LEASES * agent_lease_s
+    return now - machine.responsiveness.unresponsive_since > RELEASE_DELAY_LEASES * agent_lease_s
 
 
 def _is_reclaimed(machine: Machine, agent_lease_s: float, now: float) -> bool:
     """Whether a machine that the cloud reclaims is gone.
 
-    The cloud's confirmation of its release then ends its tasks sooner than their lease would.
+    Its release is requested because the cloud's confirmation ends its tasks sooner than the
+    expiry of the agent's lease.
     """
-    if machine.reclaim_at is None or now <= machine.reclaim_at + RECLAIM_MARGIN_S:
+    if machine.reclaim_at is None or now <= machine.reclaim_at + RECLAIM_DELAY_S:
         return False
     if machine.last_heartbeat_at is None:
         return True
--- a/marblestair/core/capacity/fleet.py
+++ b/marblestair/core/capacity/fleet.py
@@ -1,10 +1,10 @@
-"""Scales a shard's machines out and in, as the plan of the fleet asks."""
+"""Scaling of a shard's machines out and in according to the fleet plan."""
 
 from __future__ import annotations
 
 import msgspec
 
-from marblestair.core.capacity.decommissioning import machines_to_release, machines_to_empty
+from marblestair.core.capacity.decommissioning import machines_to_empty, machines_to_release
 from marblestair.core.capacity.fleet_planner import FleetPlanner
 from marblestair.core.capacity.provisioning import Plan, RentalRequest
 from marblestair.core.capacity.releases import Releases
@@ -22,26 +22,26 @@
 from marblestair.core.state.machine_catalog import MachineCatalog
 from marblestair.core.state.store_view import StoreView
 
-#: names in one release, by the cloud's interface
-MAX_RELEASE = 100
-#: machines in one rental, by the cloud's interface
-MAX_RENT = 50
-#: pause between two cycles, and between two when much is lacking and the cloud refused some of it
-CYCLE_PAUSE_S, SHORT_PAUSE_S = 1.0, 0.1
-#: only what has been beyond the demand for this many of its boot times is emptied: demand that
-#: comes back sooner would have to wait for machines to boot
+#: maximum number of machines in one release request of the cloud's interface
+MAX_RELEASED_MACHINES = 100
+#: maximum number of machines in one rental request of the cloud's interface
+MAX_RENTED_MACHINES = 50
+#: pause between two scaling cycles: normally, and after a refusal during an urgent shortfall
+CYCLE_PAUSE_S, SHORTFALL_PAUSE_S = 1.0, 0.1
+#: boot times for which a machine must have been surplus before it is emptied, because demand that
+#: returns sooner would have to wait for a new machine to boot
 MIN_SURPLUS_BOOT_TIMES = 2.0
-#: share of the capacity that must lack before the next best kind is requested at once after a
-#: refusal, and not only with the next plan
-URGENT_LACK = 0.1
-#: time for which a shard's summary counts when rentals are shared out, in seconds
-RECENT_SUMMARY_S = 3.0
+#: shortfall, as a share of the capacity, from which the next best kind is requested soon after a
+#: refusal, without the normal pause
+URGENT_SHORTFALL_SHARE = 0.1
+#: maximum age of the summary of a shard that takes part in the division of rentals, in seconds
+MAX_SUMMARY_AGE_S = 3.0
 
 
 class FleetManager:
     """Scales the machines of the shards that one node leads."""
 
-    def __init__(  # noqa: PLR0913 - its collaborators
+    def __init__(  # noqa: PLR0913 - injected components
         self,
         context: NodeContext,
         view: StoreView,
@@ -62,11 +62,11 @@
         self._rentals = rentals
         self._releases = releases
         self._spending = spending
-        #: machines beyond the demand, and since when without a break
+        #: surplus machine -> monotonic time since which it has been surplus without interruption
         self._surplus_since: dict[str, float] = {}
 
     def manage_shard(self, shard: Shard) -> Coroutine[None]:
-        """Rent for the backlog, release what is idle or unusable, while the shard is here."""
+        """Run the scaling cycles of a shard as long as this node leads it."""
         self._context.spawn(self._rentals.finish_recorded(shard))
         pause_s = CYCLE_PAUSE_S
         while self._leadership.shards.get(shard.shard_id) is shard:
@@ -77,7 +77,7 @@
             pause_s = yield from self._scale(shard)
 
     def _scale(self, shard: Shard) -> Coroutine[float]:
-        """Carry out the plan for a shard; the pause until the next cycle."""
+        """Run one scaling cycle of a shard; return the pause until the next one in seconds."""
         now = self._context.now
         agent_lease_s = self._context.settings.cluster.workers.lease_s
         self._spending.account(shard)
@@ -89,16 +89,16 @@
             name for name in plan.releases if name in shard.machines and name not in releases
         ]
         self._empty_surplus(shard, plan)
-        leaving = [
+        machines = [
             shard.machines[name] for name in releases if not shard.machines[name].is_releasing
         ]
-        if leaving:
-            yield from self._releases.release(shard, leaving[:MAX_RELEASE])
+        if machines:
+            yield from self._releases.release(shard, machines[:MAX_RELEASED_MACHINES])
             return CYCLE_PAUSE_S
         return (yield from self._rent(shard, plan))
 
     def _empty_surplus(self, shard: Shard, plan: Plan) -> None:
-        """Stop what runs on a machine that is nearly empty and has long been beyond the demand."""
+        """Stop the tasks of one nearly empty machine that has been surplus for long enough."""
         now = self._context.now
         since = self._surplus_since
         self._surplus_since = {name: since.get(name, now) for name in plan.surplus_machines}
@@ -113,30 +113,30 @@
             machine.cordon = CordonReason.RELEASE
             shard.stop_tasks(list(machine.tasks.values()), StopReason.MACHINE_RELEASED)
             self._context.log(
-                "info", f"emptying {machine.name}: {len(machine.tasks)} tasks run again elsewhere"
+                "info", f"emptying machine {machine.name}: stopping {len(machine.tasks)} tasks"
             )
 
     def _rent(self, shard: Shard, plan: Plan) -> Coroutine[float]:
-        """Rent this shard's portion of the plan; the pause until the next cycle.
+        """Rent this shard's portion of the plan; return the pause until the next cycle in seconds.
 
-        All of it is requested in one cycle, in as few requests as possible; where a kind is
-        refused, the next best is requested at once if much is lacking.
+        The portion is requested in one cycle, with one request for each kind. The pause is short if
+        the cloud refused a kind during an urgent shortfall, so that the next best is tried soon.
         """
-        lacks_much = plan.target_cpus > plan.capacity_cpus * (1 + URGENT_LACK)
+        is_shortfall_urgent = plan.target_cpus > plan.capacity_cpus * (1 + URGENT_SHORTFALL_SHARE)
         was_refused = False
         for rental in plan.rentals:
-            count = min(self._portion(shard, rental), MAX_RENT)
+            count = min(self._portion(shard, rental), MAX_RENTED_MACHINES)
             if count and self._leadership.is_leader(shard.shard_id):
                 request = msgspec.structs.replace(rental, count=count)
                 rented = yield from self._rentals.rent(shard, request)
                 was_refused = was_refused or rented != count
-        return SHORT_PAUSE_S if lacks_much and was_refused else CYCLE_PAUSE_S
+        return SHORTFALL_PAUSE_S if is_shortfall_urgent and was_refused else CYCLE_PAUSE_S
 
     def _portion(self, shard: Shard, rental: RentalRequest) -> int:
-        """Count the machines of a rental that this shard rents.
+        """Return how many machines of a rental this shard rents.
 
-        That is its even portion, the shards with fewest machines first, or all where a gang
-        is pending here.
+        A rental for a pending gang is done by one shard alone. Others are divided evenly among the
+        shards with a recent summary, and the remainder goes to those with the fewest machines.
         """
         if rental.shard_id is not None:
             return rental.count if rental.shard_id == shard.shard_id else 0
@@ -149,13 +149,13 @@
         for record in self._view.machines.values():
             if record.shard_id in counts:
                 counts[record.shard_id] += 1
-        recent = sorted(
-            (shard_id for shard_id in counts if self._is_recent(shard_id)),
+        shard_ids = sorted(
+            (shard_id for shard_id in counts if self._has_recent_summary(shard_id)),
             key=lambda shard_id: (counts[shard_id], shard_id),
         )
-        if shard.shard_id not in recent:
+        if shard.shard_id not in shard_ids:
             return 0
-        return split_evenly(rental.count, len(recent))[recent.index(shard.shard_id)]
+        return split_evenly(rental.count, len(shard_ids))[shard_ids.index(shard.shard_id)]
 
-    def _is_recent(self, shard_id: int) -> bool:
-        return self._context.now - self._summaries[shard_id].received_at < RECENT_SUMMARY_S
+    def _has_recent_summary(self, shard_id: int) -> bool:
+        return self._context.now - self._summaries[shard_id].received_at < MAX_SUMMARY_AGE_S
--- a/marblestair/core/capacity/fleet_planner.py
+++ b/marblestair/core/capacity/fleet_planner.py
@@ -1,4 +1,4 @@
-"""The plan of the whole fleet, which every node computes from the same records and summaries."""
+"""The fleet plan, which every node computes from the same records and summaries."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 from marblestair.core.state.machine_catalog import MachineCatalog
 from marblestair.core.state.store_view import StoreView
 
-#: seconds between two log lines of the plan
-LOG_S = 10.0
-#: share of a team's limit that is counted on for work with deadlines
-LIMIT_SHARE = 0.9
-#: share of a running task's work that is left on average
-RUNNING_LEFT = 0.5
-#: the least time over which the demand is averaged, in seconds
+#: minimum interval between two log lines of the plan, in seconds
+LOG_INTERVAL_S = 10.0
+#: share of a team's cpu limit, less other work, that is planned for work with deadlines
+DEADLINE_LIMIT_SHARE = 0.9
+#: average share of a running task's work that remains
+RUNNING_REMAINING_SHARE = 0.5
+#: minimum time constant of the smoothing, in seconds; avoids a division by zero
 MIN_SMOOTHING_S = 1e-6
 
 
 class FleetPlanner:
-    """Computes the plan on one node."""
+    """Computes the fleet plan on one node."""
 
-    def __init__(  # noqa: PLR0913 - its collaborators
+    def __init__(  # noqa: PLR0913 - injected components
         self,
         context: NodeContext,
         view: StoreView,
@@ -48,13 +48,13 @@
         self._refusals = refusals
         self._fleet_plan = fleet_plan
         self._tuning = tuning
-        #: when the arrays' demand for capacity was last averaged, and the average in cpus
+        #: monotonic time of the last smoothing of the arrays' target, and its result in cpus
         self._averaged_at = 0.0
-        self._average: float | None = None
+        self._average_cpus: float | None = None
         self._logged_at: float | None = None
 
     def compute(self) -> Plan:
-        """Compute the plan, and pass what concerns placement on to it."""
+        """Compute the plan, and update the part of it that placement uses."""
         live = sorted(
             self._view.jobs.values(), key=lambda record: (record.startable_since, record.spec.id)
         )
@@ -79,43 +79,43 @@
         return computed
 
     def _smooth_target(self, target: float) -> float:
-        """The arrays' demand for capacity in cpus, averaged over some boot times."""
+        """Return the arrays' target in cpus, averaged exponentially over some boot times."""
         now = self._context.now
         types = self._catalog.types.values()
         boot_s = min((kind.boot_s for kind in types), default=UNKNOWN_BOOT_S)
-        if self._average is None:
-            value = target
+        if self._average_cpus is None:
+            average = target
         else:
             smoothing_s = max(MIN_SMOOTHING_S, self._tuning.smoothing_boot_times * boot_s)
             weight = 1 - math.exp(-(now - self._averaged_at) / smoothing_s)
-            value = self._average + weight * (target - self._average)
-        self._averaged_at, self._average = now, value
-        return value
+            average = self._average_cpus + weight * (target - self._average_cpus)
+        self._averaged_at, self._average_cpus = now, average
+        return average
 
     def _find_infeasible(self, loads: list[JobLoad]) -> set[str]:
-        """Jobs that are deferred, so that as many others as possible are done by their deadline."""
-        #: team -> seconds until due, cpu seconds left, and the job
+        """Return the jobs to defer so that as many others as possible meet their deadlines."""
+        #: team -> its work with deadlines
         due_work: dict[str, list[DueWork]] = {}
         used_cpus: dict[str, float] = {}
         for load in loads:
             spec = load.spec
             if spec.deadline_s is None or spec.kind == JobKind.GANG:
-                # Gangs and undated work go first and leave the rest of the limit.
+                # Running gangs and work without a deadline reduce what the limit leaves.
                 running_cpus = load.running * spec.cpus
                 used_cpus[spec.team] = used_cpus.get(spec.team, 0.0) + running_cpus
             else:
-                tasks_left = load.pending + RUNNING_LEFT * load.running
+                tasks_left = load.pending + RUNNING_REMAINING_SHARE * load.running
                 cpu_s = tasks_left * spec.cpus * load.run_s
                 due_work.setdefault(spec.team, []).append(DueWork(load.due_in_s, cpu_s, spec.id))
         infeasible: set[str] = set()
         for team, work in due_work.items():
             limit = max(1.0, self._context.teams[team].cpu_limit - used_cpus.get(team, 0.0))
-            infeasible |= infeasible_jobs(work, LIMIT_SHARE * limit)
+            infeasible |= infeasible_jobs(work, DEADLINE_LIMIT_SHARE * limit)
         return infeasible
 
     def _log(self, computed: Plan, loads: list[JobLoad]) -> None:
         now = self._context.now
-        if self._logged_at is not None and now - self._logged_at <= LOG_S:
+        if self._logged_at is not None and now - self._logged_at <= LOG_INTERVAL_S:
             return
         self._logged_at = now
         running_cpus = sum(load.running * load.spec.cpus for load in loads)
@@ -123,7 +123,8 @@
         pending_cpus = sum(load.pending * load.spec.cpus for load in loads)
         self._context.log(
             "info",
-            f"plan: arrays need {computed.target_cpus:.0f} cpus of {computed.capacity_cpus:.0f},"
-            f" run on {running_cpus:.0f}, wait for {allowed_cpus:.0f} of {pending_cpus:.0f};"
-            f" {len(computed.reserved_machines)} machines for gangs, rent {computed.rentals}",
+            f"plan: target_cpus={computed.target_cpus:.0f}"
+            f" capacity_cpus={computed.capacity_cpus:.0f} running_cpus={running_cpus:.0f}"
+            f" allowed_pending_cpus={allowed_cpus:.0f} pending_cpus={pending_cpus:.0f}"
+            f" reserved_machines={len(computed.reserved_machines)} rentals={computed.rentals}",
         )
--- a/marblestair/core/capacity/gang_reservations.py
+++ b/marblestair/core/capacity/gang_reservations.py
@@ -1,4 +1,4 @@
-"""Machines for gangs: reserved where they are at hand, requested where they are missing."""
+"""Planning of whole machines for gangs: reservation of existing ones, requests for missing ones."""
 
 from __future__ import annotations
 
@@ -17,14 +17,15 @@
 from marblestair.core.domain.machines import MachineType
 from marblestair.core.scheduling.arrivals import ExpectedGangs
 
-#: rate at which a machine fetches images, at least, where its time for that is estimated
+#: lower bound of the divisor where the time to fetch an image is estimated
 MIN_FETCH_GB_PER_S = 1e-6
 
 
-def standby_gang_count(gangs: ExpectedGangs, types: dict[str, MachineType], least: int) -> int:
-    """Count the gangs of a class for which machines should stand by.
+def standby_gang_count(gangs: ExpectedGangs, types: dict[str, MachineType], min_gangs: int) -> int:
+    """Return the number of gangs of a class for which machines should stand by.
 
-    As many as arrive while a machine is rented for one, and a standard deviation more.
+    These are the gangs expected to arrive within the time to boot a machine and fetch the image,
+    plus one standard deviation, and at least ``min_gangs``.
     """
     lead_times_s = [
         SLOW_BOOT_RATIO * machine_type.boot_s
@@ -33,27 +34,28 @@
         if tasks_per_machine(machine_type, gangs.spec.resources)
     ]
     mean = gangs.arrivals_per_s * min(lead_times_s, default=0.0)
-    return max(least, math.ceil(mean + math.sqrt(mean)))
+    return max(min_gangs, math.ceil(mean + math.sqrt(mean)))
 
 
 class _Allocation:
-    """Tasks of a gang's shape that are allocated to machines, in zones as the job asks."""
+    """The allocation of a gang's tasks to machines, within the job's constraints on zones."""
 
     def __init__(self, spec: JobSpec, task_count: int) -> None:
         self.spec = spec
-        #: tasks without a machine yet
+        #: number of tasks that are not allocated to a machine yet
         self.remaining = task_count
         self.max_per_zone = task_count
         if spec.spread_zones and not spec.single_zone:
             self.max_per_zone = (task_count + 1) // 2
+        #: zone -> number of tasks allocated there
         self._by_zone: dict[str, int] = {}
 
-    def is_open(self, zone: str) -> bool:
-        """Whether a zone may get more of the tasks."""
+    def has_room(self, zone: str) -> bool:
+        """Whether more tasks may be allocated in a zone."""
         return self._by_zone.get(zone, 0) < self.max_per_zone
 
     def allocate(self, zone: str, fitting: int) -> int:
-        """Allocate tasks to a machine on which some number fits; how many."""
+        """Allocate tasks to a machine with space for ``fitting`` of them; return their number."""
         in_zone = self._by_zone.get(zone, 0)
         count = min(self.remaining, fitting, self.max_per_zone - in_zone)
         if count > 0:
@@ -63,16 +65,17 @@
 
 
 class GangReservations:
-    """Plans the machines for the gangs that are pending, and those that are expected."""
+    """Plans whole machines for pending gangs and for expected ones."""
 
     def __init__(self, draft: PlanDraft, kinds: KindsByPrice, boot_s: float) -> None:
         self._draft = draft
         self._kinds = kinds
         self._boot_s = boot_s
+        #: shard of the gang -> all machines in the order in which they are allocated
         self._soonest_empty: dict[int | None, list[AvailableMachine]] = {}
 
     def reserve_for_pending(self, gangs: list[JobLoad]) -> None:
-        """Reserve whole machines for pending gangs, and request what is missing."""
+        """Reserve whole machines for pending gangs, and request the missing ones."""
         for load in gangs:
             if load.pending:
                 for name in self._allocate(load.spec, load.pending, load.shard_id):
@@ -81,7 +84,10 @@
     def reserve_for_expected(
         self, expected_gangs: dict[str, ExpectedGangs], arrays: list[JobLoad], min_gangs: int
     ) -> None:
-        """Have machines stand by for classes whose starts are due sooner than a boot takes."""
+        """Keep machines on standby for classes whose gangs must start before one could boot.
+
+        At least ``min_gangs`` gangs of each class are provided for.
+        """
         if not min_gangs:
             return
         for _, gangs in sorted(expected_gangs.items()):
@@ -90,7 +96,8 @@
             spec = gangs.spec
             rank = PRIORITY_RANKS[spec.priority]
             if all(PRIORITY_RANKS[load.spec.priority] < rank for load in arrays):
-                # A gang preempts what runs there, so arrays may use its machines meanwhile.
+                # A gang of the class can preempt every array, so arrays may use its machines as
+                # long as there is no other free capacity.
                 count = standby_gang_count(gangs, self._kinds.types, min_gangs)
                 machines = self._allocate(spec, count * spec.task_count, None)
                 self._draft.plan.draining_machines.update(machines)
@@ -99,9 +106,10 @@
                     self._draft.plan.reserved_machines[name] = EXPECTED_GANG
 
     def _allocate(self, spec: JobSpec, task_count: int, shard_id: int | None) -> list[str]:
-        """Allocate machines to tasks of a gang's shape, and request what is missing.
+        """Allocate machines to a gang's tasks, and request the missing ones.
 
-        Those that are soonest empty go first, and of these the ones in the gang's own shard.
+        Machines that are empty soonest are allocated first, those of the gang's shard before others
+        that are empty as soon. Returns the names of the allocated machines.
         """
         kinds = self._kinds.available(spec)
         candidates, tasks_by_zone = self._candidates(spec, shard_id)
@@ -126,13 +134,13 @@
     def _candidates(
         self, spec: JobSpec, shard_id: int | None
     ) -> tuple[list[tuple[AvailableMachine, int]], dict[str, int]]:
-        """Machines that tasks may be allocated to, with how many fit on each; the sums by zone."""
-        #: tasks that fit on a machine of a type, in a zone, spot or not: counted once for each
+        """Return the machines with the number of tasks that fit on each, and its sum by zone."""
+        #: type, zone and whether spot -> number of tasks that fit on such a machine
         fitting_by_kind: dict[tuple[str, str, bool], int] = {}
         candidates: list[tuple[AvailableMachine, int]] = []
         tasks_by_zone: dict[str, int] = {}
-        for machine in self._in_order(shard_id):
-            if machine.name in self._draft.gang_machines or machine.is_absent:
+        for machine in self._soonest_empty_first(shard_id):
+            if machine.name in self._draft.gang_machines or machine.is_partitioned:
                 continue
             kind = (machine.machine_type.name, machine.zone, machine.spot)
             fitting = fitting_by_kind.get(kind)
@@ -146,14 +154,14 @@
                 tasks_by_zone[machine.zone] = tasks_by_zone.get(machine.zone, 0) + fitting
         return candidates, tasks_by_zone
 
-    def _in_order(self, shard_id: int | None) -> list[AvailableMachine]:
-        """The machines as they fall empty, with a shard's own first; sorted once for a shard."""
+    def _soonest_empty_first(self, shard_id: int | None) -> list[AvailableMachine]:
+        """Return all machines, those that are empty soonest first; sorted once for each shard."""
         ordered = self._soonest_empty.get(shard_id)
         if ordered is None:
             ordered = self._soonest_empty[shard_id] = sorted(
                 self._draft.machines,
                 key=lambda machine: (
-                    machine.ready_s(self._boot_s),
+                    machine.empty_in_s(self._boot_s),
                     machine.shard_id != shard_id,
                     machine.spot,
                     machine.name,
@@ -164,10 +172,10 @@
     def _request_missing(
         self, allocation: _Allocation, kinds: list[MachineKind], shard_id: int | None
     ) -> None:
-        """Request the cheapest machines for tasks that no machine at hand is allocated to."""
+        """Request the cheapest machines for the tasks that are not allocated to a machine yet."""
         spec = allocation.spec
         while allocation.remaining > 0:
-            open_kinds = [kind for kind in kinds if allocation.is_open(kind.zone)]
+            open_kinds = [kind for kind in kinds if allocation.has_room(kind.zone)]
             if not open_kinds:
                 return
             cheapest = self._kinds.cheapest(open_kinds, spec)
--- a/marblestair/core/capacity/machine_kinds_by_price.py
+++ b/marblestair/core/capacity/machine_kinds_by_price.py
@@ -1,4 +1,4 @@
-"""Which kinds of machines to rent for a job: those that are available, cheapest first."""
+"""Choice of the kinds of machines to rent for a job, by availability and price."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from marblestair.core.domain.machines import MachineType
 from marblestair.core.scheduling.arrivals import ExpectedGangs
 
-#: how much dearer a scarce type counts for work that could run on others
+#: factor on the price of a scarce type for work that could run on other types
 SCARCE_PRICE_RATIO = 1.5
-#: cpus that a machine has, at least, where its price is divided by them
-MIN_CPUS = 1.0
+#: lower bound of the divisor in prices per cpu
+MIN_DIVISOR_CPUS = 1.0
 
 
 class KindFilter(NamedTuple):
-    """What decides on which kinds of machines a job may run, and on which its tasks fit."""
+    """The properties of a job that determine the kinds of machines it may run on."""
 
     machine_types: tuple[str, ...] | None
     zone: str | None
@@ -31,9 +31,9 @@
 def scarce_types(
     expected_gangs: dict[str, ExpectedGangs], types: dict[str, MachineType]
 ) -> set[str]:
-    """Types on which the gangs of a class depend that cannot run on every type.
+    """Return the types that some class of expected gangs needs because not every type fits it.
 
-    They are left to those gangs where other work has a choice.
+    Other work avoids them if it has a choice, so that they stay available for those gangs.
     """
     scarce: set[str] = set()
     for gangs in expected_gangs.values():
@@ -44,7 +44,7 @@
 
 
 class KindsByPrice:
-    """The kinds of machines that can be rented, as one plan weighs their prices."""
+    """The kinds of machines that can be rented, ordered by the weighted prices of one plan."""
 
     def __init__(
         self,
@@ -60,28 +60,34 @@
         self._kinds: dict[KindFilter, list[MachineKind]] = {}
 
     def available(self, spec: JobSpec) -> list[MachineKind]:
-        """The kinds on which a job may run and that the cloud does not refuse now."""
+        """Return the kinds that a job may run on and that are not refused by the cloud now."""
         return [kind for kind in self._kinds_for(spec) if not self._is_refused(kind)]
 
     def cheapest_first(self, spec: JobSpec) -> list[MachineKind]:
-        """The available kinds for an array, scarce types later than by their price."""
+        """Return the available kinds for an array, cheapest first.
+
+        The price of scarce types is weighted with ``SCARCE_PRICE_RATIO``.
+        """
         return sorted(
             self.available(spec),
             key=lambda kind: (self._price_per_task(kind, spec, self._scarce), kind.zone),
         )
 
     def cheapest(self, kinds: list[MachineKind], spec: JobSpec) -> MachineKind:
-        """The cheapest of some kinds for a gang."""
+        """Return the cheapest of some kinds for a gang; scarce types are weighted like others."""
         no_scarce: set[str] = set()
         return min(kinds, key=lambda kind: (self._price_per_task(kind, spec, no_scarce), kind.zone))
 
     def spot_price_per_cpu(self, loads: list[JobLoad]) -> float | None:
-        """The lowest price of a cpu for some work on available spot machines; None without any."""
+        """Return the lowest price per cpu on spot machines available to some jobs; None if none is.
+
+        The price includes the risk premium on spot machines.
+        """
         risk = 1 + self._tuning.spot_risk_premium
-        # Many jobs have the same list of kinds.
+        # Jobs with equal properties share one list of kinds, so each list is examined once.
         lists = [self._kinds_for(load.spec) for load in loads]
         prices = [
-            kind.price * risk / max(kind.machine_type.cpus, MIN_CPUS)
+            kind.price * risk / max(kind.machine_type.cpus, MIN_DIVISOR_CPUS)
             for kinds in {id(kinds): kinds for kinds in lists}.values()
             for kind in kinds
             if kind.spot and not self._is_refused(kind)
@@ -89,7 +95,7 @@
         return min(prices, default=None)
 
     def _kinds_for(self, spec: JobSpec) -> list[MachineKind]:
-        """The kinds on which a job may run, found once for all jobs that are alike in this."""
+        """Return the kinds that a job may run on; cached for all jobs with equal properties."""
         types = None if spec.machine_types is None else tuple(spec.machine_types)
         kind_filter = KindFilter(
             types, spec.zone, spec.allows_spot, spec.cpus, spec.gpus, spec.mem_gb
@@ -100,7 +106,10 @@
         return kinds
 
     def _price_per_task(self, kind: MachineKind, spec: JobSpec, scarce: set[str]) -> float:
-        """Price of the share of a machine that one task uses, with what weighs against it."""
+        """Return the weighted price of one task's share of a machine.
+
+        The weights are the risk premium on spot machines and the factor on scarce types.
+        """
         price = kind.price / max(1, tasks_per_machine(kind.machine_type, spec.resources))
         if kind.spot:
             price *= 1.0 + self._tuning.spot_risk_premium
--- a/marblestair/core/capacity/machine_registry.py
+++ b/marblestair/core/capacity/machine_registry.py
@@ -1,6 +1,7 @@
-"""Machines that belong to no shard: found by their heartbeats or in the cloud's list.
+"""Registration of machines that belong to no shard.
 
-They are registered in a shard, or released when they may not continue.
+They are found by their heartbeats or in the cloud's list. Those that have failed, or still run
+tasks after the removal of their records, are released; all others are registered in a shard.
 """
 
 from __future__ import annotations
@@ -28,36 +29,41 @@
 from marblestair.core.state.records import MachineRecord, ShardMap
 from marblestair.core.state.store_view import StoreView
 
-#: shard whose leader goes through the cloud's list for all
+#: shard whose leader registers machines from the cloud's list, on behalf of all shards
 LISTING_SHARD = 0
-#: pause between two listings: at least, and as a ratio to the list's lag
-LEAST_LISTING_PAUSE_S, LISTING_PAUSE_LAGS = 2.0, 1.2
-#: a listed machine is registered once it is so old, and so many lags of the list older: its rental
-#: may be in progress, and in no shard yet
-LEAST_LISTED_AGE_S, LISTED_AGE_LAGS = 15.0, 2
-#: lags for which the list must have shown a machine: one that is gone is listed for a while
-LISTED_LAGS = 2
-#: pause before a machine that did not respond is inspected again, or released again
+#: pause between two listings: its minimum, and as a multiple of the list's lag
+MIN_LISTING_PAUSE_S, LISTING_PAUSE_LAGS = 2.0, 1.2
+#: minimum age of a listed machine before it is registered: seconds, plus a multiple of the list's
+#: lag; the leader that rented a younger one may still be recording it in a shard
+MIN_LISTED_AGE_S, LISTED_AGE_LAGS = 15.0, 2
+#: lags of the list for which a machine must have been listed before it is registered, because the
+#: list still shows machines for a while after their release
+MIN_LISTED_LAGS = 2
+#: pause after a failed inspection or release of a machine before it can be repeated
 RETRY_PAUSE_S = 1.0
-#: state of a machine in the cloud's list that has stopped by itself
-FAILED = "failed"
+#: state in the cloud's list of a machine that stopped without being released
+FAILED_STATE = "failed"
 
 
 class MachineRegistry:
-    """Registers or releases machines of no shard, on one node."""
+    """Registers or releases the machines without a shard that one node finds."""
 
     def __init__(self, context: NodeContext, view: StoreView, leadership: Leadership) -> None:
         self._context = context
         self._view = view
         self._leadership = leadership
-        #: machines that are being registered, and those that are being released
+        #: names of the machines that are being registered, and of those that are being released
         self._registering: set[str] = set()
         self._releasing: set[str] = set()
 
-    # --- by heartbeat ----------------------------------------------------------------------
+    # --- found by heartbeats ---------------------------------------------------------------
 
     def receive_unregistered(self, heartbeat: Heartbeat) -> HeartbeatResponse:
-        """A heartbeat of a machine that belongs to no shard."""
+        """Handle a heartbeat of a machine that belongs to no shard, and return the response.
+
+        The machine is registered in a shard that this node leads, unless another shard has at
+        least two machines fewer; then status 421 names the leader of the shard with the fewest.
+        """
         name = heartbeat.machine
         if name in self._view.removed_machines or name in self._releasing:
             return HeartbeatResponse(503)
@@ -66,7 +72,7 @@
         if not led_shards or shard_map is None:
             return HeartbeatResponse(503)
         if heartbeat.tasks:
-            # Removed from the view earlier, yet alive with tasks: it may not continue.
+            # The machine's record was removed while it still ran tasks; those must not continue.
             self._releasing.add(name)
             self._context.spawn(self._release([name]))
             return HeartbeatResponse(503)
@@ -87,9 +93,9 @@
         return counts
 
     def _register_inspected(self, heartbeat: Heartbeat, shard: Shard) -> Coroutine[None]:
-        """Register a machine that belongs to no shard, if it exists.
+        """Register the sender of a heartbeat if its agent confirms that the machine exists.
 
-        The heartbeat may be a late copy from a machine that was released or reclaimed.
+        The heartbeat may be a late duplicate from a machine that was released or reclaimed.
         """
         inspected: Heartbeat | None = yield InspectAgent(heartbeat.address)
         if inspected is None or inspected.machine != heartbeat.machine:
@@ -119,19 +125,19 @@
             yield Sleep(RETRY_PAUSE_S)
         self._releasing.difference_update(names)
 
-    # --- by the cloud's list ---------------------------------------------------------------
+    # --- found in the cloud's list ---------------------------------------------------------
 
     def watch_machine_list(self) -> Coroutine[None]:
-        """Go through the cloud's list for machines of no shard, without end."""
+        """Periodically search the cloud's list for failed machines and those without a shard."""
         lag_s = self._context.settings.cluster.cloud.list_lag_s
         first_listed: dict[str, float] = {}
-        pause_s = max(LEAST_LISTING_PAUSE_S, LISTING_PAUSE_LAGS * lag_s)
+        pause_s = max(MIN_LISTING_PAUSE_S, LISTING_PAUSE_LAGS * lag_s)
         while True:
             yield Sleep(pause_s * (0.8 + 0.4 * self._context.rng.random()))
             is_lister = self._leadership.is_leader(LISTING_SHARD)
             if not is_lister and not self._has_silent_machines():
                 continue
-            listed = yield from self._list()
+            listed = yield from self._list_machines()
             if listed is None:
                 continue
             self._mark_failed(listed)
@@ -141,7 +147,7 @@
             first_listed = {machine.name: first_listed.get(machine.name, now) for machine in listed}
             for machine in listed:
                 listed_s = now - first_listed[machine.name]
-                if self._is_unregistered(machine, lag_s) and listed_s >= LISTED_LAGS * lag_s:
+                if self._is_unregistered(machine, lag_s) and listed_s >= MIN_LISTED_LAGS * lag_s:
                     self._register_listed(machine)
 
     def _has_silent_machines(self) -> bool:
@@ -152,16 +158,16 @@
         )
 
     def _is_unregistered(self, machine: ListedMachine, lag_s: float) -> bool:
-        """Whether a listed machine is in no shard, and not about to be."""
+        """Whether a listed machine is in no shard and old enough to be registered."""
         name = machine.name
         if name in self._view.machines or name in self._view.removed_machines:
             return False
         if name in self._registering:
             return False
-        return machine.age_s >= LEAST_LISTED_AGE_S + LISTED_AGE_LAGS * lag_s
+        return machine.age_s >= MIN_LISTED_AGE_S + LISTED_AGE_LAGS * lag_s
 
     def _register_listed(self, machine: ListedMachine) -> None:
-        if machine.state == FAILED:
+        if machine.state == FAILED_STATE:
             self._context.spawn(self._release([machine.name]))
         elif machine.name not in self._registering:
             self._registering.add(machine.name)
@@ -170,18 +176,18 @@
             self._context.spawn(self._register(machine.name, record))
 
     def _mark_failed(self, listed: list[ListedMachine]) -> None:
-        """Mark the machines that have stopped by themselves; they will not be back."""
-        failed = {machine.name for machine in listed if machine.state == FAILED}
+        """Mark the machines that the cloud lists as failed; they will not send heartbeats again."""
+        failed = {machine.name for machine in listed if machine.state == FAILED_STATE}
         if not failed:
             return
         for shard in self._leadership.led_shards():
             for machine in shard.machines.values():
-                # A machine that still sends heartbeats is judged by those.
+                # Heartbeats are more recent evidence than the list, which lags.
                 if machine.is_lease_expired and machine.name in failed:
                     machine.has_failed = True
 
-    def _list(self) -> Coroutine[list[ListedMachine] | None]:
-        """All pages of the cloud's list; None when one of them could not be read."""
+    def _list_machines(self) -> Coroutine[list[ListedMachine] | None]:
+        """Return all pages of the cloud's list; None if one of them could not be read."""
         found: list[ListedMachine] = []
         after_name = ""
         while True:
--- a/marblestair/core/capacity/plan_inputs.py
+++ b/marblestair/core/capacity/plan_inputs.py
@@ -1,4 +1,4 @@
-"""The work and the machines that the plan of the fleet is made from."""
+"""Collection of the work and the machines that the fleet plan is computed from."""
 
 from __future__ import annotations
 
@@ -15,16 +15,17 @@
 from marblestair.core.state.records import JobRecord
 from marblestair.core.state.store_view import StoreView
 
-#: boot times of the fastest type that jobs may still run for whose dependents capacity is planned
-ENDING_BOOT_TIMES = 2.0
-#: the least run time of a task that is planned with, in seconds
+#: maximum run time of the parents of a blocked job for which capacity is planned, in boot times of
+#: the type that boots fastest
+MAX_PARENT_RUN_BOOT_TIMES = 2.0
+#: minimum run time of a task that is assumed in the plan, in seconds
 MIN_RUN_S = 1.0
 
 
 class PlanInputs:
-    """Collects the work and the machines of the whole fleet, as one node knows them."""
+    """Collects the work and the machines of the whole fleet from one node's view."""
 
-    def __init__(  # noqa: PLR0913 - its collaborators
+    def __init__(  # noqa: PLR0913 - injected components
         self,
         context: NodeContext,
         view: StoreView,
@@ -43,15 +44,16 @@
         self._urgency = urgency
 
     def reported_state(self) -> ReportedState:
-        """What the leaders of all shards reported last."""
+        """Merge the latest summaries of all shards."""
         return ReportedState(self._context, self._summaries)
 
     def loads(
         self, reported: ReportedState, live: list[JobRecord], default_deadline_run_times: float
     ) -> list[JobLoad]:
-        """The unfinished work.
+        """Return the load of every unfinished job, and of blocked arrays that may start soon.
 
-        What has no deadline is due after ``undated_run_times`` run times.
+        A job without a deadline is due ``default_deadline_run_times`` run times after it became
+        startable.
         """
         headroom = TeamHeadroom(self._context.teams, reported, live)
         loads = []
@@ -60,8 +62,8 @@
             pending, placed = reported.tasks.get(spec.id, (0, 0))
             if record.is_cancelled or not pending + placed:
                 continue
-            # More than the team's limit cannot run at once, whatever is rented.
-            allowed = headroom.allow(record, pending)
+            # Tasks beyond the team's limit cannot run however many machines are rented.
+            allowed = headroom.reserve(record, pending)
             if spec.kind == JobKind.GANG:
                 pending = 0 if allowed < spec.task_count and not placed else allowed
             run_s = max(MIN_RUN_S, spec.estimated_run_s * self._run_times.ratio(spec.job_class))
@@ -80,10 +82,10 @@
         headroom: TeamHeadroom,
         default_deadline_run_times: float,
     ) -> list[JobLoad]:
-        """The arrays that may start about when a machine rented now is up.
+        """Return the loads of blocked arrays that may start about when a rented machine is booted.
 
-        Those are the ones whose dependencies all run. A gang would have machines reserved for it,
-        which are idle until it starts.
+        These are the arrays whose parents all run and end soon. Gangs are left out, because the
+        machines reserved for a gang would be idle until it starts.
         """
         loads = []
         for record in live:
@@ -92,14 +94,14 @@
             spec = self._urgency.scheduling_spec(record)
             if spec.kind == JobKind.GANG:
                 continue
-            allowed = headroom.allow(record, spec.task_count)
+            allowed = headroom.reserve(record, spec.task_count)
             run_s = max(MIN_RUN_S, spec.estimated_run_s * self._run_times.ratio(spec.job_class))
             due_in_s = default_deadline_run_times * run_s
             loads.append(JobLoad(spec, spec.task_count, 0, due_in_s, run_s, allowed))
         return loads
 
     def _starts_soon(self, reported: ReportedState, blocked: JobRecord) -> bool:
-        """Whether all that a job depends on runs, with all its tasks, and ends before long."""
+        """Whether all tasks of all unfinished parents of a job are placed and end soon."""
         boot_s = min(
             (machine_type.boot_s for machine_type in self._catalog.types.values()), default=0.0
         )
@@ -109,12 +111,12 @@
                 return False
             pending, placed = reported.tasks.get(parent, (0, 0))
             run_s = record.spec.estimated_run_s * self._run_times.ratio(record.spec.job_class)
-            if pending or not placed or run_s > ENDING_BOOT_TIMES * boot_s:
+            if pending or not placed or run_s > MAX_PARENT_RUN_BOOT_TIMES * boot_s:
                 return False
         return True
 
     def machines(self, reported: ReportedState) -> list[AvailableMachine]:
-        """The machines, up or booting, of the shards with a recent summary."""
+        """Return the machines that are up or booting, of the shards with a recent summary."""
         machines = []
         for name, record in self._view.machines.items():
             machine_type = self._catalog.types.get(record.machine_type)
@@ -135,7 +137,7 @@
                     age_s=self._context.wall_time - record.added_at,
                     shard_id=record.shard_id,
                     used_cpus=reported.used_cpus.get(name, 0),
-                    is_absent=name in reported.partitioned_machines,
+                    is_partitioned=name in reported.partitioned_machines,
                 )
             )
         return machines
--- a/marblestair/core/capacity/planning.py
+++ b/marblestair/core/capacity/planning.py
@@ -1,11 +1,11 @@
-"""The plan for the fleet: what to rent, what to reserve and what to release.
+"""Computation of the fleet plan: the machines to rent, to reserve and to release.
 
 Every leader computes the same plan from the records and the summaries of all shards, and carries
-out its own portion of it; machines rented anywhere serve all, since pending tasks migrate to where
-there is free capacity.
+out its own portion of it. It does not matter which shard rents a machine, since pending tasks
+migrate to shards with free capacity.
 
-For arrays the plan asks how much capacity the work demands to be done when it is due; for gangs it
-asks for whole machines.
+For arrays, the plan provides the number of cpus that complete the work by the time it is due; for
+gangs, it provides whole machines.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 from marblestair.core.scheduling.arrivals import ExpectedGangs
 
 
-def plan(  # noqa: PLR0913 - all that it depends on, each by its name
+def plan(  # noqa: PLR0913 - separate inputs of one computation
     loads: list[JobLoad],
     machines: list[AvailableMachine],
     types: dict[str, MachineType],
@@ -41,27 +41,27 @@
     tuning: Tuning,
     smooth: Callable[[float], float] = lambda target_cpus: target_cpus,
 ) -> Plan:
-    """Return the plan for the whole fleet; the same from the same inputs.
+    """Return the fleet plan, which depends on nothing but the arguments.
 
     Parameters
     ----------
     loads
-        The unfinished work of all jobs, those first that are served first.
+        The unfinished work of all jobs, in the order in which the jobs are served.
     machines
         The machines that are up or booting.
     types
         The machine types of the cloud, by name.
     is_refused
-        Whether the cloud has no machines of a kind now.
-    usual_array_cpus
-        Cpus of an array job of the usual size; 0 where none is expected.
+        Tells whether the cloud currently has no machines of a kind.
+    average_array_cpus
+        Average size of an array in cpus; 0 if none is expected.
     expected_gangs
-        The classes of gangs that arrive, by name.
+        The gangs that are expected to arrive, by job class.
     tuning
         The weights of the plan.
     smooth
-        Averages the target over time: a machine that is rented for a short burst is up only when
-        the burst is over.
+        Averages the arrays' target in cpus over time, because a machine rented for a short burst
+        is booted only after the burst is over.
     """
     gangs = [load for load in loads if load.spec.kind == JobKind.GANG]
     arrays = [load for load in loads if load.spec.kind != JobKind.GANG]
@@ -75,9 +75,9 @@
     reservations.reserve_for_expected(expected_gangs, arrays, tuning.standby_gangs)
     capacity = ArrayCapacity(draft, kinds, arrays, tuning, boot_s)
     capacity.set_target(average_array_cpus, smooth)
-    capacity.rent()
-    capacity.rent_in_required_zones()
-    capacity.rent_for_unserved()
+    capacity.request_shortfall()
+    capacity.request_in_required_zones()
+    capacity.request_for_unserved()
     drain_surplus(draft)
     release_idle(draft, bool(arrays), tuning)
     return draft.finish()
--- a/marblestair/core/capacity/provisioning.py
+++ b/marblestair/core/capacity/provisioning.py
@@ -1,4 +1,4 @@
-"""What the plan for the fleet is made from, and what it asks for."""
+"""The inputs and the results of the fleet plan, and constants of its parts."""
 
 from __future__ import annotations
 
@@ -7,54 +7,56 @@
 from marblestair.core.domain.jobs import JobSpec
 from marblestair.core.domain.machines import MachineType
 
-#: age before which no machine is released, in seconds: a rental costs at least a minute
+#: minimum age of a machine before it is released, in seconds; a rental costs at least one minute
 MIN_RENTAL_S = 58.0
-#: boot time where no machine type is known, in seconds
+#: boot time that is assumed while no machine type is known, in seconds
 UNKNOWN_BOOT_S = 30.0
-#: boots take up to this many times the usual time, as a rule
+#: planned boot time as a multiple of the nominal one; most boots take no longer
 SLOW_BOOT_RATIO = 1.2
-#: time that a machine which is due to be up is still expected to take, in seconds
+#: minimum remaining time that is assumed for a machine that is booting, in seconds
 MIN_BOOT_LEFT_S = 1.0
-#: stands for the job where a machine is reserved for a gang that is only expected
+#: used in place of a job id for a machine that is reserved for a gang that has not arrived yet
 EXPECTED_GANG = ""
 
 
 class Tuning(msgspec.Struct, frozen=True):
-    """Weights of the plan; operators may change them by their policy."""
+    """Weights of the fleet plan, which operators can set in the policy script."""
 
-    #: capacity beyond what deadlines demand, as a ratio to it
+    #: additional capacity for arrays, as a ratio to the capacity that they demand
     capacity_margin: float = 0.0
-    #: over how many boot times the demand is averaged
+    #: time constant of the average of the arrays' target, in boot times
     smoothing_boot_times: float = 1.0
-    #: surplus from which on an idle machine is released, in machines of its size
+    #: minimum surplus for the release of an idle machine, as a ratio to the cpus of that machine
     release_surplus: float = 0.6
-    #: share of the time until its deadline within which work should be done
+    #: share of the time until its deadline in which work should be completed
     deadline_share: float = 0.4
-    #: capacity beyond the work at hand, in array jobs of the usual size
+    #: additional capacity for arrays that have not arrived yet, in arrays of average size
     headroom_jobs: float = 0.3
-    #: gangs, at least, for which machines stand by in a class whose starts are latency-sensitive
+    #: minimum number of gangs of each latency-sensitive class for which machines stand by; 0
+    #: disables standby machines
     standby_gangs: int = 1
-    #: by how much the price of spot machines counts as higher than it is, as a ratio
+    #: surcharge on the price of spot machines in comparisons, as a ratio to it
     spot_risk_premium: float = 0.2
-    #: an idle machine is released after at least this many of its boot times
+    #: minimum idle time of a machine before it is released, in its boot times
     min_idle_boot_times: float = 0.5
-    #: time after which jobs without a deadline should be done, in their run times
+    #: time in which a job without a deadline should be completed after it became startable, in its
+    #: run times
     default_deadline_run_times: float = 2.0
 
 
 class JobLoad(msgspec.Struct, frozen=True):
-    """Unfinished work of one job in all shards."""
+    """The unfinished work of one job in all shards."""
 
     spec: JobSpec
     pending: int
     running: int
-    #: seconds until it should be done; negative when that has passed
+    #: seconds until the job should be completed; negative if that time has passed
     due_in_s: float
-    #: expected run time of one task
+    #: expected run time of one task in seconds
     run_s: float
-    #: how many of the pending tasks the team's limit allows to run
+    #: number of pending tasks that the team's limit allows to run
     allowed_tasks: int
-    #: a shard in which tasks of the job are; None where that is not known
+    #: a shard that has tasks of the job; None if not known
     shard_id: int | None = None
 
 
@@ -66,17 +68,18 @@
     zone: str
     spot: bool
     runs_gang: bool
-    #: seconds without any task; None while it is in use, or not up
+    #: seconds for which it has had no task; None while it has tasks or is not up
     idle_s: float | None
     age_s: float
     shard_id: int
     #: cpus in use, in fixed point
     used_cpus: int = 0
-    #: silent with many others: likely back, so counted, but not to be reserved
-    is_absent: bool = False
+    #: presumed to be in a network partition: counts as capacity, since it will probably reconnect,
+    #: but is not reserved
+    is_partitioned: bool = False
 
-    def ready_s(self, busy_s: float) -> float:
-        """In how many seconds it may be empty; ``busy_s`` if it runs arrays now."""
+    def empty_in_s(self, busy_s: float) -> float:
+        """Return the seconds until the machine can be empty; ``busy_s`` if it runs tasks now."""
         if self.idle_s is not None:
             return 0.0
         if self.used_cpus:
@@ -91,21 +94,22 @@
     zone: str
     spot: bool
     count: int
-    #: shard whose leader should rent them, because a gang is pending there; None for any
+    #: shard whose leader should rent them because a gang is pending there; None if any may
     shard_id: int | None = None
 
 
 class Plan(msgspec.Struct):
-    """What should be done about the fleet."""
+    """The fleet plan: the actions that adapt the fleet to the demand."""
 
     rentals: list[RentalRequest] = []
+    #: names of idle machines to release
     releases: list[str] = []
-    #: cpus that arrays should have, and cpus they have
+    #: cpus that arrays should have, and cpus that they have
     target_cpus: float = 0.0
     capacity_cpus: float = 0.0
-    #: machines that are to fall idle
+    #: machines that get tasks only if there is no other free capacity, so that they become idle
     draining_machines: set[str] = set()
-    #: those of them that are beyond all demand
+    #: the draining machines that are beyond the demand
     surplus_machines: set[str] = set()
-    #: machines reserved for gangs, and the pending job, or EXPECTED_GANG
+    #: machine reserved for a gang -> id of the pending job, or EXPECTED_GANG
     reserved_machines: dict[str, str] = {}
--- a/marblestair/core/capacity/releases.py
+++ b/marblestair/core/capacity/releases.py
@@ -1,4 +1,4 @@
-"""Releases of machines to the cloud, and the removal of their records once it has confirmed."""
+"""Release of machines to the cloud, and removal of their records after its confirmation."""
 
 from __future__ import annotations
 
@@ -14,14 +14,15 @@
 from marblestair.core.state.store_follower import StoreFollower
 from marblestair.core.state.store_view import StoreView
 
-#: pause after a release that the cloud did not confirm
+#: pause after a release request that the cloud did not confirm, in seconds
 RETRY_PAUSE_S = 0.5
-#: share of ``cancel_s`` after which a machine that still has a cancelled task is given up
-GIVE_UP_SHARE = 0.5
+#: time after which a machine that still has a task of a cancelled job is decommissioned, as a share
+#: of the setting ``cancel_s``
+CANCEL_TIMEOUT_SHARE = 0.5
 
 
 class Releases:
-    """The releases of one node's shards."""
+    """Releases the machines of the shards that one node leads."""
 
     def __init__(
         self,
@@ -36,24 +37,25 @@
         self._follower = follower
 
     def release(self, shard: Shard, machines: list[Machine]) -> Coroutine[None]:
-        """Release machines; their tasks have ended once the cloud has confirmed, not before."""
+        """Request the release of machines; their tasks count as ended only after its confirmation."""
         for machine in machines:
             machine.is_releasing = True
         names = [machine.name for machine in machines]
         self._context.log("info", f"releasing {names}")
         response: CloudResponse = yield ReleaseMachines(names)
         if response.status == 200:
-            self._context.spawn(self._remove(shard, names))
+            self._context.spawn(self._remove_records(shard, names))
             return
         for machine in machines:
-            # A late copy of the request may still end the machine; its release is requested again.
+            # A late duplicate of the request may still end a machine. The release can be requested
+            # again, except for a decommissioned machine, which stays marked.
             machine.is_releasing = machine.is_decommissioned
             if not machine.tasks:
                 machine.idle_since = self._context.now
         yield Sleep(RETRY_PAUSE_S)
 
-    def _remove(self, shard: Shard, names: list[str]) -> Coroutine[None]:
-        """Delete the records of machines that are gone."""
+    def _remove_records(self, shard: Shard, names: list[str]) -> Coroutine[None]:
+        """Remove the tasks and delete the records of machines whose release is confirmed."""
         now = self._context.now
         for name in names:
             machine = shard.machines.get(name)
@@ -79,17 +81,21 @@
             yield Sleep(0.3 + 0.3 * self._context.rng.random())
 
     def enforce_cancel_deadline(self, shard: Shard) -> None:
-        """Stop responding to machines that have had a cancelled task for too long.
+        """Decommission machines that still have a task of a job cancelled too long ago.
 
-        Without 200 responses the agent's lease expires, and the machine is released, so that
-        both the lease and the cloud end the task.
+        Heartbeats of a decommissioned machine are not answered with status 200, so that the agent's
+        lease expires, and the machine is released: either of these ends the task.
         """
         now = self._context.now
-        limit_s = GIVE_UP_SHARE * self._context.settings.cluster.workers.cancel_s
+        limit_s = CANCEL_TIMEOUT_SHARE * self._context.settings.cluster.workers.cancel_s
         for job_slice in shard.slices.values():
             if not job_slice.is_cancelled or now - job_slice.cancelled_at <= limit_s:
                 continue
             for machine in job_slice.placed_on.values():
                 if not machine.is_decommissioned:
                     machine.is_decommissioned = True
-                    self._context.log("info", f"{machine.name} does not stop a cancelled task")
+                    self._context.log(
+                        "info",
+                        f"decommissioning machine {machine.name}: it still has a task of cancelled"
+                        f" job {job_slice.spec.id} after {limit_s:.1f} s",
+                    )
--- a/marblestair/core/capacity/rentals.py
+++ b/marblestair/core/capacity/rentals.py
@@ -1,4 +1,8 @@
-"""Rentals: each is recorded as an intent before it is sent, under a name that is never reused."""
+"""Rental of machines from the cloud.
+
+Each rental is recorded in the store as an intent, under a name that is never reused, before it is
+requested from the cloud.
+"""
 
 from __future__ import annotations
 
@@ -25,18 +29,19 @@
 from marblestair.core.state.records import MachineRecord, RentalIntent
 from marblestair.core.state.store_view import StoreView
 
-#: agents' leases within which a new leader carries out what an earlier one meant to rent
-RECENT_LEASES = 2.0
-#: boot times for which a kind is not requested after a refusal, and the least time in seconds
+#: maximum age of an earlier leader's intent that a new leader carries out, in agent leases
+MAX_INTENT_AGE_LEASES = 2.0
+#: time for which a kind is not requested after a refusal: in its boot times, and the minimum if the
+#: cloud refused the whole request
 REFUSED_BOOT_TIMES, MIN_REFUSED_S = 0.5, 5.0
-#: pause before a request without a response is repeated: at first, its growth, and the longest
-FIRST_PAUSE_S, PAUSE_GROWTH, MAX_PAUSE_S = 0.5, 1.6, 4.0
-#: intents in one page of a listing, and the pause before a listing is tried again
-LISTED_INTENTS, LISTING_PAUSE_S = 200, 0.5
+#: pause before a request without a response is repeated: the first, its growth factor, the maximum
+FIRST_RETRY_PAUSE_S, RETRY_PAUSE_GROWTH, MAX_RETRY_PAUSE_S = 0.5, 1.6, 4.0
+#: maximum number of intents in one page of a listing, and the pause after a failed listing
+MAX_LISTED_INTENTS, LISTING_PAUSE_S = 200, 0.5
 
 
 class Rentals:
-    """The rentals of one node's shards."""
+    """Rents machines for the shards that one node leads."""
 
     def __init__(
         self,
@@ -51,14 +56,17 @@
         self._leadership = leadership
         self._catalog = catalog
         self._refusals = refusals
-        #: rentals of this process, for names that are never reused
+        #: number of rentals by this process, which makes their names unique
         self._count = 0
 
     def _is_current(self, shard: Shard) -> bool:
         return self._leadership.shards.get(shard.shard_id) is shard
 
     def rent(self, shard: Shard, rental: RentalRequest) -> Coroutine[int]:
-        """Rent machines; how many the cloud granted, all of them where that is not known."""
+        """Rent machines, and return how many the cloud granted.
+
+        Returns the requested number if the attempt to record the intent failed.
+        """
         self._count += 1
         name = f"r-{shard.term}-{self._count}"
         key = keys.rental_intent(shard.shard_id, name)
@@ -82,22 +90,25 @@
     def _rent_recorded(
         self, shard: Shard, name: str, rental: RentalRequest, intent_version: int
     ) -> Coroutine[int]:
-        """Rent under a recorded name, until the cloud has responded; how many machines."""
+        """Carry out a recorded rental; return the number of machines that the cloud granted."""
         machines = yield from self._request(shard, name, rental, intent_version)
         if machines is None:
             return 0
-        kind = f"{rental.machine_type} {rental.zone} {rental.spot}"
+        kind = f"machine_type={rental.machine_type} zone={rental.zone} spot={rental.spot}"
         self._context.log("info", f"rented {machines} as {name}: {kind}")
         if len(machines) < rental.count:
-            self._refuse(rental, 0.0)
+            self._record_refusal(rental, 0.0)
         yield from self._record_machines(shard, name, rental, intent_version, machines)
         return len(machines)
 
     def _request(
         self, shard: Shard, name: str, rental: RentalRequest, intent_version: int
     ) -> Coroutine[list[str] | None]:
-        """Repeat a request until the cloud responds: the machines, or None when it refuses."""
-        pause_s = FIRST_PAUSE_S
+        """Repeat a request until the cloud responds, and return the granted machines.
+
+        Returns None if the cloud refuses, or if this node loses the shard meanwhile.
+        """
+        pause_s = FIRST_RETRY_PAUSE_S
         while True:
             response: CloudResponse = yield RentMachines(
                 name, rental.machine_type, rental.zone, rental.spot, rental.count
@@ -105,20 +116,23 @@
             if response.status == 200:
                 return response.machines
             if response.status == 400 or (response.status == 503 and response.no_capacity):
-                self._refuse(rental, MIN_REFUSED_S)
+                self._record_refusal(rental, MIN_REFUSED_S)
                 shard.obsolete_keys[keys.rental_intent(shard.shard_id, name)] = intent_version
                 return None
             if not self._is_current(shard):
                 return None
             yield Sleep(pause_s * (0.8 + 0.4 * self._context.rng.random()))
-            pause_s = min(MAX_PAUSE_S, pause_s * PAUSE_GROWTH)
+            pause_s = min(MAX_RETRY_PAUSE_S, pause_s * RETRY_PAUSE_GROWTH)
+
+    def _record_refusal(self, rental: RentalRequest, min_s: float) -> None:
+        """Record that the cloud has no more machines of a kind.
 
-    def _refuse(self, rental: RentalRequest, least_s: float) -> None:
-        """The cloud has no more of a kind: it is not requested for a while."""
+        The kind is then not requested for some boot times, or ``min_s`` seconds if that is longer.
+        """
         kind = self._catalog.types.get(rental.machine_type)
         boot_s = kind.boot_s if kind is not None else UNKNOWN_BOOT_S
         key = (rental.machine_type, rental.zone, rental.spot)
-        self._refusals.refuse(key, max(least_s, REFUSED_BOOT_TIMES * boot_s))
+        self._refusals.record_refusal(key, max(min_s, REFUSED_BOOT_TIMES * boot_s))
 
     def _record_machines(
         self,
@@ -128,7 +142,7 @@
         intent_version: int,
         machines: list[str],
     ) -> Coroutine[None]:
-        """Put rented machines into the shard, and delete the intent with the last of them."""
+        """Record rented machines in the shard, and delete the intent with the last batch."""
         intent_key = keys.rental_intent(shard.shard_id, name)
         batch_size = max(1, self._context.max_batch_changes - 1)
         remaining = list(machines)
@@ -138,8 +152,8 @@
                 Put(keys.MACHINES + machine, self._machine_record(shard, rental))
                 for machine in batch
             ]
-            # An attempt that is carried out only after the machine was released again leaves a
-            # record of a machine that never sends a heartbeat: it is removed like a failed one.
+            # A delayed attempt may be committed after the machine was released. The record is then
+            # that of a machine that never sends a heartbeat: it is removed after the boot timeout.
             preconditions = [(put.key, 0) for put in puts]
             preconditions.append(self._leadership.fence_precondition(shard.shard_id))
             preconditions.append((intent_key, intent_version))
@@ -155,7 +169,7 @@
             if not self._is_current(shard):
                 return
             if response.status == 409:
-                # Recorded by an earlier attempt, or registered by another node in between.
+                # Some machines were recorded by an earlier attempt or registered by another node.
                 remaining = [machine for machine in remaining if self._is_unknown(machine)]
                 if not remaining:
                     shard.obsolete_keys[intent_key] = None
@@ -177,16 +191,17 @@
     # --- intents of earlier leaders --------------------------------------------------------
 
     def finish_recorded(self, shard: Shard) -> Coroutine[None]:
-        """Carry out the rentals that an earlier leader recorded just before its end.
+        """Carry out the recent rentals that earlier leaders recorded but did not finish.
 
-        The same name gives the same machines, so none is left unused and paid for. Older
-        intents were refused, or their machines are recorded, listed or sending heartbeats by now;
-        requesting them again would rent machines for which there is no demand any more.
+        The cloud returns the same machines for the same name, so machines that it granted without
+        being recorded are not left unused. Older intents are marked obsolete: they were refused, or
+        their machines are recorded, listed or sending heartbeats by now, and repeating the request
+        could rent machines that are not needed any more.
         """
         prefix = f"{keys.RENTAL_INTENTS}{shard.shard_id}/"
         after_key = ""
         while self._is_current(shard):
-            response: StoreResponse = yield ListKeys(prefix, after_key, LISTED_INTENTS)
+            response: StoreResponse = yield ListKeys(prefix, after_key, MAX_LISTED_INTENTS)
             if response.status != 200:
                 yield Sleep(LISTING_PAUSE_S)
                 continue
@@ -195,16 +210,16 @@
                     return
                 name = item.key[len(prefix) :]
                 if not name.startswith(f"r-{shard.term}-"):
-                    yield from self._finish(shard, name, item)
+                    yield from self._finish_intent(shard, name, item)
             if not response.has_more or not response.items:
                 return
             after_key = response.items[-1].key
 
-    def _finish(self, shard: Shard, name: str, item: StoredKey) -> Coroutine[None]:
+    def _finish_intent(self, shard: Shard, name: str, item: StoredKey) -> Coroutine[None]:
         intent = msgspec.convert(item.value, RentalIntent)
-        recent_s = RECENT_LEASES * self._context.settings.cluster.workers.lease_s
+        max_age_s = MAX_INTENT_AGE_LEASES * self._context.settings.cluster.workers.lease_s
         recorded_at = intent.recorded_at
-        if recorded_at is not None and self._context.wall_time - recorded_at > recent_s:
+        if recorded_at is not None and self._context.wall_time - recorded_at > max_age_s:
             shard.obsolete_keys[item.key] = item.version
             return
         rental = RentalRequest(intent.machine_type, intent.zone, intent.spot, intent.count)
--- a/marblestair/core/capacity/reported_state.py
+++ b/marblestair/core/capacity/reported_state.py
@@ -1,4 +1,4 @@
-"""The summaries of all shards, put together for the plan of the fleet."""
+"""The merged summaries of all shards, an input of the fleet plan."""
 
 from __future__ import annotations
 
@@ -6,30 +6,30 @@
 from marblestair.core.messaging.shard_summary import ReceivedSummary
 from marblestair.core.runtime.context import NodeContext
 
-#: a shard without a summary for this many of the agents' leases is left out
-RECENT_SUMMARY_LEASES = 1.5
+#: maximum age of a shard's summary that is used, in agent leases
+MAX_SUMMARY_AGE_LEASES = 1.5
 
 
 class ReportedState:
-    """What the leaders of all shards reported last.
+    """The latest summaries of all shards, merged.
 
-    Through a failover the last summary of a shard is still nearly right; only of one without any
-    for longer are neither the work nor the machines counted.
+    The last summary of a shard is a good approximation during a failover, so it is used until it
+    exceeds the maximum age; after that the shard's work and machines are left out.
     """
 
     def __init__(self, context: NodeContext, summaries: ReceivedSummaries) -> None:
-        #: job -> its pending tasks, and its tasks on machines
+        #: job -> number of its pending tasks, and of its tasks on machines
         self.tasks: dict[str, tuple[int, int]] = {}
         #: job -> a shard that has tasks of it
         self.shard_of_job: dict[str, int] = {}
-        #: machine -> seconds without any task
+        #: machine -> seconds for which it has had no task
         self.idle_machines: dict[str, float] = {}
         self.unavailable_machines: set[str] = set()
         self.partitioned_machines: set[str] = set()
         self.gang_machines: set[str] = set()
         #: machine -> cpus in use, in fixed point
         self.used_cpus: dict[str, int] = {}
-        max_age_s = RECENT_SUMMARY_LEASES * context.settings.cluster.workers.lease_s
+        max_age_s = MAX_SUMMARY_AGE_LEASES * context.settings.cluster.workers.lease_s
         #: shards with a recent summary
         self.recent_shards = {
             shard_id
--- a/marblestair/core/capacity/scale_in.py
+++ b/marblestair/core/capacity/scale_in.py
@@ -1,14 +1,17 @@
-"""Scale-in: which machines beyond the target are to fall idle, and which are released."""
+"""Scale-in: the choice of surplus machines to drain and of idle machines to release."""
 
 from __future__ import annotations
 
-from marblestair.core.capacity.machine_kinds_by_price import MIN_CPUS
+from marblestair.core.capacity.machine_kinds_by_price import MIN_DIVISOR_CPUS
 from marblestair.core.capacity.plan_draft import PlanDraft
 from marblestair.core.capacity.provisioning import MIN_RENTAL_S, Tuning
 
 
 def drain_surplus(draft: PlanDraft) -> None:
-    """Let whole machines beyond the target fall idle: ordinary ones first, then the emptiest."""
+    """Mark surplus machines as draining: on-demand before spot ones, the least used first.
+
+    A machine is surplus if the capacity exceeds the target by at least its size.
+    """
     plan = draft.plan
     surplus_cpus = plan.capacity_cpus - plan.target_cpus
     for machine in sorted(
@@ -19,7 +22,7 @@
             machine.name,
         ),
     ):
-        if machine.name in draft.gang_machines or machine.is_absent:
+        if machine.name in draft.gang_machines or machine.is_partitioned:
             continue
         if surplus_cpus >= machine.machine_type.cpus:
             surplus_cpus -= machine.machine_type.cpus
@@ -28,14 +31,14 @@
 
 
 def release_idle(draft: PlanDraft, has_arrays: bool, tuning: Tuning) -> None:
-    """Release idle machines that neither arrays nor a pending gang demand, dearest first."""
+    """Add the idle machines that are not needed to the releases, the most expensive first."""
     plan = draft.plan
     surplus_cpus = plan.capacity_cpus - plan.target_cpus
     idle = [machine for machine in draft.array_machines() if machine.idle_s is not None]
     idle.sort(
         key=lambda machine: (
             machine.spot,
-            -(machine.machine_type.price / max(machine.machine_type.cpus, MIN_CPUS)),
+            -(machine.machine_type.price / max(machine.machine_type.cpus, MIN_DIVISOR_CPUS)),
             machine.name,
         )
     )
--- a/marblestair/core/capacity/services.py
+++ b/marblestair/core/capacity/services.py
@@ -1,4 +1,4 @@
-"""Composes what scales the fleet out and in."""
+"""Construction of the components that scale the fleet out and in."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 class CapacityServices:
     """The components of this package, for one node."""
 
-    def __init__(  # noqa: PLR0913 - what the components of a whole package need
+    def __init__(  # noqa: PLR0913 - dependencies of the whole package
         self,
         context: NodeContext,
         view: StoreView,
--- a/marblestair/core/capacity/spending.py
+++ b/marblestair/core/capacity/spending.py
@@ -1,4 +1,4 @@
-"""What the machines of a shard cost, by use, for its log."""
+"""Accounting of the cost of a shard's machines by use, for the log."""
 
 from __future__ import annotations
 
@@ -6,32 +6,34 @@
 from marblestair.core.shard.machine import Machine
 from marblestair.core.shard.shard import Shard
 
-#: seconds between two log lines of a shard
-LOG_PERIOD_S = 60.0
-#: the longest time between two calls that counts in full, in seconds; after a failover it is longer
-MAX_ELAPSED_S = 5.0
+#: minimum interval between two log lines of a shard, in seconds
+LOG_INTERVAL_S = 60.0
+#: maximum time that one call accounts for, in seconds; more time may have passed since the last
+#: call if another node led the shard in between
+MAX_ACCOUNTED_S = 5.0
 SECONDS_PER_HOUR = 3600.0
 
 
 class Spending:
-    """The cost of the shards of one node, by kind of use, since it was last logged."""
+    """Sums up the cost of one node's shards by use, and logs it periodically."""
 
     def __init__(self, context: NodeContext) -> None:
         self._context = context
+        #: shard -> use -> cost since the last log line
         self._spent: dict[int, dict[str, float]] = {}
         self._accounted_at: dict[int, float] = {}
         self._logged_at: dict[int, float] = {}
 
     def account(self, shard: Shard) -> None:
-        """Add what a shard's machines cost since the last call; about once a minute, log it."""
+        """Add the cost of a shard's machines since the last call, and log the sum once a minute."""
         now = self._context.now
-        elapsed_s = min(MAX_ELAPSED_S, now - self._accounted_at.get(shard.shard_id, now))
+        elapsed_s = min(MAX_ACCOUNTED_S, now - self._accounted_at.get(shard.shard_id, now))
         self._accounted_at[shard.shard_id] = now
         spent = self._spent.setdefault(shard.shard_id, {})
         for machine in shard.machines.values():
             _add(spent, machine, elapsed_s)
         if (
-            now - self._logged_at.setdefault(shard.shard_id, now) >= LOG_PERIOD_S
+            now - self._logged_at.setdefault(shard.shard_id, now) >= LOG_INTERVAL_S
             and sum(spent.values()) > 0
         ):
             self._logged_at[shard.shard_id] = now
@@ -44,13 +46,13 @@
         pending = sum(len(job_slice.pending) for job_slice in shard.slices.values())
         self._context.log(
             "info",
-            f"part {shard.shard_id}: {len(shard.machines)} machines,"
-            f" {pending} tasks waiting, spent {total:.3f}: {uses}",
+            f"machine cost: shard={shard.shard_id} machines={len(shard.machines)}"
+            f" pending_tasks={pending} cost={total:.3f}, shares by use: {uses}",
         )
 
 
 def _add(spent: dict[str, float], machine: Machine, elapsed_s: float) -> None:
-    """Divide the cost of one machine by what its cpus were used for."""
+    """Add the cost of one machine, divided among the uses of its cpus."""
     if machine.machine_type is None:
         return
     price = machine.machine_type.spot_price if machine.spot else machine.machine_type.price
--- a/marblestair/core/capacity/team_headroom.py
+++ b/marblestair/core/capacity/team_headroom.py
@@ -1,4 +1,4 @@
-"""How much more work the limits of the teams allow to run."""
+"""The remaining headroom of the teams under their cpu limits."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class TeamHeadroom:
-    """Cpus that the teams' limits leave, as pending work is counted against them job by job."""
+    """The cpus that the teams' limits leave for pending work, reserved job by job."""
 
     def __init__(
         self, teams: dict[str, Team], reported: ReportedState, live: list[JobRecord]
     ) -> None:
         self._cpus = {name: team.cpu_limit for name, team in teams.items()}
-        # What arrays use of a limit is free for a gang before long.
+        # Arrays are not subtracted, because they soon free their part of the limit for gangs.
         self._gang_cpus = dict(self._cpus)
         for record in live:
             spec = record.spec
@@ -27,8 +27,8 @@
         if is_gang:
             self._gang_cpus[team] = self._gang_cpus.get(team, 0.0) - cpus
 
-    def allow(self, record: JobRecord, pending: int) -> int:
-        """Count a job's pending tasks against the limit; how many of them it allows to run."""
+    def reserve(self, record: JobRecord, pending: int) -> int:
+        """Reserve cpus for the pending tasks that the limit allows to run; return their number."""
         spec = record.spec
         is_gang = spec.kind == JobKind.GANG
         left = self._gang_cpus if is_gang else self._cpus
--- a/tests/core/capacity/test_decommissioning.py
+++ b/tests/core/capacity/test_decommissioning.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from marblestair.core.capacity.decommissioning import machines_to_release, machines_to_empty
+from marblestair.core.capacity.decommissioning import machines_to_empty, machines_to_release
 from marblestair.core.domain.jobs import JobSpec
 from marblestair.core.domain.machines import MachineType
 from marblestair.core.shard.job_slice import JobSlice
