--- a/marblestair/core/capacity/releases.py
+++ b/marblestair/core/capacity/releases.py
@@ -37,7 +37,7 @@
         self._follower = follower
 
     def release(self, shard: Shard, machines: list[Machine]) -> Coroutine[None]:
-        """Request the release of machines; their tasks count as ended only after its confirmation."""
+        """Request the release of machines; their tasks count as ended only once it is confirmed."""
         for machine in machines:
             machine.is_releasing = True
         names = [machine.name for machine in machines]
