--- a/marblestair/net/peers.py
+++ b/marblestair/net/peers.py
@@ -7,10 +7,10 @@
 from typing import Any, TypeAlias
 
 from marblestair.net.framing import (
+    AckFrame,
     Elements,
     FramedConnection,
     MessageFrame,
-    AckFrame,
     RequestFrame,
     ResponseFrame,
 )
--- a/marblestair/node.py
+++ b/marblestair/node.py
@@ -18,8 +18,8 @@
 from marblestair.log_levels import LOG_LEVELS
 from marblestair.net.framing import Elements
 from marblestair.net.peers import PeerServer, Responder
-from marblestair.request_executor import RequestExecutor
 from marblestair.policy import Policy
+from marblestair.request_executor import RequestExecutor
 from marblestair.settings import Settings, split_address
 from marblestair.wire.peers import (
     MalformedMessageError,
--- a/marblestair/request_executor.py
+++ b/marblestair/request_executor.py
@@ -16,7 +16,7 @@
 )
 from marblestair.core.runtime.outbox import DirectCommand
 from marblestair.core.runtime.rejected_writes import RejectedWrites
-from marblestair.core.runtime.requests import InspectAgent, CoroutineRequest, PeerRequest
+from marblestair.core.runtime.requests import CoroutineRequest, InspectAgent, PeerRequest
 from marblestair.core.runtime.store_requests import (
     NOT_SENT,
     CompareAndSwap,
@@ -28,9 +28,9 @@
     StoreResponse,
     Watch,
 )
-from marblestair.net.rate_limiter import RateLimiter
 from marblestair.net.http_client import NO_RESPONSE, HttpClient
 from marblestair.net.peers import Link
+from marblestair.net.rate_limiter import RateLimiter
 from marblestair.settings import Settings
 from marblestair.wire.agents import (
     COMMAND_PATH,
--- a/tests/net/test_framing.py
+++ b/tests/net/test_framing.py
@@ -8,9 +8,9 @@
 import pytest
 
 from marblestair.net.framing import (
+    AckFrame,
     FramedConnection,
     MessageFrame,
-    AckFrame,
     RequestFrame,
     ResponseFrame,
     encode_frame,
--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -19,7 +19,12 @@
 def test_a_malformed_frame_closes_its_connection_only() -> None:
     messages: list[Any] = []
     server = PeerServer(lambda *message: messages.append(message), lambda *request: None)
-    malformed = (b"\xff" * 8, encode_frame([])[:4] + b"\xc1", encode_frame({"a": 1}), encode_frame([]))  # type: ignore[arg-type]
+    malformed = (
+        b"\xff" * 8,
+        encode_frame([])[:4] + b"\xc1",
+        encode_frame({"a": 1}),
+        encode_frame([]),
+    )  # type: ignore[arg-type]
     for data in malformed:
         connection, transport = connect(server)
         connection.data_received(data)
