--- a/tests/tools/scenarios_storm.py
+++ b/tests/tools/scenarios_storm.py
@@ -51,7 +51,7 @@
 
 def _calm(deployment: Deployment) -> None:
     deployment.store.end_troubles()
-    deployment.network.mend()
+    deployment.network.end_partitions()
     for number in range(len(deployment.controllers.hosts)):
         deployment.controllers.start(number)
 
@@ -63,7 +63,7 @@
 def _death(deployment: Deployment) -> Callable[[], Any]:
     """A controller dies, perhaps with its host."""
     number = _some_controller(deployment)
-    deployment.controllers.kill(number, is_silent=deployment.random.random() < 0.5)
+    deployment.controllers.kill(number, is_power_loss=deployment.random.random() < 0.5)
     return lambda: deployment.controllers.start(number)
 
 
@@ -108,7 +108,7 @@
     for other in others:
         if other != name:
             cut(name, other)
-    return network.mend
+    return network.end_partitions
 
 
 def _hang(deployment: Deployment) -> Callable[[], Any]:
