--- a/tests/core/capacity/test_decommissioning.py
+++ b/tests/core/capacity/test_decommissioning.py
@@ -1,4 +1,4 @@
-"""Which machines are emptied and returned."""
+"""Selection of the machines to empty and of the machines to release."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 @pytest.fixture
 def shard() -> Shard:
-    """A shard without machines."""
+    """Return a shard without machines."""
     return Shard(0, 5, node_settings(0).cluster, 0.0)
 
 
 def add_machine(shard: Shard, name: str, machine_type: MachineType, heartbeat_at: float) -> Machine:
-    """Add a machine whose heartbeat came."""
+    """Add a machine that has sent a heartbeat."""
     machine = Machine(name, machine_type.name, "a", False, 0.0)
     shard.add_machine(machine)
     machine.set_machine_type(machine_type)
@@ -33,7 +33,7 @@
 def run_task(
     shard: Shard, machine: Machine, spec: JobSpec, index: int, attempt: int, since: float
 ) -> None:
-    """Have a task of a job run on a machine since a moment."""
+    """Place a task of a job on a machine, as running since a given time."""
     job_slice = shard.slices.setdefault(spec.id, JobSlice(spec))
     shard.launch(machine, job_slice, index, attempt)
     task = machine.tasks[(spec.id, index)]
@@ -41,9 +41,9 @@
 
 
 def test_a_nearly_empty_machine_beyond_the_demand_is_emptied_for_its_return(shard: Shard) -> None:
-    """Found on a simulated steady day: when the demand fell, long tasks occupied machines.
+    """Once demand falls, a few long tasks must not keep nearly empty machines rented.
 
-    One after another occupied machines that were otherwise free, for over a hundred seconds.
+    Otherwise successive long tasks keep such machines in use for more than 100 s.
     """
 
     def machine_with(name: str, number: int, tasks: int, ran_s: float) -> Machine:
@@ -54,17 +54,17 @@
         shard.slices[spec.id].ranges = [[0, tasks]]
         return machine
 
-    few = machine_with("host-1", 1, tasks=1, ran_s=20.0)
-    many = machine_with("host-2", 2, tasks=14, ran_s=50.0)
+    nearly_empty = machine_with("host-1", 1, tasks=1, ran_s=20.0)
+    nearly_full = machine_with("host-2", 2, tasks=14, ran_s=50.0)
     other = machine_with("host-3", 3, tasks=2, ran_s=20.0)
     names = {"host-1", "host-2"}
-    assert machines_to_empty(shard, names, 100.0) == [few]
-    # Not where the tasks would find no free capacity, nor before the least rental is over.
+    assert machines_to_empty(shard, names, 100.0) == [nearly_empty]
+    # No machine is emptied if its tasks fit on no other machine, or in its minimum rental period.
     assert machines_to_empty(shard, {"host-1", "host-2", "host-3"}, 100.0) == []
     assert machines_to_empty(shard, names, 50.0) == []
-    shard.stop_tasks(list(few.tasks.values()), "returned")
+    shard.stop_tasks(list(nearly_empty.tasks.values()), "returned")
     assert machines_to_empty(shard, names, 100.0) == []
-    assert many.tasks
+    assert nearly_full.tasks
     assert other.tasks
 
 
@@ -83,7 +83,10 @@
 def test_a_machine_is_emptied_for_its_free_capacity_if_its_tasks_have_checkpoints(
     shard: Shard, checkpoint_s: float, is_emptied: bool
 ) -> None:
-    """Found on simulated days: long best-effort tasks occupied whole machines for minutes."""
+    """A machine is emptied if its tasks lose little run time, since they save checkpoints.
+
+    Otherwise long best-effort tasks occupy whole machines for minutes.
+    """
     spec = job_spec(
         1,
         cpus=4.0,
--- a/tests/core/capacity/test_late_machines.py
+++ b/tests/core/capacity/test_late_machines.py
@@ -1,4 +1,4 @@
-"""Machines that boot late or never while jobs wait for them."""
+"""Machines that boot late or never while jobs wait for capacity."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class DelayedBoots:
-    """Delays the boots of machines, by a ratio of their usual time or for ever."""
+    """Makes machines boot after ``ratio`` times their nominal boot time, or never if it is None."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, ratio: float | None) -> None:
         self.agents: list[FakeAgent] = []
@@ -49,7 +49,7 @@
     assert deployment.run_until(lambda: bool(deployment.agents.keys() - rented), 60.0)
     assert deployment.now - agent.rented_at < 2.2 * agent.machine_type.boot_s
     assert deployment.users.wait_until_done(job, 40.0)
-    # What never booted is returned in the end.
+    # The machines that never booted are released in the end.
     assert deployment.run_until(
         lambda: all(agent.is_released for agent in delayed_boots.agents), 60.0
     )
@@ -68,9 +68,10 @@
 
 
 def test_the_machines_of_a_shard_that_fails_over_are_counted_on() -> None:
-    """Found by the full score: the others rented in place of a shard with a new leader.
+    """Machines of a shard with a new leader count as capacity before their next heartbeat.
 
-    No heartbeat of its machines had come to the new leader yet.
+    Otherwise the other nodes rent replacements for all machines that have not sent a heartbeat to
+    the new leader yet.
     """
     deployment = started(462, teams=[{"name": "red", "cpus": 40.0, "cpus_max": 80.0}])
     deployment.users.submit(job_spec(1, task_count=20, cpus=4.0, estimated_run_s=300.0))
@@ -79,13 +80,13 @@
     assert len(machines) >= 6
     killed = leader_of(deployment, 1)
     deployment.nodes.kill(killed, restart_after_s=60.0)
-    leaving: set[str] = set()
+    unavailable: set[str] = set()
     for _ in range(40):
         deployment.run(0.25)
         for controller in deployment.nodes.running:
             for _, summary in controller.summaries.values():
-                leaving.update(summary.unavailable_machines)
-    assert not leaving & machines
+                unavailable.update(summary.unavailable_machines)
+    assert not unavailable & machines
     assert not deployment.rules.violations
 
 
--- a/tests/core/capacity/test_planning.py
+++ b/tests/core/capacity/test_planning.py
@@ -1,4 +1,4 @@
-"""The fleet plan: which machines are rented, where, and for which jobs."""
+"""The fleet plan: which machines are rented, in which zones, and for which jobs."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def planned_tasks(deployment: SimulatedDeployment) -> dict[str, int]:
-    """Pending tasks for which n0 plans machines, by job."""
+    """Return the number of pending tasks for which n0 plans machines, by job."""
     controller = deployment.nodes.current("n0")
     inputs = controller.capacity_services.plan_inputs
     jobs = list(controller.view.jobs.values())
@@ -39,21 +39,22 @@
     deployment = started()
     users = deployment.users
     parent = users.submit(job_spec(1, task_count=2, estimated_run_s=8.0))
-    far = users.submit(job_spec(2, task_count=2, estimated_run_s=1000.0))
-    soon = users.submit(job_spec(3, task_count=4, depends_on=[parent]))
-    not_soon = {
-        users.submit(job_spec(4, task_count=4, depends_on=[soon])),
-        users.submit(job_spec(5, task_count=4, depends_on=[parent, far])),
+    long_parent = users.submit(job_spec(2, task_count=2, estimated_run_s=1000.0))
+    startable_soon = users.submit(job_spec(3, task_count=4, depends_on=[parent]))
+    not_startable_soon = {
+        users.submit(job_spec(4, task_count=4, depends_on=[startable_soon])),
+        users.submit(job_spec(5, task_count=4, depends_on=[parent, long_parent])),
         users.submit(job_spec(6, kind="gang", task_count=2, depends_on=[parent])),
     }
     deployment.run(1.0)
-    assert not {soon, *not_soon} & planned_tasks(deployment).keys()
+    assert not {startable_soon, *not_startable_soon} & planned_tasks(deployment).keys()
     assert deployment.run_until(
         lambda: any(agent.live_tasks for agent in deployment.agents.values()), 30.0
     )
-    assert deployment.run_until(lambda: soon in planned_tasks(deployment), 5.0)
-    assert not deployment.tasks.has_started(soon)
-    assert planned_tasks(deployment)[soon] == 4
-    # Not what waits for more than that, or would have machines reserved.
-    assert not not_soon & planned_tasks(deployment).keys()
+    assert deployment.run_until(lambda: startable_soon in planned_tasks(deployment), 5.0)
+    assert not deployment.tasks.has_started(startable_soon)
+    assert planned_tasks(deployment)[startable_soon] == 4
+    # No machines are planned for arrays whose dependencies take longer, nor for gangs, whose
+    # machines would be reserved and idle.
+    assert not not_startable_soon & planned_tasks(deployment).keys()
     assert not deployment.rules.violations
--- a/tests/core/capacity/test_rentals.py
+++ b/tests/core/capacity/test_rentals.py
@@ -1,4 +1,4 @@
-"""Rentals that were recorded and not finished when their shard changed its leader."""
+"""Rentals with a recorded intent that were incomplete when their shard changed its leader."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     store = deployment.store
     deployment.cloud.is_down = True
     job = deployment.users.submit(job_spec(1, task_count=6, estimated_run_s=30.0))
-    # Kill every node after the intents were written and before the cloud responded.
+    # Kill every node after the intents are written and before the cloud responds.
     assert deployment.run_until(lambda: bool(store.keys_with(keys.RENTAL_INTENTS)), 10.0)
     deployment.nodes.kill_all(restart_after_s=1.0)
     deployment.cloud.is_down = False
@@ -40,9 +40,9 @@
         key = keys.rental_intent(shard.shard_id, f"r-0-{number}")
         intent = ["t4", "a", False, 2, controller.context.wall_time]
         shard.obsolete_keys[key] = deployment.store.put(key, intent)
-    # There is always progress to write.
-    endless = [progress_pages.DirtyPage(next(iter(shard.slices.values())), 0)]
-    monkeypatch.setattr(progress_pages, "dirty_pages", lambda shard, now: endless)
+    # There is always a dirty progress page to write.
+    always_dirty = [progress_pages.DirtyPage(next(iter(shard.slices.values())), 0)]
+    monkeypatch.setattr(progress_pages, "dirty_pages", lambda shard, now: always_dirty)
     deployment.run(60.0)
     assert not deployment.store.keys_with(f"{keys.RENTAL_INTENTS}0/r-0-")
     assert not deployment.rules.violations
@@ -64,9 +64,9 @@
 
 @pytest.mark.parametrize(("age_s", "is_sent"), [(300.0, False), (30.0, False), (5.0, True)])
 def test_a_new_leader_does_not_send_old_refused_rentals_again(age_s: float, is_sent: bool) -> None:
-    """Found on simulated days with a crash: a new leader sent refused requests of minutes before.
+    """A new leader must not send recorded rental requests that the cloud refused minutes ago.
 
-    It sent one after the other, and got machines for them long after the demand was over.
+    It would send them one after another and get machines for which there is no demand any more.
     """
     deployment = SimulatedDeployment(451, 3)
     deployment.cloud.capacity = 100
@@ -81,7 +81,7 @@
     sent = [name for name in recorder.names if name.startswith("r-1-9")]
     assert bool(sent) is is_sent
     assert len(deployment.agents) == (40 if is_sent else 0)
-    # None is left behind.
+    # No intent is left in the store.
     assert not deployment.store.keys_with(f"{keys.RENTAL_INTENTS}0/r-1-9")
     assert not deployment.rules.violations
 
