--- a/tests/core/scheduling/test_best_effort.py
+++ b/tests/core/scheduling/test_best_effort.py
@@ -1,4 +1,4 @@
-"""Best-effort teams: no guarantee, and the capacity that the other teams leave free."""
+"""Best-effort teams: no guaranteed quota, only capacity that other teams leave free."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 
 def submit_filling_array(deployment: SimulatedDeployment, **changes: Any) -> str:
-    """An array of the best-effort team that fills the fleet for long; its id."""
+    """Submit a long array of the best-effort team that fills the fleet; return its id."""
     base = dict(task_count=200, estimated_run_s=400.0, priority="low")
     return deployment.users.submit(job_spec(1, team="guest", **{**base, **changes}))
 
 
 def count_live(deployment: SimulatedDeployment, job: str) -> int:
-    """How many tasks of a job are live."""
+    """Return the number of live tasks of a job."""
     return sum(len(agent.tasks_of(job)) for agent in deployment.agents.values())
 
 
@@ -44,7 +44,11 @@
     ],
 )
 def test_a_limit_of_zero_is_no_limit(team: str, changes: dict[str, object], accepted: bool) -> None:
-    """Found by the incidents inc-40fe and inc-0582: every job of such a team was refused."""
+    """A team with a limit of zero has no limit.
+
+    If the limit is applied as zero, every job of the team is rejected (incidents inc-40fe and
+    inc-0582).
+    """
     teams = {item.name: item for item in (GUARANTEED_TEAM, BEST_EFFORT_TEAM)}
     reason = rejection_reason(job_spec(1, team=team, **changes), teams, MACHINE_TYPES)
     assert (reason is None) is accepted
@@ -78,7 +82,7 @@
     submitted_at = deployment.now
     assert deployment.run_until(lambda: len(deployment.tasks.starts_of(urgent)) == 8, 12.0)
     assert deployment.now - submitted_at < 12.0
-    # No more was stopped than was needed, and what was goes on afterwards.
+    # At most four more best-effort tasks were stopped than the urgent job needs.
     assert sum(len(agent.tasks_of(filling)) for agent in agents) >= 24 - 8 - 4
     assert not deployment.rules.violations
 
@@ -89,7 +93,7 @@
     filling = submit_filling_array(deployment)
     deployment.run(40.0)
     starts_before = len(deployment.tasks.starts_of(filling))
-    # Its team's guarantee is smaller than the job.
+    # The job needs more than its team's guaranteed quota.
     deployment.users.submit(job_spec(2, task_count=20, estimated_run_s=30.0))
     deployment.run(10.0)
     assert count_live(deployment, filling) == starts_before
--- a/tests/core/scheduling/test_gangs.py
+++ b/tests/core/scheduling/test_gangs.py
@@ -1,4 +1,4 @@
-"""Gangs: quota and machines from all shards, reservations, and members that fail."""
+"""Gangs: quota and machines from all shards, reserved machines, and members that fail."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 def test_a_gang_larger_than_a_shards_quota_gets_that_of_the_others() -> None:
     deployment = started(9)
-    # 12 CPUs are the whole limit of the team, of which each shard has a third.
+    # The gang needs the team's whole limit of 12 CPUs, of which each shard has a third.
     gang = deployment.users.submit(
         job_spec(1, kind="gang", team="blue", task_count=12, estimated_run_s=5.0)
     )
@@ -43,21 +43,24 @@
     assert deployment.run_until(
         lambda: sum(len(tasks.starts_of(gang)) for gang in gangs) == 6, 120.0
     )
-    first_start = []
+    first_starts = []
     for gang in gangs:
         started_at = [start.at for start in tasks.starts_of(gang)]
         assert len(started_at) == 3
         assert max(started_at) - min(started_at) < 3.0
         assert max(started_at) - submitted_at < 120.0
-        first_start.append(min(started_at))
-    # The older one came first: they did not each reserve half of what both need.
-    assert first_start[0] <= first_start[1]
+        first_starts.append(min(started_at))
+    # The older gang starts first: the gangs do not each reserve half of the machines they need.
+    assert first_starts[0] <= first_starts[1]
     assert all(users.wait_until_done(job, 300.0) for job in arrays + gangs)
     assert not deployment.rules.violations
 
 
 def test_machines_on_their_way_to_a_gang_are_not_rented_once_more() -> None:
-    """Found on simulated rough days: the plan missed machines that moved to a gang's shard."""
+    """Machines that are being transferred to a gang's shard still count as capacity.
+
+    Otherwise the fleet plan rents a second set of machines for the gang.
+    """
     deployment = medium_fleet(12, 3, 40, 300.0)
     gang = deployment.users.submit(whole_machine_gang(1, task_count=4, estimated_run_s=30.0))
     deployment.run(12.0)
@@ -78,10 +81,10 @@
 
 
 def test_a_gang_of_a_team_at_its_limit_gets_quota_and_a_machine() -> None:
-    """Found on a simulated steady day: a gang larger than its shard's quota waited for 450 s.
+    """A gang larger than its shard's quota starts although arrays use its team's whole limit.
 
-    Its team's arrays used the whole limit, so no machine was planned for it, and quota that came
-    free in its shard went where arrays had free capacity.
+    Such a gang waited for 450 s: no machine was planned for it since the team was at its limit, and
+    quota that became free in its shard was transferred to shards where arrays had free capacity.
     """
     deployment = started(13)
     users, tasks = deployment.users, deployment.tasks
@@ -125,7 +128,7 @@
     assert controller.scheduling_services.preemption.is_claimed(machine, "job-000003")
     assert not controller.scheduling_services.preemption.is_claimed(machine, older)
     controller.scheduling_services.fleet_plan.reserved_machines = {}
-    # Published to the others, too, only once it is not reserved.
+    # The summary for the other shards lists the machine only while it is not reserved.
     published = controller.scheduling_services.summarizer.summarize(shard).free_capacity
     assert len(published) == len(while_reserved) + 1
     assert free_cpus in [capacity[3] for capacity in published]
@@ -142,14 +145,14 @@
     )
     assert users.wait_until_done(gang, 60.0)
     deployment.rules.failures_ended_at = deployment.now
-    # The class may come again, and once the first array is done the only machine is reserved for
-    # it.
+    # Another gang of the class is expected, so the only machine is reserved for it once the first
+    # array is done.
     first = users.submit(job_spec(2, task_count=4, estimated_run_s=8.0, deadline_s=1000.0))
     second = users.submit(job_spec(3, task_count=4, estimated_run_s=3.0, deadline_s=1000.0))
     assert users.wait_until_done(first, 30.0)
     for controller in deployment.nodes.running:
         assert "" in controller.scheduling_services.fleet_plan.reserved_machines.values()
-    # It goes on a task at a time, so that most of the machine stays the gang's.
+    # The second array runs one task at a time, so that most of the machine stays free for the gang.
     assert deployment.run_until(lambda: tasks.has_started(second), 75.0)
     deployment.run(60.0)
     assert len(tasks.starts_of(second)) >= 2
@@ -158,7 +161,7 @@
 
 
 def fail_at_random(deployment: SimulatedDeployment, agent: FakeAgent, rng: random.Random) -> None:
-    """Have an agent fail for good or for a while, or restart."""
+    """Make an agent hang for good or for a while, isolate it for a while, or restart it."""
     failure = rng.choice(["die", "hang", "cut", "back"])
     if failure == "die":
         agent.is_unresponsive = True
@@ -173,9 +176,10 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_a_gang_is_never_left_half_started(seed: int) -> None:
-    """Some of its agents fail at any moment between the first launch and the end.
+    """A gang whose agents fail is completed, restarted as a whole or stopped as a whole.
 
-    It is completed, started again whole, or stopped whole, and what it uses comes free.
+    Some of its agents fail at random times between the first launch and the end. The capacity that
+    the gang uses becomes free afterwards.
     """
     rng = random.Random(seed)
     deployment = started(3200 + seed)
@@ -194,7 +198,7 @@
     if rng.random() < 0.3:
         name = rng.choice(deployment.nodes.names)
         deployment.nodes.kill(name, restart_after_s=rng.uniform(0.2, 8.0))
-    half_since: float | None = None
+    incomplete_since: float | None = None
     end = deployment.now + 240.0
     while deployment.now < end and users.state_of(gang) != "done":
         deployment.run(0.5)
@@ -205,11 +209,12 @@
             for task in agent.tasks_of(gang)
         ]
         if 0 < len(responsive) < 4:
-            half_since = deployment.now if half_since is None else half_since
-            # The wait for the rest is bounded: by a lease, and the time the others may take.
-            assert deployment.now - half_since < 2.5 * deployment.lease_s + 30.0
+            incomplete_since = deployment.now if incomplete_since is None else incomplete_since
+            # Tasks may run without the rest of their gang for a bounded time only: a few leases,
+            # and the time that the other tasks may take to be ready.
+            assert deployment.now - incomplete_since < 2.5 * deployment.lease_s + 30.0
         else:
-            half_since = None
+            incomplete_since = None
     assert users.state_of(gang) == "done"
     deployment.run(5.0)
     assert not [
@@ -218,6 +223,6 @@
         if not agent.is_unresponsive and agent.tasks_of(gang)
     ]
     assert not deployment.rules.violations
-    # What it used serves others.
+    # The capacity that the gang used is available to other jobs.
     other = users.submit(job_spec(2, task_count=12, estimated_run_s=3.0))
     assert users.wait_until_done(other, 120.0)
--- a/tests/core/scheduling/test_inherited_urgency.py
+++ b/tests/core/scheduling/test_inherited_urgency.py
@@ -1,4 +1,4 @@
-"""Jobs inherit priority and deadline from those that depend on them."""
+"""Jobs inherit the priority and deadline of the jobs that depend on them."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     urgency, view = controller.scheduling_services.urgency, controller.view
     scheduled = [urgency.scheduling_spec(view.jobs[job]) for job in jobs]
     assert {spec.priority for spec in scheduled} == {"high"}
-    due = [spec.accepted_at + (spec.deadline_s or 0.0) for spec in scheduled]
-    assert due[0] < due[1] < due[4] < due[5]
+    due_times = [spec.accepted_at + (spec.deadline_s or 0.0) for spec in scheduled]
+    assert due_times[0] < due_times[1] < due_times[4] < due_times[5]
     deployment.users.cancel(jobs[-1])
     deployment.run(3.0)
     assert urgency.scheduling_spec(view.jobs[jobs[0]]).priority == "normal"
--- a/tests/core/scheduling/test_placement.py
+++ b/tests/core/scheduling/test_placement.py
@@ -16,6 +16,6 @@
     assert users.wait_until_done(in_zone_b, 120.0)
     assert users.wait_until_done(spread, 200.0)
     assert not deployment.rules.violations
-    # Five tasks spread over zones: three at most in one, so two zones were used.
+    # At most three of the five tasks may run in one zone, so both zones are used.
     machines = deployment.tasks.machines_of(spread)
     assert len({deployment.agents[name].zone for name in machines}) == 2
--- a/tests/core/scheduling/test_preemption.py
+++ b/tests/core/scheduling/test_preemption.py
@@ -26,7 +26,7 @@
     assert len(starts) == 2
     assert max(start.at for start in starts) - submitted_at < 8.0
     assert users.wait_until_done(low, 400.0)
-    # Work of the same priority is not preempted.
+    # Tasks of the same priority are not preempted.
     count = len(tasks.starts)
     same = users.submit(
         job_spec(3, task_count=8, estimated_run_s=40.0, machine_types=["t8"], priority="high")
@@ -43,10 +43,10 @@
 
 
 def test_a_latency_sensitive_gang_gets_quota_from_its_teams_own_arrays() -> None:
-    """Found on a simulated steady day: arrays used their team's whole limit.
+    """A latency-sensitive gang gets quota although its team's arrays use the whole limit.
 
-    The team's urgent gangs waited for minutes. The class had two objectives, too, and only the
-    longer one counted.
+    Otherwise such gangs wait for minutes. The class has two wait objectives; the shorter one makes
+    it latency-sensitive, and must not be hidden by the longer one.
     """
     deployment = started(42, objectives=[wait_objective(4.0), wait_objective(60.0, 0.97)])
     users, tasks = deployment.users, deployment.tasks
@@ -80,9 +80,9 @@
             checkpoint_save_s=2.0,
         )
     )
-    without = users.submit(job_spec(2, task_count=4, estimated_run_s=90.0))
+    without_checkpoints = users.submit(job_spec(2, task_count=4, estimated_run_s=90.0))
     deployment.run(20.0)
-    assert {start.job for start in tasks.starts} == {with_checkpoints, without}
+    assert {start.job for start in tasks.starts} == {with_checkpoints, without_checkpoints}
     starts_before = len(tasks.starts)
     commands: list[TaskCommand] = []
     for agent in deployment.agents.values():
@@ -104,19 +104,21 @@
     assert len({stop.index for stop in stops}) == 2
     reclaimed_at = deployment.now
     assert deployment.run_until(lambda: len(tasks.starts) >= starts_before + 6, 30.0)
-    # The arrays' tasks did not have to wait for their agents' leases to expire.
-    restarts = [start.at for start in tasks.starts[starts_before:] if start.job == without]
+    # The array's tasks are restarted without waiting for their agents' leases to expire.
+    restarts = [
+        start.at for start in tasks.starts[starts_before:] if start.job == without_checkpoints
+    ]
     assert min(restarts) - reclaimed_at < deployment.lease_s + 3.0
     assert users.wait_until_done(with_checkpoints, 300.0)
-    assert users.wait_until_done(without, 300.0)
+    assert users.wait_until_done(without_checkpoints, 300.0)
     assert not deployment.rules.violations
 
 
 def test_a_cleared_machine_starts_its_gang_with_the_heartbeat_that_shows_it() -> None:
-    """Found on simulated days: a machine that was being cleared for an urgent gang was passed over.
+    """The heartbeat that shows a machine as cleared for an urgent gang starts the gang.
 
-    That was once heartbeats filled their own machine; the gang waited for a tick and one more
-    heartbeat.
+    If the placement on the heartbeat's own machine skips machines that a gang has claimed, the gang
+    waits for a tick and one more heartbeat.
     """
     teams = [{"name": name, "cpus": 90.0, "cpus_max": 200.0} for name in TEAM_NAMES]
     deployment = large_fleet(26, 6, 1, objectives=[wait_objective(6.0)], teams=teams)
@@ -142,8 +144,8 @@
         submitted_at = deployment.now
         deployment.run(20.0)
         waits += [start.at - submitted_at for start in deployment.tasks.starts_of(gang)]
-    assert len(waits) == 6, "each preempts arrays"
-    # The stop goes out at once, the agent reports the change half a second later.
+    assert len(waits) == 6, "each gang preempts array tasks and starts once"
+    # The stop is sent at once; the agent reports its effect half a second later.
     assert sorted(waits)[3] < 0.4 * FLEET_AGENTS["report_s"]
     assert all(deployment.users.wait_until_done(job, 600.0) for job in arrays)
     assert not deployment.rules.violations
--- a/tests/core/scheduling/test_quota.py
+++ b/tests/core/scheduling/test_quota.py
@@ -1,4 +1,4 @@
-"""Limits of teams are obeyed whoever leads the shards."""
+"""Limits of teams hold whichever nodes lead the shards."""
 
 from __future__ import annotations
 
--- a/tests/core/scheduling/test_slice_migration.py
+++ b/tests/core/scheduling/test_slice_migration.py
@@ -9,10 +9,10 @@
 
 
 def test_an_earlier_migration_does_not_restore_what_a_later_one_dropped() -> None:
-    """Found on a simulated rough day: a task ran twice.
+    """The end of a migration must not restore the tasks of the next migration of the slice.
 
-    The end of one migration put the task numbers of the next one back while that was being
-    committed.
+    Otherwise a task runs twice: its index becomes pending again at the source while the next
+    migration, which moves it to the target, is being committed.
     """
     deployment = started(20)
     deployment.cloud.capacity = 1
@@ -30,12 +30,12 @@
     first_holder = job_slice.migration_holder
     deployment.nodes.flush(controller.context.node)
     assert deployment.run_until(lambda: not job_slice.migrating_ranges, 5.0)
-    second = job_slice.pending.tail(2)
-    assert migrations.start(shard, job_slice, second, target)
+    second_ranges = job_slice.pending.tail(2)
+    assert migrations.start(shard, job_slice, second_ranges, target)
     migrations._restore(shard, job_slice, first_holder)
-    assert job_slice.migrating_ranges == second
+    assert job_slice.migrating_ranges == second_ranges
     assert not any(
-        index in job_slice.pending for start, end in second for index in range(start, end)
+        index in job_slice.pending for start, end in second_ranges for index in range(start, end)
     )
     deployment.nodes.flush(controller.context.node)
     deployment.cloud.capacity = 12
--- a/tests/core/scheduling/test_starvation.py
+++ b/tests/core/scheduling/test_starvation.py
@@ -1,4 +1,4 @@
-"""Large and old jobs begin in bounded time, whatever else is submitted."""
+"""Large and old jobs start in bounded time, whatever else is submitted."""
 
 from __future__ import annotations
 
@@ -9,19 +9,20 @@
 from tests.fakes.simulated_deployment import SimulatedDeployment
 from tests.helpers import started
 
-#: task counts of the jobs of a flood, in turn
-FLOOD_SIZES = [4, 4, 4, 4, 30]
-#: time in which the largest jobs have to begin
-MAX_WAIT_S = 240.0
+#: task counts of the submitted jobs, repeated in this order
+TASK_COUNTS = [4, 4, 4, 4, 30]
+#: time in seconds within which the largest jobs must start
+MAX_START_DELAY_S = 240.0
 
 
 def test_in_a_flood_the_largest_jobs_begin_and_every_job_stays_known() -> None:
     deployment = started(90)
     deployment.cloud.capacity = 3
-    # Several times what the fleet can do, all with deadlines, which the large ones never meet.
+    # The load is several times what the fleet can run. All jobs have deadlines, which the large
+    # ones cannot meet.
     sizes = {}
     for number in range(1, 61):
-        size = FLOOD_SIZES[number % 5]
+        size = TASK_COUNTS[number % 5]
         job = deployment.users.submit(
             job_spec(
                 number,
@@ -38,19 +39,20 @@
     large = [
         job
         for job, size in sizes.items()
-        if size == 30 and deployment.now - accepted_at[job] > MAX_WAIT_S
+        if size == 30 and deployment.now - accepted_at[job] > MAX_START_DELAY_S
     ]
     assert len(large) >= 8
     for job in large:
-        assert deployment.tasks.starts_of(job)[0].at - accepted_at[job] < MAX_WAIT_S
+        assert deployment.tasks.starts_of(job)[0].at - accepted_at[job] < MAX_START_DELAY_S
     assert not deployment.users.unanswered_jobs()
     assert not deployment.rules.violations
 
 
 def test_jobs_that_waited_long_share_a_quarter_of_the_free_capacity() -> None:
-    """Found on simulated days of a team at its limit: large old jobs delayed all others.
+    """The starved arrays of a team together get a quarter of its quota, not a quarter each.
 
-    Each old slice could take the whole quarter from a machine whose heartbeat came.
+    If each starved slice may use a whole quarter on a machine that sends a heartbeat, large old
+    jobs delay all other jobs of a team at its limit.
     """
     deployment = SimulatedDeployment(25, 1, teams=[{"name": "red", "cpus": 0.0, "cpus_max": 64.0}])
     deployment.run(3.0)
@@ -71,6 +73,7 @@
     assert not machine.tasks
     machine.free[0] = 30_000_000
     controller.scheduling_services.dispatcher.fill_machine(shard, machine)
-    # A quarter of 64 goes to the first ones, a task to each that got none; then the usual order.
+    # The first two arrays get a quarter of the quota of 64 CPUs (10 and 6), the other six one task
+    # each; the remaining 8 CPUs are used in the usual order.
     placed = [len(job_slice.placed_on) for job_slice in shard.slices.values()]
     assert placed == [18, 6, 1, 1, 1, 1, 1, 1]
