--- a/tests/core/shard/test_boot_times.py
+++ b/tests/core/shard/test_boot_times.py
@@ -1,4 +1,4 @@
-"""Expected boot times, learned from recent boots."""
+"""Expected boot times, derived from recent boots."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
         boot_times.record(SMALL_TYPE, 3.0 * SMALL_TYPE.boot_s, float(second))
     assert not boot_times.is_overdue(SMALL_TYPE, 4.0 * SMALL_TYPE.boot_s, 10.0)
     assert boot_times.boot_timeout_s(SMALL_TYPE, 10.0) == pytest.approx(6.0 * SMALL_TYPE.boot_s)
-    # Other types are not concerned, and it is forgotten.
+    # Other machine types are not affected, and recorded boots expire.
     assert boot_times.is_overdue(LARGE_TYPE, 4.0 * LARGE_TYPE.boot_s, 10.0)
     assert boot_times.is_overdue(SMALL_TYPE, 4.0 * SMALL_TYPE.boot_s, 100.0)
 
--- a/tests/core/shard/test_failing_jobs.py
+++ b/tests/core/shard/test_failing_jobs.py
@@ -1,4 +1,4 @@
-"""What a job that always fails may cost, and machines that fail every task."""
+"""Bounded cost of jobs that always fail, and machines that fail every task."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class AttemptRecorder:
-    """Records when agents were commanded to start a task of one job."""
+    """Records the times at which agents receive a command to start a task of one job."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, job: str) -> None:
         self.times: list[float] = []
@@ -25,7 +25,7 @@
         monkeypatch.setattr(FakeAgent, "start_task", record)
 
     def count_since(self, moment: float) -> int:
-        """Attempts after a moment."""
+        """Return the number of attempts after a given time."""
         return sum(at > moment for at in self.times)
 
 
@@ -33,9 +33,9 @@
 def test_a_job_that_always_fails_costs_little_until_it_is_cancelled(
     monkeypatch: pytest.MonkeyPatch, kind: str, tasks: int, max_attempts: int
 ) -> None:
-    """Found on simulated days: each of its failures counted against a machine.
+    """The failures of a job that fails on every machine must not count against the machines.
 
-    A healthy fleet was returned and rented again.
+    Otherwise a healthy fleet is released and rented again.
     """
     deployment = started(430)
     users, agents = deployment.users, deployment.agents
@@ -47,12 +47,13 @@
         job_spec(2, job_class="bad", kind=kind, task_count=tasks, estimated_run_s=10.0)
     )
     deployment.run(40.0)
-    quarantined_at, rented = deployment.now, len(agents)
+    quarantined_at, rented_count = deployment.now, len(agents)
     deployment.run(60.0)
-    # A few tries in a minute, by each of the shards with a slice of it, of one task or gang.
+    # Each shard with a slice of the job makes a few attempts a minute, each of one task or of the
+    # whole gang.
     assert 1 <= attempts.count_since(quarantined_at) <= max_attempts
-    # Nothing is rented for what of it waits.
-    assert len(agents) == rented
+    # No machines are rented for the job's pending tasks.
+    assert len(agents) == rented_count
     assert not any(agents[name].is_released for name in rented_before)
     others = users.submit_many((3, 4), task_count=6, estimated_run_s=3.0)
     assert all(users.wait_until_done(job, 25.0) for job in others)
--- a/tests/core/shard/test_failures.py
+++ b/tests/core/shard/test_failures.py
@@ -10,7 +10,7 @@
 
 @pytest.fixture
 def failures() -> FailureAttribution:
-    """An attribution without evidence."""
+    """Return an attribution without recorded failures."""
     return FailureAttribution(AGENT_SETTINGS)
 
 
@@ -33,7 +33,7 @@
     for job in ("a", "b", "c"):
         failures.record_failure(job, "bad", False, 0.0)
     assert failures.is_faulty("bad")
-    # Each of them fails elsewhere once or twice more: not on enough machines of its own.
+    # Each job then fails on one more machine, which is not enough to quarantine it.
     for job in ("a", "b", "c"):
         failures.record_failure(job, "m1", False, 0.0)
         assert not failures.is_quarantined(job)
@@ -70,15 +70,15 @@
     now = 0.0
     for machine in ("m1", "m2", "m3"):
         failures.record_failure("job", machine, False, now)
-    pauses = []
+    backoffs_s = []
     for _ in range(8):
         failed_at = now
         while failures.is_backing_off("job", now):
             now += 0.5
-        pauses.append(now - failed_at)
+        backoffs_s.append(now - failed_at)
         failures.record_failure("job", "m1", False, now)
-    assert pauses == sorted(pauses)
-    assert pauses[-1] == pytest.approx(25.0)
+    assert backoffs_s == sorted(backoffs_s)
+    assert backoffs_s[-1] == pytest.approx(25.0)
     failures.record_success("job", "m2")
     assert not failures.is_quarantined("job")
     assert not failures.is_backing_off("job", now)
@@ -92,7 +92,7 @@
     failures.receive_failing_jobs(2, [("broken", 1)], 0.0)
     assert failures.is_quarantined("broken")
     assert not failures.is_quarantined("mine")
-    # The first failure here is enough to go on where the other one was.
+    # Added to the published counts, the first failure here quarantines the job.
     failures.record_failure("broken", "m1", False, 1.0)
     assert failures.quarantined_jobs() == ["broken"]
     failures.receive_failing_jobs(1, [], 100.0)
@@ -116,5 +116,5 @@
         failures.record_failure("one", f"machine-{number}", True, 0.0)
     assert len(failures._jobs) <= MAX_TRACKED_ENTRIES
     assert len(failures._machines) <= MAX_TRACKED_ENTRIES
-    assert all(len(evidence.failed_on) <= 8 for evidence in failures._jobs.values())
-    assert all(len(evidence.failures) <= 8 for evidence in failures._machines.values())
+    assert all(len(entry.failed_on) <= 8 for entry in failures._jobs.values())
+    assert all(len(entry.failures) <= 8 for entry in failures._machines.values())
--- a/tests/core/shard/test_heartbeat_duplicates.py
+++ b/tests/core/shard/test_heartbeat_duplicates.py
@@ -1,4 +1,4 @@
-"""Late duplicates of heartbeats change nothing."""
+"""Late duplicates of heartbeats have no effect."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         if number in (2, 4):
             nodes.kill(rng.choice(nodes.names), restart_after_s=rng.choice([0.1, 6.0]))
         if number == 3:
-            # An agent that goes on as a new incarnation.
+            # The agent's lease expires, and it continues as a new incarnation.
             for agent in deployment.busy_agents[:1]:
                 agent.hang(1.4 * deployment.lease_s)
     assert all(deployment.users.wait_until_done(job, 300.0) for job in jobs)
@@ -38,7 +38,7 @@
     agents = deployment.agents
     heartbeats = [agent.next_heartbeat() for agent in agents.values() if agent.is_up]
     assert deployment.run_until(lambda: all(agent.is_released for agent in agents.values()), 200.0)
-    # The duplicates come at processes that know nothing of what was before.
+    # The duplicates reach restarted controllers, which know of no earlier heartbeats.
     deployment.nodes.kill_all(restart_after_s=0.2)
     deployment.run(6.0)
     for name in deployment.nodes.names:
@@ -54,7 +54,7 @@
     deployment = started(66)
     job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=60.0))
     deployment.run(15.0)
-    # Heartbeats from before the launches: they list nothing.
+    # Heartbeats as sent before the launches, with an old fencing token and no tasks.
     heartbeats = [
         msgspec.structs.replace(agent.next_heartbeat(), sequence=1, fencing_token=0, tasks=[])
         for agent in deployment.busy_agents
@@ -62,7 +62,7 @@
     assert heartbeats
     deployment.network.isolate("n0")
     for _ in range(240):
-        # Again and again, so that some come right after the failover, ahead of real heartbeats.
+        # Repeated, so that some arrive right after the failover, before any current heartbeat.
         for heartbeat in heartbeats:
             for name in deployment.nodes.names:
                 deployment.agent_link.deliver_duplicate(name, heartbeat)
@@ -77,15 +77,15 @@
     job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=60.0))
     deployment.run(14.0)
     agent = deployment.busy_agents[0]
-    old = agent.next_heartbeat()
+    old_heartbeat = agent.next_heartbeat()
     deployment.run(1.0)
     controller, shard = shard_with_machine(deployment, agent.name)
     node, machine = controller.context.node, shard.machines[agent.name]
     last_heartbeat_at = machine.last_heartbeat_at
-    deployment.agent_link.deliver_duplicate(node, old)
+    deployment.agent_link.deliver_duplicate(node, old_heartbeat)
     deployment.nodes.set_time(controller)
     done = TaskStatus(job, 0, 1, TaskState.EXITED, ExitReason.DONE)
-    with_notice = msgspec.structs.replace(old, reclaim_in_s=1.0, tasks=[done])
+    with_notice = msgspec.structs.replace(old_heartbeat, reclaim_in_s=1.0, tasks=[done])
     deployment.agent_link.deliver_duplicate(node, with_notice)
     assert machine.reclaim_at is None
     assert machine.last_heartbeat_at >= last_heartbeat_at
@@ -101,14 +101,14 @@
     agent = deployment.busy_agents[0]
     controller, shard = shard_with_machine(deployment, agent.name)
     agent.is_unresponsive = True
-    # Its last heartbeat was lost on the way; a duplicate comes when its lease is long over.
-    lost = agent.next_heartbeat()
-    assert lost.tasks
+    # The agent's last heartbeat is lost; a duplicate of it arrives after the lease has expired.
+    lost_heartbeat = agent.next_heartbeat()
+    assert lost_heartbeat.tasks
     deployment.cloud.capacity = 0
     machine = shard.machines[agent.name]
     assert deployment.run_until(lambda: machine.is_lease_expired, 2 * deployment.lease_s)
     placed_on = dict(shard.slices[job].placed_on)
-    deployment.agent_link.deliver_duplicate(controller.context.node, lost)
+    deployment.agent_link.deliver_duplicate(controller.context.node, lost_heartbeat)
     machine = shard.machines[agent.name]
     assert not machine.tasks
     assert machine.is_lease_expired
--- a/tests/core/shard/test_reconciliation.py
+++ b/tests/core/shard/test_reconciliation.py
@@ -1,4 +1,4 @@
-"""Reconciliation of heartbeats with what a leader knows of its machines."""
+"""Reconciliation of a new leader's shard with the heartbeats of its machines."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Failover(NamedTuple):
-    """A busy agent, and the shard of a new leader that knows of it and of its job."""
+    """A busy agent, and a new leader's shard with the agent's machine and a slice of its job."""
 
     deployment: SimulatedDeployment
     agent: FakeAgent
@@ -31,7 +31,7 @@
 
 
 def fail_over(seed: int) -> Failover:
-    """Give the machine of a busy agent to a new leader, with the slice of its job."""
+    """Create the shard of a new leader with the machine of a busy agent and a slice of its job."""
     deployment = started(seed)
     job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=60.0))
     deployment.run(14.0)
@@ -49,8 +49,8 @@
     deployment, agent, shard, machine, job_slice = fail_over(69)
     shard.unreconciled_machines.add(agent.name)
     job_slice.is_unreconciled = True
-    before = msgspec.structs.replace(agent.next_heartbeat(), tasks=[])
-    assert receive_heartbeat(shard, before, deployment.now) == []
+    outdated = msgspec.structs.replace(agent.next_heartbeat(), tasks=[])
+    assert receive_heartbeat(shard, outdated, deployment.now) == []
     assert not machine.is_reconciled
     assert job_slice.is_unreconciled
     assert shard.usage("red")[0] == agent.machine_type.capacity[0]
@@ -70,7 +70,7 @@
     assert {(command.verb, command.index) for command in commands} == {
         (CommandVerb.STOP, index) for _, index in agent.live_tasks
     }
-    # Once reconciled, tasks of jobs that are not known count against every team.
+    # After the reconciliation, tasks of unknown jobs count against the quota of every team.
     del shard.slices[job_slice.spec.id]
     fenced = msgspec.structs.replace(agent.next_heartbeat(), fencing_token=TERM)
     commands = receive_heartbeat(shard, fenced, deployment.now)
@@ -83,7 +83,7 @@
 
 
 def test_an_agent_forgets_a_result_only_once_a_page_contains_it() -> None:
-    """Else only this process would know it, which may end."""
+    """Otherwise only the controller's memory holds the result, which is lost if it crashes."""
     deployment = started(4230)
     job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=60.0))
     deployment.run(14.0)
--- a/tests/core/shard/test_unresponsive_agents.py
+++ b/tests/core/shard/test_unresponsive_agents.py
@@ -1,4 +1,4 @@
-"""Agents that hang, fail every task, or are cut off in one direction."""
+"""Agents that hang, fail every task, or are partitioned in one direction."""
 
 from __future__ import annotations
 
@@ -30,19 +30,19 @@
     first = users.submit(job_spec(1, task_count=12, estimated_run_s=30.0))
     deployment.run(14.0)
     agent = deployment.busy_agents[0]
-    lost = set(agent.live_tasks)
+    lost_tasks = set(agent.live_tasks)
     agent.inbound_partitioned, since = True, deployment.now
     deployment.run(2.5 * deployment.lease_s)
-    # Its lease expired, and what it ran has begun elsewhere.
+    # The agent's lease has expired, and its tasks have been started on other machines.
     restarted = {
         (start.job, start.task_index)
         for start in tasks.starts
         if start.at > since and start.machine != agent.name
     }
-    assert lost <= restarted
+    assert lost_tasks <= restarted
     jobs = users.submit_many(range(2, 6), task_count=8, estimated_run_s=4.0)
     assert all(users.wait_until_done(job, 60.0) for job in [first, *jobs])
-    # It was returned rather than paid for.
+    # The machine is released, so that it is no longer paid for.
     deployment.run(3 * deployment.lease_s)
     assert agent.is_released
     assert not deployment.rules.violations
@@ -81,8 +81,8 @@
     agent = deployment.busy_agents[0]
     agent.inbound_partitioned = True
     deployment.nodes.kill(leader_of_machine(deployment, agent.name), restart_after_s=90.0)
-    # What it ran until then is not started elsewhere before its lease must have expired, and the
-    # shard goes on after that, though the agent goes on sending heartbeats.
+    # The agent's tasks are started on other machines only after its lease must have expired. The
+    # shard then continues, although the agent still sends heartbeats.
     assert deployment.users.wait_until_done(job, 45.0)
     assert not deployment.rules.violations
 
@@ -112,7 +112,7 @@
     jobs += users.submit_many((3, 4), task_count=30, estimated_run_s=5.0)
     deployment.run(2 * deployment.lease_s)
     assert not launches
-    # It was returned, though its heartbeats arrived all the while and work waits.
+    # The machine is released although its heartbeats arrive and tasks are pending.
     assert agent.is_released
     assert all(users.wait_until_done(job, 200.0) for job in jobs)
     assert not deployment.rules.violations
@@ -127,7 +127,7 @@
     agents = deployment.busy_agents
     for agent in agents:
         agent.inbound_partitioned = True
-    # What is launched now is not received, and shows in no heartbeat.
+    # The agents do not receive the launches of this job, so no heartbeat lists its tasks.
     job = users.submit(job_spec(2, task_count=24, estimated_run_s=4.0))
     machines = deployment.nodes.current("n0").leadership.shards[0].machines
     assert deployment.run_until(
