--- a/tests/net/test_budget.py
+++ b/tests/net/test_budget.py
@@ -1,4 +1,4 @@
-"""Rate budgets: lanes, and what waits for what."""
+"""The rate limiter: order by priority, and which requests wait for which others."""
 
 from __future__ import annotations
 
@@ -37,12 +37,15 @@
         loop.close()
 
 
-async def served_order(budget: RateLimiter, *requests: tuple[str, int, int]) -> list[str]:
-    """The order in which requests, made at the same time, are served: name, lane, changes."""
+async def served_order(rate_limiter: RateLimiter, *requests: tuple[str, int, int]) -> list[str]:
+    """Return the names of simultaneous requests in the order in which they are granted.
+
+    Each request is given by its name, its priority and its number of writes.
+    """
     served: list[str] = []
 
     async def take(name: str, priority: int, writes: int) -> None:
-        if await budget.acquire(priority, writes):
+        if await rate_limiter.acquire(priority, writes):
             served.append(name)
 
     await asyncio.gather(*(take(*request) for request in requests))
@@ -50,16 +53,18 @@
 
 
 def test_a_read_does_not_wait_for_commits_that_wait_for_changes() -> None:
-    """Found on simulated days with the lower limits: submissions were refused.
+    """Under low rate limits, reads must not wait behind commits.
 
-    The jobs that they depend on had to be read, and the reads waited behind commits.
+    Otherwise submissions are refused, since the jobs that they depend on are not read in time.
     """
 
     async def check() -> None:
-        budget = RateLimiter(20.0, 2.0)
-        assert await budget.acquire(RequestPriority.ACCEPTANCE, 2)
+        rate_limiter = RateLimiter(20.0, 2.0)
+        assert await rate_limiter.acquire(RequestPriority.ACCEPTANCE, 2)
         order = await served_order(
-            budget, ("commit", RequestPriority.ACCEPTANCE, 2), ("read", RequestPriority.LOOKUP, 0)
+            rate_limiter,
+            ("commit", RequestPriority.ACCEPTANCE, 2),
+            ("read", RequestPriority.LOOKUP, 0),
         )
         assert order == ["read", "commit"]
 
@@ -68,10 +73,10 @@
 
 def test_changes_are_served_in_order_and_the_lowest_lane_first() -> None:
     async def check() -> None:
-        budget = RateLimiter(20.0, 2.0, 10.0)
-        assert await budget.acquire(RequestPriority.ACCEPTANCE, 2)
+        rate_limiter = RateLimiter(20.0, 2.0, 10.0)
+        assert await rate_limiter.acquire(RequestPriority.ACCEPTANCE, 2)
         order = await served_order(
-            budget,
+            rate_limiter,
             ("progress", RequestPriority.PROGRESS, 1),
             ("large", RequestPriority.ACCEPTANCE, 2),
             ("lease", RequestPriority.LEASE, 1),
@@ -84,18 +89,18 @@
 @pytest.mark.parametrize("writes", [0, 1])
 def test_a_request_that_waits_for_too_long_is_refused(writes: int) -> None:
     async def check() -> None:
-        budget = RateLimiter(1.0, 1.0, 0.5)
-        assert await budget.acquire(RequestPriority.ACCEPTANCE, 1)
-        assert not await budget.acquire(RequestPriority.ACCEPTANCE, writes)
+        rate_limiter = RateLimiter(1.0, 1.0, 0.5)
+        assert await rate_limiter.acquire(RequestPriority.ACCEPTANCE, 1)
+        assert not await rate_limiter.acquire(RequestPriority.ACCEPTANCE, writes)
 
     run(check())
 
 
 def test_a_request_that_cannot_wait_is_refused_at_once() -> None:
     async def check() -> None:
-        budget = RateLimiter(0.6, 1.0, max_wait_s=0.0)
-        assert await budget.acquire(1, 0)
-        # The bucket is empty now.
-        assert not await budget.acquire(0, 0)
+        rate_limiter = RateLimiter(0.6, 1.0, max_wait_s=0.0)
+        assert await rate_limiter.acquire(1, 0)
+        # The bucket of requests is empty now.
+        assert not await rate_limiter.acquire(0, 0)
 
     run(check())
--- a/tests/net/test_framing.py
+++ b/tests/net/test_framing.py
@@ -1,4 +1,4 @@
-"""Frames between controllers keep the bytes that every version has."""
+"""Frames between controllers have the same encoding in every version."""
 
 from __future__ import annotations
 
--- a/tests/net/test_http_client.py
+++ b/tests/net/test_http_client.py
@@ -13,22 +13,22 @@
 
 
 class ConcurrencyMeter:
-    """Counts the requests that are under way."""
+    """Counts the requests in flight and their maximum."""
 
     def __init__(self) -> None:
-        self.most = 0
-        self._under_way = 0
+        self.max_in_flight = 0
+        self._in_flight = 0
 
     def begin(self) -> None:
-        self._under_way += 1
-        self.most = max(self.most, self._under_way)
+        self._in_flight += 1
+        self.max_in_flight = max(self.max_in_flight, self._in_flight)
 
     def end(self) -> None:
-        self._under_way -= 1
+        self._in_flight -= 1
 
 
 class FakeConnection(http_client.ClientConnection):
-    """A connection whose requests are answered in the next turn of the event loop."""
+    """A connection whose requests are answered in the next iteration of the event loop."""
 
     def __init__(self, meter: ConcurrencyMeter) -> None:
         super().__init__()
@@ -48,7 +48,7 @@
 
 
 def test_commands_for_hundreds_of_agents_take_turns_and_leave_few_connections() -> None:
-    """A cancel of a large array stops tasks on every machine: bounded, and none is left out."""
+    """A cancel of a large array sends stops to all agents, a bounded number at the same time."""
     meter = ConcurrencyMeter()
     client = HttpClient(1, 5, 7)
 
@@ -64,5 +64,5 @@
         return await asyncio.gather(*requests)
 
     assert asyncio.run(request_all()) == [OK] * 300
-    assert meter.most <= 5
+    assert meter.max_in_flight <= 5
     assert sum(len(idle) for idle in client._idle.values()) == client._idle_count == 7
--- a/tests/net/test_http_server.py
+++ b/tests/net/test_http_server.py
@@ -12,18 +12,18 @@
 
 
 def ignore(*_arguments: object) -> None:
-    """A handler that answers nothing."""
+    """Handle a request without a response."""
 
 
 def connect(server: HttpServer) -> tuple[Connection, FakeTransport]:
-    """A new connection to a server."""
+    """Open a connection to a server."""
     connection, transport = Connection(server), FakeTransport()
     connection.connection_made(transport)
     return connection, transport
 
 
 def send(data: bytes) -> tuple[list[tuple[str, str, bytes]], FakeTransport]:
-    """Send bytes on one connection; the requests that were handled, and the transport."""
+    """Send bytes on one connection; return the handled requests and the transport."""
     handled: list[tuple[str, str, bytes]] = []
 
     def handle(connection: Any, method: str, path: str, body: bytes) -> None:
@@ -72,14 +72,14 @@
 
 
 def test_near_the_limit_connections_of_users_are_closed_for_agents() -> None:
-    """One node left alone has every agent's connection: its sockets are for them first."""
+    """The only node left serves every agent, so agents' connections have priority."""
     clock = [0.0]
     server = HttpServer(ignore, lambda: clock[0], 6, 100, 60.0, refuse_users_above=3)
     users: list[FakeTransport] = []
     agents: list[FakeTransport] = []
 
     def connect_later(*, is_agent: bool) -> bool:
-        """Connect a second later; whether the connection stays open."""
+        """Connect a second later; return whether the connection stays open."""
         clock[0] += 1.0
         connection, transport = connect(server)
         connection.is_from_agent = is_agent
@@ -93,11 +93,11 @@
         connect_later(is_agent=True)
     assert server.must_refuse_users
     assert not any(transport.closed for transport in users + agents)
-    # All places are occupied: the users idle for longest go, never an agent.
+    # At the limit, the longest idle connections of users are closed, never an agent's.
     assert all(connect_later(is_agent=True) for _ in range(3))
     assert all(transport.closed for transport in users)
     assert not any(transport.closed for transport in agents)
-    # Only agents are left, all active lately: then one more finds no place.
+    # With only agents' connections left, all recently active, one more is refused.
     assert not connect_later(is_agent=True)
     assert len(server.connections) == 6
 
--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -1,4 +1,4 @@
-"""Frames between controllers."""
+"""The server for frames of other controllers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def connect(server: PeerServer) -> tuple[FramedConnection, FakeTransport]:
-    """A new connection to a server."""
+    """Open a connection to a server."""
     connection, transport = FramedConnection(server._receive), FakeTransport()
     connection.connection_made(transport)
     return connection, transport
@@ -31,6 +31,6 @@
         assert transport.closed
     connection, _ = connect(server)
     message = encode_frame(["note", "n1", "summaries", [1, []]])
-    for place in range(len(message)):
-        connection.data_received(message[place : place + 1])
+    for offset in range(len(message)):
+        connection.data_received(message[offset : offset + 1])
     assert messages == [("n1", "summaries", [1, []])]
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -1,4 +1,4 @@
-"""What a controller owns ends with it: tasks, links to its peers, pooled connections."""
+"""The end of a controller ends its tasks, links to peers and pooled connections."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 from marblestair.settings import Settings, parse
 from tests.fakes.samples import raw_node_settings
 
-#: an address of this process alone: other workers of the test run can not take its ports
+#: a loopback address of this process alone, so no other worker of the test run takes its ports
 HOST = f"127.{1 + os.getpid() // 250 % 250}.{1 + os.getpid() % 250}.1"
 RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-#: time within which everything must have ended, in seconds
-LIMIT_S = 5.0
+#: longest wait for a condition or a response, in seconds
+TIMEOUT_S = 5.0
 
 
 class Listener:
-    """A server that answers each piece of data, and counts the connections that ended."""
+    """A server that sends a fixed response to each chunk of data, and counts its connections."""
 
     def __init__(self, response: bytes = b"") -> None:
-        self.opened = 0
-        self.ended = 0
+        self.opened_count = 0
+        self.ended_count = 0
         self.address = ""
         self._response = response
         self._server: asyncio.Server | None = None
@@ -43,26 +43,26 @@
         self._server.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.opened += 1
+        self.opened_count += 1
         try:
             while await reader.read(65536):
                 writer.write(self._response)
         except ConnectionError:
             pass
         finally:
-            self.ended += 1
+            self.ended_count += 1
             writer.close()
 
 
-async def until(is_true: Callable[[], bool]) -> None:
-    async with asyncio.timeout(LIMIT_S):
+async def wait_until(is_true: Callable[[], bool]) -> None:
+    async with asyncio.timeout(TIMEOUT_S):
         while not is_true():
             await asyncio.sleep(0.01)
 
 
 def run(test: Callable[[], Awaitable[Any]]) -> None:
     async def bounded() -> None:
-        async with asyncio.timeout(4 * LIMIT_S):
+        async with asyncio.timeout(4 * TIMEOUT_S):
             await test()
 
     asyncio.run(bounded())
@@ -78,16 +78,16 @@
         async with Listener() as listener:
             link = Link("n0", listener.address)
             assert await link.request("status", [], 0.2) is None
-            await until(lambda: listener.opened == 1)
-            assert listener.ended == 0
-            waiting = asyncio.create_task(link.request("status", [], LIMIT_S))
+            await wait_until(lambda: listener.opened_count == 1)
+            assert listener.ended_count == 0
+            waiting = asyncio.create_task(link.request("status", [], TIMEOUT_S))
             await asyncio.sleep(0)
             link.close()
             assert await waiting is None
-            await until(lambda: listener.ended == 1)
+            await wait_until(lambda: listener.ended_count == 1)
             link.send_message("summaries", [])
             assert await link.request("status", [], 0.1) is None
-            assert listener.opened == 1
+            assert listener.opened_count == 1
 
     run(test)
 
@@ -111,20 +111,21 @@
     async def test() -> None:
         async with Listener(RESPONSE) as listener, Listener() as silent:
             client = HttpClient()
-            status, body = await client.request(listener.address, "GET", "/", b"", LIMIT_S)
+            status, body = await client.request(listener.address, "GET", "/", b"", TIMEOUT_S)
             assert (status, body) == (200, b"ok")
-            assert (listener.opened, listener.ended) == (1, 0)
+            assert (listener.opened_count, listener.ended_count) == (1, 0)
             unanswered = asyncio.create_task(
-                client.request(silent.address, "GET", "/", b"", LIMIT_S)
+                client.request(silent.address, "GET", "/", b"", TIMEOUT_S)
             )
-            await until(lambda: silent.opened == 1)
+            await wait_until(lambda: silent.opened_count == 1)
             client.close()
-            await until(lambda: listener.ended == 1)
-            # What is under way ends with its task; what gets its response is not put back.
+            await wait_until(lambda: listener.ended_count == 1)
+            # A request in flight ends with its task. A connection that gets its response after the
+            # client was closed is not pooled again.
             unanswered.cancel()
-            await until(lambda: silent.ended == 1)
-            await client.request(listener.address, "GET", "/", b"", LIMIT_S)
-            await until(lambda: listener.ended == 2)
+            await wait_until(lambda: silent.ended_count == 1)
+            await client.request(listener.address, "GET", "/", b"", TIMEOUT_S)
+            await wait_until(lambda: listener.ended_count == 2)
 
     run(test)
 
@@ -135,16 +136,16 @@
             node = Node(await node_settings(store, cloud, peer), Policy())
             running = asyncio.create_task(node.run())
             link = node.request_executor.links["n1"]
-            await until(lambda: store.opened > 0)
+            await wait_until(lambda: store.opened_count > 0)
             link.send_message("summaries", [])
-            await until(lambda: peer.opened == 1)
+            await wait_until(lambda: peer.opened_count == 1)
             running.cancel()
             with pytest.raises(asyncio.CancelledError):
                 await running
-            await until(lambda: store.ended == store.opened)
-            await until(lambda: cloud.ended == cloud.opened)
-            await until(lambda: peer.ended == peer.opened)
-            await until(lambda: not node._tasks)
+            await wait_until(lambda: store.ended_count == store.opened_count)
+            await wait_until(lambda: cloud.ended_count == cloud.opened_count)
+            await wait_until(lambda: peer.ended_count == peer.opened_count)
+            await wait_until(lambda: not node._tasks)
 
     run(test)
 
@@ -169,9 +170,9 @@
         host, _, port = address.rpartition(":")
         await server.listen(host, int(port))
         link = Link("n0", address)
-        assert await link.request("status", [1, "x"], LIMIT_S) == ["n0", "status", [1, "x"]]
+        assert await link.request("status", [1, "x"], TIMEOUT_S) == ["n0", "status", [1, "x"]]
         link.send_message("progress", [[2]])
-        await until(lambda: bool(messages))
+        await wait_until(lambda: bool(messages))
         assert messages == [("n0", "progress", [[2]])]
         link.close()
         server.close()
--- a/tests/wire/test_bodies.py
+++ b/tests/wire/test_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies that leave a controller: their fields, in order, and none more."""
+"""Encoded bodies have exactly the fields of the interfaces, in order."""
 
 from __future__ import annotations
 
--- a/tests/wire/test_responses.py
+++ b/tests/wire/test_responses.py
@@ -15,6 +15,6 @@
         assert decode_cloud_response(rental, 200, body).status == 0
         assert decode_store_response(Get("k"), 200, body).status == 0
         assert decode_store_response(Watch("k", 1, 1), 200, body).status == 0
-        # Without a revision neither an absence nor a change can be put in order.
+        # Without a revision, an absent key or a commit cannot be ordered among other changes.
         assert decode_store_response(Get("k"), 404, body).status == 0
         assert decode_store_response(CompareAndSwap([], [], ["k"]), 200, body).status == 0
--- a/tests/wire/test_users.py
+++ b/tests/wire/test_users.py
@@ -1,4 +1,4 @@
-"""Decoding of users' requests, and of bodies that are no map."""
+"""Decoding of users' requests, and rejection of bodies that are not a map."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def without(*fields: str) -> dict[str, Any]:
-    """The submission without some fields."""
+    """Return the submission without some fields."""
     return {field: value for field, value in SUBMISSION.items() if field not in fields}
 
 
