--- a/tests/core/scheduling/test_gangs.py
+++ b/tests/core/scheduling/test_gangs.py
@@ -11,12 +11,12 @@
 from tests.fakes.agent import FakeAgent
 from tests.fakes.samples import job_spec, wait_objective
 from tests.fakes.simulated_deployment import SimulatedDeployment
-from tests.helpers import led_shards, started
+from tests.helpers import led_shards, start_deployment
 from tests.scenarios.fleets import medium_fleet, whole_machine_gang
 
 
 def test_a_gang_larger_than_a_shards_quota_gets_that_of_the_others() -> None:
-    deployment = started(9)
+    deployment = start_deployment(9)
     # The gang needs the team's whole limit of 12 CPUs, of which each shard has a third.
     gang = deployment.users.submit(
         job_spec(1, kind="gang", team="blue", task_count=12, estimated_run_s=5.0)
@@ -86,7 +86,7 @@
     Such a gang waited for 450 s: no machine was planned for it since the team was at its limit, and
     quota that became free in its shard was transferred to shards where arrays had free capacity.
     """
-    deployment = started(13)
+    deployment = start_deployment(13)
     users, tasks = deployment.users, deployment.tasks
     arrays = users.submit_many((1, 2), team="blue", task_count=150, estimated_run_s=4.0)
     assert deployment.run_until(lambda: len(tasks.starts) >= 30, 60.0)
@@ -137,7 +137,7 @@
 
 
 def test_work_does_not_wait_beside_a_machine_that_is_reserved_for_gangs() -> None:
-    deployment = started(4210, objectives=[wait_objective(6.0)])
+    deployment = start_deployment(4210, objectives=[wait_objective(6.0)])
     users, tasks = deployment.users, deployment.tasks
     deployment.cloud.capacity = 1
     gang = users.submit(
@@ -182,7 +182,7 @@
     the gang uses becomes free afterwards.
     """
     rng = random.Random(seed)
-    deployment = started(3200 + seed)
+    deployment = start_deployment(3200 + seed)
     users = deployment.users
     deployment.agent_link.duplicate_ratio = 0.05
     gang = users.submit(
