--- a/marblestair/core/controller.py
+++ b/marblestair/core/controller.py
@@ -213,7 +213,7 @@
         self.synchronizer.synchronize()
         self.coordinator.tick(now)
         led_shards = self.leadership.led_shards()
-        self.scheduling_services.preemption.tick()
+        self.scheduling_services.preemption.expire_claims()
         for shard in led_shards:
             self._tick_shard(shard, now)
         self.job_services.job_managers.tick()
--- a/marblestair/core/scheduling/array_placement.py
+++ b/marblestair/core/scheduling/array_placement.py
@@ -74,7 +74,7 @@
             and spec.may_run_on(machine.type_name, machine.zone, machine.spot)
         ]
     launches = _ArrayLaunches(
-        shard, job_slice, ZoneRule.of(job_slice), constraints.fetch_weight, rng
+        shard, job_slice, ZoneRule.for_slice(job_slice), constraints.fetch_weight, rng
     )
     draining = constraints.draining_machines
     if draining:
--- a/marblestair/core/scheduling/dispatch.py
+++ b/marblestair/core/scheduling/dispatch.py
@@ -20,7 +20,7 @@
 from marblestair.core.scheduling.placement_pass import PlacementPass
 from marblestair.core.scheduling.preemption import Preemption
 from marblestair.core.scheduling.run_times import RunTimes
-from marblestair.core.scheduling.scheduling_order import ServiceOrder
+from marblestair.core.scheduling.scheduling_order import SchedulingOrder
 from marblestair.core.scheduling.slice_placement import SlicePlacement
 from marblestair.core.scheduling.starvation import StarvationPrevention
 from marblestair.core.shard.failures import FailureAttribution
@@ -50,7 +50,7 @@
         self._guarantees = guarantees
         self._arrivals = arrivals
         self._preemption = preemption
-        self._service_order = ServiceOrder(
+        self._scheduling_order = SchedulingOrder(
             context, failures, run_times, guarantees, fleet_plan, dependencies, deadline_offsets_s
         )
         self._placement = SlicePlacement(
@@ -65,13 +65,13 @@
 
     def pending_in_order(self, shard: Shard) -> list[JobSlice]:
         """Return a shard's slices with pending tasks, in the order in which they are served."""
-        return self._service_order.pending_slices(shard)
+        return self._scheduling_order.pending_slices(shard)
 
     def place_all(self, shard: Shard) -> None:
         """Place all that is pending in a shard, and renew its queue."""
         self.shards_with_new_work.discard(shard.shard_id)
         self._queues.pop(shard.shard_id, None)
-        order = self._service_order.pending_slices(shard)
+        order = self._scheduling_order.pending_slices(shard)
         if not order:
             return
         queue = self._queues[shard.shard_id] = PendingQueue(order)
--- a/marblestair/core/scheduling/gang_placement.py
+++ b/marblestair/core/scheduling/gang_placement.py
@@ -13,7 +13,7 @@
     tasks_that_fit,
     tasks_within_quota,
 )
-from marblestair.core.scheduling.zone_rule import zone_limit
+from marblestair.core.scheduling.zone_rule import max_tasks_per_zone
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
 from marblestair.core.shard.shard import Shard
@@ -82,7 +82,7 @@
     zones: Sequence[str | None] = [None]
     if spec.single_zone:
         zones = sorted({machine.zone for machine, _ in fitting})
-    limit = zone_limit(spec)
+    limit = max_tasks_per_zone(spec)
     for zone in zones:
         assigned: list[Machine] = []
         assigned_by_zone: Counter[str] = Counter()
--- a/marblestair/core/scheduling/migration_planner.py
+++ b/marblestair/core/scheduling/migration_planner.py
@@ -15,7 +15,7 @@
 from marblestair.core.scheduling.quota_transfers import QuotaTransfers
 from marblestair.core.scheduling.reported_capacity import (
     ReportedCapacity,
-    most_free_cpus_by_team,
+    max_free_quota_cpus_by_team,
     reserve_capacity,
 )
 from marblestair.core.scheduling.slice_migration import MAX_ACTIVE_MIGRATIONS, SliceMigrations
@@ -75,7 +75,7 @@
             self._context, self._quotas, self._quota_transfers, shard, summaries, capacity
         )
         survey = self._preemption.survey(shard)
-        most_free_cpus = most_free_cpus_by_team(summaries)
+        most_free_cpus = max_free_quota_cpus_by_team(summaries)
         for job_slice in self._dispatcher.pending_in_order(shard):
             if self._migrations.active_count >= MAX_ACTIVE_MIGRATIONS:
                 return
--- a/marblestair/core/scheduling/placement.py
+++ b/marblestair/core/scheduling/placement.py
@@ -12,7 +12,7 @@
 
 from marblestair.core.domain.amounts import Resources
 from marblestair.core.domain.jobs import JobSpec
-from marblestair.core.scheduling.zone_rule import zone_limit
+from marblestair.core.scheduling.zone_rule import max_tasks_per_zone
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine
 from marblestair.core.shard.shard import Shard
@@ -80,5 +80,5 @@
     count_by_zone = capacity_by_zone(spec, resources, capacities)
     if spec.single_zone:
         return any(count >= task_count for count in count_by_zone.values())
-    limit = zone_limit(spec)
+    limit = max_tasks_per_zone(spec)
     return sum(min(count, limit) for count in count_by_zone.values()) >= task_count
--- a/marblestair/core/scheduling/placement_pass.py
+++ b/marblestair/core/scheduling/placement_pass.py
@@ -77,7 +77,7 @@
             return
         if array.pending.count and array.spec.id in self._guarantees.jobs:
             self._best_effort_tasks.preempt_for(
-                array, self._placement.lacking_cpus(shard, array, reserved)
+                array, self._placement.pending_cpus_within_quota(shard, array, reserved)
             )
 
     def _place_gang(self, gang: JobSlice) -> None:
--- a/marblestair/core/scheduling/preemption.py
+++ b/marblestair/core/scheduling/preemption.py
@@ -16,9 +16,9 @@
 from marblestair.core.scheduling.placement import FreeCapacity, may_run_on_machine, tasks_that_fit
 from marblestair.core.scheduling.preemption_survey import (
     PreemptionSurvey,
-    free_without,
+    free_after_removal,
     preemptible_tasks,
-    tasks_in,
+    count_fitting_tasks,
 )
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine, PlacedTask, StopReason
@@ -93,7 +93,7 @@
         names = [name for name, claim in self.claims.items() if claim.job == job]
         return [shard.machines[name] for name in names if name in shard.machines]
 
-    def tick(self) -> None:
+    def expire_claims(self) -> None:
         """Drop the claims of jobs that have started or ended, and those that have expired."""
         for name, claim in list(self.claims.items()):
             is_pending = any(
@@ -151,7 +151,7 @@
         for cleared in plan.machines:
             self.claims[cleared.machine.name] = Claim(job, expires_at)
             shard.stop_tasks(cleared.victims, StopReason.PREEMPTED)
-        survey.forget_team(gang.spec.team)
+        survey.invalidate_team(gang.spec.team)
         return True
 
     def _plan(
@@ -174,7 +174,7 @@
         # What the quota lacks, less what the victims free of it.
         lacking_cpus = needed_cpus - (quota[0] - used_cpus)
         lacking_cpus -= sum(task.resources[0] for task in victims if task.team == team)
-        quota_victims = survey.tasks_freeing(team, rank, lacking_cpus, victims)
+        quota_victims = survey.choose_tasks_to_stop(team, rank, lacking_cpus, victims)
         if quota_victims is None:
             return None
         return _PreemptionPlan(machines, quota_victims)
@@ -198,7 +198,7 @@
                 if _has_stopping_tasks(machine):
                     continue
                 victims = preemptible_tasks(shard, machine, rank)
-                fits = tasks_in(free_without(machine, victims), gang.resources)
+                fits = count_fitting_tasks(free_after_removal(machine, victims), gang.resources)
             if fits:
                 chosen.append(_ClearedMachine(machine, victims))
                 lacking_tasks -= fits
@@ -218,7 +218,7 @@
                 continue
             if tasks_that_fit(machine, resources):
                 options.append(_Option(0.0, machine))
-            elif fits := tasks_in(surveyed.free_after, resources):
+            elif fits := count_fitting_tasks(surveyed.free_after, resources):
                 options.append(_Option(surveyed.lost_work / fits, machine))
         return options
 
@@ -246,7 +246,7 @@
             victims = preemptible_tasks(shard, machine, rank)
             if not victims or _has_stopping_tasks(machine):
                 continue
-            free = free_without(machine, victims)
+            free = free_after_removal(machine, victims)
             if any(
                 all(amount >= x for amount, x in zip(free, spec.resources, strict=True))
                 for spec in specs
--- a/marblestair/core/scheduling/preemption_survey.py
+++ b/marblestair/core/scheduling/preemption_survey.py
@@ -30,7 +30,7 @@
     return tasks
 
 
-def free_without(machine: Machine, tasks: list[PlacedTask]) -> list[int]:
+def free_after_removal(machine: Machine, tasks: list[PlacedTask]) -> list[int]:
     """What is free on a machine once some of its tasks are gone, in fixed point."""
     free = list(machine.free)
     for task in tasks:
@@ -39,7 +39,7 @@
     return free
 
 
-def tasks_in(free: list[int], resources: Resources) -> int:
+def count_fitting_tasks(free: list[int], resources: Resources) -> int:
     """How many tasks fit into free capacity; none if they take nothing at all."""
     fits = (amount // x for amount, x in zip(free, resources, strict=True) if x > 0)
     return max(0, min(fits, default=0))
@@ -84,7 +84,7 @@
         self._tasks_of(team, rank)
         return self._cpus[(team, rank)]
 
-    def tasks_freeing(
+    def choose_tasks_to_stop(
         self, team: str, rank: int, cpus: int, besides: list[PlacedTask]
     ) -> list[PlacedTask] | None:
         """Choose tasks of a team whose end frees so many cpus of its quota here.
@@ -128,7 +128,7 @@
             return False, 0.0
         return True, 0.0 if task.running_since is None else self._now - task.running_since
 
-    def forget_team(self, team: str) -> None:
+    def invalidate_team(self, team: str) -> None:
         """Tasks of a team were stopped: their order has to be determined again."""
         for key in [key for key in self._tasks if key[0] == team]:
             del self._tasks[key]
--- a/marblestair/core/scheduling/reported_capacity.py
+++ b/marblestair/core/scheduling/reported_capacity.py
@@ -57,7 +57,7 @@
     )
 
 
-def most_free_cpus_by_team(summaries: Iterable[ShardSummary]) -> dict[str, int]:
+def max_free_quota_cpus_by_team(summaries: Iterable[ShardSummary]) -> dict[str, int]:
     """Team -> the most cpus of free quota that one of some shards reported, in fixed point."""
     most: dict[str, int] = {}
     for summary in summaries:
--- a/marblestair/core/scheduling/scheduling_order.py
+++ b/marblestair/core/scheduling/scheduling_order.py
@@ -22,7 +22,7 @@
 #: a job is overdue when it cannot be done within its deadline and this share of it more
 OVERDUE_SHARE = 0.5
 #: slack of a job without a deadline when it becomes startable
-UNDATED_SLACK_S = 120.0
+NO_DEADLINE_SLACK_S = 120.0
 
 #: penalties, whether it has to wait for urgent work, rank of the priority (negative), slack in
 #: seconds, and the job. A plain tuple: one is made and compared for each slice that is sorted, and
@@ -75,7 +75,7 @@
             penalty += INFEASIBLE_PENALTY * is_infeasible + OVERDUE_PENALTY * is_overdue
     else:
         age_since = spec.accepted_at if startable_since is None else startable_since
-        slack_s = age_since - wall_time + UNDATED_SLACK_S
+        slack_s = age_since - wall_time + NO_DEADLINE_SLACK_S
     rank = PRIORITY_RANKS[spec.priority]
     is_urgent = is_guaranteed or rank >= PRIORITY_RANKS[Priority.HIGH]
     return (penalty, 0 if is_urgent else 1, -rank, slack_s, spec.id)
@@ -97,7 +97,7 @@
     slices: list[JobSlice]
 
 
-class ServiceOrder:
+class SchedulingOrder:
     """Sorts the pending slices of the shards that one node leads."""
 
     def __init__(  # noqa: PLR0913 - its collaborators
--- a/marblestair/core/scheduling/slice_placement.py
+++ b/marblestair/core/scheduling/slice_placement.py
@@ -21,10 +21,10 @@
 from marblestair.core.shard.shard import Shard
 
 #: the users' rules: every job, also the largest, is to start within this time
-START_LIMIT_S = 240.0
+MAX_START_DELAY_S = 240.0
 #: time after which a slice of which nothing runs may use machines that are reserved for expected
 #: gangs; after twice as long, also those that are reserved for gangs that wait
-RESERVATION_LIMIT_S = START_LIMIT_S / 8
+RESERVATION_LIMIT_S = MAX_START_DELAY_S / 8
 #: weight of the wait for the image in the choice of a machine for guaranteed jobs
 GUARANTEED_FETCH_WEIGHT = 3.0
 
@@ -81,7 +81,7 @@
         resources = job_slice.resources
         return used[0] + resources[0] <= quota[0] and used[1] + resources[1] <= quota[1]
 
-    def lacking_cpus(self, shard: Shard, job_slice: JobSlice, reserved: ReservedQuota) -> int:
+    def pending_cpus_within_quota(self, shard: Shard, job_slice: JobSlice, reserved: ReservedQuota) -> int:
         """Cpus in fixed point that a slice's pending tasks take, as far as the quota allows."""
         quota = self.available_quota(shard, job_slice, reserved)
         free_cpus = quota[0] - shard.usage(job_slice.spec.team)[0]
--- a/marblestair/core/scheduling/starvation.py
+++ b/marblestair/core/scheduling/starvation.py
@@ -12,7 +12,7 @@
 from marblestair.core.scheduling.effective_quotas import EffectiveQuotas
 from marblestair.core.scheduling.pending_queue import PendingQueue, StarvedSlice
 from marblestair.core.scheduling.slice_placement import (
-    START_LIMIT_S,
+    MAX_START_DELAY_S,
     ReservedQuota,
     SlicePlacement,
 )
@@ -21,9 +21,9 @@
 from marblestair.core.shard.shard import Shard
 
 #: time since it became startable after which a pending slice counts as starved
-STARVATION_S = 0.4 * START_LIMIT_S
+STARVATION_S = 0.4 * MAX_START_DELAY_S
 #: time after which an array that has begun is not only to begin but to proceed
-PROCEED_LIMIT_S = 2 * START_LIMIT_S
+PROCEED_LIMIT_S = 2 * MAX_START_DELAY_S
 #: share of a team's quota for its starved arrays
 STARVED_QUOTA_SHARE = 0.25
 #: a starved array that has not begun gets one in this many of its tasks at first
--- a/marblestair/core/scheduling/zone_rule.py
+++ b/marblestair/core/scheduling/zone_rule.py
@@ -9,7 +9,7 @@
 from marblestair.core.shard.machine import Machine
 
 
-def zone_limit(spec: JobSpec) -> int:
+def max_tasks_per_zone(spec: JobSpec) -> int:
     """How many of a job's tasks may run in one zone."""
     return (spec.task_count + 1) // 2 if spec.spread_zones else spec.task_count
 
@@ -21,12 +21,12 @@
         spec = job_slice.spec
         self._single_zone = spec.single_zone
         self._spread_zones = spec.spread_zones
-        self._limit = zone_limit(spec)
+        self._limit = max_tasks_per_zone(spec)
         #: zone -> tasks of the job that are placed there
         self._placed = Counter(machine.zone for machine in job_slice.placed_on.values())
 
     @staticmethod
-    def of(job_slice: JobSlice) -> ZoneRule | None:
+    def for_slice(job_slice: JobSlice) -> ZoneRule | None:
         """The rule for a slice's job, or None if its tasks may run in any zones."""
         if job_slice.spec.single_zone or job_slice.spec.spread_zones:
             return ZoneRule(job_slice)
--- a/marblestair/outside_calls.py
+++ b/marblestair/outside_calls.py
@@ -65,8 +65,8 @@
 CLOUD_TIMEOUT_S = 4.0
 AGENT_TIMEOUT_S = 1.5
 #: lanes of the cloud's budget: rentals and releases come before listings
-CLOUD_LANE = 0
-LISTING_LANE = 1
+CLOUD_PRIORITY = 0
+LISTING_PRIORITY = 1
 
 STORE_REQUESTS = (Get, ListKeys, CompareAndSwap, GrantLease, RenewLease, Watch)
 CLOUD_REQUESTS = (ListMachineTypes, RentMachines, ReleaseMachines, ListMachines)
@@ -173,7 +173,7 @@
         return decode_store_response(request, status, body)
 
     async def _request_cloud(self, request: CloudRequest) -> CloudResponse:
-        priority = LISTING_LANE if isinstance(request, ListMachines) else CLOUD_LANE
+        priority = LISTING_PRIORITY if isinstance(request, ListMachines) else CLOUD_PRIORITY
         if not await self._cloud_budget.take(priority, 0):
             return CloudResponse(NOT_SENT)
         encoded = encode_cloud_request(request)
--- a/tests/core/jobs/test_lookups.py
+++ b/tests/core/jobs/test_lookups.py
@@ -76,12 +76,12 @@
     deployment.run(0.5)
     assert all(replies for replies in asked)
     assert recorder.count(Get) == 2 * max_concurrent_reads
-    lanes = {
+    priorities = {
         request.priority
         for request in recorder.requests
         if isinstance(request, Get) and request.key.endswith("900000")
     }
-    assert lanes == {RequestPriority.LOOKUP}
+    assert priorities == {RequestPriority.LOOKUP}
 
 
 @pytest.mark.parametrize("polls", [1, 5])
