--- a/marblestair/core/capacity/decommissioning.py
+++ b/marblestair/core/capacity/decommissioning.py
@@ -34,7 +34,7 @@
     machine: Machine
 
 
-def nearly_empty_machines(shard: Shard, names: set[str], now: float) -> list[Machine]:
+def machines_to_empty(shard: Shard, names: set[str], now: float) -> list[Machine]:
     """Choose nearly empty machines that are worth emptying.
 
     Of the machines that are to fall idle, those where stopping what still runs, to run it again
--- a/marblestair/core/capacity/fleet.py
+++ b/marblestair/core/capacity/fleet.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from marblestair.core.capacity.decommissioning import machines_to_release, nearly_empty_machines
+from marblestair.core.capacity.decommissioning import machines_to_empty, machines_to_release
 from marblestair.core.capacity.fleet_planner import FleetPlanner
 from marblestair.core.capacity.provisioning import Plan, RentalRequest
 from marblestair.core.capacity.releases import Releases
@@ -109,7 +109,7 @@
             and machine.machine_type is not None
             and now - surplus_since > MIN_SURPLUS_BOOT_TIMES * machine.machine_type.boot_s
         }
-        for machine in nearly_empty_machines(shard, names, now)[:1]:
+        for machine in machines_to_empty(shard, names, now)[:1]:
             machine.cordon = CordonReason.RELEASE
             shard.stop_tasks(list(machine.tasks.values()), StopReason.MACHINE_RELEASED)
             self._context.log(
--- a/marblestair/core/capacity/fleet_planner.py
+++ b/marblestair/core/capacity/fleet_planner.py
@@ -59,7 +59,7 @@
             self._view.jobs.values(), key=lambda record: (record.startable_since, record.spec.id)
         )
         reported = self._inputs.reported_state()
-        loads = self._inputs.loads(reported, live, self._tuning.undated_run_times)
+        loads = self._inputs.loads(reported, live, self._tuning.default_deadline_run_times)
         machines = self._inputs.machines(reported)
         self._arrivals.count_arrivals(live)
         computed = plan(
--- a/marblestair/core/capacity/plan_inputs.py
+++ b/marblestair/core/capacity/plan_inputs.py
@@ -47,7 +47,7 @@
         return ReportedState(self._context, self._summaries)
 
     def loads(
-        self, reported: ReportedState, live: list[JobRecord], undated_run_times: float
+        self, reported: ReportedState, live: list[JobRecord], default_deadline_run_times: float
     ) -> list[JobLoad]:
         """The unfinished work.
 
@@ -65,20 +65,20 @@
             if spec.kind == JobKind.GANG:
                 pending = 0 if allowed < spec.task_count and not placed else allowed
             run_s = max(MIN_RUN_S, spec.estimated_run_s * self._run_times.ratio(spec.job_class))
-            due_at = record.startable_since + undated_run_times * run_s
+            due_at = record.startable_since + default_deadline_run_times * run_s
             if spec.deadline_s is not None:
                 due_at = spec.accepted_at + spec.deadline_s
             due_in_s = due_at - self._context.wall_time
             shard_id = reported.shard_of_job.get(spec.id)
             loads.append(JobLoad(spec, pending, placed, due_in_s, run_s, allowed, shard_id))
-        return loads + self._upcoming_loads(reported, live, headroom, undated_run_times)
+        return loads + self._upcoming_loads(reported, live, headroom, default_deadline_run_times)
 
     def _upcoming_loads(
         self,
         reported: ReportedState,
         live: list[JobRecord],
         headroom: TeamHeadroom,
-        undated_run_times: float,
+        default_deadline_run_times: float,
     ) -> list[JobLoad]:
         """The arrays that may start about when a machine rented now is up.
 
@@ -94,7 +94,7 @@
                 continue
             allowed = headroom.allow(record, spec.task_count)
             run_s = max(MIN_RUN_S, spec.estimated_run_s * self._run_times.ratio(spec.job_class))
-            due_in_s = undated_run_times * run_s
+            due_in_s = default_deadline_run_times * run_s
             loads.append(JobLoad(spec, spec.task_count, 0, due_in_s, run_s, allowed))
         return loads
 
--- a/marblestair/core/capacity/provisioning.py
+++ b/marblestair/core/capacity/provisioning.py
@@ -39,7 +39,7 @@
     #: an idle machine is released after at least this many of its boot times
     min_idle_boot_times: float = 0.5
     #: time after which jobs without a deadline should be done, in their run times
-    undated_run_times: float = 2.0
+    default_deadline_run_times: float = 2.0
 
 
 class JobLoad(msgspec.Struct, frozen=True):
--- a/marblestair/core/scheduling/preemption.py
+++ b/marblestair/core/scheduling/preemption.py
@@ -16,9 +16,9 @@
 from marblestair.core.scheduling.placement import FreeCapacity, may_run_on_machine, tasks_that_fit
 from marblestair.core.scheduling.preemption_survey import (
     PreemptionSurvey,
+    count_fitting_tasks,
     free_after_removal,
     preemptible_tasks,
-    count_fitting_tasks,
 )
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.machine import Machine, PlacedTask, StopReason
--- a/marblestair/core/scheduling/slice_placement.py
+++ b/marblestair/core/scheduling/slice_placement.py
@@ -81,7 +81,9 @@
         resources = job_slice.resources
         return used[0] + resources[0] <= quota[0] and used[1] + resources[1] <= quota[1]
 
-    def pending_cpus_within_quota(self, shard: Shard, job_slice: JobSlice, reserved: ReservedQuota) -> int:
+    def pending_cpus_within_quota(
+        self, shard: Shard, job_slice: JobSlice, reserved: ReservedQuota
+    ) -> int:
         """Cpus in fixed point that a slice's pending tasks take, as far as the quota allows."""
         quota = self.available_quota(shard, job_slice, reserved)
         free_cpus = quota[0] - shard.usage(job_slice.spec.team)[0]
--- a/marblestair/policy.py
+++ b/marblestair/policy.py
@@ -39,7 +39,7 @@
     "smooth_boots": Tunable("smoothing_boot_times", 0.0, 100.0),
     "keep": Tunable("release_surplus", 0.0, 100.0),
     "haste": Tunable("deadline_share", 0.05, 1.0),
-    "patience": Tunable("undated_run_times", 1.0, 100.0),
+    "patience": Tunable("default_deadline_run_times", 1.0, 100.0),
 }
 
 
--- a/tests/core/capacity/test_decommissioning.py
+++ b/tests/core/capacity/test_decommissioning.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from marblestair.core.capacity.decommissioning import machines_to_release, nearly_empty_machines
+from marblestair.core.capacity.decommissioning import machines_to_empty, machines_to_release
 from marblestair.core.domain.jobs import JobSpec
 from marblestair.core.domain.machines import MachineType
 from marblestair.core.shard.job_slice import JobSlice
@@ -58,12 +58,12 @@
     many = machine_with("host-2", 2, tasks=14, ran_s=50.0)
     other = machine_with("host-3", 3, tasks=2, ran_s=20.0)
     names = {"host-1", "host-2"}
-    assert nearly_empty_machines(shard, names, 100.0) == [few]
+    assert machines_to_empty(shard, names, 100.0) == [few]
     # Not where the tasks would find no free capacity, nor before the least rental is over.
-    assert nearly_empty_machines(shard, {"host-1", "host-2", "host-3"}, 100.0) == []
-    assert nearly_empty_machines(shard, names, 50.0) == []
+    assert machines_to_empty(shard, {"host-1", "host-2", "host-3"}, 100.0) == []
+    assert machines_to_empty(shard, names, 50.0) == []
     shard.stop_tasks(list(few.tasks.values()), "returned")
-    assert nearly_empty_machines(shard, names, 100.0) == []
+    assert machines_to_empty(shard, names, 100.0) == []
     assert many.tasks
     assert other.tasks
 
@@ -94,5 +94,5 @@
     for index, name in enumerate(["almost-empty", "half-empty"]):
         machine = add_machine(shard, name, MACHINE_TYPES[1], 200.0)
         run_task(shard, machine, spec, index, index + 1, 60.0)
-    found = nearly_empty_machines(shard, {"almost-empty"}, 200.0)
+    found = machines_to_empty(shard, {"almost-empty"}, 200.0)
     assert [machine.name for machine in found] == (["almost-empty"] if is_emptied else [])
