--- a/marblestair/http_api.py
+++ b/marblestair/http_api.py
@@ -11,7 +11,7 @@
 from marblestair.core.runtime.outbox import UserReply
 from marblestair.net.http_server import Connection, HttpServer
 from marblestair.wire.agents import decode_heartbeat, encode_heartbeat_response, encode_redirect
-from marblestair.wire.codec import MAX_BODY, BadRequestError, encode_error, pack
+from marblestair.wire.codec import MAX_REQUEST_BODY_BYTES, BadRequestError, encode_error, pack
 from marblestair.wire.users import (
     RequestKind,
     decode_submission,
@@ -72,9 +72,9 @@
             self._handle,
             time.monotonic,
             max_connections=max(MIN_ACCEPTED, int(max_sockets * ACCEPTED_SHARE)),
-            max_body=MAX_BODY,
+            max_body=MAX_REQUEST_BODY_BYTES,
             idle_s=IDLE_S,
-            crowded_at=max(MIN_CROWDED, int(max_sockets * CROWDED_SHARE)),
+            refuse_users_above=max(MIN_CROWDED, int(max_sockets * CROWDED_SHARE)),
         )
         #: connections of users whose requests are with the core, by the requests' ids
         self._waiting: dict[int, Connection] = {}
@@ -154,7 +154,7 @@
         self, connection: Connection, kind: RequestKind, job: str, body: bytes
     ) -> None:
         """A submission, a query or a cancel; the core's reply answers it."""
-        if self._server.is_crowded:
+        if self._server.must_refuse_users:
             refusal = encode_error("too many connections")
             connection.respond(503, refusal, _retry_after(CROWDED_RETRY_S), close=True)
         elif kind is RequestKind.SUBMIT:
--- a/marblestair/net/framing.py
+++ b/marblestair/net/framing.py
@@ -15,7 +15,7 @@
 
 #: largest payload of a frame that is accepted, in bytes; a summary of thousands of machines is far
 #: smaller
-MAX_FRAME = 4 << 20
+MAX_FRAME_BYTES = 4 << 20
 #: bytes of the length in front of each payload, in network byte order
 LENGTH_BYTES = 4
 
@@ -50,14 +50,14 @@
     value: Any
 
 
-class ReceiptFrame(msgspec.Struct, frozen=True, array_like=True, tag="pong"):
+class AckFrame(msgspec.Struct, frozen=True, array_like=True, tag="pong"):
     """Shows that a one-way message has arrived."""
 
 
-Frame: TypeAlias = MessageFrame | RequestFrame | ResponseFrame | ReceiptFrame
+Frame: TypeAlias = MessageFrame | RequestFrame | ResponseFrame | AckFrame
 
 
-def frame(content: Frame) -> bytes:
+def encode_frame(content: Frame) -> bytes:
     """Encode a frame with its length in front."""
     payload = _encode(content)
     return len(payload).to_bytes(LENGTH_BYTES, "big") + payload
@@ -104,7 +104,7 @@
         if self.transport is None or len(self._buffer) < LENGTH_BYTES:
             return None
         length = int.from_bytes(self._buffer[:LENGTH_BYTES], "big")
-        if length > MAX_FRAME:
+        if length > MAX_FRAME_BYTES:
             self.transport.abort()
             return None
         end = LENGTH_BYTES + length
@@ -117,7 +117,7 @@
     def send(self, content: Frame) -> None:
         """Send a frame, unless the connection is closed."""
         if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(frame(content))
+            self.transport.write(encode_frame(content))
 
     def abort(self) -> None:
         """Close at once."""
--- a/marblestair/net/http_server.py
+++ b/marblestair/net/http_server.py
@@ -252,7 +252,7 @@
         max_connections: int,
         max_body: int,
         idle_s: float,
-        crowded_at: int | None = None,
+        refuse_users_above: int | None = None,
     ) -> None:
         self.handler = handler
         self.clock = clock
@@ -260,7 +260,7 @@
         self.connections: set[Connection] = set()
         self._max_connections = max_connections
         self._idle_s = idle_s
-        self._crowded_at = max_connections if crowded_at is None else crowded_at
+        self._crowded_at = max_connections if refuse_users_above is None else refuse_users_above
         self._server: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> None:
@@ -288,7 +288,7 @@
             connection.abort()
 
     @property
-    def is_crowded(self) -> bool:
+    def must_refuse_users(self) -> bool:
         """Whether what is left of the connections is reserved for agents."""
         return len(self.connections) > self._crowded_at
 
--- a/marblestair/net/peers.py
+++ b/marblestair/net/peers.py
@@ -7,10 +7,10 @@
 from typing import Any, TypeAlias
 
 from marblestair.net.framing import (
+    AckFrame,
     Elements,
     FramedConnection,
     MessageFrame,
-    ReceiptFrame,
     RequestFrame,
     ResponseFrame,
 )
@@ -195,7 +195,7 @@
         """Receive a frame; unknown ones, which later versions may send, are ignored."""
         match elements:
             case ["note", sender, tag, list(arguments)]:
-                connection.send(ReceiptFrame())
+                connection.send(AckFrame())
                 self._on_message(str(sender), str(tag), arguments)
             case ["ask", number, sender, tag, list(arguments)]:
                 self._on_request(
--- a/marblestair/net/budget.py
+++ b/marblestair/net/rate_limiter.py
@@ -37,7 +37,7 @@
             self.granted.set_result(is_granted)
 
 
-class Budget:
+class RateLimiter:
     """A token bucket for requests and one for writes; each holds a second's worth.
 
     Parameters
@@ -65,7 +65,7 @@
         self._last_number = 0
         self._timer: asyncio.TimerHandle | None = None
 
-    async def take(self, priority: int, writes: int) -> bool:
+    async def acquire(self, priority: int, writes: int) -> bool:
         """Wait for a turn of a request with a number of writes; False when none came in time."""
         loop = asyncio.get_running_loop()
         now = loop.time()
--- a/marblestair/node.py
+++ b/marblestair/node.py
@@ -18,8 +18,8 @@
 from marblestair.log_levels import LOG_LEVELS
 from marblestair.net.framing import Elements
 from marblestair.net.peers import PeerServer, Responder
-from marblestair.outside_calls import OutsideCalls
 from marblestair.policy import Policy
+from marblestair.request_executor import RequestExecutor
 from marblestair.settings import Settings, split_address
 from marblestair.wire.peers import (
     MalformedMessageError,
@@ -55,7 +55,7 @@
         sockets = int(settings.cluster.machine_limits.sockets)
         self._http_api = HttpApi(self.core, sockets, request_ids, self._set_time, self._flush)
         self._peer_server = PeerServer(self._receive_message, self._receive_request)
-        self.outside = OutsideCalls(settings, self.core.rejected_writes)
+        self.request_executor = RequestExecutor(settings, self.core.rejected_writes)
         #: what sends the response to a request of another controller, by the requests' ids
         self._responders: dict[int, Responder] = {}
         self._tasks: set[asyncio.Task[None]] = set()
@@ -82,7 +82,7 @@
             task.cancel()
         self._http_api.close()
         self._peer_server.close()
-        self.outside.close()
+        self.request_executor.close()
 
     async def _tick_forever(self) -> None:
         pause_s = max(MIN_TICK_S, TICK_SHARE * self.settings.cluster.workers.report_s)
@@ -129,13 +129,13 @@
             self._http_api.send_reply(reply)
         commands, outbox.direct_commands = outbox.direct_commands, []
         for command in commands:
-            self._spawn(self.outside.send_command(command))
+            self._spawn(self.request_executor.send_command(command))
 
     def _send_to_peers(self) -> None:
         outbox = self.core.context.outbox
         messages, outbox.messages = outbox.messages, []
         for outgoing in messages:
-            link = self.outside.links.get(outgoing.node)
+            link = self.request_executor.links.get(outgoing.node)
             if link is not None:
                 link.send_message(tag_of(outgoing.message), arguments_of(outgoing.message))
         replies, outbox.peer_replies = outbox.peer_replies, []
@@ -151,7 +151,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _carry_out(self, number: int, request: OutsideRequest) -> None:
-        response = await self.outside.carry_out(request)
+        response = await self.request_executor.execute(request)
         self._set_time()
         self.core.complete(number, response)
         self._flush()
--- a/marblestair/outside_calls.py
+++ b/marblestair/request_executor.py
@@ -28,9 +28,9 @@
     StoreResponse,
     Watch,
 )
-from marblestair.net.budget import Budget
 from marblestair.net.http_client import NO_RESPONSE, HttpClient
 from marblestair.net.peers import Link
+from marblestair.net.rate_limiter import RateLimiter
 from marblestair.settings import Settings
 from marblestair.wire.agents import (
     COMMAND_PATH,
@@ -72,7 +72,7 @@
 CLOUD_REQUESTS = (ListMachineTypes, RentMachines, ReleaseMachines, ListMachines)
 
 
-class OutsideCalls:
+class RequestExecutor:
     """The connections of one node to the systems around it, and their budgets.
 
     It owns the HTTP clients, the budgets and the links to the other controllers; :meth:`close`
@@ -98,11 +98,11 @@
         self._agents = HttpClient(
             max_idle_per_address=1, max_in_flight=max_outgoing, max_idle=max_outgoing
         )
-        self.store_budget = Budget(
+        self.store_rate_limiter = RateLimiter(
             cluster.state.rps / node_count * STORE_RATE_SHARE,
             cluster.state.write_rps / node_count * STORE_RATE_SHARE,
         )
-        self._cloud_budget = Budget(
+        self._cloud_rate_limiter = RateLimiter(
             cluster.cloud.rps / node_count * CLOUD_RATE_SHARE, CLOUD_WRITES_PER_S, CLOUD_MAX_WAIT_S
         )
         #: links to the other controllers, by their names
@@ -110,14 +110,14 @@
 
     def close(self) -> None:
         """Close all connections; no request may be made after that."""
-        self.store_budget.close()
-        self._cloud_budget.close()
+        self.store_rate_limiter.close()
+        self._cloud_rate_limiter.close()
         for client in (self._store, self._cloud, self._agents):
             client.close()
         for link in self.links.values():
             link.close()
 
-    async def carry_out(self, request: OutsideRequest) -> Any:
+    async def execute(self, request: OutsideRequest) -> Any:
         """The response to a request, of the type that belongs to it; :func:`no_response` if none.
 
         A defect in what is called ends this request only: it is logged.
@@ -155,7 +155,7 @@
 
     async def _request_store(self, request: StoreRequest) -> StoreResponse:
         write_count = request.change_count if isinstance(request, CompareAndSwap) else 0
-        if not await self.store_budget.take(request.priority, write_count):
+        if not await self.store_rate_limiter.acquire(request.priority, write_count):
             return StoreResponse(NOT_SENT)
         wait_s = request.wait_ms / 1000 if isinstance(request, Watch) else 0.0
         encoded = encode_store_request(request)
@@ -174,7 +174,7 @@
 
     async def _request_cloud(self, request: CloudRequest) -> CloudResponse:
         priority = LISTING_PRIORITY if isinstance(request, ListMachines) else CLOUD_PRIORITY
-        if not await self._cloud_budget.take(priority, 0):
+        if not await self._cloud_rate_limiter.acquire(priority, 0):
             return CloudResponse(NOT_SENT)
         encoded = encode_cloud_request(request)
         status, body = await self._cloud.request(
--- a/marblestair/wire/codec.py
+++ b/marblestair/wire/codec.py
@@ -7,7 +7,7 @@
 import msgspec
 
 #: largest body of a request, in bytes
-MAX_BODY = 64 * 1024
+MAX_REQUEST_BODY_BYTES = 64 * 1024
 
 
 class BadRequestError(Exception):
--- a/marblestair/wire/users.py
+++ b/marblestair/wire/users.py
@@ -9,10 +9,10 @@
 
 from marblestair.core.domain.amounts import are_valid_amounts
 from marblestair.core.domain.jobs import JobKind, JobSpec, JobState, Priority
-from marblestair.wire.codec import MAX_BODY, BadRequestError, pack
+from marblestair.wire.codec import MAX_REQUEST_BODY_BYTES, BadRequestError, pack
 
 #: tasks in one job, at most
-MAX_TASKS = 100_000
+MAX_TASKS_PER_JOB = 100_000
 #: the largest amount that is accepted, in any unit
 MAX_AMOUNT = 1e12
 #: characters in a name, at most: names end up in records
@@ -82,7 +82,7 @@
     BadRequestError
         When it is malformed.
     """
-    if len(body) > MAX_BODY:
+    if len(body) > MAX_REQUEST_BODY_BYTES:
         raise BadRequestError("body too large")
     try:
         submission = _submission_decoder.decode(body)
@@ -104,8 +104,8 @@
 
 
 def _check_amounts(submission: _Submission) -> None:
-    if not 1 <= submission.pieces <= MAX_TASKS:
-        raise BadRequestError(f"pieces: must be from 1 to {MAX_TASKS}")
+    if not 1 <= submission.pieces <= MAX_TASKS_PER_JOB:
+        raise BadRequestError(f"pieces: must be from 1 to {MAX_TASKS_PER_JOB}")
     amounts = [
         submission.cpus,
         submission.gpus,
--- a/tests/core/state/test_store_limits.py
+++ b/tests/core/state/test_store_limits.py
@@ -77,8 +77,8 @@
 def test_the_budget_of_a_node_obeys_the_smaller_rates() -> None:
     later = dict(rps=60.0, write_rps=30.0)
     node = Node(node_settings(0, state={**STORE_LIMITS_NOW, "next": later}), Policy())
-    assert node.outside.store_budget.write_rps <= 30.0 / 3
-    assert node.outside.store_budget.rps <= 60.0 / 3
+    assert node.request_executor.store_rate_limiter.write_rps <= 30.0 / 3
+    assert node.request_executor.store_rate_limiter.rps <= 60.0 / 3
 
 
 @pytest.mark.parametrize("seed", range(3))
--- a/tests/net/test_budget.py
+++ b/tests/net/test_budget.py
@@ -9,7 +9,7 @@
 import pytest
 
 from marblestair.core.runtime.store_requests import RequestPriority
-from marblestair.net.budget import Budget
+from marblestair.net.rate_limiter import RateLimiter
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
@@ -37,12 +37,12 @@
         loop.close()
 
 
-async def served_order(budget: Budget, *requests: tuple[str, int, int]) -> list[str]:
+async def served_order(budget: RateLimiter, *requests: tuple[str, int, int]) -> list[str]:
     """The order in which requests, made at the same time, are served: name, lane, changes."""
     served: list[str] = []
 
     async def take(name: str, priority: int, writes: int) -> None:
-        if await budget.take(priority, writes):
+        if await budget.acquire(priority, writes):
             served.append(name)
 
     await asyncio.gather(*(take(*request) for request in requests))
@@ -56,8 +56,8 @@
     """
 
     async def check() -> None:
-        budget = Budget(20.0, 2.0)
-        assert await budget.take(RequestPriority.ACCEPTANCE, 2)
+        budget = RateLimiter(20.0, 2.0)
+        assert await budget.acquire(RequestPriority.ACCEPTANCE, 2)
         order = await served_order(
             budget, ("commit", RequestPriority.ACCEPTANCE, 2), ("read", RequestPriority.LOOKUP, 0)
         )
@@ -68,8 +68,8 @@
 
 def test_changes_are_served_in_order_and_the_lowest_lane_first() -> None:
     async def check() -> None:
-        budget = Budget(20.0, 2.0, 10.0)
-        assert await budget.take(RequestPriority.ACCEPTANCE, 2)
+        budget = RateLimiter(20.0, 2.0, 10.0)
+        assert await budget.acquire(RequestPriority.ACCEPTANCE, 2)
         order = await served_order(
             budget,
             ("progress", RequestPriority.PROGRESS, 1),
@@ -84,18 +84,18 @@
 @pytest.mark.parametrize("writes", [0, 1])
 def test_a_request_that_waits_for_too_long_is_refused(writes: int) -> None:
     async def check() -> None:
-        budget = Budget(1.0, 1.0, 0.5)
-        assert await budget.take(RequestPriority.ACCEPTANCE, 1)
-        assert not await budget.take(RequestPriority.ACCEPTANCE, writes)
+        budget = RateLimiter(1.0, 1.0, 0.5)
+        assert await budget.acquire(RequestPriority.ACCEPTANCE, 1)
+        assert not await budget.acquire(RequestPriority.ACCEPTANCE, writes)
 
     run(check())
 
 
 def test_a_request_that_cannot_wait_is_refused_at_once() -> None:
     async def check() -> None:
-        budget = Budget(0.6, 1.0, max_wait_s=0.0)
-        assert await budget.take(1, 0)
+        budget = RateLimiter(0.6, 1.0, max_wait_s=0.0)
+        assert await budget.acquire(1, 0)
         # The bucket is empty now.
-        assert not await budget.take(0, 0)
+        assert not await budget.acquire(0, 0)
 
     run(check())
--- a/tests/net/test_http_server.py
+++ b/tests/net/test_http_server.py
@@ -7,7 +7,7 @@
 import pytest
 
 from marblestair.net.http_server import Connection, HttpServer
-from marblestair.wire.codec import MAX_BODY
+from marblestair.wire.codec import MAX_REQUEST_BODY_BYTES
 from tests.fakes.transport import FakeTransport
 
 
@@ -30,7 +30,7 @@
         handled.append((method, path, body))
         connection.respond(200, b"ok")
 
-    server = HttpServer(handle, lambda: 0.0, 10, MAX_BODY, 60.0)
+    server = HttpServer(handle, lambda: 0.0, 10, MAX_REQUEST_BODY_BYTES, 60.0)
     connection, transport = connect(server)
     for start in range(0, len(data), 3000):
         if not transport.closed:
@@ -74,7 +74,7 @@
 def test_near_the_limit_connections_of_users_are_closed_for_agents() -> None:
     """One node left alone has every agent's connection: its sockets are for them first."""
     clock = [0.0]
-    server = HttpServer(ignore, lambda: clock[0], 6, 100, 60.0, crowded_at=3)
+    server = HttpServer(ignore, lambda: clock[0], 6, 100, 60.0, refuse_users_above=3)
     users: list[FakeTransport] = []
     agents: list[FakeTransport] = []
 
@@ -88,10 +88,10 @@
 
     for _ in range(3):
         connect_later(is_agent=False)
-    assert not server.is_crowded
+    assert not server.must_refuse_users
     for _ in range(3):
         connect_later(is_agent=True)
-    assert server.is_crowded
+    assert server.must_refuse_users
     assert not any(transport.closed for transport in users + agents)
     # All places are occupied: the users idle for longest go, never an agent.
     assert all(connect_later(is_agent=True) for _ in range(3))
--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from marblestair.net.framing import FramedConnection, frame
+from marblestair.net.framing import FramedConnection, encode_frame
 from marblestair.net.peers import PeerServer
 from tests.fakes.transport import FakeTransport
 
@@ -19,13 +19,18 @@
 def test_a_malformed_frame_closes_its_connection_only() -> None:
     messages: list[Any] = []
     server = PeerServer(lambda *message: messages.append(message), lambda *request: None)
-    malformed = (b"\xff" * 8, frame([])[:4] + b"\xc1", frame({"a": 1}), frame([]))  # type: ignore[arg-type]
+    malformed = (
+        b"\xff" * 8,
+        encode_frame([])[:4] + b"\xc1",
+        encode_frame({"a": 1}),
+        encode_frame([]),
+    )  # type: ignore[arg-type]
     for data in malformed:
         connection, transport = connect(server)
         connection.data_received(data)
         assert transport.closed
     connection, _ = connect(server)
-    message = frame(["note", "n1", "summaries", [1, []]])
+    message = encode_frame(["note", "n1", "summaries", [1, []]])
     for place in range(len(message)):
         connection.data_received(message[place : place + 1])
     assert messages == [("n1", "summaries", [1, []])]
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -134,7 +134,7 @@
         async with Listener() as store, Listener() as cloud, Listener() as peer:
             node = Node(await node_settings(store, cloud, peer), Policy())
             running = asyncio.create_task(node.run())
-            link = node.outside.links["n1"]
+            link = node.request_executor.links["n1"]
             await until(lambda: store.opened > 0)
             link.send_message("summaries", [])
             await until(lambda: peer.opened == 1)
--- a/tests/scenarios/test_fleet_costs.py
+++ b/tests/scenarios/test_fleet_costs.py
@@ -12,7 +12,7 @@
 from marblestair.core.shard.failures import FailureAttribution
 from marblestair.core.state import keys
 from marblestair.core.state.store_view import StoreView
-from marblestair.net.framing import MAX_FRAME
+from marblestair.net.framing import MAX_FRAME_BYTES
 from marblestair.settings import Workers
 from tests.fakes.samples import job_spec
 from tests.fakes.simulated_deployment import SimulatedDeployment
@@ -102,14 +102,14 @@
         failures.record_failure(f"job-{number % 50}", name, True, 0.0)
     assert all(failures.machine_backoff_s(name) > 0 for name in MACHINES)
     # One node leads all of them, each in each list of the summary, and promises all cancels.
-    assert len(msgspec.msgpack.encode(largest_summary())) < MAX_FRAME
+    assert len(msgspec.msgpack.encode(largest_summary())) < MAX_FRAME_BYTES
     cancels = started(1).nodes.controller("n0").job_services.cancels
     for number in range(4000):
         cancels.record(f"job-{number:06d}", 1_000_000)
     entries = cancels.entries_after(0)
     assert entries is not None
     assert len(entries) == 4000
-    assert len(msgspec.msgpack.encode(entries)) < MAX_FRAME
+    assert len(msgspec.msgpack.encode(entries)) < MAX_FRAME_BYTES
 
 
 def largest_summary() -> ShardSummary:
