--- a/marblestair/net/__init__.py
+++ b/marblestair/net/__init__.py
@@ -1,1 +1,1 @@
-"""The network side of a controller: HTTP, links to its peers, and rate budgets."""
+"""Network I/O of a controller: HTTP client and server, links to its peers, and rate limiting."""
--- a/marblestair/net/framing.py
+++ b/marblestair/net/framing.py
@@ -1,8 +1,8 @@
-"""Frames between controllers: MessagePack arrays behind their length.
+"""Frames between controllers: MessagePack arrays, each with its length in front.
 
-A frame is an array that begins with its kind: ``["note", sender, tag, arguments]`` is a one-way
-message, ``["ask", number, sender, tag, arguments]`` a request, ``["answer", number, value]`` its
-response, and ``["pong"]`` shows the sender of one-way messages that they arrive.
+The first element of the array is the kind of the frame: ``["note", sender, tag, arguments]`` is a
+one-way message, ``["ask", number, sender, tag, arguments]`` a request,
+``["answer", number, value]`` its response, and ``["pong"]`` acknowledges a one-way message.
 """
 
 from __future__ import annotations
@@ -13,13 +13,12 @@
 
 import msgspec
 
-#: largest payload of a frame that is accepted, in bytes; a summary of thousands of machines is far
-#: smaller
+#: largest accepted payload of a frame; a summary of thousands of machines is far smaller
 MAX_FRAME_BYTES = 4 << 20
-#: bytes of the length in front of each payload, in network byte order
+#: size of the length in front of each payload, which is in network byte order
 LENGTH_BYTES = 4
 
-#: elements of a received frame: MessagePack values as they came
+#: elements of a received frame: decoded MessagePack values of any type
 Elements: TypeAlias = list[Any]
 
 _decode = msgspec.msgpack.Decoder().decode
@@ -35,7 +34,7 @@
 
 
 class RequestFrame(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
-    """A request; its number returns in the response."""
+    """A request; the response carries its number."""
 
     number: int
     sender: str
@@ -44,14 +43,14 @@
 
 
 class ResponseFrame(msgspec.Struct, frozen=True, array_like=True, tag="answer"):
-    """The response to a request, with the number as it was received."""
+    """The response to a request, with the number of the request as received."""
 
     number: Any
     value: Any
 
 
 class AckFrame(msgspec.Struct, frozen=True, array_like=True, tag="pong"):
-    """Shows that a one-way message has arrived."""
+    """Acknowledges a one-way message."""
 
 
 Frame: TypeAlias = MessageFrame | RequestFrame | ResponseFrame | AckFrame
@@ -64,12 +63,12 @@
 
 
 class FramedConnection(asyncio.Protocol):
-    """A connection that carries frames; one that is malformed aborts it.
+    """A connection that carries frames; a malformed frame aborts it.
 
     Parameters
     ----------
     on_frame
-        Called with the connection and the elements of each frame, of which there is at least one.
+        Called with the connection and the elements of each frame; there is at least one element.
     """
 
     def __init__(self, on_frame: Callable[[FramedConnection, Elements], None]) -> None:
@@ -80,27 +79,27 @@
         self._buffer = bytearray()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport on which frames are sent."""
+        """Store the transport on which frames are sent."""
         self.transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Stop to send; whoever uses the connection learns of it."""
+        """Drop the transport and call ``on_lost``."""
         self.transport = None
         if self.on_lost is not None:
             self.on_lost()
 
     def data_received(self, data: bytes) -> None:
-        """Pass on the frames that are complete."""
+        """Pass each complete frame to ``on_frame``."""
         self._buffer += data
         while (payload := self._next_payload()) is not None:
-            elements = _decoded_array(payload)
+            elements = _decode_array(payload)
             if elements is None:
                 self.abort()
                 return
             self._on_frame(self, elements)
 
     def _next_payload(self) -> bytes | None:
-        """Remove the next complete payload from the buffer; None when there is none."""
+        """Remove and return the next complete payload of the buffer; None when there is none."""
         if self.transport is None or len(self._buffer) < LENGTH_BYTES:
             return None
         length = int.from_bytes(self._buffer[:LENGTH_BYTES], "big")
@@ -120,18 +119,18 @@
             self.transport.write(encode_frame(content))
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection at once, without sending buffered data."""
         if self.transport is not None:
             self.transport.abort()
 
     def close(self) -> None:
-        """Close when what was sent has left."""
+        """Close the connection after the buffered data has been sent."""
         if self.transport is not None:
             self.transport.close()
 
 
-def _decoded_array(payload: bytes) -> Elements | None:
-    """The elements of a payload; None when it is no array, or an empty one."""
+def _decode_array(payload: bytes) -> Elements | None:
+    """Return the elements of a payload; None when it is not an array or an empty one."""
     try:
         elements = _decode(payload)
     except (msgspec.DecodeError, RecursionError):
--- a/marblestair/net/http_client.py
+++ b/marblestair/net/http_client.py
@@ -1,4 +1,4 @@
-"""Pooled HTTP/1.1 client on asyncio protocols; parsing by httptools."""
+"""HTTP/1.1 client with a connection pool, on asyncio protocols and the parser of httptools."""
 
 from __future__ import annotations
 
@@ -11,45 +11,45 @@
 from marblestair.core.runtime.store_requests import NOT_SENT
 from marblestair.net.media_types import CONTENT_TYPE
 
-#: largest body of a response that is accepted, in bytes
-MAX_RESPONSE_BODY = 8 * 1024 * 1024
-#: status of a request that may have been carried out, but got no response
+#: largest accepted body of a response
+MAX_RESPONSE_BODY_BYTES = 8 * 1024 * 1024
+#: status of a request that got no response and may have been carried out
 NO_RESPONSE = 0
 
 
 class HttpResponse(NamedTuple):
-    """Status and body; :data:`NO_RESPONSE` when none came, NOT_SENT when nothing was sent."""
+    """Status and body; the status may also be :data:`NO_RESPONSE` or ``NOT_SENT``."""
 
     status: int
     body: bytes = b""
 
 
 class ClientConnection(asyncio.Protocol):
-    """One outgoing connection; one request at a time."""
+    """An outgoing connection that carries one request at a time."""
 
     def __init__(self) -> None:
         self.is_open = True
-        #: whether the server lets the connection be used again
+        #: whether the server keeps the connection open for further requests
         self.is_reusable = True
         self._transport: asyncio.Transport | None = None
         self._response: asyncio.Future[HttpResponse] | None = None
-        #: None: no request is under way
+        #: parser of the response; None when no request is in flight
         self._parser: Any = None
         self._body = bytearray()
 
     # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport on which requests are sent."""
+        """Store the transport on which requests are sent."""
         self._transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the request under way without a response."""
+        """End the request in flight with ``NO_RESPONSE``."""
         self.is_open = False
         self._finish(HttpResponse(NO_RESPONSE))
 
     def data_received(self, data: bytes) -> None:
-        """Feed received bytes to the parser; what was not asked for ends the connection."""
+        """Feed received bytes to the parser; abort if they are malformed or unsolicited."""
         if self._parser is None:
             self.abort()
             return
@@ -61,13 +61,13 @@
     # callbacks of httptools
 
     def on_body(self, body: bytes) -> None:
-        """Collect a piece of the response's body, up to the limit."""
+        """Append a piece of the response's body; abort the connection above the limit."""
         self._body += body
-        if len(self._body) > MAX_RESPONSE_BODY:
+        if len(self._body) > MAX_RESPONSE_BODY_BYTES:
             self.abort()
 
     def on_message_complete(self) -> None:
-        """The response is complete."""
+        """Resolve the request in flight with its complete response."""
         status = self._parser.get_status_code()
         self.is_reusable = self._parser.should_keep_alive()
         self._parser = None
@@ -78,10 +78,10 @@
         if waiting is not None and not waiting.done():
             waiting.set_result(response)
 
-    # the client's side
+    # interface for the client
 
     def send(self, data: bytes) -> asyncio.Future[HttpResponse]:
-        """Send an encoded request; the result is its response."""
+        """Send an encoded request and return a future of its response."""
         assert self._transport is not None
         self._body = bytearray()
         self._parser = httptools.HttpResponseParser(self)
@@ -91,31 +91,32 @@
 
     @property
     def is_closing(self) -> bool:
-        """Whether the connection is closed, or about to be."""
+        """Whether the connection is closed or closing."""
         return not self.is_open or self._transport is None or self._transport.is_closing()
 
     def close(self) -> None:
-        """Close when what was sent has left."""
+        """Close the connection after the buffered data has been sent."""
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection at once, without sending buffered data."""
         if self._transport is not None:
             self._transport.abort()
 
 
 class HttpClient:
-    """Requests over pooled connections.
+    """Sends requests over pooled connections.
 
     Parameters
     ----------
     max_idle_per_address
-        Idle connections to one address, at most.
+        Largest number of idle connections to one address.
     max_in_flight
-        Requests under way, at most; more wait for their turn, in order.
+        Largest number of requests in flight; further requests wait in order of arrival.
     max_idle
-        Idle connections in all, at most; the longest unused are closed first.
+        Largest number of idle connections to all addresses; above it, the connection whose address
+        was used least recently is closed.
     """
 
     def __init__(
@@ -123,8 +124,8 @@
     ) -> None:
         self._max_idle_per_address = max_idle_per_address
         self._max_idle = max_idle
-        self._turns = asyncio.Semaphore(max_in_flight)
-        #: idle connections by address, the longest unused address first
+        self._in_flight_slots = asyncio.Semaphore(max_in_flight)
+        #: idle connections by address, the least recently used address first
         self._idle: OrderedDict[str, list[ClientConnection]] = OrderedDict()
         self._idle_count = 0
         self._is_closed = False
@@ -134,20 +135,20 @@
     ) -> HttpResponse:
         """Send a request and wait for the response.
 
-        The wait for a turn and the request itself take up to ``timeout_s`` each.
+        The wait for a slot of ``max_in_flight`` and the exchange take up to ``timeout_s`` each.
         """
         try:
             async with asyncio.timeout(timeout_s):
-                await self._turns.acquire()
+                await self._in_flight_slots.acquire()
         except TimeoutError:
             return HttpResponse(NOT_SENT)
         try:
             return await self._exchange(address, method, path, body, timeout_s)
         finally:
-            self._turns.release()
+            self._in_flight_slots.release()
 
     def close(self) -> None:
-        """Close the idle connections, and from now on each one when its request has ended."""
+        """Close the idle connections, and each busy one after its request has ended."""
         self._is_closed = True
         for connections in self._idle.values():
             for connection in connections:
@@ -175,11 +176,11 @@
             connection.abort()
             raise
         if connection.is_open:
-            self._put_back(address, connection)
+            self._return_to_pool(address, connection)
         return HttpResponse(status, response_body)
 
     def _take_idle(self, address: str) -> ClientConnection | None:
-        """An idle connection to an address, the last used first; None when there is none."""
+        """Take the most recently used idle connection to an address; None when there is none."""
         idle = self._idle.get(address, [])
         connection: ClientConnection | None = None
         while idle and connection is None:
@@ -191,8 +192,8 @@
             self._idle.pop(address, None)
         return connection
 
-    def _put_back(self, address: str, connection: ClientConnection) -> None:
-        """Make a connection available to later requests, or close it."""
+    def _return_to_pool(self, address: str, connection: ClientConnection) -> None:
+        """Return a connection to the pool, or close it when it must not be kept."""
         if self._is_closed or not connection.is_reusable:
             connection.close()
             return
@@ -204,9 +205,9 @@
         idle.append(connection)
         self._idle_count += 1
         while self._idle_count > self._max_idle:
-            self._close_longest_unused()
+            self._close_least_recently_used()
 
-    def _close_longest_unused(self) -> None:
+    def _close_least_recently_used(self) -> None:
         address, connections = next(iter(self._idle.items()))
         connections.pop(0).close()
         self._idle_count -= 1
@@ -215,7 +216,7 @@
 
 
 async def _connect(address: str, timeout_s: float) -> ClientConnection | None:
-    """Open a connection; None when that fails or the address is malformed."""
+    """Open a connection; return None when that fails or the address is malformed."""
     loop = asyncio.get_running_loop()
     host, _, port = address.rpartition(":")
     try:
--- a/marblestair/net/http_server.py
+++ b/marblestair/net/http_server.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 server on asyncio protocols; parsing by httptools."""
+"""HTTP/1.1 server on asyncio protocols and the parser of httptools."""
 
 from __future__ import annotations
 
@@ -11,15 +11,16 @@
 
 from marblestair.net.media_types import CONTENT_TYPE
 
-#: largest request line with headers, in bytes
-MAX_HEAD = 16 * 1024
-#: requests that may wait on one connection behind the one that is answered. The interface has no
-#: pipelining; a few extra requests are answered in order.
+#: largest accepted head of a request: its request line and headers
+MAX_HEAD_BYTES = 16 * 1024
+#: most requests that wait on one connection while an earlier one is answered. The interface uses no
+#: pipelining, but a few pipelined requests are answered in order.
 MAX_QUEUED_REQUESTS = 4
-#: with all places in use, agents' connections that were idle for this share of the time are closed
-FULL_IDLE_SHARE = 0.125
-#: stands for a path that is not ASCII, which no interface has
-UNKNOWN_PATH = "/?"
+#: share of the idle time-out after which agents' connections are closed when the limit of
+#: connections is reached and no user's connection is idle
+AGENT_IDLE_TIMEOUT_SHARE = 0.125
+#: replaces a path that is not ASCII; no interface has this path
+NON_ASCII_PATH = "/?"
 
 REASON_PHRASES = {
     200: "OK",
@@ -34,12 +35,12 @@
 }
 _BAD_REQUEST = b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
-#: called with the connection, method, path and body; answers by ``Connection.respond``
+#: called with the connection, method, path and body; responds by ``Connection.respond``
 Handler: TypeAlias = Callable[["Connection", str, str, bytes], None]
 
 
 class _Request(msgspec.Struct, frozen=True):
-    """A complete request."""
+    """A completely received request."""
 
     method: str
     path: str
@@ -48,7 +49,7 @@
 
 
 class Connection(asyncio.Protocol):
-    """One client connection; one request at a time."""
+    """A client connection whose requests are handled one at a time."""
 
     __slots__ = (
         "_body",
@@ -71,30 +72,30 @@
         self._parser: Any = httptools.HttpRequestParser(self)
         self._url = b""
         self._body = bytearray()
-        #: received bytes since the end of the last head or piece of a body
+        #: bytes received since the end of the last request head or the last piece of a body
         self._head_bytes = 0
         self._is_too_large = False
-        #: a request is with the handler, which has not answered it
+        #: whether the handler has a request that it has not answered yet
         self._is_busy = False
         self._keep_alive = True
-        #: requests that came while another one was answered
+        #: requests that were received while another one was being answered
         self._queue: list[_Request] = []
-        #: time by the server's clock at which data last came
+        #: time of the server's clock at which data was last received
         self.last_active_at = 0.0
-        #: it has carried an agent's heartbeat: such connections are not given up for users'
+        #: whether it has carried a heartbeat: at the limit, users' connections are closed first
         self.is_from_agent = False
 
     # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Accept a connection, or abort it when there are too many."""
+        """Accept the connection, or abort it when the server has too many."""
         self._transport = cast(asyncio.Transport, transport)
         self.last_active_at = self._server.clock()
         if not self._server.admit(self):
             self._transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget a connection that was closed."""
+        """Remove the closed connection from the server and drop its queued requests."""
         self._server.connections.discard(self)
         self._transport = None
         self._queue.clear()
@@ -106,12 +107,12 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserUpgrade, httptools.HttpParserError):
-            self._refuse()
-        if self._head_bytes > MAX_HEAD and not self._body and self._transport is not None:
-            self._refuse()
+            self._reject_and_close()
+        if self._head_bytes > MAX_HEAD_BYTES and not self._body and self._transport is not None:
+            self._reject_and_close()
 
-    def _refuse(self) -> None:
-        """Close after broken HTTP, which concerns this connection only."""
+    def _reject_and_close(self) -> None:
+        """Respond with 400, if no other response is due, and close the connection."""
         if self._transport is None:
             return
         if not self._is_busy:
@@ -121,81 +122,81 @@
     # callbacks of httptools
 
     def on_message_begin(self) -> None:
-        """Start a new request."""
+        """Reset the state for a new request."""
         self._url = b""
         self._body = bytearray()
         self._is_too_large = False
 
     def on_url(self, url: bytes) -> None:
-        """Collect a piece of the request path."""
+        """Append a piece of the request's URL."""
         self._url += url
 
     def on_headers_complete(self) -> None:
-        """The head of the request has ended."""
+        """Stop counting bytes of the request head."""
         self._head_bytes = 0
 
     def on_body(self, body: bytes) -> None:
-        """Collect a piece of the request body, up to the limit."""
+        """Append a piece of the request body; refuse the request above the limit."""
         self._head_bytes = 0
         if len(self._body) + len(body) > self._server.max_body:
-            self._refuse_too_large()
+            self._reject_too_large()
             return
         self._body += body
 
-    def _refuse_too_large(self) -> None:
+    def _reject_too_large(self) -> None:
         self._is_too_large = True
         if self._transport is not None:
             self._transport.pause_reading()
             self._is_busy = False
-            self._refuse()
+            self._reject_and_close()
 
     def on_message_complete(self) -> None:
-        """Pass a complete request to the handler, or queue it behind the one being answered."""
+        """Pass the complete request to the handler, or queue it behind the one being answered."""
         self._head_bytes = 0
         if self._is_too_large:
             return
-        request = self._received_request()
+        request = self._build_request()
         if not self._is_busy:
-            self._start(request)
+            self._handle(request)
         elif len(self._queue) >= MAX_QUEUED_REQUESTS:
-            self._refuse()
+            self._reject_and_close()
         else:
             self._queue.append(request)
 
-    def _received_request(self) -> _Request:
+    def _build_request(self) -> _Request:
         try:
             path = self._url.partition(b"?")[0].decode("ascii")
         except UnicodeDecodeError:
-            path = UNKNOWN_PATH
+            path = NON_ASCII_PATH
         method = self._parser.get_method().decode("ascii", "replace")
         return _Request(method, path, bytes(self._body), self._parser.should_keep_alive())
 
-    def _start(self, request: _Request) -> None:
+    def _handle(self, request: _Request) -> None:
         self._is_busy = True
         self._keep_alive = request.keep_alive
         self._server.handler(self, request.method, request.path, request.body)
 
-    # the server's side
+    # interface for the server and the handler
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request is under way."""
+        """Whether no request is being handled."""
         return not self._is_busy
 
     @property
     def is_closed(self) -> bool:
-        """Whether the connection is lost."""
+        """Whether the connection is closed."""
         return self._transport is None
 
     def respond(self, status: int, body: bytes, headers: str = "", close: bool = False) -> None:
-        r"""Answer the request under way, if the client is still there.
+        r"""Respond to the request being handled; does nothing if the connection is closed.
 
         Parameters
         ----------
         headers
-            Further header lines, each ended by ``\r\n``.
+            Additional header lines, each ended by ``\r\n``.
         close
-            Whether this is the last response of the connection.
+            Whether to close the connection after this response.
         """
         if self._transport is None or not self._is_busy:
             return
@@ -211,38 +212,38 @@
         if not self._keep_alive:
             self._transport.close()
         elif self._queue:
-            self._start(self._queue.pop(0))
+            self._handle(self._queue.pop(0))
 
     def close(self) -> None:
-        """Close when what was written has been sent."""
+        """Close the connection after the buffered data has been sent."""
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection at once, without sending buffered data."""
         if self._transport is not None:
             self._transport.abort()
 
 
 class HttpServer:
-    """Listens, bounds the number of connections and closes idle ones.
+    """Accepts HTTP connections, bounds their number and closes idle ones.
 
     Parameters
     ----------
     handler
         Called with each request.
     clock
-        A steady clock, in seconds.
+        Monotonic clock, in seconds.
     max_connections
-        Connections, at most; with all places in use, a new one replaces the longest idle one of
-        a user.
+        Largest number of open connections. At the limit, a new connection replaces the user's
+        connection that has been idle for longest.
     max_body
-        Largest request body, in bytes.
-    idle_s
-        Time without data after which an idle connection may be closed, in seconds.
-    crowded_at
-        Number of connections above which users are to be turned away, so that the rest is left to
-        agents; by default none are.
+        Largest accepted request body, in bytes.
+    idle_timeout_s
+        Time in seconds without received data after which an idle connection may be closed.
+    refuse_users_above
+        Number of connections above which users' requests must be refused, so that the remaining
+        connections are reserved for agents; by default no requests are refused.
     """
 
     def __init__(
@@ -251,7 +252,7 @@
         clock: Callable[[], float],
         max_connections: int,
         max_body: int,
-        idle_s: float,
+        idle_timeout_s: float,
         refuse_users_above: int | None = None,
     ) -> None:
         self.handler = handler
@@ -259,17 +260,17 @@
         self.max_body = max_body
         self.connections: set[Connection] = set()
         self._max_connections = max_connections
-        self._idle_s = idle_s
+        self._idle_timeout_s = idle_timeout_s
         self._crowded_at = max_connections if refuse_users_above is None else refuse_users_above
         self._server: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> None:
-        """Accept connections from now on.
+        """Start to accept connections.
 
         Raises
         ------
         OSError
-            When the address cannot be used.
+            When the address cannot be bound.
         """
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
@@ -281,7 +282,7 @@
         )
 
     def close(self) -> None:
-        """Accept no more connections, and abort those that are open."""
+        """Stop accepting connections and abort the open ones."""
         if self._server is not None:
             self._server.close()
         for connection in list(self.connections):
@@ -289,40 +290,40 @@
 
     @property
     def must_refuse_users(self) -> bool:
-        """Whether what is left of the connections is reserved for agents."""
+        """Whether so many connections are open that the remaining ones are reserved for agents."""
         return len(self.connections) > self._crowded_at
 
     def admit(self, connection: Connection) -> bool:
-        """Whether a new connection finds a place; an idle one of a user is closed for it."""
+        """Admit a new connection if the limit permits; at the limit, close idle ones first."""
         if len(self.connections) >= self._max_connections:
-            self._make_place()
+            self._evict_idle()
             if len(self.connections) >= self._max_connections:
                 return False
         self.connections.add(connection)
         return True
 
-    def _make_place(self) -> None:
+    def _evict_idle(self) -> None:
         idle_users = [
             connection
             for connection in self.connections
             if connection.is_idle and not connection.is_from_agent
         ]
         if idle_users:
-            self._drop(min(idle_users, key=lambda connection: connection.last_active_at))
+            self._evict(min(idle_users, key=lambda connection: connection.last_active_at))
         else:
-            self._close_idle(self._idle_s * FULL_IDLE_SHARE)
+            self._close_idle(self._idle_timeout_s * AGENT_IDLE_TIMEOUT_SHARE)
 
     def close_idle_connections(self) -> None:
-        """Close the connections that have been idle for too long."""
-        self._close_idle(self._idle_s)
+        """Close the connections that have been idle for longer than the time-out."""
+        self._close_idle(self._idle_timeout_s)
 
-    def _close_idle(self, idle_s: float) -> None:
+    def _close_idle(self, min_idle_s: float) -> None:
         now = self.clock()
         for connection in list(self.connections):
-            is_unused = now - connection.last_active_at > idle_s and connection.is_idle
+            is_unused = now - connection.last_active_at > min_idle_s and connection.is_idle
             if is_unused and not connection.is_closed:
-                self._drop(connection)
+                self._evict(connection)
 
-    def _drop(self, connection: Connection) -> None:
+    def _evict(self, connection: Connection) -> None:
         connection.close()
         self.connections.discard(connection)
--- a/marblestair/net/media_types.py
+++ b/marblestair/net/media_types.py
@@ -1,4 +1,4 @@
-"""Media types of the bodies that the HTTP server and client send."""
+"""Media type of the bodies that the HTTP server and client send."""
 
 #: all bodies are MessagePack
 CONTENT_TYPE = "application/msgpack"
--- a/marblestair/net/peers.py
+++ b/marblestair/net/peers.py
@@ -1,4 +1,4 @@
-"""Links to the other controllers, and the server that receives their messages."""
+"""Outgoing links to the other controllers, and the server that receives their messages."""
 
 from __future__ import annotations
 
@@ -15,31 +15,32 @@
     ResponseFrame,
 )
 
-#: a connection on which nothing came back for this long, though something was sent, is replaced
-STALE_S = 2.5
-#: time to open a connection, and the pause after an attempt that failed, in seconds
-OPEN_TIMEOUT_S = 1.0
-REOPEN_PAUSE_S = 0.5
-#: interval in which a request checks whether the connection has been opened, in seconds
-OPEN_POLL_S = 0.02
+#: a connection is replaced when a frame was sent on it and none was received for this long
+STALE_AFTER_S = 2.5
+#: time-out of an attempt to connect, and delay after a failed attempt
+CONNECT_TIMEOUT_S = 1.0
+RECONNECT_DELAY_S = 0.5
+#: interval at which a waiting request checks whether the connection is open
+CONNECT_POLL_INTERVAL_S = 0.02
 
 #: sends the response to a request
 Responder: TypeAlias = Callable[[Any], None]
 #: called with the sender, tag and arguments of a one-way message
 MessageHandler: TypeAlias = Callable[[str, str, Elements], None]
-#: called with what sends the response, and the sender, tag and arguments of a request
+#: called with a responder, and the sender, tag and arguments of a request
 RequestHandler: TypeAlias = Callable[[Responder, str, str, Elements], None]
 
 
 class Link:
-    """The outgoing connection to one peer, opened when it is first used.
+    """An outgoing connection to one peer.
 
-    The link owns its connection and the task that opens it; :meth:`close` ends both.
+    It is opened on first use, and again on the first use after a failure. The link owns its
+    connection and the task that opens it; :meth:`close` ends both.
 
     Parameters
     ----------
     node
-        Name of this controller, which the peer gets with each message.
+        Name of this controller, sent with each message as its sender.
     address
         Address of the peer, ``host:port``.
     """
@@ -50,23 +51,23 @@
         self._connection: FramedConnection | None = None
         self._opening: asyncio.Task[None] | None = None
         self._is_closed = False
-        #: requests without a response yet, by their numbers
-        self._responses: dict[int, asyncio.Future[Any]] = {}
+        #: futures of the responses that are awaited, by the numbers of their requests
+        self._awaited_responses: dict[int, asyncio.Future[Any]] = {}
         self._last_number = 0
         # Times of the event loop, in seconds.
-        self._reopen_at = 0.0
+        self._reconnect_at = 0.0
         self._last_received_at = 0.0
         self._last_sent_at = 0.0
 
     def send_message(self, tag: str, arguments: Any) -> None:
-        """Send a one-way message if the connection is open; drop it otherwise."""
+        """Send a one-way message if the connection is open; otherwise drop it."""
         connection = self._usable_connection()
         if connection is not None:
             self._last_sent_at = asyncio.get_running_loop().time()
             connection.send(MessageFrame(self._node, tag, arguments))
 
     async def request(self, tag: str, arguments: Any, timeout_s: float) -> Any:
-        """Send a request and wait for the response; None when none came in time."""
+        """Send a request and wait for the response; return None when none arrives in time."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
         connection = await self._open_connection(deadline)
@@ -75,7 +76,7 @@
         self._last_number += 1
         number = self._last_number
         response: asyncio.Future[Any] = loop.create_future()
-        self._responses[number] = response
+        self._awaited_responses[number] = response
         self._last_sent_at = loop.time()
         connection.send(RequestFrame(number, self._node, tag, arguments))
         try:
@@ -84,10 +85,10 @@
         except TimeoutError:
             return None
         finally:
-            self._responses.pop(number, None)
+            self._awaited_responses.pop(number, None)
 
     def close(self) -> None:
-        """End the connection for good; requests that wait get None."""
+        """Close the connection permanently; waiting requests return None."""
         self._is_closed = True
         if self._opening is not None:
             self._opening.cancel()
@@ -97,35 +98,35 @@
         self._connection_lost()
 
     async def _open_connection(self, deadline: float) -> FramedConnection | None:
-        """The connection, once it is open; None when it cannot be opened in time."""
+        """Wait for an open connection and return it; None when it is not open in time."""
         loop = asyncio.get_running_loop()
         connection = self._usable_connection()
         while connection is None and self._opening is not None and loop.time() < deadline:
-            await asyncio.sleep(OPEN_POLL_S)
+            await asyncio.sleep(CONNECT_POLL_INTERVAL_S)
             connection = self._connection
         return connection
 
     def _usable_connection(self) -> FramedConnection | None:
-        """The connection if it is open; otherwise None, and an attempt to open it begins."""
+        """Return the connection if it is open; otherwise start to open it and return None."""
         now = asyncio.get_running_loop().time()
         if self._connection is not None and self._is_stale(now):
             self._connection.abort()
             self._connection = None
-        may_open = now >= self._reopen_at and not self._is_closed
+        may_open = now >= self._reconnect_at and not self._is_closed
         if self._connection is None and self._opening is None and may_open:
             self._opening = asyncio.create_task(self._open())
         return self._connection
 
     def _is_stale(self, now: float) -> bool:
-        """Whether the peer has not reacted for long to what was sent."""
+        """Whether the last sent frame got no reaction, and none came for ``STALE_AFTER_S``."""
         is_unanswered = self._last_sent_at > self._last_received_at
-        return is_unanswered and now - self._last_received_at > STALE_S
+        return is_unanswered and now - self._last_received_at > STALE_AFTER_S
 
     async def _open(self) -> None:
         loop = asyncio.get_running_loop()
         host, _, port = self._address.rpartition(":")
         try:
-            async with asyncio.timeout(OPEN_TIMEOUT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, connection = await loop.create_connection(
                     lambda: FramedConnection(self._receive), host, int(port)
                 )
@@ -134,34 +135,34 @@
             self._last_received_at = loop.time()
             self._last_sent_at = 0.0
         except (OSError, TimeoutError):
-            self._reopen_at = loop.time() + REOPEN_PAUSE_S
+            self._reconnect_at = loop.time() + RECONNECT_DELAY_S
         finally:
             self._opening = None
 
     def _receive(self, _: FramedConnection, elements: Elements) -> None:
-        """Receive a frame; whatever it is, the peer has reacted."""
+        """Receive a frame of any kind, and resolve the awaited response if it carries one."""
         self._last_received_at = asyncio.get_running_loop().time()
         match elements:
             case ["answer", number, value]:
-                response = self._responses.pop(number, None)
+                response = self._awaited_responses.pop(number, None)
                 if response is not None and not response.done():
                     response.set_result(value)
 
     def _connection_lost(self) -> None:
         self._connection = None
-        for response in self._responses.values():
+        for response in self._awaited_responses.values():
             if not response.done():
                 response.set_result(None)
-        self._responses.clear()
+        self._awaited_responses.clear()
 
 
 class PeerServer:
-    """Receives the messages and requests of other controllers.
+    """Accepts connections of other controllers and receives their messages and requests.
 
     Parameters
     ----------
     on_message, on_request
-        Called with each one-way message, and with each request.
+        Called with each one-way message and each request, respectively.
     """
 
     def __init__(
@@ -174,12 +175,12 @@
         self._server: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> None:
-        """Accept connections from now on.
+        """Start to accept connections.
 
         Raises
         ------
         OSError
-            When the address cannot be used.
+            When the address cannot be bound.
         """
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
@@ -187,12 +188,12 @@
         )
 
     def close(self) -> None:
-        """Accept no more connections."""
+        """Stop accepting connections."""
         if self._server is not None:
             self._server.close()
 
     def _receive(self, connection: FramedConnection, elements: Elements) -> None:
-        """Receive a frame; unknown ones, which later versions may send, are ignored."""
+        """Receive a frame; unknown kinds, which later versions may send, are ignored."""
         match elements:
             case ["note", sender, tag, list(arguments)]:
                 connection.send(AckFrame())
--- a/marblestair/net/rate_limiter.py
+++ b/marblestair/net/rate_limiter.py
@@ -1,7 +1,8 @@
-"""Rate budgets with lanes: requests of a lower lane go first.
+"""Rate limiter with priorities, built on token buckets.
 
-Requests and writes have a rate each. A request that waits for writes makes other writes wait behind
-it, but not reads: a lookup goes on while commits have used up the writes of this second.
+Requests and writes are limited by one rate each. When a request must wait for write tokens, later
+requests with writes wait behind it, but reads do not: lookups proceed while commits have used up
+the write rate.
 """
 
 from __future__ import annotations
@@ -11,41 +12,41 @@
 
 import msgspec
 
-#: how long a request waits for its turn unless the budget says otherwise, in seconds
+#: default time after which a waiting request is rejected
 DEFAULT_MAX_WAIT_S = 2.0
-#: a batch of more writes than the bucket has goes when the bucket is full to this share
+#: a batch of more writes than the bucket holds is granted once the bucket is full to this share
 FULL_BUCKET_SHARE = 0.95
-#: waiting requests are served after this share of the time in which one request comes free, and of
-#: a second where the rate is below one
-SERVE_INTERVAL_SHARE = 0.5
-SLOWEST_SERVE_RATE = 1.0
+#: interval at which waiting requests are granted, as a share of the time in which one request token
+#: is added; below MIN_GRANT_RATE_PER_S requests per second, as a share of a second
+GRANT_INTERVAL_SHARE = 0.5
+MIN_GRANT_RATE_PER_S = 1.0
 
 
 class WaitingRequest(msgspec.Struct, order=True):
-    """A request that waits for its turn; the lowest lane first, then the oldest."""
+    """A request that waits for its tokens, ordered by priority (lowest number first), then age."""
 
     priority: int
     number: int
     writes: int
-    #: time of the event loop at which it is given up
+    #: time of the event loop after which the request is rejected
     expires_at: float
     granted: asyncio.Future[bool]
 
     def resolve(self, is_granted: bool) -> None:
-        """Let the request go, or give it up; nothing when its caller has gone."""
+        """Grant or reject the request; does nothing if its caller was cancelled."""
         if not self.granted.done():
             self.granted.set_result(is_granted)
 
 
 class RateLimiter:
-    """A token bucket for requests and one for writes; each holds a second's worth.
+    """Limits requests and writes by a token bucket each, which holds the tokens of one second.
 
     Parameters
     ----------
     rps, write_rps
-        Requests and writes in a second.
+        Requests and writes per second.
     max_wait_s
-        Time in seconds after which a request that got no turn is given up.
+        Time in seconds after which a request that still waits for tokens is rejected.
     """
 
     def __init__(
@@ -54,34 +55,34 @@
         self.rps = rps
         self.write_rps = write_rps
         self.max_wait_s = max_wait_s
-        # A bucket smaller than one request would never let any through.
+        # A bucket that holds less than one token would never grant a request.
         self.burst = max(1.0, rps)
-        self._requests_left = self.burst
-        self._writes_left = write_rps
-        #: time of the event loop up to which the buckets are filled; None: before the first request
+        self._request_tokens = self.burst
+        self._write_tokens = write_rps
+        #: time of the event loop of the last refill; None before the first request
         self._filled_at: float | None = None
-        #: a heap
+        #: heap of the requests that wait for tokens
         self._waiting: list[WaitingRequest] = []
         self._last_number = 0
         self._timer: asyncio.TimerHandle | None = None
 
     async def acquire(self, priority: int, writes: int) -> bool:
-        """Wait for a turn of a request with a number of writes; False when none came in time."""
+        """Wait for tokens for a request and its writes; return False after ``max_wait_s``."""
         loop = asyncio.get_running_loop()
         now = loop.time()
         self._refill(now)
-        if not self._waiting and self._try_take(writes):
+        if not self._waiting and self._try_take_tokens(writes):
             return True
         granted: asyncio.Future[bool] = loop.create_future()
         self._last_number += 1
         expires_at = now + self.max_wait_s
         request = WaitingRequest(priority, self._last_number, writes, expires_at, granted)
         heapq.heappush(self._waiting, request)
-        self._schedule(loop)
+        self._schedule_grant(loop)
         return await granted
 
     def close(self) -> None:
-        """Serve no more requests; those that wait are left to their callers, who are cancelled."""
+        """Grant no more requests; the callers of waiting requests must be cancelled separately."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -89,54 +90,57 @@
     def _refill(self, now: float) -> None:
         if self._filled_at is not None:
             elapsed_s = max(0.0, now - self._filled_at)
-            self._requests_left = min(self.burst, self._requests_left + elapsed_s * self.rps)
-            self._writes_left = min(self.write_rps, self._writes_left + elapsed_s * self.write_rps)
+            self._request_tokens = min(self.burst, self._request_tokens + elapsed_s * self.rps)
+            self._write_tokens = min(
+                self.write_rps, self._write_tokens + elapsed_s * self.write_rps
+            )
         self._filled_at = now
 
-    def _try_take(self, writes: int) -> bool:
-        if self._requests_left < 1 or not self._may_write(writes):
+    def _try_take_tokens(self, writes: int) -> bool:
+        if self._request_tokens < 1 or not self._has_write_tokens(writes):
             return False
-        self._requests_left -= 1
-        self._writes_left -= writes
+        self._request_tokens -= 1
+        self._write_tokens -= writes
         return True
 
-    def _may_write(self, writes: int) -> bool:
-        # A batch larger than the bucket goes when the bucket is full, and leaves a debt.
-        return not writes or self._writes_left >= min(writes, self.write_rps * FULL_BUCKET_SHARE)
+    def _has_write_tokens(self, writes: int) -> bool:
+        # A batch larger than the bucket is granted when the bucket is almost full; the number of
+        # tokens then becomes negative.
+        return not writes or self._write_tokens >= min(writes, self.write_rps * FULL_BUCKET_SHARE)
 
-    def _schedule(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Serve the waiting requests a little later, unless that is scheduled already."""
+    def _schedule_grant(self, loop: asyncio.AbstractEventLoop) -> None:
+        """Schedule the next grant of waiting requests, unless one is scheduled already."""
         if self._timer is None and self._waiting:
-            delay_s = SERVE_INTERVAL_SHARE / max(self.rps, SLOWEST_SERVE_RATE)
-            self._timer = loop.call_later(delay_s, self._serve)
+            delay_s = GRANT_INTERVAL_SHARE / max(self.rps, MIN_GRANT_RATE_PER_S)
+            self._timer = loop.call_later(delay_s, self._grant_waiting)
 
-    def _serve(self) -> None:
+    def _grant_waiting(self) -> None:
         self._timer = None
         loop = asyncio.get_running_loop()
         now = loop.time()
         self._refill(now)
-        self._give_up_expired(now)
+        self._reject_expired(now)
         # A sorted list is a heap.
-        self._waiting = self._grant(sorted(self._waiting))
-        self._schedule(loop)
+        self._waiting = self._grant_in_order(sorted(self._waiting))
+        self._schedule_grant(loop)
 
-    def _give_up_expired(self, now: float) -> None:
+    def _reject_expired(self, now: float) -> None:
         expired = [request for request in self._waiting if request.expires_at < now]
         self._waiting = [request for request in self._waiting if request.expires_at >= now]
         for request in expired:
             request.resolve(False)
 
-    def _grant(self, requests: list[WaitingRequest]) -> list[WaitingRequest]:
-        """Let requests go, in order, as far as the buckets allow; return the others."""
+    def _grant_in_order(self, requests: list[WaitingRequest]) -> list[WaitingRequest]:
+        """Grant requests in order, as far as the buckets allow; return those that still wait."""
         waiting = []
-        are_writes_blocked = False
+        is_write_waiting = False
         for request in requests:
             if request.granted.done():
                 continue
-            is_blocked = bool(request.writes) and are_writes_blocked
-            if not is_blocked and self._try_take(request.writes):
+            is_blocked = bool(request.writes) and is_write_waiting
+            if not is_blocked and self._try_take_tokens(request.writes):
                 request.resolve(True)
                 continue
-            are_writes_blocked = are_writes_blocked or bool(request.writes)
+            is_write_waiting = is_write_waiting or bool(request.writes)
             waiting.append(request)
         return waiting
--- a/marblestair/wire/__init__.py
+++ b/marblestair/wire/__init__.py
@@ -1,5 +1,5 @@
-"""The outside interfaces: the only place where their field names, paths and words appear.
+"""Wire formats: the only package that contains the field names, paths and values of the interfaces.
 
-One module per interface: users, agents, store, cloud and the other controllers. The rest of the
-program uses the standard names of the field.
+Each interface has one module: users, agents, store, cloud and peers (the other controllers). The
+rest of the program uses the standard terms of cluster scheduling and translates here.
 """
--- a/marblestair/wire/agents.py
+++ b/marblestair/wire/agents.py
@@ -1,4 +1,4 @@
-"""The agents' interface: heartbeats and their responses, direct commands and inspections."""
+"""Wire format of the agents' interface: heartbeats, direct commands and inspections."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 )
 from marblestair.wire.codec import BadRequestError, pack
 
-#: path of direct commands
+#: path on an agent that accepts direct commands
 COMMAND_PATH = "/do"
-#: path at which an agent shows its heartbeat
+#: path on an agent that returns its current heartbeat
 INSPECT_PATH = "/inspect"
 
 _TASK_STATES = {
@@ -98,7 +98,7 @@
     Raises
     ------
     BadRequestError
-        When it is malformed.
+        When the body is malformed.
     """
     try:
         heartbeat = _heartbeat_decoder.decode(body)
@@ -138,18 +138,18 @@
 
 
 def encode_heartbeat_response(fencing_token: int, commands: Sequence[TaskCommand]) -> bytes:
-    """Encode the body of a 200 to a heartbeat."""
+    """Encode the body of a 200 response to a heartbeat."""
     return pack(_HeartbeatResponse(fencing_token, [_command(command) for command in commands]))
 
 
 def encode_redirect(node: str | None) -> bytes:
-    """Encode the body of a 421 to a heartbeat: the node to turn to, if it is known."""
+    """Encode the body of a 421 response to a heartbeat: the node to send it to, if known."""
     return pack(_Redirect(node or msgspec.UNSET))
 
 
 def encode_direct_command(
     fencing_token: int, agent_incarnation: int, commands: list[TaskCommand]
 ) -> bytes:
-    """Encode the body of a direct command."""
+    """Encode the body of a request that sends commands directly to an agent."""
     encoded = [_command(command) for command in commands]
     return pack(_DirectCommand(fencing_token, agent_incarnation, encoded))
--- a/marblestair/wire/cloud.py
+++ b/marblestair/wire/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud's interface: machine types, rentals, releases and the machine list."""
+"""Wire format of the cloud's interface: machine types, rentals, releases and the machine list."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 )
 from marblestair.wire.codec import HttpRequest, pack
 
-#: the error of a rental for which the cloud has no machine of the type
+#: error text of a 503 response when the cloud has no free machine of the requested type
 NO_CAPACITY = "no capacity"
 
 
@@ -71,7 +71,7 @@
 
 
 def encode_cloud_request(request: CloudRequest) -> HttpRequest:
-    """Encode a request to the cloud."""
+    """Encode a request to the cloud as an HTTP request."""
     if isinstance(request, ListMachineTypes):
         return HttpRequest("GET", "/machine_types")
     if isinstance(request, RentMachines):
@@ -95,7 +95,7 @@
 
 
 def decode_cloud_response(request: CloudRequest, status: int, body: bytes) -> CloudResponse:
-    """Decode a response of the cloud; a malformed one counts as no response."""
+    """Decode a response of the cloud; a malformed one is returned as status 0, no response."""
     try:
         if status == 503:
             return CloudResponse(503, no_capacity=_error(body) == NO_CAPACITY)
--- a/marblestair/wire/codec.py
+++ b/marblestair/wire/codec.py
@@ -1,4 +1,4 @@
-"""What all interfaces share: MessagePack bodies, HTTP requests, and the error for bad input."""
+"""MessagePack bodies, HTTP requests and the error for malformed input, shared by all interfaces."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 import msgspec
 
-#: largest body of a request, in bytes
+#: largest accepted body of an HTTP request
 MAX_REQUEST_BODY_BYTES = 64 * 1024
 
 
 class BadRequestError(Exception):
-    """A body is malformed; the text says what is wrong with it."""
+    """A request body is malformed; the text says which field is wrong and why."""
 
 
 class HttpRequest(msgspec.Struct, frozen=True):
-    """A request to an outside system."""
+    """An encoded HTTP request to the store or the cloud."""
 
     method: str
     path: str
@@ -23,10 +23,10 @@
 
 
 def pack(value: Any) -> bytes:
-    """Encode a body."""
+    """Encode a value as MessagePack."""
     return msgspec.msgpack.encode(value)
 
 
 def encode_error(text: str) -> bytes:
-    """Encode the body of a refusal."""
+    """Encode the body of an error response."""
     return pack({"error": text})
--- a/marblestair/wire/peers.py
+++ b/marblestair/wire/peers.py
@@ -1,7 +1,7 @@
-"""The controllers' own interface: which tag each message has, and how it is laid out.
+"""Wire format of messages between controllers: the tag and the arguments of each message.
 
-A message is sent as its tag and a list of arguments: its fields in order. Both stay as the version
-in production has them.
+A message is sent as its tag and a list of arguments, which are its fields in order. Tags and the
+order of fields must not change, since the version in production uses them too.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 _Kind = TypeVar("_Kind")
 
-#: one-way messages by their tags
+#: one-way messages by tag
 _MESSAGES: dict[str, type[PeerMessage]] = {
     "summaries": ShardSummaries,
     "progress": ProgressReport,
@@ -40,7 +40,7 @@
     "ended": JobEnded,
     "record": RecordCommitted,
 }
-#: requests by their tags
+#: requests by tag
 _REQUESTS: dict[str, type[PeerMessage]] = {
     "query": QueryJob,
     "cancel": CancelJob,
@@ -57,42 +57,42 @@
 
 
 class MalformedMessageError(Exception):
-    """A message of another controller cannot be decoded; the text names its tag."""
+    """A message of another controller cannot be decoded; the text names its tag and the error."""
 
 
 def tag_of(message: PeerMessage) -> str:
-    """The tag of a message on the wire."""
+    """Return the tag of a message on the wire."""
     return _TAGS[type(message)]
 
 
 def arguments_of(message: PeerMessage) -> PeerMessage | list[SliceProgress]:
-    """What is encoded as the arguments of a message on the wire: an array."""
+    """Return the value that is encoded as the array of arguments of a message."""
     if isinstance(message, ProgressReport):
-        # One argument for each slice.
+        # Each slice is one argument.
         return message.slices
     return message
 
 
 def decode_message(tag: str, arguments: list[object]) -> PeerMessage | None:
-    """Decode a one-way message; None for a tag that this version does not know.
+    """Decode a one-way message; return None for a tag that this version does not know.
 
     Raises
     ------
     MalformedMessageError
-        When the arguments are not those of the tag.
+        When the arguments do not match the fields of the message with this tag.
     """
     if tag == "progress":
-        return ProgressReport(_converted(tag, arguments, list[SliceProgress]))
+        return ProgressReport(_convert_arguments(tag, arguments, list[SliceProgress]))
     return _decode(_MESSAGES, tag, arguments)
 
 
 def decode_request(tag: str, arguments: list[object]) -> PeerMessage | None:
-    """Decode a request; None for a tag that this version does not know.
+    """Decode a request; return None for a tag that this version does not know.
 
     Raises
     ------
     MalformedMessageError
-        When the arguments are not those of the tag.
+        When the arguments do not match the fields of the message with this tag.
     """
     return _decode(_REQUESTS, tag, arguments)
 
@@ -101,11 +101,11 @@
     kinds: dict[str, type[PeerMessage]], tag: str, arguments: list[object]
 ) -> PeerMessage | None:
     kind = kinds.get(tag)
-    return None if kind is None else _converted(tag, arguments, kind)
+    return None if kind is None else _convert_arguments(tag, arguments, kind)
 
 
-def _converted(tag: str, arguments: list[object], kind: type[_Kind]) -> _Kind:
+def _convert_arguments(tag: str, arguments: list[object], kind: type[_Kind]) -> _Kind:
     try:
         return msgspec.convert(arguments, kind)
     except msgspec.ValidationError as error:
-        raise MalformedMessageError(f"malformed {tag}: {error}") from None
+        raise MalformedMessageError(f"malformed arguments of {tag!r:.40}: {error}") from None
--- a/marblestair/wire/store.py
+++ b/marblestair/wire/store.py
@@ -1,4 +1,4 @@
-"""The store's interface: keys, transactions, leases and watches."""
+"""Wire format of the store's interface: keys, transactions, leases and watches."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 )
 from marblestair.wire.codec import HttpRequest, pack
 
-#: a decoded body: a map of which only the fields that are read are checked
+#: a decoded map; only the fields that are read are checked
 _Fields: TypeAlias = Mapping[str, Any]
 
 
@@ -48,7 +48,7 @@
 
 
 def encode_store_request(request: StoreRequest) -> HttpRequest:
-    """Encode a request to the store."""
+    """Encode a request to the store as an HTTP request."""
     if isinstance(request, Get):
         return HttpRequest("GET", "/keys/" + request.key)
     if isinstance(request, ListKeys):
@@ -90,22 +90,23 @@
     return _Put(put.key, put.value, lease_id)
 
 
-def _as_map(fields: Any) -> dict[str, Any]:
-    """Return decoded fields, if they are a map; raise TypeError otherwise."""
+def _require_map(fields: Any) -> dict[str, Any]:
+    """Return a decoded body if it is a map; raise TypeError otherwise."""
     if not isinstance(fields, dict):
-        raise TypeError("not a map")
+        raise TypeError(f"response body must be a map, got {type(fields).__name__}")
     return fields
 
 
 def decode_store_response(request: StoreRequest, status: int, body: bytes) -> StoreResponse:
-    """Decode a response of the store; a malformed one counts as no response."""
+    """Decode a response of the store; a malformed one is returned as status 0, no response."""
     try:
         fields = msgspec.msgpack.decode(body) if body else {}
         if status == 200:
-            return _decode_success(request, _as_map(fields))
-        return _decode_failure(request, status, _as_map(fields))
+            return _decode_success(request, _require_map(fields))
+        return _decode_failure(request, status, _require_map(fields))
     except (msgspec.DecodeError, UnicodeDecodeError, ValueError, KeyError, TypeError):
-        # It may have been carried out, unless the status alone says that it was not.
+        # The statuses 429 and 5xx alone tell that the request was not carried out. After any other
+        # malformed response it may have been, which status 0 stands for.
         return StoreResponse(status if status == 429 or status >= 500 else 0)
 
 
@@ -123,19 +124,19 @@
     if isinstance(request, GrantLease):
         return StoreResponse(200, lease_id=int(fields["tenancy"]))
     if isinstance(request, CompareAndSwap):
-        # Without the revision it would be unknown whether something newer has been read already.
+        # The revision is required: it orders this commit against values read before and after.
         return StoreResponse(200, revision=int(fields["ledger_rev"]))
-    return _decode_plain(200, fields)
+    return _decode_status(200, fields)
 
 
 def _decode_failure(request: StoreRequest, status: int, fields: _Fields) -> StoreResponse:
     if isinstance(request, Get) and status == 404:
-        # As above: an absence without its revision proves nothing.
+        # The revision is required: it orders the absence against changes of the key.
         return StoreResponse(404, revision=int(fields["ledger_rev"]))
-    return _decode_plain(status, fields)
+    return _decode_status(status, fields)
 
 
-def _decode_plain(status: int, fields: _Fields) -> StoreResponse:
+def _decode_status(status: int, fields: _Fields) -> StoreResponse:
     failed_keys = list(fields.get("failed") or [])
     revision = int(fields.get("ledger_rev") or 0)
     return StoreResponse(status, revision=revision, failed_keys=failed_keys)
--- a/marblestair/wire/users.py
+++ b/marblestair/wire/users.py
@@ -1,4 +1,4 @@
-"""The users' interface: submissions, queries, cancels and health checks."""
+"""Wire format of the users' interface: submissions, queries, cancels and health checks."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from marblestair.core.domain.jobs import JobKind, JobSpec, JobState, Priority
 from marblestair.wire.codec import MAX_REQUEST_BODY_BYTES, BadRequestError, pack
 
-#: tasks in one job, at most
+#: most tasks in one job
 MAX_TASKS_PER_JOB = 100_000
-#: the largest amount that is accepted, in any unit
+#: largest accepted amount of a resource, a size or a time, in its unit
 MAX_AMOUNT = 1e12
-#: characters in a name, at most: names end up in records
-MAX_NAME_LENGTH = 200
-#: names in one submission, at most
-MAX_NAMES = 100
+#: most characters in one name; names are stored in the job records
+MAX_NAME_CHARS = 200
+#: most names in one submission: class, team, image, zone and machine types together
+MAX_NAMES_PER_SUBMISSION = 100
 
 HEALTH_PATH = "/healthz"
 JOBS_PATH = "/v1/jobs"
@@ -38,12 +38,12 @@
     JobState.CANCELLED: "aborted",
 }
 
-#: "job-" and a whole number; digits only, so that ids stay short and safe in keys
+#: "job-" and 1 to 20 digits: ids are short and need no escaping in keys of the store
 _JOB_ID = re.compile(r"job-[0-9]{1,20}\Z")
 
 
 def is_valid_job_id(job: str) -> bool:
-    """Whether an id has the form in which users choose them."""
+    """Whether a job id has the form ``job-NUMBER``."""
     return _JOB_ID.match(job) is not None
 
 
@@ -80,7 +80,7 @@
     Raises
     ------
     BadRequestError
-        When it is malformed.
+        When the body is malformed, or a value is out of the accepted range.
     """
     if len(body) > MAX_REQUEST_BODY_BYTES:
         raise BadRequestError("body too large")
@@ -88,13 +88,13 @@
         submission = _submission_decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, ValueError) as error:
         raise BadRequestError(str(error)) from None
-    _check_enumerations(submission)
+    _check_id_and_enumerations(submission)
     _check_amounts(submission)
     _check_names(submission)
-    return _job_spec(submission, _depends_on(submission))
+    return _job_spec(submission, _distinct_dependencies(submission))
 
 
-def _check_enumerations(submission: _Submission) -> None:
+def _check_id_and_enumerations(submission: _Submission) -> None:
     if not is_valid_job_id(submission.ref):
         raise BadRequestError("ref: not of the form job-NUMBER")
     if submission.shape not in _KINDS:
@@ -130,12 +130,12 @@
         submission.room or "",
         *(submission.builds or []),
     ]
-    if len(names) > MAX_NAMES or any(len(name) > MAX_NAME_LENGTH for name in names):
+    if len(names) > MAX_NAMES_PER_SUBMISSION or any(len(name) > MAX_NAME_CHARS for name in names):
         raise BadRequestError("a name is too long")
 
 
-def _depends_on(submission: _Submission) -> list[str]:
-    """The jobs that a submission depends on, each once."""
+def _distinct_dependencies(submission: _Submission) -> list[str]:
+    """Return the ids of the jobs that a submission depends on, without duplicates."""
     jobs = list(dict.fromkeys(submission.awaits or []))
     if not all(is_valid_job_id(job) for job in jobs):
         raise BadRequestError("awaits: not a list of ids of the form job-NUMBER")
@@ -178,7 +178,7 @@
 def encode_job_status(
     job: str, state: str, done: int | None = None, running: int | None = None
 ) -> bytes:
-    """Encode the body of a 200 or 201 to a user: the state, and the counts of tasks if known."""
+    """Encode the body of a 200 or 201 response: the job's state, and its task counts if known."""
     status = _JobStatus(job, _JOB_STATES[JobState(state)])
     if done is not None:
         status.done = done
@@ -187,7 +187,7 @@
 
 
 class RequestKind(enum.Enum):
-    """Kinds of requests, by their request lines."""
+    """Kinds of HTTP requests, told apart by method and path."""
 
     SUBMIT = enum.auto()
     QUERY = enum.auto()
@@ -199,14 +199,14 @@
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Where a request goes, and the job id in its path."""
+    """The kind of a request and the job id in its path."""
 
     kind: RequestKind
     job: str = ""
 
 
 def route_request(method: str, path: str) -> Route:
-    """Map a request line to its kind."""
+    """Map the method and path of a request to its kind."""
     if path == HEARTBEAT_PATH:
         return _route(RequestKind.HEARTBEAT, method, "POST")
     if path == HEALTH_PATH:
