--- a/marblestair/cli.py
+++ b/marblestair/cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""Command line of marblestair: serve, check a settings file, or print a controller's status."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 from marblestair.settings import Settings, SettingsError, load, split_address
 
 EXIT_OK = 0
-#: the controller could not serve, or did not answer
+#: the controller could not listen, or returned no status
 EXIT_FAILURE = 1
-#: a file or an argument cannot be used
+#: an argument, the settings file or the policy script is invalid
 EXIT_BAD_INPUT = 2
 
-#: name under which the command asks a controller for its status
+#: sender name in the status request
 STATUS_SENDER = "status"
-#: time for a controller to answer, in seconds
+#: time-out of the status request
 STATUS_TIMEOUT_S = 3.0
 
 
@@ -38,20 +38,20 @@
         epilog="Logs go to standard error; LOG_LEVEL is error, info (the default) or debug.",
     )
     parser.add_argument("--version", action="version", version=f"marblestair {__version__}")
-    parser.add_argument("--policy", metavar="SCRIPT", help="the operators' own settings (Starlark)")
+    parser.add_argument("--policy", metavar="SCRIPT", help="policy script (Starlark) to use")
     action = parser.add_mutually_exclusive_group(required=True)
     action.add_argument("--config", metavar="FILE", help="serve with this settings file (TOML)")
     action.add_argument(
-        "--check", metavar="FILE", help="only check a settings file (and a policy script)"
+        "--check", metavar="FILE", help="check a settings file (and a policy script), then exit"
     )
     action.add_argument(
-        "--status", metavar="HOST:PORT", help="ask the controller with this cluster address"
+        "--status", metavar="HOST:PORT", help="print the status of the controller at this address"
     )
     return parser
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the program; the result is the exit code."""
+    """Run the command line and return the exit code."""
     arguments = _parser().parse_args(argv)
     if arguments.status:
         return _print_status(arguments.status)
@@ -91,7 +91,9 @@
         return EXIT_BAD_INPUT
     status = asyncio.run(_request_status(address))
     if status is None:
-        _print_error(f"no answer from {address}")
+        _print_error(
+            f"no status from {address}: no connection, or no response within {STATUS_TIMEOUT_S:g} s"
+        )
         return EXIT_FAILURE
     print(msgspec.json.format(msgspec.json.encode(status)).decode())
     return EXIT_OK
--- a/marblestair/http_api.py
+++ b/marblestair/http_api.py
@@ -1,4 +1,4 @@
-"""The HTTP interface of one controller: users, agents and the load balancer."""
+"""HTTP interface of one controller for users, agents and the load balancer."""
 
 from __future__ import annotations
 
@@ -22,38 +22,38 @@
 
 log = logging.getLogger("marblestair")
 
-#: share of the sockets that is accepted at all, and the least number
-ACCEPTED_SHARE = 0.8
-MIN_ACCEPTED = 8
-#: share of the sockets above which users are turned away so that every agent finds a place, and
-#: the least number
-CROWDED_SHARE = 0.7
-MIN_CROWDED = 4
-#: time after which an idle connection is closed, in seconds
-IDLE_S = 120.0
-#: time after which a user who was turned away, or met an error, may come back, in seconds
-CROWDED_RETRY_S = 2
-ERROR_RETRY_S = 1
+#: limit of open connections, as a share of the process's sockets, and its minimum
+CONNECTION_LIMIT_SHARE = 0.8
+MIN_CONNECTION_LIMIT = 8
+#: number of connections above which users' requests are refused so that agents can still connect,
+#: as a share of the process's sockets, and its minimum
+USER_LIMIT_SHARE = 0.7
+MIN_USER_LIMIT = 4
+#: time after which an idle connection is closed
+IDLE_TIMEOUT_S = 120.0
+#: Retry-After of users' requests refused for too many connections, and of requests that failed
+OVERLOAD_RETRY_AFTER_S = 2
+ERROR_RETRY_AFTER_S = 1
 
 
 class HttpApi:
-    """Receives HTTP requests, passes them to the core, and sends the responses.
+    """Receives HTTP requests, passes them to the core and sends the responses.
 
-    It owns the HTTP server and the connections of the users whose requests the core has not
-    answered yet.
+    It owns the HTTP server and refers to the connections whose requests the core has not answered
+    yet.
 
     Parameters
     ----------
     core
-        What the requests go to.
+        The controller core that handles the requests.
     max_sockets
-        Sockets that the process may use.
+        Largest number of sockets that the process may use.
     request_ids
-        Yields a new id for each request.
+        Yields a unique id for each request.
     set_time
-        To be called before an input of the core.
+        Called before each input of the core; sets the core's clock.
     flush
-        To be called after an input of the core; sends what the core has to send.
+        Called after each input of the core; sends the core's output.
     """
 
     def __init__(
@@ -71,51 +71,53 @@
         self._server = HttpServer(
             self._handle,
             time.monotonic,
-            max_connections=max(MIN_ACCEPTED, int(max_sockets * ACCEPTED_SHARE)),
+            max_connections=max(MIN_CONNECTION_LIMIT, int(max_sockets * CONNECTION_LIMIT_SHARE)),
             max_body=MAX_REQUEST_BODY_BYTES,
-            idle_s=IDLE_S,
-            refuse_users_above=max(MIN_CROWDED, int(max_sockets * CROWDED_SHARE)),
+            idle_timeout_s=IDLE_TIMEOUT_S,
+            refuse_users_above=max(MIN_USER_LIMIT, int(max_sockets * USER_LIMIT_SHARE)),
         )
-        #: connections of users whose requests are with the core, by the requests' ids
-        self._waiting: dict[int, Connection] = {}
+        #: connections whose requests the core has not answered yet, by request id
+        self._pending_connections: dict[int, Connection] = {}
 
     async def listen(self, host: str, port: int) -> None:
-        """Accept requests from now on.
+        """Start to accept requests.
 
         Raises
         ------
         OSError
-            When the address cannot be used.
+            When the address cannot be bound.
         """
         await self._server.listen(host, port)
 
     def close(self) -> None:
-        """Accept no more requests, and abort all connections."""
+        """Stop accepting requests and abort all connections."""
         self._server.close()
 
     def close_idle_connections(self) -> None:
-        """Close the connections that have been idle for too long."""
+        """Close the connections that have been idle for longer than the time-out."""
         self._server.close_idle_connections()
 
     def send_reply(self, reply: UserReply) -> None:
         """Send the core's reply to a user's request."""
-        connection = self._waiting.pop(reply.request_id, None)
+        connection = self._pending_connections.pop(reply.request_id, None)
         if connection is None:
             return
         if reply.status in (200, 201):
             body = encode_job_status(reply.job, reply.state, reply.done, reply.running)
         else:
             body = encode_error(reply.error)
-        headers = _retry_after(reply.retry_after_s) if reply.retry_after_s else ""
+        headers = _retry_after_header(reply.retry_after_s) if reply.retry_after_s else ""
         connection.respond(reply.status, body, headers)
 
     def _handle(self, connection: Connection, method: str, path: str, body: bytes) -> None:
         try:
             self._dispatch(connection, method, path, body)
         except Exception:
-            # Nothing that arrives may end the process.
-            log.exception("request failed")
-            connection.respond(503, encode_error("internal"), _retry_after(ERROR_RETRY_S))
+            # No request may end the process.
+            log.exception("HTTP request failed: method=%s path=%.100s", method, path)
+            connection.respond(
+                503, encode_error("internal"), _retry_after_header(ERROR_RETRY_AFTER_S)
+            )
 
     def _dispatch(self, connection: Connection, method: str, path: str, body: bytes) -> None:
         route = route_request(method, path)
@@ -146,25 +148,27 @@
         else:
             encoded = encode_redirect(response.leader)
         if log.isEnabledFor(logging.DEBUG):
-            log.debug("heartbeat %s -> %s", heartbeat, response)
+            log.debug("heartbeat received: %s; response: %s", heartbeat, response)
         connection.respond(response.status, encoded)
         self._flush()
 
     def _receive_user_request(
         self, connection: Connection, kind: RequestKind, job: str, body: bytes
     ) -> None:
-        """A submission, a query or a cancel; the core's reply answers it."""
+        """Pass a submission, query or cancel to the core, whose reply becomes the response."""
         if self._server.must_refuse_users:
             refusal = encode_error("too many connections")
-            connection.respond(503, refusal, _retry_after(CROWDED_RETRY_S), close=True)
+            connection.respond(
+                503, refusal, _retry_after_header(OVERLOAD_RETRY_AFTER_S), close=True
+            )
         elif kind is RequestKind.SUBMIT:
             self._submit(connection, body)
         elif not is_valid_job_id(job):
             connection.respond(404, encode_error("no such job"))
         elif kind is RequestKind.QUERY:
-            self._start(self._core.user_requests.query(self._expect_reply(connection), job))
+            self._spawn(self._core.user_requests.query(self._register_request(connection), job))
         else:
-            self._start(self._core.user_requests.cancel(self._expect_reply(connection), job))
+            self._spawn(self._core.user_requests.cancel(self._register_request(connection), job))
 
     def _submit(self, connection: Connection, body: bytes) -> None:
         try:
@@ -172,19 +176,19 @@
         except BadRequestError as error:
             connection.respond(400, encode_error(str(error)))
             return
-        self._start(self._core.user_requests.submit(self._expect_reply(connection), spec))
+        self._spawn(self._core.user_requests.submit(self._register_request(connection), spec))
 
-    def _start(self, coroutine: Coroutine[None]) -> None:
+    def _spawn(self, coroutine: Coroutine[None]) -> None:
         self._core.context.spawn(coroutine)
         self._flush()
 
-    def _expect_reply(self, connection: Connection) -> int:
-        """The id under which the core answers a user's request."""
+    def _register_request(self, connection: Connection) -> int:
+        """Register a connection for the core's reply and return the id of its request."""
         request_id = next(self._request_ids)
-        self._waiting[request_id] = connection
+        self._pending_connections[request_id] = connection
         return request_id
 
 
-def _retry_after(seconds: int) -> str:
-    """The header with the time after which a user may come back."""
+def _retry_after_header(seconds: int) -> str:
+    """Return the header with the time after which the client may retry."""
     return f"Retry-After: {seconds}\r\n"
--- a/marblestair/log_levels.py
+++ b/marblestair/log_levels.py
@@ -1,4 +1,4 @@
-"""Levels of the log, by the names that the environment and the core use."""
+"""Logging levels by the names that ``LOG_LEVEL`` and the core use."""
 
 import logging
 
--- a/marblestair/node.py
+++ b/marblestair/node.py
@@ -1,4 +1,4 @@
-"""The shell of one controller process: joins the pure core with the network."""
+"""One controller process: connects the core, which does no I/O, to the network."""
 
 from __future__ import annotations
 
@@ -31,20 +31,20 @@
 
 log = logging.getLogger("marblestair")
 
-#: pause between ticks, as a share of the agents' heartbeat interval, and the least in seconds
-TICK_SHARE = 0.2
-MIN_TICK_S = 0.05
-#: time between two checks for idle connections, in seconds
-IDLE_CHECK_S = 5.0
-#: bytes of randomness in a process's incarnation
+#: interval of ticks, as a share of the agents' heartbeat interval, and its minimum
+TICK_INTERVAL_SHARE = 0.2
+MIN_TICK_INTERVAL_S = 0.05
+#: interval of checks for idle connections
+IDLE_CHECK_INTERVAL_S = 5.0
+#: size of the random incarnation of a process
 INCARNATION_BYTES = 7
 
 
 class Node:
     """One controller process.
 
-    It owns the HTTP interface, the server for other controllers, the connections to the outside
-    and the tasks that carry out the core's requests; all end with :meth:`run`.
+    It owns the HTTP interface, the server for other controllers, the outgoing connections and the
+    tasks that execute the core's requests; all are closed when :meth:`run` ends.
     """
 
     def __init__(self, settings: Settings, policy: Policy) -> None:
@@ -56,7 +56,7 @@
         self._http_api = HttpApi(self.core, sockets, request_ids, self._set_time, self._flush)
         self._peer_server = PeerServer(self._receive_message, self._receive_request)
         self.request_executor = RequestExecutor(settings, self.core.rejected_writes)
-        #: what sends the response to a request of another controller, by the requests' ids
+        #: responders of the pending requests of other controllers, by request id
         self._responders: dict[int, Responder] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -66,7 +66,7 @@
         Raises
         ------
         OSError
-            When an address to listen on cannot be used.
+            When an address to listen on cannot be bound.
         """
         with contextlib.closing(self):
             await self._http_api.listen(*split_address(self.settings.public_addr))
@@ -85,7 +85,9 @@
         self.request_executor.close()
 
     async def _tick_forever(self) -> None:
-        pause_s = max(MIN_TICK_S, TICK_SHARE * self.settings.cluster.workers.report_s)
+        pause_s = max(
+            MIN_TICK_INTERVAL_S, TICK_INTERVAL_SHARE * self.settings.cluster.workers.report_s
+        )
         last_idle_check = time.monotonic()
         while True:
             await asyncio.sleep(pause_s)
@@ -93,10 +95,10 @@
             try:
                 self.core.tick()
             except Exception:
-                # Nothing that arrives may end the process; the next tick tries again.
-                log.exception("tick failed")
+                # No input may end the process; the next tick tries again.
+                log.exception("tick of the controller failed; the next tick retries")
             self._flush()
-            if time.monotonic() - last_idle_check > IDLE_CHECK_S:
+            if time.monotonic() - last_idle_check > IDLE_CHECK_INTERVAL_S:
                 last_idle_check = time.monotonic()
                 self._http_api.close_idle_connections()
 
@@ -106,7 +108,7 @@
     # --- outputs ---------------------------------------------------------------------------
 
     def _flush(self) -> None:
-        """Send what the core has to send, and log what it has to log."""
+        """Start the requests, send the output and write the log lines that the core has queued."""
         self._start_requests()
         self._send_replies_and_commands()
         self._send_to_peers()
@@ -120,7 +122,7 @@
         while coroutines.requests:
             requests, coroutines.requests = coroutines.requests, []
             for number, request in requests:
-                self._spawn(self._carry_out(number, request))
+                self._spawn(self._execute(number, request))
 
     def _send_replies_and_commands(self) -> None:
         outbox = self.core.context.outbox
@@ -145,21 +147,21 @@
                 respond(reply.value)
 
     def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
-        """Run a coroutine as a task that the node owns until it is done."""
+        """Run a coroutine as a task, to which the node keeps a reference until it is done."""
         task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _carry_out(self, number: int, request: OutsideRequest) -> None:
+    async def _execute(self, number: int, request: OutsideRequest) -> None:
         response = await self.request_executor.execute(request)
         self._set_time()
         self.core.complete(number, response)
         self._flush()
 
-    # --- inputs of other controllers -------------------------------------------------------
+    # --- inputs from other controllers -----------------------------------------------------
 
     def _receive_message(self, sender: str, tag: str, arguments: Elements) -> None:
-        """A one-way message of another controller."""
+        """Pass a one-way message of another controller to the core."""
         self._set_time()
         try:
             message = decode_message(tag, arguments)
@@ -172,7 +174,7 @@
     def _receive_request(
         self, respond: Responder, sender: str, tag: str, arguments: Elements
     ) -> None:
-        """A request of another controller, or of an operator."""
+        """Pass a request of another controller, or of the command line, to the core."""
         request_id = next(self._request_ids)
         self._responders[request_id] = respond
         self._set_time()
@@ -186,7 +188,7 @@
 
 
 def _new_controller(settings: Settings, policy: Policy) -> Controller:
-    """The core of a new process, with an incarnation of its own."""
+    """Return the core of a new process, with a random incarnation."""
     incarnation = int.from_bytes(os.urandom(INCARNATION_BYTES), "big")
     return Controller(
         settings,
--- a/marblestair/policy.py
+++ b/marblestair/policy.py
@@ -1,11 +1,11 @@
-"""Operators' own settings: an optional Starlark script, read once at the start.
+"""Policy script: an optional Starlark script of the operators, run once at the start.
 
-The script sees ``cluster`` (read only: ``size``, ``zones``, ``teams``) and calls
+The script can read ``cluster`` (``size``, ``zones``, ``teams``) and call
 
-- ``tune(NAME = NUMBER, ...)`` to change weights of scaling (see docs/operations.md);
-- ``lead("CLASS", SECONDS)`` to serve a class of jobs as if it were due that much earlier.
+- ``tune(NAME = NUMBER, ...)`` to set parameters of scaling (see docs/operations.md);
+- ``lead("CLASS", SECONDS)`` to schedule the jobs of a class as if they were due so much earlier.
 
-A script that fails, or names what does not exist, is refused with its file and line.
+If the script fails or uses an unknown name, the error states its file and line.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 
 
 class Tunable(msgspec.Struct, frozen=True):
-    """A weight that operators may set: its field, and the bounds of its values."""
+    """A scaling parameter that the script may set: its field and the range of its values."""
 
-    #: name of the field of Tuning
+    #: name of the field of ``Tuning``
     field: str
     low: float
     high: float
     is_whole: bool = False
 
 
-#: the operators' names of the weights of the plan
+#: scaling parameters by their names in the script
 TUNABLES: dict[str, Tunable] = {
     "margin": Tunable("capacity_margin", 0.0, 5.0),
     "reserve": Tunable("headroom_jobs", 0.0, 20.0),
@@ -43,63 +43,69 @@
 }
 
 
-#: largest offset of a deadline, in seconds, earlier or later
+#: largest absolute offset of a deadline
 MAX_DEADLINE_OFFSET_S = 1e6
 
-#: how the interpreter marks, in the lines of an error, its place and its text
-_PLACE_MARK = "-->"
-_ERROR_MARK = "error:"
-#: how the lines begin that are neither: the quoted script and the call stack
-_OTHER_LINES = ("|", "Traceback", "*", "File")
+#: prefixes of the lines with the location and the text of an interpreter's error
+_LOCATION_PREFIX = "-->"
+_ERROR_PREFIX = "error:"
+#: prefixes of lines to skip in such an error: the quoted script and the call stack
+_SKIPPED_PREFIXES = ("|", "Traceback", "*", "File")
 
 
 class PolicyError(Exception):
-    """A script cannot be used; the text is one line with file and line."""
+    """A policy script is invalid; the text is one line with its file and line."""
 
 
 class Policy(msgspec.Struct, frozen=True):
-    """What the script has set."""
+    """The scaling parameters and deadline offsets that a policy script has set."""
 
     tuning: Tuning = Tuning()
-    #: job class -> seconds by which its deadlines count as earlier
+    #: job class -> seconds by which its deadlines are treated as earlier
     deadline_offsets_s: dict[str, float] = {}
 
 
-class Script:
-    """The functions that a script may call, and what its calls have set."""
+class ScriptFunctions:
+    """The functions that a script may call, and the values that its calls have set."""
 
     def __init__(self) -> None:
-        #: field of Tuning -> its value
-        self.tuned: dict[str, float] = {}
+        #: field of ``Tuning`` -> its value
+        self.tuned_values: dict[str, float] = {}
         self.deadline_offsets_s: dict[str, float] = {}
 
     def tune(self, **values: Any) -> None:
-        """Set weights of the plan of the fleet, by the operators' names."""
+        """Set scaling parameters by their names in the script."""
         for name, value in values.items():
             tunable = TUNABLES.get(name)
             if tunable is None:
-                raise ValueError(f"tune: no such setting: {name}")
+                raise ValueError(f"tune: no such setting: {name:.40}, known: {', '.join(TUNABLES)}")
             low, high, is_whole = tunable.low, tunable.high, tunable.is_whole
             kinds = (int,) if is_whole else (int, float)
             if isinstance(value, bool) or not isinstance(value, kinds):
-                raise TypeError(f"tune: {name} must be a {'whole ' if is_whole else ''}number")
+                raise TypeError(
+                    f"tune: {name} must be a {'whole ' if is_whole else ''}number,"
+                    f" got {value!r:.40}"
+                )
             if not (math.isfinite(value) and low <= value <= high):
-                raise ValueError(f"tune: {name} must be from {low} to {high}")
-            self.tuned[tunable.field] = value if is_whole else float(value)
+                raise ValueError(f"tune: {name} must be from {low} to {high}, got {value!r:.40}")
+            self.tuned_values[tunable.field] = value if is_whole else float(value)
 
     def lead(self, cls: Any, seconds: Any) -> None:
-        """Serve a class earlier by some seconds."""
+        """Schedule the jobs of a class as if they were due some seconds earlier."""
         if not isinstance(cls, str) or not cls:
-            raise TypeError("lead: the class must be a text")
+            raise TypeError(f"lead: the class must be a non-empty string, got {cls!r:.40}")
         if isinstance(seconds, bool) or not isinstance(seconds, (int, float)):
-            raise TypeError("lead: the seconds must be a number")
+            raise TypeError(f"lead: the seconds must be a number, got {seconds!r:.40}")
         if not (math.isfinite(seconds) and abs(seconds) <= MAX_DEADLINE_OFFSET_S):
-            raise ValueError("lead: the seconds are out of range")
+            raise ValueError(
+                f"lead: the seconds must be from {-MAX_DEADLINE_OFFSET_S:g} to"
+                f" {MAX_DEADLINE_OFFSET_S:g}, got {seconds!r:.40}"
+            )
         self.deadline_offsets_s[cls] = float(seconds)
 
 
 def load(path: str, settings: Settings) -> Policy:
-    """Run a script and return what it has set.
+    """Run a policy script and return the policy that it has set.
 
     Raises
     ------
@@ -107,10 +113,10 @@
         When the file cannot be read, or the script fails.
     """
     text = _read(path)
-    # Only here: the interpreter takes memory that most deployments need not spend.
+    # Imported only if needed: the interpreter takes memory, and most deployments have no script.
     import starlark
 
-    script = Script()
+    script = ScriptFunctions()
     module = starlark.Module()
     module["cluster"] = {
         "size": settings.cluster.size,
@@ -122,9 +128,9 @@
     try:
         starlark.eval(module, starlark.parse(path, text), starlark.Globals.standard())
     except Exception as error:
-        # The interpreter raises errors of its own and those of the functions above.
+        # The interpreter raises its own errors and those of the functions that the script calls.
         raise PolicyError(_one_line(path, error)) from None
-    tuning = msgspec.structs.replace(Tuning(), **script.tuned)
+    tuning = msgspec.structs.replace(Tuning(), **script.tuned_values)
     return Policy(tuning, script.deadline_offsets_s)
 
 
@@ -133,20 +139,20 @@
         with open(path, encoding="utf-8") as file:
             return file.read()
     except OSError as error:
-        raise PolicyError(f"{path}: {error.strerror}") from None
+        raise PolicyError(f"{path}: cannot be read: {error.strerror}") from None
     except UnicodeDecodeError as error:
-        raise PolicyError(f"{path}: {error}") from None
+        raise PolicyError(f"{path}: not valid UTF-8: {error}") from None
 
 
 def _one_line(path: str, error: Exception) -> str:
-    """The place and the text of an interpreter's error, which has several lines."""
+    """Return the location and the text of an interpreter's error, which has several lines."""
     text = str(error)
-    place, problem = "", ""
+    location, problem = "", ""
     for line in map(str.strip, text.splitlines()):
-        if line.startswith(_PLACE_MARK):
-            place = line.removeprefix(_PLACE_MARK).strip()
-        elif line.startswith(_ERROR_MARK):
-            problem = line.removeprefix(_ERROR_MARK).strip()
-        elif not problem and line and not line.startswith(_OTHER_LINES):
+        if line.startswith(_LOCATION_PREFIX):
+            location = line.removeprefix(_LOCATION_PREFIX).strip()
+        elif line.startswith(_ERROR_PREFIX):
+            problem = line.removeprefix(_ERROR_PREFIX).strip()
+        elif not problem and line and not line.startswith(_SKIPPED_PREFIXES):
             problem = line
-    return f"{place or path}: {problem or text.splitlines()[0]}"
+    return f"{location or path}: {problem or text.splitlines()[0]}"
--- a/marblestair/request_executor.py
+++ b/marblestair/request_executor.py
@@ -1,4 +1,4 @@
-"""Carries out the requests of the core: to the store, the cloud, agents and other controllers."""
+"""Executes the core's requests to the store, the cloud, agents and other controllers."""
 
 from __future__ import annotations
 
@@ -45,26 +45,26 @@
 
 log = logging.getLogger("marblestair")
 
-#: share of the sockets that each kind of outgoing connections may use, and the least number
-OUTGOING_SHARE = 0.04
-MIN_OUTGOING = 4
-#: requests to the store under way, as a multiple of its idle connections
+#: limit of outgoing connections of each kind, as a share of the sockets, and its minimum
+OUTGOING_LIMIT_SHARE = 0.04
+MIN_OUTGOING_LIMIT = 4
+#: limit of requests to the store in flight, as a multiple of the limit of its idle connections
 STORE_IN_FLIGHT_FACTOR = 2
-#: idle connections to the cloud, and requests to it under way
-CLOUD_MAX_IDLE = 2
-CLOUD_MAX_IN_FLIGHT = 8
-#: shares of the permitted rates that are used: clocks drift, and the services count on theirs
+#: limits of idle connections to the cloud and of requests to it in flight
+MAX_IDLE_CLOUD_CONNECTIONS = 2
+MAX_CLOUD_REQUESTS_IN_FLIGHT = 8
+#: used shares of the permitted rates; the rest allows for drift against the services' clocks
 STORE_RATE_SHARE = 0.95
 CLOUD_RATE_SHARE = 0.9
-#: the cloud has no limit of writes, and its requests count none
+#: write rate of the cloud's limiter; unused, since the cloud limits requests only
 CLOUD_WRITES_PER_S = 1.0
-#: time for a request to the cloud to get its turn in the budget, in seconds
-CLOUD_MAX_WAIT_S = 10.0
-#: time for one request to the store, to the cloud, and to an agent, in seconds
+#: longest time that a request to the cloud waits for the rate limiter
+MAX_CLOUD_WAIT_S = 10.0
+#: time-outs of one request to the store, to the cloud and to an agent
 STORE_TIMEOUT_S = 1.2
 CLOUD_TIMEOUT_S = 4.0
 AGENT_TIMEOUT_S = 1.5
-#: lanes of the cloud's budget: rentals and releases come before listings
+#: priorities in the cloud's rate limiter: listings of machines come last
 CLOUD_PRIORITY = 0
 LISTING_PRIORITY = 1
 
@@ -73,10 +73,10 @@
 
 
 class RequestExecutor:
-    """The connections of one node to the systems around it, and their budgets.
+    """Executes requests of one node to external systems, within their rate limits.
 
-    It owns the HTTP clients, the budgets and the links to the other controllers; :meth:`close`
-    ends them.
+    It owns the HTTP clients, the rate limiters and the links to the other controllers;
+    :meth:`close` closes them.
     """
 
     def __init__(self, settings: Settings, rejected_writes: RejectedWrites) -> None:
@@ -84,17 +84,18 @@
         self._rejected_writes = rejected_writes
         cluster, node_count = settings.cluster, len(settings.nodes)
         sockets = int(cluster.machine_limits.sockets)
-        max_outgoing = max(MIN_OUTGOING, int(sockets * OUTGOING_SHARE))
+        max_outgoing = max(MIN_OUTGOING_LIMIT, int(sockets * OUTGOING_LIMIT_SHARE))
         self._store = HttpClient(
             max_idle_per_address=max_outgoing,
             max_in_flight=STORE_IN_FLIGHT_FACTOR * max_outgoing,
             max_idle=max_outgoing,
         )
         self._cloud = HttpClient(
-            max_idle_per_address=CLOUD_MAX_IDLE, max_in_flight=CLOUD_MAX_IN_FLIGHT
+            max_idle_per_address=MAX_IDLE_CLOUD_CONNECTIONS,
+            max_in_flight=MAX_CLOUD_REQUESTS_IN_FLIGHT,
         )
-        # Stops for hundreds of machines at once take turns; no machine's connection stays open for
-        # long where there are many.
+        # Stop commands to hundreds of agents at once wait for free slots. With many agents, an idle
+        # connection is closed soon, since the total number of idle connections is limited.
         self._agents = HttpClient(
             max_idle_per_address=1, max_in_flight=max_outgoing, max_idle=max_outgoing
         )
@@ -103,13 +104,13 @@
             cluster.state.write_rps / node_count * STORE_RATE_SHARE,
         )
         self._cloud_rate_limiter = RateLimiter(
-            cluster.cloud.rps / node_count * CLOUD_RATE_SHARE, CLOUD_WRITES_PER_S, CLOUD_MAX_WAIT_S
+            cluster.cloud.rps / node_count * CLOUD_RATE_SHARE, CLOUD_WRITES_PER_S, MAX_CLOUD_WAIT_S
         )
-        #: links to the other controllers, by their names
+        #: links to the other controllers, by node name
         self.links = {peer.node: Link(settings.node, peer.address) for peer in settings.others}
 
     def close(self) -> None:
-        """Close all connections; no request may be made after that."""
+        """Close all connections; no request may be executed afterwards."""
         self.store_rate_limiter.close()
         self._cloud_rate_limiter.close()
         for client in (self._store, self._cloud, self._agents):
@@ -118,18 +119,18 @@
             link.close()
 
     async def execute(self, request: OutsideRequest) -> Any:
-        """The response to a request, of the type that belongs to it; :func:`no_response` if none.
+        """Execute a request and return its response, or that of :func:`no_response`.
 
-        A defect in what is called ends this request only: it is logged.
+        An unexpected exception is logged and ends only this request.
         """
         try:
             return await self._send(request)
         except Exception:
-            log.exception("request failed: %r", request)
+            log.exception("request to an external system failed: %r", request)
             return no_response(request)
 
     async def send_command(self, command: DirectCommand) -> None:
-        """Send commands straight to an agent; what becomes of them its heartbeats show."""
+        """Send commands directly to an agent; only its heartbeats show whether they took effect."""
         body = encode_direct_command(
             command.fencing_token, command.agent_incarnation, command.commands
         )
@@ -144,7 +145,7 @@
             return await self._request_cloud(request)
         if isinstance(request, InspectAgent):
             return await self._inspect(request)
-        raise TypeError(f"unknown request {request!r}")
+        raise TypeError(f"request of an unknown type: {request!r}")
 
     async def _request_peer(self, request: PeerRequest) -> Any:
         link = self.links.get(request.node)
@@ -167,7 +168,7 @@
             STORE_TIMEOUT_S + wait_s,
         )
         if status <= NO_RESPONSE or status >= 500:
-            log.debug("store %s %s: %s", encoded.method, encoded.path, status)
+            log.debug("store request failed: %s %s status=%s", encoded.method, encoded.path, status)
         if isinstance(request, CompareAndSwap) and status == 400:
             self._rejected_writes.record(request)
         return decode_store_response(request, status, body)
@@ -185,7 +186,7 @@
             CLOUD_TIMEOUT_S,
         )
         if status != 200:
-            log.debug("cloud %s %s: %s", encoded.method, encoded.path, status)
+            log.debug("cloud request failed: %s %s status=%s", encoded.method, encoded.path, status)
         return decode_cloud_response(request, status, body)
 
     async def _inspect(self, request: InspectAgent) -> Heartbeat | None:
@@ -199,7 +200,7 @@
 
 
 def no_response(request: OutsideRequest) -> StoreResponse | CloudResponse | None:
-    """The response to a request that got none."""
+    """Return the value that stands for a missing response to a request."""
     if isinstance(request, (PeerRequest, InspectAgent)):
         return None
     if isinstance(request, CLOUD_REQUESTS):
--- a/marblestair/settings/__init__.py
+++ b/marblestair/settings/__init__.py
@@ -1,6 +1,7 @@
-"""The settings file of a controller: how it is read and checked.
+"""Reading and checking the settings file of a controller.
 
-Its types are in ``core.domain.settings``, so that the core needs nothing of this package.
+The types of the settings are in ``core.domain.settings``, so that the core does not import this
+package.
 """
 
 from marblestair.core.domain.settings import (
--- a/marblestair/settings/addresses.py
+++ b/marblestair/settings/addresses.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-#: port numbers are below this
+#: port numbers are lower than this
 PORT_LIMIT = 65536
 
 
@@ -12,9 +12,11 @@
     Raises
     ------
     ValueError
-        When it is not of the form ``host:port``.
+        When the address is not of the form ``host:port``, or the port is out of range.
     """
     host, colon, port = address.rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 < int(port) < PORT_LIMIT:
-        raise ValueError(f"not an address of the form host:port: {address!r}")
+        raise ValueError(
+            f"must be host:port with a port from 1 to {PORT_LIMIT - 1}, got {address!r:.40}"
+        )
     return host, int(port)
--- a/marblestair/settings/checks.py
+++ b/marblestair/settings/checks.py
@@ -1,4 +1,4 @@
-"""Checks of settings beyond their types; each error names the field."""
+"""Checks of settings beyond their types; each error names the field and its value."""
 
 from __future__ import annotations
 
@@ -10,29 +10,31 @@
 from marblestair.core.state.records import ShardMap, ShardRecord
 from marblestair.settings.addresses import split_address
 
-#: the least number of changes in one transaction: a failover takes two, the end of a job two
+#: smallest permitted limit of changes in one transaction; a failover and the end of a job each
+#: need two
 MIN_TRANSACTION_CHANGES = 3
-#: more shards than this are a mistake in the file
+#: largest permitted number of shards; a larger one is taken for a mistake in the file
 MAX_SHARDS = 100
-#: an agent's lease lasts at least this many heartbeat intervals
+#: an agent's lease must last at least this many heartbeat intervals
 MIN_LEASE_INTERVALS = 2
 
 BYTES_PER_KB = 1024
-#: numbers that MessagePack encodes no shorter than any incarnation, term or quota that occurs
+#: numbers whose MessagePack encoding is at least as long as that of any real incarnation, term or
+#: quota
 LARGE_INCARNATION, LARGE_TERM, LARGE_QUOTA = 1 << 56, 1 << 32, 1 << 40
 
 
 class SettingsError(Exception):
-    """A settings file cannot be used; the text is one line and names the field."""
+    """The settings are invalid; the text is one line and names the field or the file."""
 
 
 def check_settings(settings: Settings) -> None:
-    """Check everything that the types do not express.
+    """Check the constraints that the types do not express.
 
     Raises
     ------
     SettingsError
-        At the first field that cannot be used.
+        For the first field whose value is invalid.
     """
     _check_nodes(settings)
     _check_numbers(settings.cluster)
@@ -55,33 +57,43 @@
         except ValueError as error:
             raise SettingsError(f"{name}: {error}") from None
     if not settings.node:
-        raise SettingsError("node: must not be empty")
+        raise SettingsError(f"node: must not be empty, got {settings.node!r}")
     if len(set(settings.nodes)) != len(settings.nodes):
-        raise SettingsError("others: node names must be unique")
+        raise SettingsError(
+            f"others: node names must be unique and differ from node, got {settings.nodes!r:.40}"
+        )
 
 
 def _check_numbers(cluster: Cluster) -> None:
     if cluster.size < 1:
-        raise SettingsError("cluster.size: must be at least 1")
+        raise SettingsError(
+            f"cluster.size: must be from 1 to {MAX_SHARDS}, got {cluster.size!r:.40}"
+        )
     for name, value in _positive_numbers(cluster):
         if not _is_positive(value):
-            raise SettingsError(f"{name}: must be a number above 0")
+            raise SettingsError(f"{name}: must be a finite number above 0, got {value!r:.40}")
     for name, value in (
         ("cluster.skew_ms", cluster.skew_ms),
         ("cluster.cloud.list_lag_s", cluster.cloud.list_lag_s),
     ):
         if not _is_not_negative(value):
-            raise SettingsError(f"{name}: must be a number of 0 or more")
+            raise SettingsError(f"{name}: must be a finite number of at least 0, got {value!r:.40}")
     _check_next_limits(cluster.state.next or NextStateLimits())
     for name, changes in _transaction_limits(cluster.state):
         if changes < MIN_TRANSACTION_CHANGES:
-            raise SettingsError(f"{name}: must be at least {MIN_TRANSACTION_CHANGES}")
+            raise SettingsError(
+                f"{name}: must be at least {MIN_TRANSACTION_CHANGES}, got {changes!r:.40}"
+            )
     if cluster.workers.lease_s < MIN_LEASE_INTERVALS * cluster.workers.report_s:
-        raise SettingsError("cluster.workers.lease_s: must be at least twice report_s")
+        raise SettingsError(
+            f"cluster.workers.lease_s: must be at least {MIN_LEASE_INTERVALS} times"
+            f" cluster.workers.report_s ({cluster.workers.report_s!r:.40}),"
+            f" got {cluster.workers.lease_s!r:.40}"
+        )
 
 
 def _positive_numbers(cluster: Cluster) -> list[tuple[str, float]]:
-    """The settings that must be above 0, by name, in the order in which they are checked."""
+    """Return the names and values of the settings that must be above 0."""
     return [
         ("cluster.workers.report_s", cluster.workers.report_s),
         ("cluster.workers.lease_s", cluster.workers.lease_s),
@@ -107,15 +119,17 @@
     return math.isfinite(value) and value >= 0
 
 
-def _check_next_limits(later: NextStateLimits) -> None:
-    for name in later.__struct_fields__:
-        value = getattr(later, name)
+def _check_next_limits(next_limits: NextStateLimits) -> None:
+    for name in next_limits.__struct_fields__:
+        value = getattr(next_limits, name)
         if value is not None and not _is_positive(value):
-            raise SettingsError(f"cluster.state.next.{name}: must be a number above 0")
+            raise SettingsError(
+                f"cluster.state.next.{name}: must be a finite number above 0, got {value!r:.40}"
+            )
 
 
 def _transaction_limits(state: StateLimits) -> list[tuple[str, int]]:
-    """The limits of changes in one transaction, now and later, by the names of their settings."""
+    """Return the names and values of the current and the next limit of changes in a transaction."""
     limits = [("cluster.state.txn_ops", state.txn_ops)]
     if state.next is not None and state.next.txn_ops is not None:
         limits.append(("cluster.state.next.txn_ops", state.next.txn_ops))
@@ -126,34 +140,40 @@
     names: set[str] = set()
     for index, team in enumerate(cluster.teams):
         if team.name in names:
-            raise SettingsError(f"cluster.teams[{index}].name: {team.name!r} appears twice")
+            raise SettingsError(
+                f"cluster.teams[{index}].name: must be unique, got {team.name!r:.40} again"
+            )
         names.add(team.name)
         for field in ("cpus", "cpus_max", "gpus", "gpus_max"):
             if not _is_not_negative(getattr(team, field)):
                 raise SettingsError(
-                    f"cluster.teams[{index}].{field}: must be a number of 0 or more"
+                    f"cluster.teams[{index}].{field}: must be a finite number of at least 0,"
+                    f" got {getattr(team, field)!r:.40}"
                 )
 
 
 def _check_shard_map_size(settings: Settings) -> None:
-    """The shard map is one value of the store: shards and teams must fit into it."""
+    """Check that the shard map, stored as one value, cannot exceed the store's limit of values."""
     cluster = settings.cluster
     if cluster.size > MAX_SHARDS:
-        raise SettingsError(f"cluster.size: must be at most {MAX_SHARDS}")
+        raise SettingsError(
+            f"cluster.size: must be from 1 to {MAX_SHARDS}, got {cluster.size!r:.40}"
+        )
     size = len(msgspec.msgpack.encode(_largest_shard_map(settings)))
     if size > cluster.state.strictest().value_kb * BYTES_PER_KB:
         is_later = size <= cluster.state.value_kb * BYTES_PER_KB
         limit = "cluster.state.next.value_kb" if is_later else "cluster.state.value_kb"
         raise SettingsError(
-            f"cluster.teams: with {cluster.size} parts they take {size} bytes of state, more than"
-            f" {limit} allows"
+            f"cluster.teams: the shard map of {len(cluster.teams)} teams and {cluster.size} shards"
+            f" (cluster.size) may take {size} bytes, more than {limit} allows"
+            f" ({cluster.state.strictest().value_kb:g} KiB)"
         )
 
 
 def _largest_shard_map(settings: Settings) -> ShardMap:
-    """A shard map as large as any that the deployment can come to store.
+    """Return a shard map that is encoded at least as long as any that the deployment may store.
 
-    Any node may lead a shard, and a shard's quota may become the whole of a team's limit.
+    Any node may lead a shard, and a shard's quota may grow to a team's whole limit.
     """
     leader = max(settings.nodes, key=len)
     shards = [
--- a/marblestair/settings/loading.py
+++ b/marblestair/settings/loading.py
@@ -1,4 +1,4 @@
-"""Reading a settings file."""
+"""Reading and parsing a settings file."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 from marblestair.core.domain.settings import Settings
 from marblestair.settings.checks import SettingsError, check_settings
 
-#: what a msgspec error has between what is wrong and the path of the field
-_PATH_MARK = " - at `$"
+#: text of a msgspec error between the problem and the path of the field
+_FIELD_PATH_SEPARATOR = " - at `$"
 
 
 def parse(data: Mapping[str, object]) -> Settings:
     """Build checked settings from a parsed TOML table.
 
-    The limits of the store in them are those that hold now and later: everything is written within
-    both from the start, since the later ones come without notice.
+    The limits of the store in the result are the stricter ones of the current and the next limits
+    (``cluster.state.next``), because the next limits come into force without notice.
 
     Raises
     ------
     SettingsError
-        When a field is missing, of the wrong type, or cannot be used.
+        When a field is missing, or its type or value is invalid.
     """
     try:
         settings = msgspec.convert(data, Settings)
     except msgspec.ValidationError as error:
         text = str(error)
-        problem, _, path = text.rpartition(_PATH_MARK)
+        problem, _, path = text.rpartition(_FIELD_PATH_SEPARATOR)
         field = path.strip("`.") or "settings"
         raise SettingsError(f"{field}: {problem or text}") from None
     check_settings(settings)
@@ -43,13 +43,13 @@
     Raises
     ------
     SettingsError
-        When the file cannot be read, is no TOML, or its settings cannot be used.
+        When the file cannot be read, is not valid TOML, or its settings are invalid.
     """
     try:
         with open(path, "rb") as file:
             data = tomllib.load(file)
     except OSError as error:
-        raise SettingsError(f"{path}: {error.strerror}") from None
+        raise SettingsError(f"{path}: cannot be read: {error.strerror}") from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise SettingsError(f"{path}: {error}") from None
+        raise SettingsError(f"{path}: not valid TOML: {error}") from None
     return parse(data)
