--- a/marblestair/core/runtime/coroutines.py
+++ b/marblestair/core/runtime/coroutines.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Generator
 from typing import Any, TypeAlias, TypeVar
 
-from marblestair.core.runtime.requests import OutsideRequest, Sleep
+from marblestair.core.runtime.requests import CoroutineRequest, Sleep
 
 #: pause before a supervised coroutine that ended by an error is started again
 RESTART_PAUSE_S = 1.0
@@ -26,7 +26,7 @@
 ResultT = TypeVar("ResultT")
 
 #: a coroutine that returns a result; used by others with ``yield from``
-Coroutine: TypeAlias = Generator[OutsideRequest | Signal, Any, ResultT]
+Coroutine: TypeAlias = Generator[CoroutineRequest | Signal, Any, ResultT]
 
 
 class CoroutineRunner:
@@ -38,7 +38,7 @@
         #: when a sleep is over, and its number
         self._sleeping: list[tuple[float, int]] = []
         #: requests that were made and not sent yet, by their numbers
-        self.requests: list[tuple[int, OutsideRequest]] = []
+        self.requests: list[tuple[int, CoroutineRequest]] = []
         self.now = 0.0
         #: called with the error that ended a coroutine, which must not end the process
         self.on_error: Callable[[BaseException], None] | None = None
--- a/marblestair/core/runtime/requests.py
+++ b/marblestair/core/runtime/requests.py
@@ -38,4 +38,4 @@
     address: str
 
 
-OutsideRequest: TypeAlias = StoreRequest | CloudRequest | PeerRequest | InspectAgent | Sleep
+CoroutineRequest: TypeAlias = StoreRequest | CloudRequest | PeerRequest | InspectAgent | Sleep
--- a/marblestair/core/scheduling/dispatch.py
+++ b/marblestair/core/scheduling/dispatch.py
@@ -76,7 +76,7 @@
             return
         queue = self._queues[shard.shard_id] = PendingQueue(order)
         candidates = self._candidates(shard, queue.min_cpus)
-        self._starvation.serve(shard, queue, candidates)
+        self._starvation.schedule_starved(shard, queue, candidates)
         placement_pass = PlacementPass(
             shard,
             candidates,
--- a/marblestair/core/scheduling/quota_transfers.py
+++ b/marblestair/core/scheduling/quota_transfers.py
@@ -16,7 +16,7 @@
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
 from marblestair.core.scheduling.effective_quotas import EffectiveQuotas
-from marblestair.core.scheduling.shard_summary import ShardSummarizer
+from marblestair.core.scheduling.shard_summarizer import ShardSummarizer
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
 from marblestair.core.state.records import ShardMap
--- a/marblestair/core/scheduling/services.py
+++ b/marblestair/core/scheduling/services.py
@@ -19,7 +19,7 @@
 from marblestair.core.scheduling.preemption import Preemption
 from marblestair.core.scheduling.quota_transfers import QuotaTransfers
 from marblestair.core.scheduling.run_times import RunTimes
-from marblestair.core.scheduling.shard_summary import ShardSummarizer
+from marblestair.core.scheduling.shard_summarizer import ShardSummarizer
 from marblestair.core.scheduling.slice_assignment import SliceAssigner
 from marblestair.core.scheduling.slice_migration import SliceMigrations
 from marblestair.core.shard.boot_times import BootTimes
--- a/marblestair/core/scheduling/starvation.py
+++ b/marblestair/core/scheduling/starvation.py
@@ -45,7 +45,9 @@
         self._failures = failures
         self._placement = placement
 
-    def serve(self, shard: Shard, queue: PendingQueue, candidates: CandidateMachines) -> None:
+    def schedule_starved(
+        self, shard: Shard, queue: PendingQueue, candidates: CandidateMachines
+    ) -> None:
         """Launch starved work, and note in the queue what is to be launched ahead of the rest."""
         wall_time = self._context.wall_time
         starved = [
--- a/marblestair/node.py
+++ b/marblestair/node.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from marblestair.core.controller import Controller
-from marblestair.core.runtime.requests import OutsideRequest
+from marblestair.core.runtime.requests import CoroutineRequest
 from marblestair.http_api import HttpApi
 from marblestair.log_levels import LOG_LEVELS
 from marblestair.net.framing import Elements
@@ -152,7 +152,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _execute(self, number: int, request: OutsideRequest) -> None:
+    async def _execute(self, number: int, request: CoroutineRequest) -> None:
         response = await self.request_executor.execute(request)
         self._set_time()
         self.core.complete(number, response)
--- a/marblestair/request_executor.py
+++ b/marblestair/request_executor.py
@@ -16,7 +16,7 @@
 )
 from marblestair.core.runtime.outbox import DirectCommand
 from marblestair.core.runtime.rejected_writes import RejectedWrites
-from marblestair.core.runtime.requests import InspectAgent, OutsideRequest, PeerRequest
+from marblestair.core.runtime.requests import CoroutineRequest, InspectAgent, PeerRequest
 from marblestair.core.runtime.store_requests import (
     NOT_SENT,
     CompareAndSwap,
@@ -118,7 +118,7 @@
         for link in self.links.values():
             link.close()
 
-    async def execute(self, request: OutsideRequest) -> Any:
+    async def execute(self, request: CoroutineRequest) -> Any:
         """Execute a request and return its response, or that of :func:`no_response`.
 
         An unexpected exception is logged and ends only this request.
@@ -136,7 +136,7 @@
         )
         await self._agents.request(command.address, "POST", COMMAND_PATH, body, AGENT_TIMEOUT_S)
 
-    async def _send(self, request: OutsideRequest) -> Any:
+    async def _send(self, request: CoroutineRequest) -> Any:
         if isinstance(request, PeerRequest):
             return await self._request_peer(request)
         if isinstance(request, STORE_REQUESTS):
@@ -199,7 +199,7 @@
             return None
 
 
-def no_response(request: OutsideRequest) -> StoreResponse | CloudResponse | None:
+def no_response(request: CoroutineRequest) -> StoreResponse | CloudResponse | None:
     """Return the value that stands for a missing response to a request."""
     if isinstance(request, (PeerRequest, InspectAgent)):
         return None
