--- a/marblestair/cli.py
+++ b/marblestair/cli.py
@@ -27,7 +27,7 @@
 
 #: sender name in the status request
 STATUS_SENDER = "status"
-#: time-out of the status request
+#: timeout of the status request
 STATUS_TIMEOUT_S = 3.0
 
 
--- a/marblestair/http_api.py
+++ b/marblestair/http_api.py
@@ -94,7 +94,7 @@
         self._server.close()
 
     def close_idle_connections(self) -> None:
-        """Close the connections that have been idle for longer than the time-out."""
+        """Close the connections that have been idle for longer than the timeout."""
         self._server.close_idle_connections()
 
     def send_reply(self, reply: UserReply) -> None:
--- a/marblestair/net/http_server.py
+++ b/marblestair/net/http_server.py
@@ -16,7 +16,7 @@
 #: most requests that wait on one connection while an earlier one is answered. The interface uses no
 #: pipelining, but a few pipelined requests are answered in order.
 MAX_QUEUED_REQUESTS = 4
-#: share of the idle time-out after which agents' connections are closed when the limit of
+#: share of the idle timeout after which agents' connections are closed when the limit of
 #: connections is reached and no user's connection is idle
 AGENT_IDLE_TIMEOUT_SHARE = 0.125
 #: replaces a path that is not ASCII; no interface has this path
@@ -35,7 +35,7 @@
 }
 _BAD_REQUEST = b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
-#: called with the connection, method, path and body; responds by ``Connection.respond``
+#: called with the connection, method, path and body; must call ``Connection.respond``
 Handler: TypeAlias = Callable[["Connection", str, str, bytes], None]
 
 
@@ -261,7 +261,7 @@
         self.connections: set[Connection] = set()
         self._max_connections = max_connections
         self._idle_timeout_s = idle_timeout_s
-        self._crowded_at = max_connections if refuse_users_above is None else refuse_users_above
+        self._refuse_users_above = max_connections if refuse_users_above is None else refuse_users_above
         self._server: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> None:
@@ -291,7 +291,7 @@
     @property
     def must_refuse_users(self) -> bool:
         """Whether so many connections are open that the remaining ones are reserved for agents."""
-        return len(self.connections) > self._crowded_at
+        return len(self.connections) > self._refuse_users_above
 
     def admit(self, connection: Connection) -> bool:
         """Admit a new connection if the limit permits; at the limit, close idle ones first."""
@@ -314,7 +314,7 @@
             self._close_idle(self._idle_timeout_s * AGENT_IDLE_TIMEOUT_SHARE)
 
     def close_idle_connections(self) -> None:
-        """Close the connections that have been idle for longer than the time-out."""
+        """Close the connections that have been idle for longer than the timeout."""
         self._close_idle(self._idle_timeout_s)
 
     def _close_idle(self, min_idle_s: float) -> None:
--- a/marblestair/net/peers.py
+++ b/marblestair/net/peers.py
@@ -15,9 +15,10 @@
     ResponseFrame,
 )
 
-#: a connection is replaced when a frame was sent on it and none was received for this long
+#: a connection is replaced when the last frame was received longer ago than this, and frames were
+#: sent since
 STALE_AFTER_S = 2.5
-#: time-out of an attempt to connect, and delay after a failed attempt
+#: timeout of an attempt to connect, and delay after a failed attempt
 CONNECT_TIMEOUT_S = 1.0
 RECONNECT_DELAY_S = 0.5
 #: interval at which a waiting request checks whether the connection is open
@@ -118,7 +119,7 @@
         return self._connection
 
     def _is_stale(self, now: float) -> bool:
-        """Whether the last sent frame got no reaction, and none came for ``STALE_AFTER_S``."""
+        """Whether the last received frame is too old and a frame was sent since."""
         is_unanswered = self._last_sent_at > self._last_received_at
         return is_unanswered and now - self._last_received_at > STALE_AFTER_S
 
--- a/marblestair/request_executor.py
+++ b/marblestair/request_executor.py
@@ -53,14 +53,14 @@
 #: limits of idle connections to the cloud and of requests to it in flight
 MAX_IDLE_CLOUD_CONNECTIONS = 2
 MAX_CLOUD_REQUESTS_IN_FLIGHT = 8
-#: used shares of the permitted rates; the rest allows for drift against the services' clocks
+#: used shares of the permitted rates; the rest allows for drift from the services' clocks
 STORE_RATE_SHARE = 0.95
 CLOUD_RATE_SHARE = 0.9
 #: write rate of the cloud's limiter; unused, since the cloud limits requests only
 CLOUD_WRITES_PER_S = 1.0
 #: longest time that a request to the cloud waits for the rate limiter
 MAX_CLOUD_WAIT_S = 10.0
-#: time-outs of one request to the store, to the cloud and to an agent
+#: timeouts of one request to the store, to the cloud and to an agent
 STORE_TIMEOUT_S = 1.2
 CLOUD_TIMEOUT_S = 4.0
 AGENT_TIMEOUT_S = 1.5
