--- a/tests/core/capacity/test_rentals.py
+++ b/tests/core/capacity/test_rentals.py
@@ -9,11 +9,11 @@
 from marblestair.core.state import keys
 from tests.fakes.samples import job_spec
 from tests.fakes.simulated_deployment import SimulatedDeployment
-from tests.helpers import START_UP_S, leader_of, started
+from tests.helpers import START_UP_S, leader_of, start_deployment
 
 
 def test_a_rental_left_uncertain_is_finished_by_the_next_leader() -> None:
-    deployment = started(19)
+    deployment = start_deployment(19)
     store = deployment.store
     deployment.cloud.is_down = True
     job = deployment.users.submit(job_spec(1, task_count=6, estimated_run_s=30.0))
@@ -31,7 +31,7 @@
 def test_obsolete_intents_are_deleted_however_busy_a_shard_is(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    deployment = started(450, 1)
+    deployment = start_deployment(450, 1)
     deployment.users.submit(job_spec(1, task_count=4, estimated_run_s=300.0))
     deployment.run(15.0)
     controller = deployment.nodes.controller("n0")
@@ -87,7 +87,7 @@
 
 
 def test_a_rental_whose_response_is_lost_in_a_crash_is_used() -> None:
-    deployment = started(452)
+    deployment = start_deployment(452)
     execute = deployment.cloud.execute
     unanswered: list[str] = []
 
--- a/tests/fakes/nodes.py
+++ b/tests/fakes/nodes.py
@@ -65,14 +65,14 @@
         self.in_production = set(self.names) if in_production else set()
         self.controllers: dict[str, Controller | None] = dict.fromkeys(self.names)
         #: speed of each node's steady clock
-        self.drift = {
+        self.clock_rate = {
             name: 1.0 + deployment.rng.uniform(-MAX_DRIFT, MAX_DRIFT) for name in self.names
         }
         #: nodes that stand still while time passes, and until when
         self._frozen_until: dict[str, float] = {}
         #: carries a request of a controller out, by its number; a test may put another function
         #: in its place
-        self.carry_out: Callable[[Controller, int, Any], None] = self._carry_out
+        self.execute_request: Callable[[Controller, int, Any], None] = self._carry_out
         #: called with a node and what it is about to hand to the network
         self.on_output: Callable[[OutputKind, str, Any], None] | None = None
 
@@ -162,7 +162,7 @@
 
     def _steady_time(self, name: str) -> float:
         offset_s = CLOCK_OFFSET_S * self.names.index(name)
-        return self._deployment.now * self.drift[name] + offset_s
+        return self._deployment.now * self.clock_rate[name] + offset_s
 
     def set_time(self, controller: Controller) -> None:
         """Set a controller's clocks to this moment."""
@@ -208,12 +208,12 @@
                 self._report(OutputKind.REQUEST, name, request)
                 late = functools.partial(self._carry_out_late, controller, number, request)
                 if not self.postpone(name, late):
-                    self.carry_out(controller, number, request)
+                    self.execute_request(controller, number, request)
 
     def _carry_out_late(self, controller: Controller, number: int, request: Any) -> None:
         """Carry out a request that was made before a pause."""
         if self.controllers.get(controller.context.node) is controller:
-            self.carry_out(controller, number, request)
+            self.execute_request(controller, number, request)
 
     def _carry_out(self, controller: Controller, number: int, request: Any) -> None:
         deployment, node = self._deployment, controller.context.node
--- a/tests/fakes/rules.py
+++ b/tests/fakes/rules.py
@@ -87,7 +87,7 @@
             self.violations.append(f"went_back: {job} cancelled by nobody")
         self._judge_orphan(job, state)
         if state == JobState.DONE:
-            undone = self._deployment.tasks.undone(job)
+            undone = self._deployment.tasks.unfinished_tasks(job)
             if undone:
                 self.violations.append(f"not_done: {job} lacks {undone}")
         self._record_state(job, state)
--- a/tests/recorder.py
+++ b/tests/recorder.py
@@ -27,8 +27,8 @@
         self.delayed_reads: list[DelayedRead] = []
         self.delays_reads = False
         self._node = node
-        self._carry_out = deployment.nodes.carry_out
-        deployment.nodes.carry_out = self._record
+        self._carry_out = deployment.nodes.execute_request
+        deployment.nodes.execute_request = self._record
 
     def _record(self, controller: Controller, number: int, request: Any) -> None:
         if controller.context.node == self._node:
@@ -51,7 +51,7 @@
             isinstance(request, Get) and request.key in job_keys for request in self.requests
         )
 
-    def count_outside(self) -> int:
+    def count_store_and_cloud_requests(self) -> int:
         """How many requests went to the store or the cloud."""
         return sum(
             not isinstance(request, (PeerRequest, InspectAgent)) for request in self.requests
