--- a/marblestair/net/http_server.py
+++ b/marblestair/net/http_server.py
@@ -261,7 +261,9 @@
         self.connections: set[Connection] = set()
         self._max_connections = max_connections
         self._idle_timeout_s = idle_timeout_s
-        self._refuse_users_above = max_connections if refuse_users_above is None else refuse_users_above
+        self._refuse_users_above = (
+            max_connections if refuse_users_above is None else refuse_users_above
+        )
         self._server: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> None:
