--- a/tests/core/capacity/test_rentals.py
+++ b/tests/core/capacity/test_rentals.py
@@ -18,13 +18,13 @@
     deployment.cloud.is_down = True
     job = deployment.users.submit(job_spec(1, task_count=6, estimated_run_s=30.0))
     # Kill every node after the intents were written and before the cloud responded.
-    assert deployment.run_until(lambda: bool(store.keys_with(keys.RENTAL_INTENTS)), 10.0)
+    assert deployment.run_until(lambda: bool(store.keys_with_prefix(keys.RENTAL_INTENTS)), 10.0)
     deployment.nodes.kill_all(restart_after_s=1.0)
     deployment.cloud.is_down = False
     assert deployment.users.wait_until_done(job, 200.0)
     deployment.run(120.0)
     assert not deployment.serving_agents
-    assert not store.keys_with(keys.RENTAL_INTENTS)
+    assert not store.keys_with_prefix(keys.RENTAL_INTENTS)
     assert not deployment.rules.violations
 
 
@@ -44,7 +44,7 @@
     endless = [progress_pages.DirtyPage(next(iter(shard.slices.values())), 0)]
     monkeypatch.setattr(progress_pages, "dirty_pages", lambda shard, now: endless)
     deployment.run(60.0)
-    assert not deployment.store.keys_with(f"{keys.RENTAL_INTENTS}0/r-0-")
+    assert not deployment.store.keys_with_prefix(f"{keys.RENTAL_INTENTS}0/r-0-")
     assert not deployment.rules.violations
 
 
@@ -82,7 +82,7 @@
     assert bool(sent) is is_sent
     assert len(deployment.agents) == (40 if is_sent else 0)
     # None is left behind.
-    assert not deployment.store.keys_with(f"{keys.RENTAL_INTENTS}0/r-1-9")
+    assert not deployment.store.keys_with_prefix(f"{keys.RENTAL_INTENTS}0/r-1-9")
     assert not deployment.rules.violations
 
 
--- a/tests/core/jobs/test_cancellations_without_store.py
+++ b/tests/core/jobs/test_cancellations_without_store.py
@@ -19,10 +19,10 @@
 from tests.fakes.simulated_deployment import SimulatedDeployment
 from tests.helpers import (
     agents_running,
-    poll_job,
+    leader_of_most_machines,
     leaders_running,
-    main_leader,
     manager_of,
+    poll_job,
     start_deployment,
 )
 
@@ -128,7 +128,7 @@
     other_job = users.submit(job_spec(1, team="blue", task_count=9, estimated_run_s=60.0))
     job = users.submit(job_spec(2, task_count=9, estimated_run_s=300.0))
     deployment.run(16.0)
-    refused = main_leader(deployment, job)
+    refused = leader_of_most_machines(deployment, job)
     starts = tasks.starts_of(other_job)
     assert len(starts) == 9
     deployment.store.refused_nodes.add(refused)
--- a/tests/core/jobs/test_dependencies.py
+++ b/tests/core/jobs/test_dependencies.py
@@ -17,7 +17,7 @@
 )
 from tests.fakes.samples import job_spec
 from tests.helpers import led_shards, start_deployment
-from tests.recorder import Recorder
+from tests.recorder import RequestRecorder
 
 
 def test_a_pipeline_of_four_stages_runs_from_submission_to_done() -> None:
@@ -78,7 +78,7 @@
     # The other node's watch lags behind.
     deployment.store_link.watch_lag_s["n1"] = 3.0
     deployment.network.dropped_tags |= set() if is_announced else {"record"}
-    recorder = Recorder(deployment, "n1")
+    recorder = RequestRecorder(deployment, "n1")
     parent = job_spec(1)
     assert submit_once(deployment, "n0", parent).status == 201
     deployment.run(0.1)
@@ -151,7 +151,7 @@
 
 def test_ids_that_nobody_submitted_do_not_use_up_the_rate_of_the_store() -> None:
     deployment = start_deployment()
-    recorder = Recorder(deployment, "n0")
+    recorder = RequestRecorder(deployment, "n0")
     unknown = [f"job-{number}" for number in range(900_000, 901_000)]
     for number in range(100, 140):
         deployment.users.request("n0", "submit", job_spec(number, depends_on=unknown))
--- a/tests/core/jobs/test_dependency_cancellations.py
+++ b/tests/core/jobs/test_dependency_cancellations.py
@@ -37,7 +37,7 @@
     assert not any(tasks.has_started(spec.id) for spec in descendants)
     # Nothing of them is left but their final states.
     deployment.run(3.0)
-    assert not deployment.store.keys_with(keys.JOBS)
+    assert not deployment.store.keys_with_prefix(keys.JOBS)
     assert not deployment.rules.violations
 
 
--- a/tests/core/leadership/test_pauses.py
+++ b/tests/core/leadership/test_pauses.py
@@ -20,7 +20,7 @@
 from tests.fakes.samples import job_spec
 from tests.fakes.simulated_deployment import SimulatedDeployment
 from tests.helpers import leader_of, manager_of, start_deployment
-from tests.recorder import Recorder
+from tests.recorder import RequestRecorder
 
 
 def is_commit(kind: OutputKind, output: Any) -> bool:
@@ -204,7 +204,7 @@
     job = deployment.users.submit(job_spec(1, task_count=30, estimated_run_s=120.0))
     deployment.run(20.0)
     node = manager_of(deployment, job)
-    recorder = Recorder(deployment, node)
+    recorder = RequestRecorder(deployment, node)
     deployment.run(10.0)
     usual = recorder.count_store_and_cloud_requests()
     assert usual > 0
--- a/tests/core/shard/test_heartbeat_duplicates.py
+++ b/tests/core/shard/test_heartbeat_duplicates.py
@@ -46,7 +46,7 @@
             deployment.agent_link.deliver_duplicate(name, heartbeat)
             deployment.run(0.3)
     deployment.run(5.0)
-    assert not deployment.store.keys_with(keys.MACHINES)
+    assert not deployment.store.keys_with_prefix(keys.MACHINES)
     assert not deployment.rules.violations
 
 
--- a/tests/core/state/test_store_limits.py
+++ b/tests/core/state/test_store_limits.py
@@ -103,7 +103,7 @@
     submit_all(deployment, *specs)
     assert wait_until_all_done(deployment, specs, 400.0)
     deployment.run(10.0)
-    assert not deployment.store.keys_with(keys.JOBS)
+    assert not deployment.store.keys_with_prefix(keys.JOBS)
     assert not deployment.store.oversized_commits
     assert not deployment.rules.violations
 
@@ -149,7 +149,9 @@
 
 
 def test_no_record_outgrows_a_value() -> None:
-    deployment = start_deployment(10, state=dict(rps=100.0, write_rps=40.0, value_kb=0.5, txn_ops=8))
+    deployment = start_deployment(
+        10, state=dict(rps=100.0, write_rps=40.0, value_kb=0.5, txn_ops=8)
+    )
     # A description that leaves no space for the slices is refused for good, at every node.
     types = [f"type-{number:04d}-{'x' * 20}" for number in range(40)]
     spec = job_spec(1, machine_types=[*types, "t8"])
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -58,7 +58,7 @@
     return [leader_of_machine(deployment, agent.name) for agent in agents_running(deployment, job)]
 
 
-def main_leader(deployment: SimulatedDeployment, job: str) -> str:
+def leader_of_most_machines(deployment: SimulatedDeployment, job: str) -> str:
     """The node that leads the machines which run most of a job."""
     nodes = leaders_running(deployment, job)
     return max(sorted(nodes), key=nodes.count)
--- a/tests/scenarios/test_best_effort_scale.py
+++ b/tests/scenarios/test_best_effort_scale.py
@@ -89,6 +89,6 @@
     assert all(users.wait_until_done(spec.id, 60.0) for spec in specs)
     # A record, its end (two keys) and at most a page of progress with its deletion, each.
     assert changes <= 5.5 * len(specs) + 60
-    assert len(store.keys_with(keys.FINAL_STATES)) == len(specs)
+    assert len(store.keys_with_prefix(keys.FINAL_STATES)) == len(specs)
     assert users.state_of(long_job) in ("running", "done")
     assert not deployment.rules.violations
--- a/tests/scenarios/test_overlapping_failures.py
+++ b/tests/scenarios/test_overlapping_failures.py
@@ -30,7 +30,7 @@
         else:
             assert users.wait_until_done(job, 400.0), job
     deployment.run(deployment.cancel_s)
-    assert not rules.unserved()
+    assert not rules.unstarted_and_starved()
     assert not rules.violations
     assert not any(
         agent.live_tasks for agent in deployment.agents.values() if not agent.is_released
