--- a/marblestair/cli.py
+++ b/marblestair/cli.py
@@ -45,7 +45,9 @@
         "--check", metavar="FILE", help="check a settings file (and a policy script), then exit"
     )
     action.add_argument(
-        "--status", metavar="HOST:PORT", help="print the status of the controller at this address"
+        "--status",
+        metavar="HOST:PORT",
+        help="print status of the controller at its cluster address",
     )
     return parser
 
