--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -41,7 +41,7 @@
         ("tune(margin = 'a')", ":1:1:", "must be a number"),
         ("tune(spare_gangs = 1.5)", ":1:1:", "whole number"),
         ("tune(margin = 9)", ":1:1:", "from 0.0 to 5.0"),
-        ("lead(3, 4)", ":1:1:", "must be a text"),
+        ("lead(3, 4)", ":1:1:", "must be a non-empty string, got 3"),
         ("def f():\n    return 1 / 0\nf()", ":2:12:", "division by zero"),
     ],
 )
@@ -79,9 +79,11 @@
     plain, tables = [], []
     for key, value in data.items():
         if isinstance(value, dict):
-            tables.append(f"[{prefix}{key}]\n{to_toml(value, f'{prefix}{key}.')}")
+            tables.append(f"[{prefix}{key}]\n{encode_toml(value, f'{prefix}{key}.')}")
         elif isinstance(value, list) and value and isinstance(value[0], dict):
-            tables += [f"[[{prefix}{key}]]\n{to_toml(item, f'{prefix}{key}.')}" for item in value]
+            tables += [
+                f"[[{prefix}{key}]]\n{encode_toml(item, f'{prefix}{key}.')}" for item in value
+            ]
         else:
             plain.append(f"{key} = {msgspec.json.encode(value).decode()}")
     return "\n".join([*plain, *tables]) + "\n"
