--- a/marblestair/core/jobs/acceptance.py
+++ b/marblestair/core/jobs/acceptance.py
@@ -107,9 +107,7 @@
         if spec.id in self._final_states or spec.id in self._view.jobs:
             return (yield from self._answer_known_job(spec.id))
         if not self._catalog.types:
-            return Outcome(
-                503, UNKNOWN, "no machine types received from the cloud yet", RETRY_AFTER_S
-            )
+            return Outcome(503, UNKNOWN, "machine types are not known yet", RETRY_AFTER_S)
         reason = self._rejection_reason(spec)
         if reason is not None:
             return (yield from self._reject(spec, reason))
@@ -122,13 +120,10 @@
         parents = yield from self._parents.find(spec.depends_on)
         if parents.state is ParentsState.UNDECIDED:
             return Outcome(
-                503,
-                UNKNOWN,
-                f"awaits: state of {parents.deciding_job} is not available",
-                RETRY_AFTER_S,
+                503, UNKNOWN, f"nothing known of {parents.deciding_job} yet", RETRY_AFTER_S
             )
         if parents.state is ParentsState.UNKNOWN:
-            reason = f"awaits: job {parents.deciding_job} was never accepted"
+            reason = f"it awaits {parents.deciding_job}, which was never accepted"
             return (yield from self._reject(spec, reason))
         # The state "done" never changes, so the record needs only the unfinished parents.
         dependent = msgspec.structs.replace(spec, depends_on=parents.unfinished)
@@ -136,9 +131,7 @@
             return (yield from self._accept_cancelled(dependent, parents.deciding_job))
         if self._is_too_large(dependent):
             # A later submission may fit, because some of the parents will be done by then.
-            error = (
-                f"awaits: {len(dependent.depends_on)} unfinished jobs do not fit in a job record"
-            )
+            error = "it awaits more unfinished jobs than can be kept"
             return Outcome(503, UNKNOWN, error, STORE_REFUSED_RETRY_AFTER_S)
         return (yield from self._admit(dependent))
 
@@ -146,16 +139,9 @@
         """Accept a job unless too many submissions are in progress."""
         manager_shard = self._choose_manager_shard()
         if manager_shard is None:
-            return Outcome(
-                503, UNKNOWN, "no shard is available to manage the job", NO_SHARD_RETRY_AFTER_S
-            )
+            return Outcome(503, UNKNOWN, "no part to accept into", NO_SHARD_RETRY_AFTER_S)
         if not self._limiter.try_acquire():
-            return Outcome(
-                429,
-                UNKNOWN,
-                f"too many concurrent submissions: the limit is {self._limiter.limit}",
-                self._limiter.retry_after_s(),
-            )
+            return Outcome(429, UNKNOWN, "too many submissions", self._limiter.retry_after_s())
         try:
             return (yield from self._accept(spec, manager_shard))
         finally:
@@ -165,7 +151,7 @@
         """Return the status of a job that was accepted before."""
         status = yield from self._answers.lookup(job)
         if status is None or status == UNKNOWN:
-            return Outcome(503, UNKNOWN, f"state of {job} is not available", RETRY_AFTER_S)
+            return Outcome(503, UNKNOWN, "state not available", RETRY_AFTER_S)
         return Outcome(200, status)
 
     def _rejection_reason(self, spec: JobSpec) -> str | None:
@@ -175,10 +161,7 @@
         if reason is not None:
             return reason
         if self._is_too_large(msgspec.structs.replace(spec, depends_on=[])):
-            return (
-                "job description is larger than"
-                f" {MAX_SPEC_SHARE * self._context.settings.cluster.state.value_kb:g} KiB"
-            )
+            return "the description is larger than what can be kept"
         return None
 
     def _is_too_large(self, spec: JobSpec) -> bool:
@@ -225,12 +208,7 @@
         record = JobRecord(dated, manager_shard, slices, [])
         for _ in range(MAX_COMMIT_TRIES):
             if not self._leadership.is_authorized(self._context.now):
-                return Outcome(
-                    503,
-                    UNKNOWN,
-                    "controller has no valid lease, or its view of the state is outdated",
-                    RETRY_AFTER_S,
-                )
+                return Outcome(503, UNKNOWN, "no authority", RETRY_AFTER_S)
             swap = self._acceptance_swap(record)
             response: StoreResponse = yield swap
             if response.status == 200:
@@ -240,12 +218,7 @@
                 self._log_accepted(spec, record)
                 return Outcome(201, JobStatus(JobState.QUEUED, 0, 0))
             if response.status == 400:
-                return Outcome(
-                    503,
-                    UNKNOWN,
-                    "state service refused the job record",
-                    STORE_REFUSED_RETRY_AFTER_S,
-                )
+                return Outcome(503, UNKNOWN, "not accepted", STORE_REFUSED_RETRY_AFTER_S)
             if response.status not in (0, 409):
                 break
             # An earlier attempt of this node, or a submission to another node, may have succeeded.
@@ -269,12 +242,7 @@
     def _accept_cancelled(self, spec: JobSpec, parent: str) -> Coroutine[Outcome]:
         """Accept a job with a cancelled parent by recording its final state "cancelled"."""
         if not self._leadership.is_authorized(self._context.now):
-            return Outcome(
-                503,
-                UNKNOWN,
-                "controller has no valid lease, or its view of the state is outdated",
-                RETRY_AFTER_S,
-            )
+            return Outcome(503, UNKNOWN, "no authority", RETRY_AFTER_S)
         final_key = keys.FINAL_STATES + spec.id
         swap = CompareAndSwap(
             [(keys.JOBS + spec.id, 0), (final_key, 0)],
@@ -294,7 +262,7 @@
             status = yield from self._answers.read_status(spec.id)
             if status is not None and status != UNKNOWN:
                 return Outcome(200, status)
-        return Outcome(503, UNKNOWN, "acceptance could not be confirmed", RETRY_AFTER_S)
+        return Outcome(503, UNKNOWN, "not accepted yet", RETRY_AFTER_S)
 
     def _log_accepted(self, spec: JobSpec, record: JobRecord) -> None:
         sizes = {
--- a/marblestair/core/jobs/eligibility.py
+++ b/marblestair/core/jobs/eligibility.py
@@ -17,20 +17,20 @@
     """
     team = teams.get(spec.team)
     if team is None:
-        return f"owner: unknown team {spec.team!r}"
+        return "unknown team"
     options = [machine_type for machine_type in machine_types if _is_allowed(spec, machine_type)]
     options = [machine_type for machine_type in options if machine_type.can_hold(spec.resources)]
     if not options:
-        return "no machine type that builds and room allow has the cpus, gpus and mem_gb for a task"
+        return "a task fits no allowed machine type"
     zones = {
         zone for machine_type in options for zone in machine_type.zones if spec.zone in (None, zone)
     }
     if spec.kind == JobKind.GANG and spec.spread_zones and spec.task_count > 1:
         # At most half of the tasks may be in one zone, and all tasks run at the same time.
         if spec.single_zone or len(zones) < 2:
-            return "scatter: the tasks need two zones, but only one is allowed or available"
+            return "its tasks must lie apart, and there is one zone only"
     if _exceeds_limit(spec, team):
-        return f"tasks that must run together exceed the cpus or gpus limit of team {spec.team}"
+        return "more than the team's limit"
     return None
 
 
--- a/marblestair/core/jobs/user_requests.py
+++ b/marblestair/core/jobs/user_requests.py
@@ -67,9 +67,7 @@
         """Reply with the status of a job."""
         status = yield from self._answers.lookup(job)
         if status is None:
-            outcome = Outcome(
-                503, UNKNOWN, f"the state of {job} is not available now", RETRY_AFTER_S
-            )
+            outcome = Outcome(503, UNKNOWN, "state not available", RETRY_AFTER_S)
         elif status == UNKNOWN:
             outcome = Outcome(404, UNKNOWN, "no such job")
         else:
@@ -97,7 +95,7 @@
                 if status is not None and status.is_final:
                     final = status.state
         if final is None:
-            return Outcome(503, UNKNOWN, f"the cancel of {job} is not confirmed yet", RETRY_AFTER_S)
+            return Outcome(503, UNKNOWN, "not cancelled yet", RETRY_AFTER_S)
         return Outcome(200, JobStatus(final))
 
     def _cancel_live(self, job: str) -> Coroutine[JobState | None]:
