--- a/tests/fakes/test_rules.py
+++ b/tests/fakes/test_rules.py
@@ -110,7 +110,7 @@
 
 def launch_after_cancel(deployment: SimulatedDeployment) -> None:
     confirm_cancel(deployment)
-    deployment.nodes.start_task("n0")
+    deployment.nodes.start("n0")
     controller = deployment.nodes.controller("n0")
     response = HeartbeatResponse(200, 1, [TaskCommand(CommandVerb.START, JOB, 0, 1)])
     controller.receive_heartbeat = lambda heartbeat: response  # type: ignore[method-assign]
