--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests by package, scenarios across packages, and the environment that they run in."""
+"""Tests of each package, scenarios across packages, and their fakes and tools."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
-"""Known failures: the tests named in KNOWN-RED.txt are passed over and printed, and nothing else.
+"""Known failures: pytest expects the tests listed in KNOWN-RED.txt to fail and prints them.
 
-Each line has a test's id, the cause, and the issue, separated by ``|``; three lines at most. A
-listed test that passes, a name that is no test, and a line too many fail the run.
+Each line has the id of a test, the cause and the issue, separated by ``|``; three lines at most.
+The run fails if a listed test passes, an id names no test, or the file has more lines.
 """
 
 from __future__ import annotations
@@ -15,8 +15,14 @@
 KNOWN_FAILURES_FILE = pathlib.Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
 
 
-def known_failures(text: str) -> dict[str, str]:
-    """The listed tests, each with its cause and issue."""
+def parse_known_failures(text: str) -> dict[str, str]:
+    """Parse KNOWN-RED.txt into the id of each test and its cause with the issue.
+
+    Raises
+    ------
+    pytest.UsageError
+        If a line is malformed or there are too many.
+    """
     known: dict[str, str] = {}
     for line in text.splitlines():
         if not line.strip():
@@ -33,18 +39,20 @@
 
 
 def pytest_configure(config: Any) -> None:
-    """Read the list; find whether only some files are to be run.
+    """Read KNOWN-RED.txt and note whether the command line restricts the run to some paths.
 
-    The name of a test in a file that is not run is no mistake then.
+    In a restricted run, the file may list tests of files that do not run.
     """
     config.known_failures = (
-        known_failures(KNOWN_FAILURES_FILE.read_text()) if KNOWN_FAILURES_FILE.exists() else {}
+        parse_known_failures(KNOWN_FAILURES_FILE.read_text())
+        if KNOWN_FAILURES_FILE.exists()
+        else {}
     )
     config.has_path_arguments = list(config.args) != list(config.getini("testpaths"))
 
 
 def pytest_collection_modifyitems(config: Any, items: list[Any]) -> None:
-    """Expect the listed tests to fail, strictly."""
+    """Mark the listed tests as strict expected failures."""
     names = {item.nodeid: item for item in items}
     files = {name.split("::")[0] for name in names}
     for name, why in config.known_failures.items():
@@ -55,6 +63,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: Any, config: Any) -> None:
-    """Print what is passed over."""
+    """Print the listed tests."""
     for name, why in config.known_failures.items():
         terminalreporter.write_line(f"known red, passed over: {name}: {why}")
--- a/tests/fakes/__init__.py
+++ b/tests/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""The simulated environment of the controllers: everything around their cores, and the checks."""
+"""Fakes of everything around the controllers' cores, and the checks of the invariants."""
--- a/tests/fakes/agent.py
+++ b/tests/fakes/agent.py
@@ -1,4 +1,4 @@
-"""An agent of the simulated deployment, on its rented machine, with its tasks."""
+"""A simulated agent: its rented machine, its heartbeats, its lease and its tasks."""
 
 from __future__ import annotations
 
@@ -20,27 +20,28 @@
 if TYPE_CHECKING:
     from tests.fakes.simulated_deployment import SimulatedDeployment
 
-#: pace at which tasks go on
+#: interval at which an agent advances its tasks
 TASK_STEP_S = 0.25
-#: how often an unresponsive agent tries again what it cannot do now
+#: pause after which an unresponsive agent retries what it could not do
 UNRESPONSIVE_RETRY_S = 0.5
-#: pause between two heartbeats: at least, at most
+#: bounds of the random pause between a response and the next heartbeat
 MIN_HEARTBEAT_PAUSE_S, MAX_HEARTBEAT_PAUSE_S = 0.75, 1.25
-#: time after which an agent gives up on a response
+#: time that an agent waits for the response to a heartbeat
 RESPONSE_TIMEOUT_S = 4.0
-#: pause before the next node after a refusal or a timeout
+#: pause before an agent sends to the next node after an error response or a timeout
 NEXT_NODE_PAUSE_S = 1.0
-#: longest pause before the node that a refusal names
+#: bound of the random pause before an agent sends to the leader that a redirect names
 MAX_REDIRECT_PAUSE_S = 0.5
-#: pause before the first heartbeat of a new incarnation: after a lost lease, and after a restart
+#: pause before the first heartbeat of a new incarnation, after an expired lease and (bounds of a
+#: random pause) after a restart
 LEASE_LOST_PAUSE_S = 0.1
 MIN_RESTART_S, MAX_RESTART_S = 0.05, 0.5
-#: class of the jobs whose tasks all fail
+#: job class whose tasks exit with an error as soon as they start
 FAILING_CLASS = "bad"
 
 
 class FakeTask:
-    """A task on an agent's machine."""
+    """One attempt of a task on an agent's machine."""
 
     def __init__(self, job: str, index: int, attempt: int) -> None:
         self.job, self.index, self.attempt = job, index, attempt
@@ -48,21 +49,24 @@
         self.exit_reason = ExitReason.NONE
         self.remaining_s = 0.0
         self.fetch_remaining_s = 0.0
-        #: how long it has waited for the other tasks of its gang
+        #: time that the task has waited for the other tasks of its gang
         self.gang_wait_s = 0.0
 
     def exit(self, reason: ExitReason) -> None:
-        """End the task."""
+        """End the task with an exit reason."""
         self.state, self.exit_reason = TaskState.EXITED, reason
 
     @property
     def is_live(self) -> bool:
-        """Whether the task has not ended."""
+        """Whether the task has not exited."""
         return self.state != TaskState.EXITED
 
 
 class FakeAgent:
-    """One rented machine with its agent."""
+    """A rented machine with its agent.
+
+    Sends heartbeats, holds a lease, executes commands and advances its tasks.
+    """
 
     def __init__(
         self,
@@ -78,40 +82,40 @@
         self.rented_at = deployment.now
         self.is_up = False
         self.is_released = False
-        #: sends nothing, receives nothing, and its tasks stand still
+        #: the agent sends and receives nothing, and its tasks make no progress
         self.is_unresponsive = False
-        #: heartbeats arrive, but their responses and direct commands do not
+        #: heartbeats reach the controllers; responses and direct commands to the agent are lost
         self.inbound_partitioned = False
-        #: heartbeats do not leave, while direct commands arrive
+        #: heartbeats are lost; direct commands reach the agent
         self.outbound_partitioned = False
         self.incarnation, self.sequence, self.fencing_token = 1, 0, 0
         self.tasks: dict[tuple[str, int], FakeTask] = {}
         self.lease_renewed_at = 0.0
-        #: place of the controller that heartbeats go to, counted on and on
+        #: index of the node that heartbeats go to, taken modulo the number of nodes
         self._node_index = 0
-        #: number of the heartbeat whose response counts
+        #: number of the latest heartbeat; responses to earlier ones are ignored
         self._heartbeat_number = 0
-        #: when a spot machine goes, if that is known
+        #: time at which the cloud reclaims a spot machine; None: no reclaim announced
         self.reclaim_at: float | None = None
-        #: whether every task fails at once
+        #: whether each task exits with an error as soon as it starts
         self.fails_tasks = False
 
     @property
     def is_serving(self) -> bool:
-        """Whether the machine is rented and has booted."""
+        """Whether the machine has booted and is not released."""
         return self.is_up and not self.is_released
 
     @property
     def live_tasks(self) -> dict[tuple[str, int], FakeTask]:
-        """Tasks that have not ended, by job and index."""
+        """Tasks that have not exited, by job and index."""
         return {key: task for key, task in self.tasks.items() if task.is_live}
 
     def tasks_of(self, job: str) -> list[FakeTask]:
-        """The tasks of a job that have not ended."""
+        """Return the live tasks of a job."""
         return [task for task in self.live_tasks.values() if task.job == job]
 
     def boot(self) -> None:
-        """Begin to run tasks and to send heartbeats."""
+        """Start to run tasks and to send heartbeats, unless the machine is released."""
         if self.is_released:
             return
         self.is_up = True
@@ -120,31 +124,31 @@
         self.send_heartbeat()
 
     def release(self) -> None:
-        """The cloud takes the machine back; nothing on it goes on."""
+        """Release the machine: all its tasks and its agent end."""
         self.is_released = True
         self.tasks = {}
 
     def hang(self, seconds: float) -> None:
-        """Be unresponsive for some seconds."""
+        """Make the agent unresponsive for some seconds."""
         self.is_unresponsive = True
         self.deployment.schedule(seconds, lambda: setattr(self, "is_unresponsive", False))
 
     def partition_inbound(self, seconds: float) -> None:
-        """Receive nothing for some seconds, while heartbeats arrive."""
+        """Lose everything sent to the agent for some seconds; heartbeats still arrive."""
         self.inbound_partitioned = True
         self.deployment.schedule(seconds, lambda: setattr(self, "inbound_partitioned", False))
 
     def partition_outbound(self, seconds: float) -> None:
-        """Have no heartbeat arrive for some seconds, while direct commands do."""
+        """Lose the agent's heartbeats for some seconds; direct commands still arrive."""
         self.outbound_partitioned = True
         self.deployment.schedule(seconds, lambda: setattr(self, "outbound_partitioned", False))
 
     def end_failures(self) -> None:
-        """Be reached again, and respond again."""
+        """End the partitions of the agent and its unresponsiveness."""
         self.is_unresponsive = self.inbound_partitioned = self.outbound_partitioned = False
 
     def next_heartbeat(self) -> Heartbeat:
-        """A heartbeat of this moment, under the next number."""
+        """Return a heartbeat with the agent's present state and the next sequence number."""
         self.sequence += 1
         tasks = [
             TaskStatus(task.job, task.index, task.attempt, task.state, task.exit_reason)
@@ -167,7 +171,7 @@
         )
 
     def send_heartbeat(self) -> None:
-        """Send a heartbeat, and the next one after its response."""
+        """Send a heartbeat; its response or its timeout schedules the next one."""
         deployment = self.deployment
         if self.is_released:
             return
@@ -195,7 +199,7 @@
     def _receive_response(
         self, response: HeartbeatResponse, node: str, heartbeat: Heartbeat, sent_at: float
     ) -> None:
-        """Take the response to the latest heartbeat, which was sent to a node."""
+        """Handle a node's response to the latest heartbeat."""
         deployment = self.deployment
         self._heartbeat_number += 1
         if self.is_unresponsive:
@@ -224,7 +228,7 @@
     def receive_direct_commands(
         self, fencing_token: int, incarnation: int, commands: Sequence[TaskCommand]
     ) -> None:
-        """Take direct commands, which may be late."""
+        """Execute direct commands, unless the fencing token or the incarnation is outdated."""
         if not self.is_serving:
             return
         if self.is_unresponsive:
@@ -238,12 +242,12 @@
             return
         self.fencing_token = fencing_token
         assert all(command.verb != CommandVerb.START for command in commands), (
-            "a launch by direct command"
+            "a direct command must not start a task"
         )
         self.execute_commands(commands)
 
     def execute_commands(self, commands: Sequence[TaskCommand]) -> None:
-        """Start, stop and forget tasks."""
+        """Execute commands that start or stop tasks or remove exited ones."""
         for command in commands:
             key = (command.job, command.index)
             task = self.tasks.get(key)
@@ -260,7 +264,7 @@
                 del self.tasks[key]
 
     def start_task(self, command: TaskCommand, previous: FakeTask | None) -> None:
-        """Start a task in place of its previous attempt, which must have ended."""
+        """Start a task unless its previous attempt is still live."""
         task_history = self.deployment.tasks
         free = self.free_capacity()
         if previous is not None and previous.is_live:
@@ -280,7 +284,7 @@
         task.fetch_remaining_s = task_history.fetch_s
 
     def free_capacity(self) -> list[int]:
-        """Cpus, gpus and memory that no live task takes, in fixed point."""
+        """Return the cpus, gpus and memory that no live task uses, in fixed point."""
         specs = self.deployment.tasks.specs
         used = [specs[task.job].resources for task in self.live_tasks.values()]
         return [
@@ -292,13 +296,13 @@
         return self.deployment.now - self.lease_renewed_at > self.deployment.lease_s
 
     def _check_lease(self) -> None:
-        """Drop all tasks once the lease is over, and go on as a new incarnation."""
+        """If the lease has expired, drop all tasks and begin a new incarnation."""
         if self._is_lease_expired():
             self._begin_incarnation()
             self.deployment.schedule(LEASE_LOST_PAUSE_S, self.send_heartbeat)
 
     def restart(self) -> None:
-        """Restart within a fraction of a second: a new incarnation, without tasks."""
+        """Restart the agent as a new incarnation without tasks."""
         self._begin_incarnation()
         self.deployment.schedule(
             self.deployment.rng.uniform(MIN_RESTART_S, MAX_RESTART_S), self.send_heartbeat
@@ -311,7 +315,7 @@
         self._heartbeat_number += 1
 
     def _advance(self) -> None:
-        """Let the tasks go on by one step."""
+        """Advance the tasks by one step and schedule the next step."""
         if self.is_released:
             return
         self.deployment.schedule(TASK_STEP_S, self._advance)
@@ -332,14 +336,14 @@
         return self.deployment.tasks.specs[task.job].kind == JobKind.GANG
 
     def _fetch(self, task: FakeTask) -> None:
-        """Fetch the image of a task."""
+        """Advance the fetch of a task's image; afterwards the task waits for its gang or runs."""
         if task.fetch_remaining_s > 0.0:
             task.fetch_remaining_s -= TASK_STEP_S
         else:
             task.state = TaskState.WAITING if self._is_in_gang(task) else TaskState.RUNNING
 
     def _wait_for_gang(self, task: FakeTask) -> None:
-        """Begin to run a gang once all its tasks wait."""
+        """Run a gang once all its tasks wait; end the task when its gang stays incomplete."""
         deployment = self.deployment
         task.gang_wait_s += TASK_STEP_S
         gang = deployment.tasks.gang(task)
@@ -351,7 +355,7 @@
             task.exit(ExitReason.GANG_INCOMPLETE)
 
     def _run(self, task: FakeTask) -> None:
-        """Run a task, unless its gang is not whole."""
+        """Advance a running task; a gang makes progress only while all its members respond."""
         task_history = self.deployment.tasks
         gang = task_history.gang(task) if self._is_in_gang(task) else []
         if self._is_in_gang(task) and (
--- a/tests/fakes/agent_link.py
+++ b/tests/fakes/agent_link.py
@@ -1,4 +1,4 @@
-"""The way between agents and controllers: heartbeats, responses, direct commands, inspections."""
+"""The link between agents and controllers: heartbeats, direct commands and inspections."""
 
 from __future__ import annotations
 
@@ -15,29 +15,29 @@
     from tests.fakes.agent import FakeAgent
     from tests.fakes.simulated_deployment import SimulatedDeployment
 
-#: time after which a controller gives an inspection up
+#: time that a controller waits for the result of an inspection
 INSPECTION_TIMEOUT_S = 1.5
-#: time in which an agent finds that a connection is refused
+#: time until an agent learns that its connection was refused
 CONNECTION_REFUSED_S = 0.001
-#: how late a duplicate of a heartbeat arrives: at least, and at most in leases
+#: bounds of the delay of a duplicated heartbeat: in seconds, and in multiples of the lease
 MIN_DUPLICATE_DELAY_S = 2.0
 MAX_DUPLICATE_DELAY_LEASES = 3.5
-#: what an agent takes a refused connection for
+#: result of a heartbeat whose connection was refused
 CONNECTION_REFUSED = HeartbeatResponse(0)
 
 
 class AgentLink:
-    """Carries what goes between agents and controllers."""
+    """Carries heartbeats, responses, direct commands and inspections over the network."""
 
     def __init__(self, deployment: SimulatedDeployment) -> None:
         self._deployment = deployment
-        #: ratio of heartbeats of which a duplicate arrives late
+        #: ratio of heartbeats that are duplicated; a duplicate arrives late
         self.duplicate_ratio = 0.0
 
     def send_heartbeat(
         self, node: str, heartbeat: Heartbeat, respond: Callable[[HeartbeatResponse], None]
     ) -> None:
-        """Carry a heartbeat to a node, and the response back."""
+        """Send a heartbeat to a node; ``respond`` receives the response."""
         deployment = self._deployment
 
         def deliver() -> None:
@@ -58,7 +58,7 @@
             return
         deployment.network.send(heartbeat.machine, node, deliver)
         if self.duplicate_ratio and deployment.rng.random() < self.duplicate_ratio:
-            # It comes late, at any node, and nobody waits for its response.
+            # The duplicate arrives late at a random node, and its response is discarded.
             other = deployment.rng.choice(deployment.nodes.names)
             delay_s = deployment.rng.uniform(
                 MIN_DUPLICATE_DELAY_S, MAX_DUPLICATE_DELAY_LEASES * deployment.lease_s
@@ -66,7 +66,7 @@
             deployment.schedule(delay_s, lambda: self.deliver_duplicate(other, heartbeat))
 
     def _respond(self, node: str, machine: str, deliver: Callable[[], None]) -> None:
-        """Send a response, once the node does not stand still."""
+        """Send a response to a machine; a frozen node sends it when it resumes."""
         deployment = self._deployment
         if deployment.nodes.defer_while_frozen(node, lambda: self._respond(node, machine, deliver)):
             return
@@ -74,7 +74,7 @@
             deployment.network.send(node, machine, deliver)
 
     def deliver_duplicate(self, node: str, heartbeat: Heartbeat) -> None:
-        """Have a duplicate of a heartbeat arrive at a node; its response goes nowhere."""
+        """Deliver a duplicate of a heartbeat to a node and discard the response."""
         nodes = self._deployment.nodes
         if nodes.defer_while_frozen(node, lambda: self.deliver_duplicate(node, heartbeat)):
             return
@@ -85,7 +85,7 @@
             nodes.flush(node)
 
     def send_commands(self, node: str, direct_commands: list[DirectCommand]) -> None:
-        """Carry direct commands to their agents."""
+        """Send direct commands to their agents."""
         for command in direct_commands:
             agent = self._agent_at(command.address)
             if agent is not None and not agent.inbound_partitioned:
@@ -101,7 +101,7 @@
         )
 
     def inspect(self, node: str, request: InspectAgent, call: PendingCall) -> None:
-        """Ask an agent for a heartbeat at once."""
+        """Request a heartbeat from an agent; ``call`` receives it, or None after a timeout."""
         deployment = self._deployment
         deployment.schedule(INSPECTION_TIMEOUT_S, lambda: call.complete(None))
         agent = self._agent_at(request.address)
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud of a simulated deployment: rents machines, lists them late, takes them back."""
+"""A simulated cloud: rents, lists (with a lag) and releases machines."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 if TYPE_CHECKING:
     from tests.fakes.simulated_deployment import SimulatedDeployment
 
-#: time after which a controller gives a request up
+#: time that a controller waits for a response
 TIMEOUT_S = 4.0
-#: how late a machine is in the list
+#: time after its rental until a machine is listed
 LIST_LAG_S = 5.0
-#: ratios of its type's boot time between which that of a machine is drawn
+#: bounds of the random ratio between the boot time of a machine and that of its type
 MIN_BOOT_RATIO, MAX_BOOT_RATIO = 0.6, 1.5
 
 
@@ -35,16 +35,16 @@
     def __init__(self, deployment: SimulatedDeployment) -> None:
         self._deployment = deployment
         self.is_down = False
-        #: machines that can be rented at a time
+        #: maximum number of machines rented at one time
         self.capacity = 12
         self.machine_types = MACHINE_TYPES
-        #: name of a rental -> the machines that it got
+        #: name of a rental -> names of its machines
         self.rentals: dict[str, list[str]] = {}
-        #: executes a request; a test may put another function in its place
+        #: executes a request; a test may replace it
         self.execute: Callable[[CloudRequest], CloudResponse] = self._execute
 
     def send(self, node: str, request: CloudRequest, call: PendingCall) -> None:
-        """Carry a request of a controller to the cloud, and its response back."""
+        """Send a node's request to the cloud; ``call`` receives the response."""
         deployment = self._deployment
         deployment.schedule(TIMEOUT_S, lambda: call.complete(CloudResponse(0)))
 
@@ -66,7 +66,7 @@
         return CloudResponse(200, listed=self._listed_machines())
 
     def _rent(self, request: RentMachines) -> CloudResponse:
-        """Rent machines; a name that was used already gives the same machines again."""
+        """Rent machines; a repeated rental name returns the machines of the first request."""
         if request.name not in self.rentals:
             rented = sum(not agent.is_released for agent in self._deployment.agents.values())
             count = min(request.count, self.capacity - rented)
@@ -76,7 +76,7 @@
         return CloudResponse(200, machines=self.rentals[request.name])
 
     def _boot_machine(self, request: RentMachines) -> str:
-        """Have one machine boot; its name."""
+        """Create a machine, schedule its boot and return its name."""
         deployment = self._deployment
         machine_type = next(
             kind for kind in self.machine_types if kind.name == request.machine_type
--- a/tests/fakes/event_queue.py
+++ b/tests/fakes/event_queue.py
@@ -1,4 +1,4 @@
-"""Simulated time."""
+"""Simulated time and the events scheduled in it."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 import itertools
 from collections.abc import Callable
 
-#: how often a condition is looked at while time passes
+#: interval at which `run_until` evaluates its condition
 POLL_INTERVAL_S = 0.25
 
 
 class EventQueue:
-    """Carries out actions in the order of their times; of equal times, in the order scheduled."""
+    """Runs scheduled actions by their time; those of one time run in the order scheduled."""
 
     def __init__(self) -> None:
-        #: seconds since the deployment began
+        #: seconds since the start of the simulation
         self.now = 0.0
         self._events: list[tuple[float, int, Callable[[], object]]] = []
         self._numbers = itertools.count()
 
     def schedule(self, delay_s: float, action: Callable[[], object]) -> None:
-        """Have an action carried out after some seconds."""
+        """Schedule an action after a delay."""
         heapq.heappush(self._events, (self.now + delay_s, next(self._numbers), action))
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the time and run the actions that become due."""
         end = self.now + seconds
         while self._events and self._events[0][0] <= end:
             at, _, action = heapq.heappop(self._events)
@@ -33,7 +33,7 @@
         self.now = end
 
     def run_until(self, condition: Callable[[], bool], timeout_s: float) -> bool:
-        """Let time pass until a condition holds; whether it does in the end."""
+        """Advance the time until a condition holds or the timeout; return whether it holds."""
         end = self.now + timeout_s
         while self.now < end:
             if condition():
--- a/tests/fakes/nodes.py
+++ b/tests/fakes/nodes.py
@@ -1,4 +1,4 @@
-"""The controllers' processes: starts, ends, pauses, and what goes into and out of their cores."""
+"""The simulated processes of the controllers: lifecycle, clocks, and inputs and outputs."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
 if TYPE_CHECKING:
     from tests.fakes.simulated_deployment import SimulatedDeployment
 
-#: pause between two ticks of a controller
+#: interval between two ticks of a controller
 TICK_S = 0.2
-#: by how much clocks run too fast or too slow, at most
+#: bound of the relative error in the rate of a node's steady clock
 MAX_CLOCK_DRIFT_FRACTION = 0.0005
-#: by how much the steady clocks of two nodes differ
+#: offset between the steady clocks of one node and the next
 CLOCK_OFFSET_PER_NODE_S = 100
 
 CLOUD_REQUESTS = (ListMachineTypes, RentMachines, ReleaseMachines, ListMachines)
 
 
 class OutputKind(enum.StrEnum):
-    """What a node is about to hand to the network."""
+    """A kind of output that a node hands to the network."""
 
     REQUEST = "request"
     HEARTBEAT_RESPONSE = "heartbeat response"
@@ -45,14 +45,14 @@
 
 
 class SentReply(NamedTuple):
-    """A reply to another controller, and the tag of the message that it answers."""
+    """A reply to another controller, and the tag of the request that it answers."""
 
     tag: str
     value: Any
 
 
 class SimulatedNodes:
-    """Runs the controllers, each with a clock of its own."""
+    """Runs the controllers' processes, each with its own clock."""
 
     def __init__(
         self, deployment: SimulatedDeployment, count: int, in_production: bool, **cluster: Any
@@ -61,51 +61,50 @@
         self.names = [f"n{index}" for index in range(count)]
         self._raw_settings = [raw_node_settings(index, count, **cluster) for index in range(count)]
         self.settings = [node_settings(index, count, **cluster) for index in range(count)]
-        #: nodes that start with the version in production
+        #: nodes whose next start runs the version in production
         self.in_production = set(self.names) if in_production else set()
         self.controllers: dict[str, Controller | None] = dict.fromkeys(self.names)
-        #: speed of each node's steady clock
+        #: node -> rate of its steady clock, relative to simulated time
         self.clock_rate = {
             name: 1.0 + deployment.rng.uniform(-MAX_CLOCK_DRIFT_FRACTION, MAX_CLOCK_DRIFT_FRACTION)
             for name in self.names
         }
-        #: nodes that stand still while time passes, and until when
+        #: frozen node -> time at which it resumes
         self._frozen_until: dict[str, float] = {}
-        #: carries a request of a controller out, by its number; a test may put another function
-        #: in its place
+        #: executes a controller's request, given its number; a test may replace it
         self.execute_request: Callable[[Controller, int, Any], None] = self._execute_request
-        #: called with a node and what it is about to hand to the network
+        #: called with each output that a node is about to hand to the network
         self.on_output: Callable[[OutputKind, str, Any], None] | None = None
 
     @property
     def raw_settings(self) -> dict[str, Any]:
-        """The settings of the first node, as its file contains them."""
+        """The settings of the first node, as they stand in its settings file."""
         return self._raw_settings[0]
 
     @property
     def running(self) -> list[Controller]:
-        """The controllers that run."""
+        """The running controllers."""
         return [item for item in self.controllers.values() if item is not None]
 
     @property
     def running_names(self) -> list[str]:
-        """The nodes whose controllers run."""
+        """The names of the nodes whose controllers are running."""
         return [name for name in self.names if self.controllers[name] is not None]
 
     def controller(self, name: str) -> Controller:
-        """The controller of a node, which must run; its clock is that of its last input."""
+        """Return a running node's controller, with the time of its last input on its clock."""
         controller = self.controllers[name]
-        assert controller is not None, f"{name} does not run"
+        assert controller is not None, f"the controller of {name} is not running"
         return controller
 
     def current(self, name: str) -> Controller:
-        """The controller of a node, which must run, with its clock at this moment."""
+        """Return a running node's controller, with the present time on its clock."""
         controller = self.controller(name)
         self.set_time(controller)
         return controller
 
     def start(self, name: str) -> None:
-        """Start a controller's process."""
+        """Start the controller process of a node."""
         controller = self._new_controller(name)
         self.controllers[name] = controller
         controller.start()
@@ -123,28 +122,31 @@
         return Controller(self.settings[index], incarnation, own_rng, *clocks)
 
     def kill(self, name: str, restart_after_s: float | None = None) -> None:
-        """End a controller's process; it may start again later."""
+        """Kill the controller process of a node, and restart it after a delay if one is given."""
         self.controllers[name] = None
         if restart_after_s is not None:
             self._deployment.schedule(restart_after_s, lambda: self.start(name))
 
     def kill_all(self, restart_after_s: float) -> None:
-        """End all controllers' processes, which start again together."""
+        """Kill all controller processes and restart them at the same time."""
         for name in self.names:
             self.kill(name, restart_after_s)
 
     def upgrade(self, name: str, restart_after_s: float) -> None:
-        """End a controller's process; it starts again with the present version."""
+        """Kill the controller process of a node and restart it with the present version."""
         self.in_production.discard(name)
         self.kill(name, restart_after_s)
 
     def freeze(self, name: str, seconds: float) -> None:
-        """Have a node stand still: it reads, computes and sends nothing until it goes on."""
+        """Freeze a node: it reads, computes and sends nothing for some seconds."""
         end = self._deployment.now + seconds
         self._frozen_until[name] = max(self._frozen_until.get(name, 0.0), end)
 
     def defer_while_frozen(self, name: str, action: Callable[[], object]) -> bool:
-        """Whether a node stands still; its action then comes when it goes on, in order."""
+        """Defer an action until a frozen node resumes; return whether it was deferred.
+
+        Deferred actions run in the order in which they were deferred.
+        """
         remaining_s = self._frozen_until.get(name, 0.0) - self._deployment.now
         if remaining_s <= 0:
             return False
@@ -166,13 +168,13 @@
         return self._deployment.now * self.clock_rate[name] + offset_s
 
     def set_time(self, controller: Controller) -> None:
-        """Set a controller's clocks to this moment."""
+        """Set a controller's steady and wall clocks to the present time."""
         controller.set_time(
             self._steady_time(controller.context.node), START_WALL_TIME_S + self._deployment.now
         )
 
     def complete(self, controller: Controller, number: int, result: Any) -> None:
-        """Hand the result of a request to the controller that made it, if it still runs."""
+        """Deliver the result of a request to the process that made it, if it still runs."""
         name = controller.context.node
         if self.defer_while_frozen(name, lambda: self.complete(controller, number, result)):
             return
@@ -182,7 +184,7 @@
             self.flush(name)
 
     def flush(self, name: str) -> None:
-        """Carry out what a controller has to be sent."""
+        """Execute a controller's requests and send everything in its outbox."""
         controller = self.controllers[name]
         if controller is None:
             return
@@ -214,7 +216,7 @@
                     self.execute_request(controller, number, request)
 
     def _execute_deferred_request(self, controller: Controller, number: int, request: Any) -> None:
-        """Carry out a request that was made before a pause."""
+        """Execute a request that was deferred while the node was frozen."""
         if self.controllers.get(controller.context.node) is controller:
             self.execute_request(controller, number, request)
 
@@ -234,11 +236,11 @@
             deployment.store_link.send(node, request, call, order)
 
     def report_heartbeat_response(self, node: str, response: HeartbeatResponse) -> None:
-        """Call ``on_output`` with a response that a node is about to send."""
+        """Pass a response that a node is about to send to ``on_output``."""
         self._report(OutputKind.HEARTBEAT_RESPONSE, node, response)
 
     def report_peer_reply(self, node: str, tag: str, value: Any) -> None:
-        """Call ``on_output`` with a reply that a node is about to send."""
+        """Pass a reply that a node is about to send to ``on_output``."""
         self._report(OutputKind.PEER_REPLY, node, SentReply(tag, value))
 
     def _report(self, kind: OutputKind, node: str, value: Any) -> None:
--- a/tests/fakes/peer_link.py
+++ b/tests/fakes/peer_link.py
@@ -1,4 +1,4 @@
-"""The way between controllers: one-way messages, requests and their replies."""
+"""The link between controllers: one-way messages, requests and replies."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 
 class PeerLink:
-    """Carries what goes between controllers, in the form that it has on the wire."""
+    """Carries messages, requests and replies between controllers in wire format."""
 
     def __init__(self, deployment: SimulatedDeployment) -> None:
         self._deployment = deployment
-        #: request -> takes its reply
+        #: request number -> callback that receives the reply
         self._pending: dict[int, Callable[[Any], None]] = {}
-        #: request -> tag of its message
+        #: request number -> tag of the request
         self._tags: dict[int, str] = {}
-        #: has a one-way message arrive; a test may put another function in its place
+        #: delivers a one-way message; a test may replace it
         self.deliver: Callable[[str, str, WireMessage], None] = self._deliver
 
     def send_messages(self, node: str, outgoing: list[OutgoingMessage]) -> None:
-        """Carry one-way messages of a node."""
+        """Send a node's one-way messages, except those with a dropped tag."""
         network = self._deployment.network
         for item in outgoing:
             message = encode(item.message)
@@ -51,7 +51,7 @@
             nodes.flush(node)
 
     def request(self, node: str, request: PeerRequest, call: PendingCall) -> None:
-        """Carry a request of a node to another, and the reply back."""
+        """Send a node's request to another node; ``call`` receives the reply."""
         deployment = self._deployment
         deployment.schedule(request.timeout_s, lambda: call.complete(None))
         dropped_tags = deployment.network.dropped_tags
@@ -78,14 +78,14 @@
         deployment.network.send(node, request.node, arrive)
 
     def expect_reply(self, receive: Callable[[Any], None], tag: str) -> int:
-        """The number of a new request, whose reply is to go to a function."""
+        """Register a callback for the reply to a new request; return the request number."""
         number = next(self._deployment.request_numbers)
         self._pending[number] = receive
         self._tags[number] = tag
         return number
 
     def send_replies(self, node: str, replies: list[PeerReply]) -> None:
-        """Carry replies of a node to who asked."""
+        """Send a node's replies to the requesters."""
         for reply in replies:
             receive = self._pending.pop(reply.request_id, None)
             if receive is not None:
--- a/tests/fakes/peer_wire.py
+++ b/tests/fakes/peer_wire.py
@@ -1,4 +1,4 @@
-"""Messages between controllers as they are on the wire, also those of the version in production."""
+"""Encoding and delivery of messages between controllers of either version."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 def encode(message: PeerMessage) -> WireMessage:
-    """A message as it goes over the wire; one of production's is that already."""
+    """Encode a message; messages of the version in production are encoded already."""
     if isinstance(message, WireMessage):
         return message
     return WireMessage(tag_of(message), wire_round_trip(arguments_of(message)))
 
 
 def deliver(controller: Any, sender: str, message: WireMessage) -> None:
-    """A one-way message arrives at a controller."""
+    """Decode a one-way message and pass it to a controller."""
     if isinstance(controller, ProductionController):
         controller.receive_message(sender, message.tag, message.arguments)
         return
@@ -37,7 +37,7 @@
 
 
 def deliver_request(controller: Any, request: int, sender: str, message: WireMessage) -> None:
-    """A request arrives at a controller."""
+    """Decode a request and pass it to a controller."""
     if isinstance(controller, ProductionController):
         controller.receive_request(request, sender, message.tag, message.arguments)
     else:
--- a/tests/fakes/pending_call.py
+++ b/tests/fakes/pending_call.py
@@ -1,4 +1,4 @@
-"""A request of a controller's coroutine that has not been answered yet."""
+"""A pending request of a controller's coroutine."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class PendingCall:
-    """Completes one request of a controller's coroutine; only the first result counts."""
+    """Completes one request of a controller's coroutine; later results are ignored."""
 
     def __init__(self, nodes: SimulatedNodes, controller: Controller, number: int) -> None:
         self.is_completed = False
@@ -20,7 +20,7 @@
         self._number = number
 
     def complete(self, result: Any) -> None:
-        """Hand a result to the controller."""
+        """Pass a result to the controller, unless the request is completed."""
         if not self.is_completed:
             self.is_completed = True
             self._nodes.complete(self._controller, self._number, result)
--- a/tests/fakes/production.py
+++ b/tests/fakes/production.py
@@ -1,9 +1,9 @@
-"""The version in production, loaded from the repository's history beside the present one.
+"""Loads the version in production from the repository's history beside the present version.
 
-``deploy/service.toml`` names its commit. Its package is imported under the same names as the
-present one, in turn: while it is being loaded, and while it imports something later, its modules
-stand in ``sys.modules``. What crosses to the outside is translated by the names of its structs;
-what goes between controllers or into the state service passes as bytes, as on the wire.
+``deploy/service.toml`` names its commit. Both versions use the same module names: while
+production's package is loaded, and whenever it imports a module later, its modules replace the
+present ones in ``sys.modules``. Structs that a core exchanges with its environment are translated
+by name. Messages between controllers and values in the state service keep production's encoding.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
 PACKAGE = "marblestair"
-#: structs that cross between a core and what is around it: their names in production, and now
+#: structs exchanged between a core and its environment: name in production -> present name
 STRUCTS = {
     "core.calls.Get": "core.runtime.store_requests.Get",
     "core.calls.ListKeys": "core.runtime.store_requests.ListKeys",
@@ -67,22 +67,22 @@
     "core.split.MachineRecord": "core.state.records.MachineRecord",
     "core.fleet.RentalIntent": "core.state.records.RentalIntent",
 }
-#: names now -> names in production
+#: present name of a struct -> its name in production
 PRODUCTION_STRUCTS = {present: old for old, present in STRUCTS.items()}
 
 
 class HistoryError(Exception):
-    """The repository's history lacks the version in production: its tests cannot be run."""
+    """The repository's history lacks the commit in production, so its tests cannot run."""
 
 
 def commit() -> str:
-    """The commit in production, as the deploy file names it."""
+    """Return the commit in production, as named in the deploy file."""
     with open(ROOT / "deploy" / "service.toml", "rb") as file:
         return str(tomllib.load(file)["production"])
 
 
 def _extract(directory: str) -> None:
-    """Write production's package below a directory."""
+    """Extract production's package into a directory."""
     found = subprocess.run(
         ["git", "archive", "--format=tar", commit(), PACKAGE],
         cwd=ROOT,
@@ -109,7 +109,7 @@
 
     def __init__(self) -> None:
         self._modules: dict[str, ModuleType] = {}
-        # It stays for as long as the process runs: some imports come late.
+        # The directory must exist while the process runs: production imports some modules late.
         self._directory = tempfile.TemporaryDirectory()
         _extract(self._directory.name)
         with self.active():
@@ -118,10 +118,10 @@
             self._resolve_structs()
 
     def _resolve_structs(self) -> None:
-        """Have the decoders of production's structs built while its own modules can be found.
+        """Build the decoders of production's structs while its modules are in ``sys.modules``.
 
-        msgspec looks annotations up by the name of a struct's module, when it first decodes one;
-        later it would find the present module of that name, or none.
+        msgspec resolves a struct's annotations through its module name when it first decodes the
+        struct. Later it would find the present module of that name, or none.
         """
         for module in _own_modules().values():
             for value in list(vars(module).values()):
@@ -130,7 +130,7 @@
 
     @contextlib.contextmanager
     def active(self) -> Iterator[None]:
-        """Have imports find production's modules instead of the present ones."""
+        """Replace the present modules by production's in ``sys.modules`` within the context."""
         present = _own_modules()
         for name in present:
             del sys.modules[name]
@@ -147,11 +147,11 @@
             sys.modules.update(present)
 
     def module(self, name: str) -> Any:
-        """One of production's modules, by its name within the package."""
+        """Return one of production's modules by its name within the package."""
         return self._modules[f"{PACKAGE}.{name}"]
 
     def translate(self, value: Any) -> Any:
-        """A value of the present version as production's, its structs by their names."""
+        """Convert a value of the present version into production's structs."""
         return _translate_structs(value, self._production_struct)
 
     def _production_struct(self, present: type) -> Any:
@@ -159,19 +159,25 @@
         return getattr(self.module(module), name)
 
     def settings(self, raw: dict[str, Any]) -> Any:
-        """Settings as production reads them."""
+        """Parse raw settings with production's parser."""
         with self.active():
             return self.module("settings").parse(raw)
 
 
 @functools.cache
 def load() -> Production:
-    """The version in production; HistoryError when the history lacks it."""
+    """Load the version in production once.
+
+    Raises
+    ------
+    HistoryError
+        If the repository's history lacks its commit.
+    """
     return Production()
 
 
 def to_present(value: Any) -> Any:
-    """A value of production as the present version's, its structs by their names."""
+    """Convert a value of production into the present version's structs."""
     return _translate_structs(value, _present_struct)
 
 
@@ -180,25 +186,26 @@
 
 
 def present_struct(old: str) -> Any:
-    """The present struct in place of one of production, which is named with its module."""
+    """Return the present struct for a name in ``STRUCTS``."""
     module, _, name = STRUCTS[old].rpartition(".")
     return getattr(sys.modules[f"{PACKAGE}.{module}"], name)
 
 
 def _full_name(struct: type) -> str:
-    """The name of a struct within the package."""
+    """Return a struct's module and name within the package."""
     return f"{struct.__module__[len(PACKAGE) + 1 :]}.{struct.__name__}"
 
 
 def _modules(names: Iterable[str]) -> list[str]:
-    """The modules of some structs, each once."""
+    """Return the modules of some structs, without duplicates."""
     return list(dict.fromkeys(name.rpartition(".")[0] for name in names))
 
 
 def _translate_structs(value: Any, other_struct: Callable[[type], Any]) -> Any:
-    """A value with its structs replaced by those of the other version, field by field.
+    """Convert all structs in a value into those of the other version, field by field.
 
-    Fields may have other names, but stand in the same order; the longer form has more at its end.
+    Fields are matched by position, since their names may differ. A version may have additional
+    fields at the end of a struct.
     """
     if isinstance(value, list):
         return [_translate_structs(item, other_struct) for item in value]
@@ -207,7 +214,7 @@
     if not isinstance(value, msgspec.Struct):
         return value
     kind = other_struct(type(value))
-    # What is put into the state service is encoded by whoever puts it.
+    # The value of a Put stays as it is: each version encodes its own stored records.
     is_put = Put in (type(value), kind)
     fields = {}
     for name, other_name in zip(value.__struct_fields__, kind.__struct_fields__, strict=False):
@@ -218,7 +225,7 @@
 
 
 class _Requests:
-    """The requests of a production core's coroutines, as the present version's."""
+    """Presents the requests of a production core's coroutines as the present version's."""
 
     def __init__(self, runner: Any) -> None:
         self._runner = runner
@@ -234,14 +241,14 @@
 
 def _present_request(call: Any) -> Any:
     if type(call).__name__ == "PeerCall":
-        # What goes to another controller passes as it is on the wire.
+        # Requests to other controllers keep production's wire format.
         message = WireMessage(call.tag, wire_round_trip(call.args))
         return PeerRequest(call.node, message, call.timeout_s)
     return to_present(call)
 
 
 class _Outbox:
-    """The outputs of a production core, as the present version's."""
+    """Presents the outputs of a production core as the present version's outbox."""
 
     def __init__(self, core: Any) -> None:
         self._core = core
@@ -293,7 +300,7 @@
 
 
 class ProductionController:
-    """A controller of the version in production, as the simulated environment drives one."""
+    """Adapts a controller of the version in production to the present controller's interface."""
 
     def __init__(
         self, raw: dict[str, Any], incarnation: int, rng: random.Random, now: float, wall: float
@@ -317,7 +324,7 @@
 
     @property
     def scheduling_services(self) -> Any:
-        """Counts of migrations, by the present names."""
+        """The counts of slice migrations under their present names."""
         slice_migrations = SimpleNamespace(completed_count=self.core.migrations.done)
         return SimpleNamespace(slice_migrations=slice_migrations)
 
@@ -330,32 +337,32 @@
         self.core.set_time(now, wall)
 
     def tick(self) -> None:
-        """Do what is due."""
+        """Run the controller's periodic work."""
         self.core.tick()
 
     def complete(self, call: int, result: Any) -> None:
-        """Hand over the result of a request."""
+        """Pass the result of a request to the controller."""
         if isinstance(result, msgspec.Struct):
             self.core.complete(call, self._production.translate(result))
         else:
             self.core.complete(call, wire_round_trip(result))
 
     def receive_heartbeat(self, heartbeat: Any) -> HeartbeatResponse:
-        """Handle a heartbeat; its response."""
+        """Handle a heartbeat and return the response."""
         status, fencing_token, commands, leader = self.core.report(
             self._production.translate(heartbeat)
         )
         return HeartbeatResponse(status, fencing_token, to_present(commands), leader)
 
     def receive_message(self, node: str, tag: str, args: list[Any]) -> None:
-        """Handle a one-way message of another controller."""
+        """Handle a one-way message from another controller."""
         self.core.note(node, tag, wire_round_trip(args))
 
     def receive_request(self, request: int, node: str, tag: str, args: list[Any]) -> None:
-        """Handle a request of another controller."""
+        """Handle a request from another controller."""
         self.core.peer_request(request, node, tag, wire_round_trip(args))
 
     def request(self, kind: str, number: int, argument: Any) -> None:
-        """Have the controller handle a user's request."""
+        """Handle a user's request of a kind (submit, query or cancel)."""
         handle = getattr(self.core.requests, kind)
         self.core.spawn(handle(number, self._production.translate(argument)))
--- a/tests/fakes/rules.py
+++ b/tests/fakes/rules.py
@@ -1,4 +1,4 @@
-"""The users' rules, judged from the outside: by what users were answered and what ran where."""
+"""Checks of the invariants that users rely on, from replies to users and from running tasks."""
 
 from __future__ import annotations
 
@@ -14,44 +14,44 @@
 if TYPE_CHECKING:
     from tests.fakes.simulated_deployment import SimulatedDeployment
 
-#: pause between two checks of what runs
+#: interval between two checks of the running tasks
 CHECK_INTERVAL_S = 0.25
-#: by how much sums of decimals may exceed a limit
+#: tolerance for rounding when fractional cpus are summed
 MAX_ROUNDING_ERROR_CPUS = 1e-9
-#: time within which every job has to begin
+#: bound of the time from the moment a job can start to its first task start
 MAX_START_DELAY_S = 240.0
 
 
 class FinalAnswer(NamedTuple):
-    """A final state that a user was answered, and its place among all requests and answers."""
+    """The first final state in a reply to a user, and its number among requests and replies."""
 
     state: str
     number: int
 
 
 class RuleChecker:
-    """What a simulated deployment must never show; ``violations`` lists what it did show."""
+    """Checks the invariants of a simulated deployment; ``violations`` lists each breach."""
 
     def __init__(self, deployment: SimulatedDeployment) -> None:
         self._deployment = deployment
         self.violations: list[str] = []
-        #: job -> when its acceptance was first answered
+        #: job -> time of the first reply that accepted it
         self.accepted_at: dict[str, float] = {}
-        #: jobs that users asked to cancel
+        #: jobs for which users requested a cancel
         self.cancel_requested: set[str] = set()
-        #: job -> the state that was answered last
+        #: job -> state in the latest reply
         self.last_state: dict[str, str] = {}
-        #: job -> the final state that was answered first
+        #: job -> first final state in a reply
         self.final_answers: dict[str, FinalAnswer] = {}
-        #: job -> when a user was first answered that it is cancelled
+        #: job -> time of the first reply that it is cancelled
         self.cancel_confirmed_at: dict[str, float] = {}
-        #: job -> when a user was first answered that it is over, done or cancelled
+        #: job -> time of the first reply that it is done or cancelled
         self.final_since: dict[str, float] = {}
         self._waiting_rule = WaitingRule(deployment, self)
 
     @property
     def failures_ended_at(self) -> float | None:
-        """Since when there are no failures, as the test says; jobs' waits are judged since then."""
+        """Time at which the test ended all failures; the waiting rule is checked from then on."""
         return self._waiting_rule.failures_ended_at
 
     @failures_ended_at.setter
@@ -61,14 +61,14 @@
     def check_reply(
         self, kind: str, argument: JobSpec | str, reply: UserReply, number: int | None = None
     ) -> None:
-        """Judge a reply to a request, of which ``number`` is the place among all requests."""
+        """Check a reply to a user's request; ``number`` gives the order among all requests."""
         if number is None:
             number = next(self._deployment.request_numbers)
         job = argument.id if isinstance(argument, JobSpec) else argument
         if kind == "submit":
             self._check_submission(job, reply.status)
         if reply.status == 404 and job in self.accepted_at:
-            self.violations.append(f"forgotten: {job} answered 404")
+            self.violations.append(f"forgotten: accepted {job} was answered with 404")
         if reply.status in (200, 201):
             self._check_state(job, reply.state, number)
 
@@ -76,20 +76,20 @@
         if status in (200, 201):
             self.accepted_at.setdefault(job, self._deployment.now)
         elif status in (400, 422) and job in self.accepted_at:
-            self.violations.append(f"forgotten: {job} refused with {status}")
+            self.violations.append(f"forgotten: accepted {job} was rejected with {status}")
 
     def _check_state(self, job: str, state: str, number: int) -> None:
         if job not in self._deployment.tasks.specs:
-            self.violations.append(f"invented: {job}")
+            self.violations.append(f"invented: state {state} of {job}, which nobody submitted")
             return
         self._check_state_order(job, state, number)
         if state == JobState.CANCELLED and not self.is_cancel_requested(job):
-            self.violations.append(f"went_back: {job} cancelled by nobody")
+            self.violations.append(f"went_back: {job} is cancelled without a request")
         self._check_orphan(job, state)
         if state == JobState.DONE:
             undone = self._deployment.tasks.unfinished_tasks(job)
             if undone:
-                self.violations.append(f"not_done: {job} lacks {undone}")
+                self.violations.append(f"not_done: {job} is reported done, tasks {undone} are not")
         self._record_state(job, state)
 
     def _record_state(self, job: str, state: str) -> None:
@@ -101,10 +101,10 @@
         self.last_state[job] = state
 
     def _check_state_order(self, job: str, state: str, number: int) -> None:
-        """Judge that no answer goes back.
+        """Check that a job does not leave a final state.
 
-        What was requested before a final state was answered may be answered with what was true
-        then; two final states may never differ.
+        A request made before the first reply with a final state may still get an earlier state,
+        which was true when it was made. Two final states must never differ.
         """
         final = self.final_answers.get(job)
         is_final = state in FINAL_STATES
@@ -115,7 +115,7 @@
             self.final_answers[job] = FinalAnswer(state, next(self._deployment.request_numbers))
 
     def ancestors(self, job: str) -> set[str]:
-        """The jobs that a job depends on, directly or through others."""
+        """Return the jobs that a job depends on, directly or transitively."""
         specs = self._deployment.tasks.specs
         found: set[str] = set()
         stack = [job]
@@ -127,28 +127,31 @@
         return found
 
     def is_cancel_requested(self, job: str) -> bool:
-        """Whether users asked to cancel the job or one that it depends on."""
+        """Return whether users requested a cancel of a job or of one of its ancestors."""
         return bool(({job} | self.ancestors(job)) & self.cancel_requested)
 
     def _is_overdue(self, since: float | None) -> bool:
-        """Whether the time that a cancel may take has passed since a moment."""
+        """Return whether more time than a cancel may take has passed since ``since``."""
         return since is not None and self._deployment.now > since + self._deployment.cancel_s
 
     def _check_orphan(self, job: str, state: str) -> None:
-        """Judge that what depends on a cancelled job is not called live for too long."""
+        """Check that dependents of a cancelled job are not reported live after the cancel time."""
         if state not in (JobState.QUEUED, JobState.RUNNING):
             return
         for ancestor in self.ancestors(job):
             if self._is_overdue(self.cancel_confirmed_at.get(ancestor)):
-                self.violations.append(f"orphaned: {job} called {state}, {ancestor} is cancelled")
+                self.violations.append(f"orphaned: {job} is {state}, {ancestor} is cancelled")
 
     def unfinished_dependencies(self, job: str) -> list[str]:
-        """The jobs that a job depends on and of which some task is not done."""
+        """Return the direct dependencies of a job that have tasks which are not done."""
         tasks = self._deployment.tasks
         return [parent for parent in tasks.specs[job].depends_on if not tasks.is_done(parent)]
 
     def _startable_since(self, job: str) -> float:
-        """When a job's tasks could start: accepted, and all that it depends on done."""
+        """Return the time since which a job is accepted and its dependencies are done.
+
+        It is the present time while a dependency is not done.
+        """
         if self.unfinished_dependencies(job):
             return self._deployment.now
         tasks = self._deployment.tasks
@@ -156,24 +159,24 @@
         return max([self.accepted_at[job], *done_at])
 
     def check_commands(self, node: str, commands: Sequence[TaskCommand]) -> None:
-        """Judge the commands in a node's response to a heartbeat."""
+        """Check that a heartbeat response does not start tasks of cancelled jobs."""
         for command in commands:
             if command.verb == CommandVerb.START and command.job in self.cancel_confirmed_at:
-                self.violations.append(f"started_cancelled: {command.job} by {node}")
+                self.violations.append(f"started_cancelled: {command.job} started by {node}")
 
     def check_start(self, agent: FakeAgent, task: FakeTask) -> None:
-        """Judge the start of a task, and record it."""
+        """Record the start of a task and check that it is allowed."""
         self._deployment.tasks.record_start(task, agent.name)
         undone = self.unfinished_dependencies(task.job)
         if undone:
-            self.violations.append(f"too_early: {task.job} starts, {undone} are not done")
+            self.violations.append(f"too_early: {task.job} starts before {undone} are done")
         self._check_runs_once(agent, task)
         self._check_place(agent, task)
         if self._is_overdue(self.cancel_confirmed_at.get(task.job)):
             self.violations.append(f"ran_cancelled: {task.job} starts")
 
     def _check_runs_once(self, agent: FakeAgent, task: FakeTask) -> None:
-        """Judge that no other attempt of a task is live."""
+        """Check that no other attempt of the task is live."""
         for other in self._deployment.tasks.agents_of(task.job):
             previous = other.tasks.get((task.job, task.index))
             if previous is None or previous is task or other.is_released:
@@ -184,7 +187,7 @@
                 )
 
     def _check_place(self, agent: FakeAgent, task: FakeTask) -> None:
-        """Judge that a task may run on this type of machine, in this zone, on spot."""
+        """Check that the job allows the machine's type and zone, and spot machines."""
         spec = self._deployment.tasks.specs[task.job]
         is_wrong_type = (
             spec.machine_types is not None and agent.machine_type.name not in spec.machine_types
@@ -197,10 +200,10 @@
         if spec.single_zone and len(set(zones)) > 1:
             self.violations.append(f"wrong_place: {task.job} in {set(zones)}")
         if spec.spread_zones and zones.count(agent.zone) > (spec.task_count + 1) // 2:
-            self.violations.append(f"wrong_place: {task.job} has too many in {agent.zone}")
+            self.violations.append(f"wrong_place: {task.job} has too many tasks in {agent.zone}")
 
     def zones_of(self, job: str) -> list[str]:
-        """The zone of each live task of a job."""
+        """Return the zone of each live task of a job."""
         return [
             agent.zone
             for agent in self._deployment.tasks.agents_of(job)
@@ -209,7 +212,7 @@
         ]
 
     def check(self) -> None:
-        """Judge what runs, now and from now on."""
+        """Check the running tasks and the store's changes, now and at each interval."""
         deployment = self._deployment
         deployment.schedule(CHECK_INTERVAL_S, self.check)
         self._waiting_rule.check()
@@ -227,44 +230,47 @@
                 self._check_orphaned_task(agent, task)
         for team in deployment.cluster.teams:
             if used_cpus.get(team.name, 0.0) > team.cpu_limit + MAX_ROUNDING_ERROR_CPUS:
-                self.violations.append(f"quota: {team.name} uses {used_cpus[team.name]}")
+                self.violations.append(
+                    f"quota: {team.name} uses {used_cpus[team.name]} cpus of {team.cpu_limit}"
+                )
 
     def _check_orphaned_task(self, agent: FakeAgent, task: FakeTask) -> None:
-        """Judge that no task goes on that the controllers no longer know.
+        """Check that no task runs long after its job ended.
 
-        A user was answered that its job is over, or that one before its job is cancelled, and it
-        runs all the same.
+        The job has ended when a user was told that it is done or cancelled, or that one of its
+        ancestors is cancelled.
         """
-        over = {job: self.cancel_confirmed_at.get(job) for job in self.ancestors(task.job)}
-        over[task.job] = self.final_since.get(task.job)
-        for job, since in over.items():
+        ended_at = {job: self.cancel_confirmed_at.get(job) for job in self.ancestors(task.job)}
+        ended_at[task.job] = self.final_since.get(task.job)
+        for job, since in ended_at.items():
             if self._is_overdue(since):
                 self.violations.append(
-                    f"orphaned: {task.job}/{task.index} on {agent.name}, {job} is over"
+                    f"orphaned: {task.job}/{task.index} on {agent.name}, {job} has ended"
                 )
 
     def unstarted_and_starved(self) -> list[str]:
-        """Jobs that did not begin in time, and classes and teams of which too little is done.
+        """Return the jobs that started too late, and the job classes and teams that starve.
 
-        Too little is less than half of what was accepted and not cancelled.
+        A class or team starves if less than half of its accepted jobs that are not cancelled are
+        done.
         """
         tasks = self._deployment.tasks
-        began: dict[str, float] = {}
+        first_starts: dict[str, float] = {}
         for start in tasks.starts:
-            began.setdefault(start.job, start.at)
+            first_starts.setdefault(start.job, start.at)
         late: list[str] = []
-        is_done: dict[str, list[bool]] = {}
+        completed: dict[str, list[bool]] = {}
         for job in self.accepted_at:
             if self.is_cancel_requested(job):
                 continue
             spec = tasks.specs[job]
             for group in (f"class {spec.job_class}", f"team {spec.team}"):
-                is_done.setdefault(group, []).append(tasks.is_done(job))
+                completed.setdefault(group, []).append(tasks.is_done(job))
             if (
-                began.get(job, self._deployment.now) - self._startable_since(job)
+                first_starts.get(job, self._deployment.now) - self._startable_since(job)
                 > MAX_START_DELAY_S
             ):
                 late.append(f"late: {job}")
         return late + [
-            f"unserved: {group}" for group, done in is_done.items() if 2 * sum(done) < len(done)
+            f"unserved: {group}" for group, done in completed.items() if 2 * sum(done) < len(done)
         ]
--- a/tests/fakes/samples.py
+++ b/tests/fakes/samples.py
@@ -1,4 +1,4 @@
-"""Settings, machine types and jobs of the small deployments that the tests simulate."""
+"""Sample settings, machine types and jobs for small simulated deployments."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from marblestair.core.domain.jobs import JobSpec
 from marblestair.core.domain.machines import MachineType
 
-#: wall-clock time at which a deployment begins
+#: wall-clock time at which a simulated deployment starts
 START_WALL_TIME_S = 1_000_000.0
 
 
 def job_spec(number: int, **changes: Any) -> JobSpec:
-    """A small job, with changes."""
+    """Return the spec of a small job, with some fields changed."""
     base: dict[str, Any] = dict(
         id=f"job-{number:06d}",
         job_class="c",
@@ -41,12 +41,12 @@
 
 
 def node_settings(index: int, count: int = 3, **cluster: Any) -> st.Settings:
-    """Settings of one node of a small deployment."""
+    """Return the parsed settings of one node of a small deployment."""
     return st.parse(raw_node_settings(index, count, **cluster))
 
 
 def raw_node_settings(index: int, count: int = 3, **cluster: Any) -> dict[str, Any]:
-    """The settings of one node, as its file contains them."""
+    """Return the settings of one node as they stand in its settings file."""
     names = [f"n{place}" for place in range(count)]
     base: dict[str, Any] = dict(
         size=count,
@@ -77,22 +77,22 @@
     )
 
 
-#: machine types that the cloud rents
+#: machine types that the simulated cloud offers
 MACHINE_TYPES = [
     MachineType("t4", 4.0, 0.0, 16.0, 50.0, 1.0, 0.4, 0.15, 5.0, ["a", "b"]),
     MachineType("t8", 8.0, 0.0, 32.0, 50.0, 1.0, 0.8, 0.3, 5.0, ["a", "b"]),
 ]
 
-#: the store's limits, and the smaller ones that it will have
+#: the store's present limits, and the announced stricter ones
 STORE_LIMITS_NOW: dict[str, Any] = dict(rps=100.0, write_rps=40.0, value_kb=4.0, txn_ops=12)
 STORE_LIMITS_LATER: dict[str, Any] = dict(value_kb=2.0, txn_ops=4, write_rps=30.0)
 
-#: timing of agents in tests of single components
+#: timing of agents for tests of single components
 AGENT_SETTINGS = st.Workers(
     report_s=1.0, lease_s=10.0, gang_wait_s=30.0, gang_peer_s=5.0, cancel_s=30.0
 )
 
 
 def wait_objective(within_s: float, ratio: float = 0.9) -> dict[str, Any]:
-    """The objective that a ratio of the jobs of class g start within some seconds."""
+    """Return the objective that a ratio of the jobs of class g start within a time."""
     return {"kind": "wait", "class": "g", "within_s": within_s, "share": ratio}
--- a/tests/fakes/simulated_deployment.py
+++ b/tests/fakes/simulated_deployment.py
@@ -1,7 +1,8 @@
 """A simulated deployment: controllers, store, cloud, agents and users.
 
-Time is simulated and every choice comes from one seeded generator, so a test repeats exactly. The
-users' rules are checked at every step: ``rules.violations`` lists what was seen.
+Time is simulated and all randomness comes from one seeded generator, so each run of a test is the
+same. The invariants that users rely on are checked all the time; ``rules.violations`` lists each
+breach.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 from tests.fakes.tasks import TaskHistory
 from tests.fakes.users import SimulatedUsers
 
-#: latest lines of the controllers' logs that are remembered
+#: number of the latest log lines that are kept
 MAX_LOG_LINES = 20_000
 
 
@@ -40,17 +41,17 @@
 
 
 class SimulatedDeployment:
-    """Everything around the controllers' cores, and the checks."""
+    """Runs controllers in a simulated environment and checks their invariants."""
 
     def __init__(
         self, seed: int = 1, nodes: int = 3, *, in_production: bool = False, **cluster: Any
     ) -> None:
         self.rng = random.Random(seed)
         self._events = EventQueue()
-        #: numbers of requests between controllers and of users, in one order
+        #: numbers of the requests between controllers and from users, in one sequence
         self.request_numbers = itertools.count(1)
         self.agents: dict[str, FakeAgent] = {}
-        #: the controllers' logs
+        #: the latest log lines of all controllers
         self.log: collections.deque[LoggedLine] = collections.deque(maxlen=MAX_LOG_LINES)
         self.network = SimulatedNetwork(self._events, self.rng, self._hosts)
         self.nodes = SimulatedNodes(self, nodes, in_production, **cluster)
@@ -69,39 +70,39 @@
 
     @property
     def cluster(self) -> st.Cluster:
-        """The settings that all nodes share."""
+        """The cluster settings, which all nodes share."""
         return self.nodes.settings[0].cluster
 
     @property
     def agent_settings(self) -> st.Workers:
-        """The timing of agents."""
+        """The agents' timing settings."""
         return self.cluster.workers
 
     @property
     def lease_s(self) -> float:
-        """How long an agent's lease lasts."""
+        """Duration of an agent's lease."""
         return self.agent_settings.lease_s
 
     @property
     def cancel_s(self) -> float:
-        """How long a cancelled job may still run."""
+        """Time within which the tasks of a cancelled job must end."""
         return self.agent_settings.cancel_s
 
     @property
     def now(self) -> float:
-        """Seconds since the deployment began."""
+        """Seconds since the start of the deployment."""
         return self._events.now
 
     def schedule(self, delay_s: float, action: Callable[[], object]) -> None:
-        """Have an action carried out after some seconds."""
+        """Schedule an action after a delay."""
         self._events.schedule(delay_s, action)
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the simulated time."""
         self._events.run(seconds)
 
     def run_until(self, condition: Callable[[], bool], timeout_s: float) -> bool:
-        """Let time pass until a condition holds; whether it does in the end."""
+        """Advance the time until a condition holds or the timeout; return whether it holds."""
         return self._events.run_until(condition, timeout_s)
 
     def _hosts(self) -> list[str]:
@@ -109,26 +110,26 @@
 
     @property
     def serving_agents(self) -> list[FakeAgent]:
-        """The agents whose machines are rented and have booted."""
+        """The agents whose machines have booted and are not released."""
         return [agent for agent in self.agents.values() if agent.is_serving]
 
     @property
     def busy_agents(self) -> list[FakeAgent]:
-        """The agents among them that have live tasks."""
+        """The serving agents that have live tasks."""
         return [agent for agent in self.serving_agents if agent.live_tasks]
 
     def append_log(self, node: str, lines: list[LogLine]) -> None:
-        """Remember what a controller logs; an error is a defect."""
+        """Keep a controller's log lines; fail on a line of level error."""
         errors = [line.text for line in lines if line.level == "error"]
         assert not errors, errors
         self.log += [LoggedLine(self.now, node, line.text) for line in lines]
 
     def logged(self, *words: str) -> list[LoggedLine]:
-        """The lines of the controllers' logs that contain all of some words."""
+        """Return the log lines that contain all the given words."""
         return [line for line in self.log if all(word in line.text for word in words)]
 
     def end_failures(self) -> None:
-        """End all failures; what runs goes on, and what does not starts again."""
+        """End all injected failures and start the controllers that are not running."""
         self.network.heal()
         self.store.refused_nodes.clear()
         if self.store.is_down:
--- a/tests/fakes/store.py
+++ b/tests/fakes/store.py
@@ -1,4 +1,4 @@
-"""An in-memory key-value store: versions, leases, watches, limits, outages."""
+"""An in-memory key-value store with versions, leases, watches, limits and outages."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 from marblestair.core.state import keys
 from tests.fakes.event_queue import EventQueue
 
-#: how long a lease outlives its time
+#: time after its expiry until a lease and its keys are deleted
 LEASE_GRACE_S = 0.05
-#: a limit of value sizes or of changes that nothing reaches
+#: limit of value sizes and of changes that is never reached
 UNLIMITED = 1 << 30
-#: keys that a late retry may create anew after their deletion: a membership is dropped like that
-#: of a machine that ended; a progress page says only what is done, which stays true; the name of a
-#: rental intent gives the same machines again, or none
+#: keys that a late retry may create again after their deletion: a machine record is removed again
+#: like that of any ended machine, a progress page holds only completed tasks, which stay completed,
+#: and a rental with a known name returns the same machines or none
 RECREATABLE_PREFIXES = (keys.MACHINES, keys.PROGRESS, keys.RENTAL_INTENTS)
 
 
 class StoredValue(NamedTuple):
-    """The value of a key, the revision of its last change, and the lease it ends with."""
+    """The value of a key, the revision of its last change, and the lease it is bound to."""
 
     value: Any
     version: int
@@ -40,7 +40,7 @@
 
 
 class RequestOrder(NamedTuple):
-    """A process that sends requests, and the place of one of them in the order they were made."""
+    """The process that made a request, and the request's number within that process."""
 
     process: int
     number: int
@@ -48,14 +48,14 @@
 
 @dataclasses.dataclass
 class StoreLease:
-    """A lease that keys are tied to."""
+    """A lease that keys are bound to."""
 
     duration_s: float
     expires_at: float
 
 
 class FakeStore:
-    """Executes requests at once; delays, lost responses and late commits are ``StoreLink``'s."""
+    """Executes requests immediately; ``StoreLink`` adds delays, losses and late commits."""
 
     def __init__(self, events: EventQueue) -> None:
         self._events = events
@@ -64,46 +64,47 @@
         self._changes: list[KeyChange] = []
         self.leases: dict[int, StoreLease] = {}
         self._next_lease_id = 1
-        #: changes that a watch can go back; an older watch is refused, and the keys are read again
+        #: number of changes kept for watches; a watch from an earlier revision gets status 410, and
+        #: the controller lists the keys again
         self.watch_history_limit = 10_000
-        #: most items in one page of a listing
+        #: maximum number of items in one page of a listing
         self.page_limit = 1000
-        #: the latest revision of which the history has lost changes
+        #: latest revision whose changes were removed from the history
         self._compacted_revision = 0
         self.is_down = False
-        #: nodes whose requests are refused
+        #: nodes whose requests get status 503
         self.refused_nodes: set[str] = set()
-        #: changes carried out
+        #: number of committed changes
         self.change_count = 0
-        #: limits of one value in bytes and of one commit in changes
+        #: maximum size of a value, and maximum number of changes in a commit
         self.value_limit_bytes = UNLIMITED
         self.commit_limit = UNLIMITED
-        #: commits that were refused because they exceeded a limit
+        #: descriptions of the commits that were rejected because they exceeded a limit
         self.oversized_commits: list[str] = []
         self.largest_value_bytes = 0
-        #: changes without a precondition on their own key, or carried out after a newer one of the
-        #: same process: the checker reports them as violations
+        #: changes without a precondition on their key, or executed after a newer change of the same
+        #: process; `RuleChecker` reports them as violations
         self.unsafe_changes: list[str] = []
-        #: (key, process) -> number of the latest request that changed the key
+        #: (key, process) -> highest number of a request that changed the key
         self._latest_request: dict[tuple[str, int], int] = {}
 
     def set_limits(self, limits: dict[str, Any]) -> None:
-        """Have these limits of values and commits from now on, named as in the settings."""
+        """Set the limits of values and commits, given by the names of the settings."""
         self.value_limit_bytes = int(limits.get("value_kb", 64) * 1024)
         self.commit_limit = int(limits.get("txn_ops", UNLIMITED))
 
     def start_outage(self) -> None:
-        """Answer all requests with 503 from now on."""
+        """Begin an outage: all requests get status 503."""
         self.is_down = True
 
     def end_outage(self) -> None:
-        """Serve again; all leases have their full time again."""
+        """End the outage and renew all leases for their full duration."""
         self.is_down = False
         for lease in self.leases.values():
             lease.expires_at = self._events.now + lease.duration_s
 
     def put(self, key: str, value: Any, version: int | None = None) -> int:
-        """Store a value past all checks, as of a new revision or of the given one; its version."""
+        """Store a value without any check and return its version (a new revision if None)."""
         if version is None:
             self.revision += 1
             version = self.revision
@@ -111,21 +112,21 @@
         return version
 
     def value(self, key: str) -> Any:
-        """The value of a key that exists."""
+        """Return the value of an existing key."""
         return self.data[key].value
 
     def version(self, key: str) -> int:
-        """The version of a key, or 0."""
+        """Return the version of a key, or 0 if it does not exist."""
         return self.data[key].version if key in self.data else 0
 
     def keys_with_prefix(self, prefix: str) -> list[str]:
-        """The keys with a prefix."""
+        """Return the keys with a prefix."""
         return [key for key in self.data if key.startswith(prefix)]
 
     def execute(
         self, request: StoreRequest, node: str, order: RequestOrder | None = None
     ) -> StoreResponse:
-        """Execute a request of a node, of which ``order`` says when it was made."""
+        """Execute a node's request; ``order`` gives its place in the sender's sequence."""
         self._expire_leases()
         if self.is_down or node in self.refused_nodes:
             return StoreResponse(503)
@@ -175,7 +176,7 @@
         return StoreResponse(200)
 
     def _expire_leases(self) -> None:
-        """Delete the keys of leases whose time is over."""
+        """Delete expired leases and their keys."""
         if self.is_down:
             return
         expired = [
@@ -206,7 +207,7 @@
             self.revision += 1
             self.change_count += request.change_count
         for put in request.puts:
-            # As on the wire: what is stored is a copy made of plain values.
+            # The store holds a decoded copy of plain values, as after transport over the wire.
             value = msgspec.msgpack.decode(msgspec.msgpack.encode(put.value))
             self.data[put.key] = StoredValue(value, self.revision, put.lease_id)
             self._changes.append(KeyChange(put.key, value, self.revision))
@@ -216,7 +217,7 @@
         return StoreResponse(200, revision=self.revision)
 
     def _is_oversized(self, request: CompareAndSwap) -> bool:
-        """Whether a commit exceeds a limit, which is recorded."""
+        """Return whether a commit exceeds a limit, and record it if so."""
         sizes = {put.key: len(msgspec.msgpack.encode(put.value)) for put in request.puts}
         largest = max(sizes.values(), default=0)
         self.largest_value_bytes = max(self.largest_value_bytes, largest)
@@ -226,10 +227,10 @@
         return True
 
     def _check_safety(self, request: CompareAndSwap, order: RequestOrder | None) -> None:
-        """No change may undo a newer one of the same process, however late it comes."""
+        """Record changes that could overwrite a newer change of the same process."""
         guarded = dict(request.preconditions)
         for key in (*(put.key for put in request.puts), *request.deletes):
-            # A fence changes only with the shard map, whose version orders both.
+            # A fence is written only together with the shard map, whose precondition covers it.
             is_fence = key.startswith(keys.FENCES) and keys.SHARD_MAP in guarded
             if key not in guarded and not is_fence:
                 self.unsafe_changes.append(f"unguarded: {key}")
@@ -244,7 +245,7 @@
             self._latest_request[(key, order.process)] = max(order.number, newest)
 
     def changes_after(self, prefix: str, revision: int) -> StoreResponse:
-        """What a watch returns; 410 when the history does not reach back to the revision."""
+        """Return the changes after a revision, or status 410 if some are no longer kept."""
         excess = len(self._changes) - self.watch_history_limit
         if excess > 0:
             self._compacted_revision = self._changes[excess - 1].version
--- a/tests/fakes/store_link.py
+++ b/tests/fakes/store_link.py
@@ -1,4 +1,4 @@
-"""The way from the controllers to the store: delays, lost responses, commits that come late."""
+"""The link between controllers and store, with delays, lost responses and late commits."""
 
 from __future__ import annotations
 
@@ -19,48 +19,48 @@
 if TYPE_CHECKING:
     from tests.fakes.simulated_deployment import SimulatedDeployment
 
-#: time after which a controller gives a request up
+#: time that a controller waits for a response
 TIMEOUT_S = 1.2
-#: time in which a controller finds that the store is cut off
+#: time until a controller learns that it cannot connect to the store
 CONNECT_TIMEOUT_S = 0.3
-#: how often a watch looks for changes
+#: interval at which a pending watch checks for changes
 WATCH_INTERVAL_S = 0.02
-#: how late a commit is carried out that comes late: at least, at most
+#: bounds of the random delay of a late commit
 MIN_LATE_S, MAX_LATE_S = 0.5, 20.0
-#: ratios of the latency between which the time of a request is drawn
+#: bounds of the random ratio between the latency of a request and `latency_s`
 MIN_LATENCY_RATIO, MAX_LATENCY_RATIO = 0.5, 1.5
 
 
 def no_delay(_node: str, _request: object) -> float | None:
-    """Let every request be carried out or answered at once."""
+    """Return None for each request: no delay."""
     return None
 
 
 class StoreLink:
-    """Sends controllers' requests to the store, under the failures that a test sets."""
+    """Carries requests to the store and its responses, with the failures that a test sets."""
 
     def __init__(self, deployment: SimulatedDeployment) -> None:
         self._deployment = deployment
-        #: usual time that a request takes; 0: that of the network
+        #: mean additional latency of a request; 0: only that of the network
         self.latency_s = 0.0
-        #: ratio of requests whose response is lost although they are carried out
+        #: ratio of requests that are executed but whose response is lost
         self.lost_response_ratio = 0.0
-        #: ratio of commits that are carried out late and unanswered
+        #: ratio of commits that are executed late and without a response
         self.late_commit_ratio = 0.0
-        #: how late a commit of a node is carried out, unanswered; None: at once
+        #: delay of a commit of a node, which then gets no response; None: no delay
         self.commit_delay_s: Callable[[str, CompareAndSwap], float | None] = no_delay
-        #: how late the response to a request of a node arrives, which is carried out at once;
-        #: None: soon. Beyond the node's timeout it never does.
+        #: delay of the response to a request of a node, which is executed without delay; None: no
+        #: delay. A response later than the node's timeout has no effect.
         self.response_delay_s: Callable[[str, StoreRequest], float | None] = no_delay
-        #: node -> how late the response to its watch arrives
+        #: node -> delay of the responses to its watches
         self.watch_lag_s: dict[str, float] = {}
 
     def end_failures(self) -> None:
-        """End what is drawn at random; what a test set for single requests stays."""
+        """End the random failures; the delays that a test set per request or node stay."""
         self.latency_s = self.late_commit_ratio = self.lost_response_ratio = 0.0
 
     def watch(self, node: str, request: Watch, call: PendingCall) -> None:
-        """Answer a watch once there are changes, or when its time is over."""
+        """Respond to a watch when there are changes or when its wait time has passed."""
         deployment = self._deployment
         wait_s = request.wait_ms / 1000
         deployment.schedule(wait_s + TIMEOUT_S, lambda: call.complete(StoreResponse(0)))
@@ -82,7 +82,7 @@
     def send(
         self, node: str, request: StoreRequest, call: PendingCall, order: RequestOrder
     ) -> None:
-        """Send a request to the store, and its response back."""
+        """Send a node's request to the store; ``call`` receives the response."""
         deployment = self._deployment
         deployment.schedule(TIMEOUT_S, lambda: call.complete(StoreResponse(0)))
 
@@ -107,7 +107,7 @@
             deployment.network.send(node, STORE, execute)
 
     def _commit_delay_s(self, node: str, request: StoreRequest) -> float | None:
-        """How late a request is carried out; None: at once."""
+        """Return the delay after which a request is executed; None: no delay."""
         if not isinstance(request, CompareAndSwap):
             return None
         delay_s = self.commit_delay_s(node, request)
--- a/tests/fakes/tasks.py
+++ b/tests/fakes/tasks.py
@@ -1,4 +1,4 @@
-"""The jobs of a simulated deployment, and where and when their tasks ran."""
+"""The jobs of a simulated deployment, and the starts and completions of their tasks."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 if TYPE_CHECKING:
     from tests.fakes.agent import FakeAgent, FakeTask
 
-#: run time of a task that was done before
+#: run time of a task that has been completed before
 REPEATED_RUN_S = 0.2
-#: ratios of an array's estimate between which the run time of a task is drawn
+#: bounds of the random ratio between an array task's run time and its job's estimate
 MIN_RUN_RATIO, MAX_RUN_RATIO = 0.5, 1.5
 
 
 class TaskStart(NamedTuple):
-    """A start of a task, as its agent saw it."""
+    """A start of a task on its agent."""
 
     at: float
     job: str
@@ -36,65 +36,65 @@
 
 
 class TaskHistory:
-    """What every job is, what of it started where, and what of it is done."""
+    """Records the spec of each job, the starts of its tasks and their completions."""
 
     def __init__(self, rng: random.Random, events: EventQueue) -> None:
         self._rng = rng
         self._events = events
         self.specs: dict[str, JobSpec] = {}
         self.starts: list[TaskStart] = []
-        #: (job, task index) of tasks that are done
+        #: (job, task index) of completed tasks
         self.done: set[tuple[str, int]] = set()
-        #: when the last task of a job was done
+        #: job -> time of the latest completion of a task
         self.done_at: dict[str, float] = {}
-        #: (job, task index) -> run time, where a test sets it
+        #: (job, task index) -> run time set by a test
         self.run_times_s: dict[tuple[str, int], float] = {}
-        #: time that the fetch of an image takes
+        #: time that an agent takes to fetch an image
         self.fetch_s = 0.0
-        #: job -> the agents, by name, that ever had to start a task of it
+        #: job -> agents, by name, that received a start command for one of its tasks
         self._agents_by_job: dict[str, dict[str, FakeAgent]] = {}
 
     def record_agent(self, job: str, agent: FakeAgent) -> None:
-        """Remember that an agent had to start a task of a job."""
+        """Record that an agent received a start command for a task of a job."""
         self._agents_by_job.setdefault(job, {})[agent.name] = agent
 
     def record_start(self, task: FakeTask, machine: str) -> None:
-        """Remember that a task started on a machine."""
+        """Record the start of a task on a machine."""
         self.starts.append(TaskStart(self._events.now, task.job, task.index, machine, task.attempt))
 
     def record_done(self, task: FakeTask) -> None:
-        """Remember that a task is done."""
+        """Record the completion of a task."""
         self.done.add((task.job, task.index))
         self.done_at[task.job] = self._events.now
 
     def agents_of(self, job: str) -> list[FakeAgent]:
-        """The agents that ever had to start a task of a job."""
+        """Return the agents that received a start command for a task of a job."""
         return list(self._agents_by_job.get(job, {}).values())
 
     def starts_of(self, job: str) -> list[TaskStart]:
-        """The starts of a job's tasks."""
+        """Return the starts of a job's tasks."""
         return [start for start in self.starts if start.job == job]
 
     def has_started(self, job: str) -> bool:
-        """Whether a task of a job started."""
+        """Return whether any task of a job has started."""
         return any(start.job == job for start in self.starts)
 
     def machines_of(self, job: str) -> set[str]:
-        """The machines on which tasks of a job started."""
+        """Return the machines on which tasks of a job started."""
         return {start.machine for start in self.starts if start.job == job}
 
     def is_done(self, job: str) -> bool:
-        """Whether all tasks of a job are done."""
+        """Return whether all tasks of a job are done."""
         return all((job, index) in self.done for index in range(self.specs[job].task_count))
 
     def unfinished_tasks(self, job: str) -> list[int]:
-        """The tasks of a job that are not done."""
+        """Return the indices of a job's tasks that are not done."""
         return [
             index for index in range(self.specs[job].task_count) if (job, index) not in self.done
         ]
 
     def run_time_s(self, job: str, index: int) -> float:
-        """How long a task runs."""
+        """Return the run time of a task."""
         if (job, index) in self.done:
             return REPEATED_RUN_S
         return self.run_times_s.get((job, index)) or self._random_run_time_s(self.specs[job])
@@ -105,7 +105,7 @@
         return spec.estimated_run_s * self._rng.uniform(MIN_RUN_RATIO, MAX_RUN_RATIO)
 
     def gang(self, task: FakeTask) -> list[GangMember]:
-        """The members of a task's gang that are there, of the same attempt."""
+        """Return the waiting or running members of a task's gang, of the same attempt."""
         return [
             GangMember(agent, other)
             for agent in self.agents_of(task.job)
--- a/tests/fakes/test_production.py
+++ b/tests/fakes/test_production.py
@@ -1,4 +1,4 @@
-"""The version in production is loaded from the repository's history."""
+"""Loading the version in production from the repository's history."""
 
 from __future__ import annotations
 
--- a/tests/fakes/test_rules.py
+++ b/tests/fakes/test_rules.py
@@ -1,4 +1,4 @@
-"""The simulated deployment judges every rule from the outside: here it must report violations."""
+"""The rule checker of the simulated deployment reports violations of each invariant."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from tests.fakes.store import RequestOrder
 
 JOB, PARENT, GRANDPARENT = "job-000001", "job-000002", "job-000003"
-#: longer than any test: tasks do not end, and leases do not expire
+#: longer than any test, so that tasks do not end and leases do not expire
 LONG_S = 1e6
 
 
 def deployment_without_controllers(**job: Any) -> SimulatedDeployment:
-    """Two machines in zone a, one of them spot, and one in zone b; a job that was accepted."""
+    """Return a deployment with an accepted job, two machines in zone a (one spot), one in b."""
     deployment = SimulatedDeployment(1, 1)
     deployment.nodes.kill("n0")
     for number, (zone, spot) in enumerate((("a", False), ("a", True), ("b", False))):
@@ -36,7 +36,7 @@
 
 
 def set_job_spec(deployment: SimulatedDeployment, **changes: Any) -> None:
-    """Have the job be described with some changes."""
+    """Set the spec of the job, with some fields changed."""
     base = {"allows_spot": True, "estimated_run_s": LONG_S}
     deployment.tasks.specs[JOB] = job_spec(1, **{**base, **changes})
 
@@ -44,20 +44,20 @@
 def reply_to_user(
     deployment: SimulatedDeployment, kind: str, state: str, status: int = 200, job: str = JOB
 ) -> None:
-    """A user gets an answer."""
+    """Have the rule checker see a reply to a user."""
     spec = deployment.tasks.specs.get(job, job_spec(1, id=job))
     argument = spec if kind == "submit" else job
     deployment.rules.check_reply(kind, argument, UserReply(1, status, job, state))
 
 
 def start_task(deployment: SimulatedDeployment, index: int, host: int, attempt: int = 1) -> None:
-    """A task of the job is started on a machine."""
+    """Start a task of the job on a machine."""
     agent = list(deployment.agents.values())[host]
     agent.execute_commands([TaskCommand(CommandVerb.START, JOB, index, attempt)])
 
 
 def confirm_cancel(deployment: SimulatedDeployment, job: str = JOB) -> None:
-    """A user asks for a cancel, and gets it confirmed."""
+    """Request a cancel of a job and confirm it to the user."""
     deployment.rules.cancel_requested.add(job)
     reply_to_user(deployment, "cancel", "cancelled", job=job)
 
@@ -68,7 +68,7 @@
 
 
 def exceed_the_limit(deployment: SimulatedDeployment) -> None:
-    """A team's limit is 24 cpus and its tasks take 24; then they take more."""
+    """The tasks of a team with a limit of 24 cpus use 24 cpus, then more."""
     for index in range(6):
         start_task(deployment, index, index // 2)
     deployment.run(0.5)
@@ -155,7 +155,7 @@
 
 
 def commit_reordered(deployment: SimulatedDeployment) -> None:
-    """An earlier request of a process is carried out after a later one."""
+    """Execute an earlier request of a process after a later one."""
     store = deployment.store
     lease_id = store.execute(GrantLease(5000), "n0").lease_id
     key = keys.NODES + "n0"
@@ -166,14 +166,14 @@
 
 
 def start_before_dependency(deployment: SimulatedDeployment) -> None:
-    """The job starts before the one that it depends on is done."""
+    """The job starts before all tasks of its dependency are done."""
     deployment.tasks.specs[PARENT] = job_spec(2, task_count=2)
     deployment.tasks.done.add((PARENT, 0))
     start_task(deployment, 0, 0)
 
 
 def answer_orphan(deployment: SimulatedDeployment, state: str) -> None:
-    """The job is called live too long after one before it, twice removed, was cancelled."""
+    """The job is reported live after the cancel time has passed since its grandparent's cancel."""
     deployment.tasks.specs[PARENT] = job_spec(2, depends_on=[GRANDPARENT])
     deployment.tasks.specs[GRANDPARENT] = job_spec(3)
     reply_to_user(deployment, "submit", "queued", 201, GRANDPARENT)
@@ -193,7 +193,7 @@
 
 
 def run_after_done(deployment: SimulatedDeployment) -> None:
-    """A task goes on though users were answered that its job is done."""
+    """A task still runs after the cancel time has passed since its job was reported done."""
     start_task(deployment, 0, 0)
     deployment.tasks.done |= {(JOB, index) for index in range(6)}
     reply_to_user(deployment, "query", "done")
@@ -203,7 +203,7 @@
 
 
 def run_after_parents_cancel(deployment: SimulatedDeployment) -> None:
-    """A task goes on though a job before its own was cancelled."""
+    """A task still runs after the cancel time has passed since a parent's cancel."""
     deployment.tasks.specs[PARENT] = job_spec(2)
     reply_to_user(deployment, "submit", "queued", 201, PARENT)
     start_task(deployment, 0, 0)
@@ -213,7 +213,7 @@
 
 
 def case(violate: Callable[[SimulatedDeployment], None], rule: str, /, **job: Any) -> Any:
-    """A breach of a rule, with changes of the job; named by the function that commits it."""
+    """A breach of a rule, with changes of the job; the function that causes it gives the id."""
     return pytest.param(job, violate, rule, id=violate.__name__)
 
 
--- a/tests/fakes/transport.py
+++ b/tests/fakes/transport.py
@@ -1,10 +1,10 @@
-"""An asyncio transport that records what a protocol writes."""
+"""A fake asyncio transport."""
 
 from __future__ import annotations
 
 
 class FakeTransport:
-    """Records what a protocol writes, and whether it closed the connection."""
+    """Records the bytes that a protocol writes and whether it closed the connection."""
 
     def __init__(self) -> None:
         self.data = b""
@@ -21,7 +21,7 @@
     abort = close
 
     def pause_reading(self) -> None:
-        """Do nothing: all bytes are there already."""
+        """Do nothing: the tests pass all input at once."""
 
     def is_closing(self) -> bool:
         """Whether the connection is closed."""
--- a/tests/fakes/users.py
+++ b/tests/fakes/users.py
@@ -1,4 +1,4 @@
-"""The users of a simulated deployment: requests, retries, and the replies."""
+"""The users of a simulated deployment: their requests, retries and replies."""
 
 from __future__ import annotations
 
@@ -14,37 +14,37 @@
 if TYPE_CHECKING:
     from tests.fakes.simulated_deployment import SimulatedDeployment
 
-#: request of a user, by the name of the controller's method
+#: kind of a user's request: the name of the controller's method
 UserRequest: TypeAlias = Literal["submit", "query", "cancel"]
 
-#: how long a user waits for a reply, and for the state of a job
+#: time that a user waits for the reply to a submission or cancel, and to a query
 REPLY_TIMEOUT_S, QUERY_TIMEOUT_S = 5.0, 2.0
-#: pause between two tries
+#: pause before a user retries a request
 RETRY_PAUSE_S = 1.0
-#: tries after which a user gives up
+#: maximum number of attempts of one request
 MAX_SUBMISSIONS, MAX_CANCELS = 40, 60
-#: statuses after which a submission is not repeated
+#: statuses after which a user does not retry a submission
 FINAL_SUBMISSION_STATUSES = (200, 201, 400, 422)
 
 
 class SimulatedUsers:
-    """Sends users' requests to the nodes, and has the checker judge each reply."""
+    """Sends users' requests to the nodes; ``RuleChecker`` checks each reply."""
 
     def __init__(self, deployment: SimulatedDeployment) -> None:
         self._deployment = deployment
         self._pending: dict[int, Callable[[UserReply], None]] = {}
 
     def receive(self, replies: list[UserReply]) -> None:
-        """Take the replies of a controller."""
+        """Pass a controller's replies to the pending requests."""
         for reply in replies:
             receive = self._pending.pop(reply.request_id, None)
             if receive is not None:
                 receive(reply)
 
     def request(self, node: str, kind: UserRequest, argument: JobSpec | str) -> list[UserReply]:
-        """Send one request to a node; the list that is returned gets the reply.
+        """Send one request to a node; its reply is appended to the returned list.
 
-        A submission takes the description of the job, the other requests take its id.
+        ``argument`` is the spec of the job for a submission, its id for other requests.
         """
         deployment = self._deployment
         replies: list[UserReply] = []
@@ -80,12 +80,12 @@
         return replies
 
     def _choose_node(self) -> str:
-        """A node whose controller runs, or any if none does."""
+        """Return a random node with a running controller, or any node if none runs."""
         nodes = self._deployment.nodes
         return self._deployment.rng.choice(nodes.running_names or nodes.names)
 
     def submit(self, spec: JobSpec, node: str | None = None) -> str:
-        """Submit a job, with retries, until it is accepted or refused for good; its id."""
+        """Submit a job, with retries, until it is accepted or rejected; return its id."""
         deployment = self._deployment
         for _ in range(MAX_SUBMISSIONS):
             replies = self.request(node or self._choose_node(), "submit", spec)
@@ -93,14 +93,14 @@
             if replies and replies[0].status in FINAL_SUBMISSION_STATUSES:
                 return spec.id
             deployment.run(RETRY_PAUSE_S)
-        raise AssertionError(f"{spec.id} was not accepted")
+        raise AssertionError(f"{spec.id} was not accepted after {MAX_SUBMISSIONS} submissions")
 
     def submit_many(self, numbers: Iterable[int], **changes: Any) -> list[str]:
-        """Submit jobs that differ only in their numbers, one after another; their ids."""
+        """Submit jobs that differ only in their numbers, in order; return their ids."""
         return [self.submit(job_spec(number, **changes)) for number in numbers]
 
     def cancel(self, job: str) -> str:
-        """Cancel a job, with retries, until a state is answered; that state."""
+        """Cancel a job, with retries, until a reply has its state; return that state."""
         deployment = self._deployment
         for _ in range(MAX_CANCELS):
             replies = self.request(self._choose_node(), "cancel", job)
@@ -108,22 +108,22 @@
             if replies and replies[0].status == 200:
                 return replies[0].state
             deployment.run(RETRY_PAUSE_S)
-        raise AssertionError(f"{job} was not cancelled")
+        raise AssertionError(f"{job} was not cancelled after {MAX_CANCELS} requests")
 
     def cancel_once(self, job: str) -> None:
-        """Ask one node that runs for a cancel, and do not wait for the reply."""
+        """Send a cancel to the first running node, without waiting for the reply."""
         self._deployment.rules.cancel_requested.add(job)
         for node in self._deployment.nodes.running_names[:1]:
             self.request(node, "cancel", job)
 
     def state_of(self, job: str, node: str | None = None) -> str:
-        """Poll once; the state, or '' when none was answered."""
+        """Query a job once; return its state, or '' without a successful reply."""
         replies = self.request(node or self._choose_node(), "query", job)
         self._deployment.run_until(lambda: bool(replies), QUERY_TIMEOUT_S)
         return replies[0].state if replies and replies[0].status == 200 else ""
 
     def wait_until_done(self, job: str, timeout_s: float) -> bool:
-        """Poll until a job is done; whether it is."""
+        """Query a job until it is done or the timeout; return whether it is done."""
         deployment = self._deployment
         end = deployment.now + timeout_s
         while deployment.now < end:
@@ -133,7 +133,7 @@
         return False
 
     def unanswered_jobs(self, timeout_s: float = 75.0) -> list[str]:
-        """Accepted jobs whose state no node answers within the time, each asked for by itself."""
+        """Query each accepted job until a reply has its state; return those without one."""
         deployment = self._deployment
         jobs = list(deployment.rules.accepted_at)
         end = deployment.now + timeout_s
--- a/tests/fakes/waiting_rule.py
+++ b/tests/fakes/waiting_rule.py
@@ -1,4 +1,4 @@
-"""The rule that no job waits beside a machine that could run it, once there are no failures."""
+"""Checks that, without failures, no job waits long while a machine could run it."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
     from tests.fakes.rules import RuleChecker
     from tests.fakes.simulated_deployment import SimulatedDeployment
 
-#: time for which a job may wait beside free capacity
+#: bound of the time that a job may wait while free capacity fits it
 MAX_WAIT_S = 90.0
-#: latest starts among which a job's own are looked for
+#: number of the latest task starts among which those of a job are searched
 MAX_RECENT_STARTS = 200
 
 
 class FreeMachine(NamedTuple):
-    """A machine that serves, and what of it is free."""
+    """A serving machine and its free capacity."""
 
     agent: FakeAgent
     capacity: list[int]
 
     def fitting_tasks(self, spec: JobSpec) -> int:
-        """How many tasks of a job fit the free capacity."""
+        """Return the number of a job's tasks that fit the free capacity."""
         return min(
             (
                 free // need
@@ -36,18 +36,18 @@
 
 
 class WaitingRule:
-    """Judges that no job waits too long while its team is under its limit and a machine fits."""
+    """Checks that no job waits too long while its team has quota and a machine fits."""
 
     def __init__(self, deployment: SimulatedDeployment, rules: RuleChecker) -> None:
         self._deployment = deployment
         self._rules = rules
-        #: since when there are no failures, as the test says; None: there may be some
+        #: time at which the test ended all failures; None: failures are possible
         self.failures_ended_at: float | None = None
-        #: job -> since when it has waited beside free capacity
+        #: job -> time since which it could start
         self._waiting_since: dict[str, float] = {}
 
     def check(self) -> None:
-        """Judge the waits of all accepted jobs."""
+        """Check the waiting times of all accepted jobs."""
         if self.failures_ended_at is None:
             self._waiting_since.clear()
             return
@@ -67,7 +67,7 @@
         ]
 
     def _free_quota(self, machines: list[FreeMachine]) -> dict[str, float]:
-        """Cpus that each team may still take, by what runs on the machines."""
+        """Return each team's limit less the cpus of its live tasks on the machines."""
         specs = self._deployment.tasks.specs
         free = {team.name: team.cpu_limit for team in self._deployment.cluster.teams}
         for machine in machines:
@@ -79,7 +79,7 @@
     def _could_start(
         self, job: str, machines: list[FreeMachine], free_quota: dict[str, float]
     ) -> bool:
-        """Whether a job waits, its team may start a task of it, and there is a machine for it."""
+        """Return whether a job waits, its team has quota for a task and machines fit it."""
         tasks, rules = self._deployment.tasks, self._rules
         spec = tasks.specs[job]
         placed = {
@@ -89,8 +89,8 @@
             for task in agent.tasks_of(job)
         }
         done = {index for done_job, index in tasks.done if done_job == job}
-        is_over = rules.last_state.get(job) in FINAL_STATES
-        if rules.is_cancel_requested(job) or spec.task_count <= len(placed | done) or is_over:
+        has_ended = rules.last_state.get(job) in FINAL_STATES
+        if rules.is_cancel_requested(job) or spec.task_count <= len(placed | done) or has_ended:
             return False
         if rules.unfinished_dependencies(job):
             return False
@@ -110,11 +110,13 @@
         return fitting >= count and free_quota[spec.team] >= spec.cpus * count
 
     def _check_wait(self, job: str) -> None:
-        """Judge the wait of a job that could start; each start of a task begins it anew."""
+        """Check the waiting time of a startable job, counted from its latest task start."""
         now = self._deployment.now
         since = self._waiting_since.setdefault(job, now)
         recent = self._deployment.tasks.starts[-MAX_RECENT_STARTS:]
         last = max((start.at for start in recent if start.job == job), default=0.0)
         if now - max(since, last) > MAX_WAIT_S:
-            self._rules.violations.append(f"waits: {job} beside room")
+            self._rules.violations.append(
+                f"waits: {job} does not start although a machine and quota are free"
+            )
             self._waiting_since[job] = now
--- a/tests/fakes/wire_message.py
+++ b/tests/fakes/wire_message.py
@@ -1,4 +1,4 @@
-"""Messages between controllers as they are on the wire."""
+"""Messages between controllers in wire format."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class WireMessage(PeerMessage, frozen=True):
-    """A message on the wire: its tag and its arguments as plain values."""
+    """A message in wire format: its tag and its arguments as plain values."""
 
     tag: str
     arguments: list[Any]
 
 
 def wire_round_trip(value: Any) -> Any:
-    """What arrives of a value that goes between two controllers."""
+    """Encode and decode a value, as in transport between two controllers."""
     return msgspec.msgpack.decode(msgspec.msgpack.encode(value))
--- a/tests/measurements.py
+++ b/tests/measurements.py
@@ -1,4 +1,4 @@
-"""Counts of what an event costs: calls that the program makes, bytes that it sends."""
+"""Measurements of the cost of events: function calls and bytes sent."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from tests.fakes.simulated_deployment import SimulatedDeployment
 from tests.fakes.wire_message import WireMessage
 
-#: directory of the tests and their fakes
+#: directory of the tests and their fakes, whose calls are not counted
 TESTS = str(pathlib.Path(__file__).parent)
 
 
 class EventCost(NamedTuple):
-    """Calls per heartbeat and per tick of the cores, and bytes per message between them."""
+    """Calls per heartbeat and per tick of a core, and bytes per message between controllers."""
 
     heartbeat: float
     tick: float
@@ -28,7 +28,7 @@
 
 
 class _Mean:
-    """A mean of amounts that are added one after another."""
+    """Computes the mean of the added amounts."""
 
     def __init__(self) -> None:
         self._total = self._count = 0
@@ -42,9 +42,9 @@
 
 
 def count_calls(action: Callable[[], object]) -> int:
-    """Calls made by the program during an action; no time is measured.
+    """Count the function calls during an action, except those made by the tests and fakes.
 
-    Calls made by the tests and their fakes do not count.
+    Call counts, unlike times, are the same in each run.
     """
     count = 0
 
@@ -62,7 +62,7 @@
 
 
 def measure_event_costs(deployment: SimulatedDeployment, seconds: float) -> EventCost:
-    """What events cost on the average over some seconds."""
+    """Measure the mean cost of events while a deployment runs for some seconds."""
     heartbeats, ticks, messages = _Mean(), _Mean(), _Mean()
     receive_heartbeat, tick = Controller.receive_heartbeat, Controller.tick
     deliver = deployment.peer_link.deliver
--- a/tests/recorder.py
+++ b/tests/recorder.py
@@ -1,4 +1,4 @@
-"""A recorder of the requests that one node makes."""
+"""Records the requests of one node's coroutines."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class DelayedRead(NamedTuple):
-    """A read that is not sent yet, and the controller that waits for it."""
+    """A read that is not sent yet, and the controller that made it."""
 
     controller: Controller
     number: int
@@ -39,24 +39,24 @@
         self._execute_request(controller, number, request)
 
     def send_delayed_reads(self) -> None:
-        """Send the reads that were delayed, and delay no more."""
+        """Send the delayed reads and stop delaying reads."""
         self.delays_reads = False
         for read in self.delayed_reads:
             self._execute_request(*read)
 
     def count_reads(self, job: str) -> int:
-        """How often a job's keys were read."""
+        """Return the number of reads of a job's record and final state."""
         job_keys = (keys.JOBS + job, keys.FINAL_STATES + job)
         return sum(
             isinstance(request, Get) and request.key in job_keys for request in self.requests
         )
 
     def count_store_and_cloud_requests(self) -> int:
-        """How many requests went to the store or the cloud."""
+        """Return the number of requests to the store and the cloud."""
         return sum(
             not isinstance(request, (PeerRequest, InspectAgent)) for request in self.requests
         )
 
     def count(self, kind: type) -> int:
-        """How many requests of a kind were made."""
+        """Return the number of requests of a type."""
         return sum(isinstance(request, kind) for request in self.requests)
--- a/tests/test_compare_versions.py
+++ b/tests/test_compare_versions.py
@@ -1,4 +1,4 @@
-"""The check that two versions behave alike: it finds a change, and none where there is none."""
+"""The comparison of two versions detects changed behaviour and reports no false difference."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 def changed_copy(
     unchanged: pathlib.Path, directory: pathlib.Path, pattern: str, replacement: str
 ) -> pathlib.Path:
-    """A copy of the package in which a text is replaced, wherever it is."""
+    """Copy the package and replace a pattern in all its modules."""
     shutil.copytree(unchanged, directory)
     count = 0
     for path in directory.rglob("*.py"):
         text, found = re.subn(pattern, replacement, path.read_text())
         path.write_text(text)
         count += found
-    assert count, f"the package has no {pattern}: change another place"
+    assert count, f"no module of the package matches {pattern!r}: choose another pattern"
     return directory
 
 
@@ -111,17 +111,17 @@
         assert found == [message] * 3
 
 
-class Echo(asyncio.Protocol):
-    """Notes what happens on its connection."""
+class ConnectionRecorder(asyncio.Protocol):
+    """Records the data received on a connection and the error that ended it."""
 
-    def __init__(self, notes: list[str]) -> None:
-        self.notes = notes
+    def __init__(self, events: list[str]) -> None:
+        self.events = events
 
     def data_received(self, data: bytes) -> None:
-        self.notes.append(data.decode())
+        self.events.append(data.decode())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.notes.append(type(exc).__name__)
+        self.events.append(type(exc).__name__)
 
 
 def test_a_killed_process_does_nothing_more_and_its_connections_are_reset() -> None:
@@ -135,7 +135,7 @@
 
     async def serve() -> None:
         try:
-            await loop.create_server(lambda: Echo(served), server.address, 80)
+            await loop.create_server(lambda: ConnectionRecorder(served), server.address, 80)
             while True:
                 await asyncio.sleep(1.0)
                 served.append("tick")
@@ -148,7 +148,7 @@
         lambda: network.connect(
             client,
             (server.address, 80),
-            lambda: Echo(seen),
+            lambda: ConnectionRecorder(seen),
             lambda endpoint: endpoint.write(b"hello"),
             lambda error: None,
         ),
@@ -156,7 +156,7 @@
     loop.call_later(2.5, lambda: network.kill(process, is_silent=False))
     loop.run_until(loop.time() + 10.0)
     assert not program.done()
-    # It never ends: without this, its destruction is logged in whichever test runs at that time.
+    # The task never ends. Without this, asyncio logs its destruction during some later test.
     program._log_destroy_pending = False
     assert served == ["hello", "tick", "tick"]
     assert seen == ["ConnectionResetError"]
@@ -181,7 +181,7 @@
     server, client = Host("server", "server", "10.0.0.1"), Host("client", "client", "10.0.0.2")
     network.add_host(server)
     received: list[str] = []
-    network.listen((server.address, 80), lambda: Echo(received))
+    network.listen((server.address, 80), lambda: ConnectionRecorder(received))
     began_s = loop.time()
 
     def send(endpoint: asyncio.Transport) -> None:
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The docs name only files, classes, functions and tests that exist."""
+"""The pages of the docs refer only to files, class members and tests that exist."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 
 ROOT = pathlib.Path(__file__).parent.parent
-#: pages that describe the present; incidents and measurements tell of what was
+#: pages that describe the present version; pages on incidents and measurements describe past ones
 PAGES = [
     "README.md",
     "docs/architecture.md",
@@ -24,7 +24,7 @@
 
 
 def members_by_class() -> dict[str, set[str]]:
-    """Names of the methods, fields and attributes of each class of the package."""
+    """Return the names of the methods, fields and attributes of each class of the package."""
     members: dict[str, set[str]] = {}
     for path in python_files("marblestair"):
         for node in ast.walk(ast.parse(path.read_text())):
@@ -41,7 +41,7 @@
 
 
 def all_test_names() -> set[str]:
-    """Names of all test functions."""
+    """Return the names of all functions in the tests."""
     return {
         node.name
         for path in python_files("tests")
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The process of a controller: malformed messages do not end it."""
+"""Malformed messages from other controllers do not end the controller process."""
 
 from __future__ import annotations
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""The operators' policy script, and how a bad one is refused."""
+"""The policy script sets the tuning; an invalid script is rejected with its position."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     tuning = policy.tuning
     assert (tuning.capacity_margin, tuning.headroom_jobs, tuning.standby_gangs) == (0.2, 1.0, 2)
     assert policy.deadline_offsets_s == {"urgent": 30.0}
-    # A class with an offset is served as if it were due that much earlier.
+    # A job of a class with an offset is scheduled as if its deadline were that much earlier.
     earlier, later = job_spec(1, deadline_s=100.0), job_spec(2, deadline_s=110.0)
     earlier_key = priority_key(earlier, wall_time=0.0, run_time_ratio=1.0)
     assert earlier_key < priority_key(later, wall_time=0.0, run_time_ratio=1.0)
@@ -75,7 +75,7 @@
 
 
 def encode_toml(data: dict[str, Any], prefix: str = "") -> str:
-    """Just enough TOML for settings."""
+    """Encode plain settings as TOML."""
     plain, tables = [], []
     for key, value in data.items():
         if isinstance(value, dict):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that cannot work are refused, and the error names the field."""
+"""Invalid or unworkable settings are rejected with an error that names the field."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def with_field(path: tuple[str, ...], value: object) -> dict[str, Any]:
-    """Settings that work but for one field, as plain values."""
+    """Return valid settings, as plain values, with one field replaced."""
     settings: dict[str, Any] = msgspec.json.decode(msgspec.json.encode(node_settings(0)))
     section = settings
     *parents, field = path
--- a/tests/test_settings_package.py
+++ b/tests/test_settings_package.py
@@ -1,4 +1,4 @@
-"""The settings package: who may import what of it, and what a shard map may grow to."""
+"""The settings package: permitted imports, and the bound of the shard map's size."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def imported_modules(path: pathlib.Path) -> set[str]:
-    """All modules that a file imports, also inside functions."""
+    """Return all modules that a file imports, including imports inside functions."""
     modules: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.module:
