--- a/tests/fakes/agent.py
+++ b/tests/fakes/agent.py
@@ -35,7 +35,7 @@
 #: pause before the first heartbeat of a new incarnation, after an expired lease and (bounds of a
 #: random pause) after a restart
 LEASE_LOST_PAUSE_S = 0.1
-MIN_RESTART_S, MAX_RESTART_S = 0.05, 0.5
+MIN_RESTART_PAUSE_S, MAX_RESTART_PAUSE_S = 0.05, 0.5
 #: job class whose tasks exit with an error as soon as they start
 FAILING_CLASS = "bad"
 
@@ -305,7 +305,8 @@
         """Restart the agent as a new incarnation without tasks."""
         self._begin_incarnation()
         self.deployment.schedule(
-            self.deployment.rng.uniform(MIN_RESTART_S, MAX_RESTART_S), self.send_heartbeat
+            self.deployment.rng.uniform(MIN_RESTART_PAUSE_S, MAX_RESTART_PAUSE_S),
+            self.send_heartbeat,
         )
 
     def _begin_incarnation(self) -> None:
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -22,7 +22,7 @@
     from tests.fakes.simulated_deployment import SimulatedDeployment
 
 #: time that a controller waits for a response
-TIMEOUT_S = 4.0
+RESPONSE_TIMEOUT_S = 4.0
 #: time after its rental until a machine is listed
 LIST_LAG_S = 5.0
 #: bounds of the random ratio between the boot time of a machine and that of its type
@@ -46,7 +46,7 @@
     def send(self, node: str, request: CloudRequest, call: PendingCall) -> None:
         """Send a node's request to the cloud; ``call`` receives the response."""
         deployment = self._deployment
-        deployment.schedule(TIMEOUT_S, lambda: call.complete(CloudResponse(0)))
+        deployment.schedule(RESPONSE_TIMEOUT_S, lambda: call.complete(CloudResponse(0)))
 
         def execute() -> None:
             response = self.execute(request)
--- a/tests/fakes/users.py
+++ b/tests/fakes/users.py
@@ -133,7 +133,7 @@
         return False
 
     def unanswered_jobs(self, timeout_s: float = 75.0) -> list[str]:
-        """Query each accepted job until a reply has its state; return those without one."""
+        """Query the accepted jobs until the timeout; return those whose state no node reported."""
         deployment = self._deployment
         jobs = list(deployment.rules.accepted_at)
         end = deployment.now + timeout_s
--- a/tests/measurements.py
+++ b/tests/measurements.py
@@ -42,9 +42,9 @@
 
 
 def count_calls(action: Callable[[], object]) -> int:
-    """Count the function calls during an action, except those made by the tests and fakes.
+    """Count the function calls during an action; no time is measured.
 
-    Call counts, unlike times, are the same in each run.
+    Calls made by the tests and their fakes do not count.
     """
     count = 0
 
