--- a/tests/fakes/agent_link.py
+++ b/tests/fakes/agent_link.py
@@ -41,7 +41,7 @@
         deployment = self._deployment
 
         def deliver() -> None:
-            if deployment.nodes.postpone(node, deliver):
+            if deployment.nodes.defer_while_frozen(node, deliver):
                 return
             controller = deployment.nodes.controllers.get(node)
             if controller is None:
@@ -68,7 +68,7 @@
     def _respond(self, node: str, machine: str, deliver: Callable[[], None]) -> None:
         """Send a response, once the node does not stand still."""
         deployment = self._deployment
-        if deployment.nodes.postpone(node, lambda: self._respond(node, machine, deliver)):
+        if deployment.nodes.defer_while_frozen(node, lambda: self._respond(node, machine, deliver)):
             return
         if not deployment.agents[machine].inbound_partitioned:
             deployment.network.send(node, machine, deliver)
@@ -76,7 +76,7 @@
     def deliver_duplicate(self, node: str, heartbeat: Heartbeat) -> None:
         """Have a duplicate of a heartbeat arrive at a node; its response goes nowhere."""
         nodes = self._deployment.nodes
-        if nodes.postpone(node, lambda: self.deliver_duplicate(node, heartbeat)):
+        if nodes.defer_while_frozen(node, lambda: self.deliver_duplicate(node, heartbeat)):
             return
         controller = nodes.controllers.get(node)
         if controller is not None:
--- a/tests/fakes/test_rules.py
+++ b/tests/fakes/test_rules.py
@@ -30,27 +30,27 @@
         agent = FakeAgent(deployment, f"host-{number:06d}", MACHINE_TYPES[1], zone, spot)
         agent.is_up, agent.lease_renewed_at = True, LONG_S
         deployment.agents[agent.name] = agent
-    describe(deployment, **job)
-    answer(deployment, "submit", "queued", 201)
+    set_job_spec(deployment, **job)
+    reply_to_user(deployment, "submit", "queued", 201)
     return deployment
 
 
-def describe(deployment: SimulatedDeployment, **changes: Any) -> None:
+def set_job_spec(deployment: SimulatedDeployment, **changes: Any) -> None:
     """Have the job be described with some changes."""
     base = {"allows_spot": True, "estimated_run_s": LONG_S}
     deployment.tasks.specs[JOB] = job_spec(1, **{**base, **changes})
 
 
-def answer(
+def reply_to_user(
     deployment: SimulatedDeployment, kind: str, state: str, status: int = 200, job: str = JOB
 ) -> None:
     """A user gets an answer."""
     spec = deployment.tasks.specs.get(job, job_spec(1, id=job))
     argument = spec if kind == "submit" else job
-    deployment.rules.judge(kind, argument, UserReply(1, status, job, state))
+    deployment.rules.check_reply(kind, argument, UserReply(1, status, job, state))
 
 
-def start(deployment: SimulatedDeployment, index: int, host: int, attempt: int = 1) -> None:
+def start_task(deployment: SimulatedDeployment, index: int, host: int, attempt: int = 1) -> None:
     """A task of the job is started on a machine."""
     agent = list(deployment.agents.values())[host]
     agent.execute_commands([TaskCommand(CommandVerb.START, JOB, index, attempt)])
@@ -59,44 +59,44 @@
 def confirm_cancel(deployment: SimulatedDeployment, job: str = JOB) -> None:
     """A user asks for a cancel, and gets it confirmed."""
     deployment.rules.cancel_requested.add(job)
-    answer(deployment, "cancel", "cancelled", job=job)
+    reply_to_user(deployment, "cancel", "cancelled", job=job)
 
 
 def run_twice(deployment: SimulatedDeployment) -> None:
-    start(deployment, 0, 0)
-    start(deployment, 0, 2, attempt=2)
+    start_task(deployment, 0, 0)
+    start_task(deployment, 0, 2, attempt=2)
 
 
 def exceed_the_limit(deployment: SimulatedDeployment) -> None:
     """A team's limit is 24 cpus and its tasks take 24; then they take more."""
     for index in range(6):
-        start(deployment, index, index // 2)
+        start_task(deployment, index, index // 2)
     deployment.run(0.5)
     assert not deployment.rules.violations
-    describe(deployment, cpus=4.5, task_count=9)
+    set_job_spec(deployment, cpus=4.5, task_count=9)
     deployment.run(0.5)
 
 
 def start_on_first(deployment: SimulatedDeployment) -> None:
-    start(deployment, 0, 0)
+    start_task(deployment, 0, 0)
 
 
 def start_on_spot(deployment: SimulatedDeployment) -> None:
-    start(deployment, 0, 1)
+    start_task(deployment, 0, 1)
 
 
 def start_in_two_zones(deployment: SimulatedDeployment) -> None:
-    start(deployment, 0, 0)
-    start(deployment, 1, 2)
+    start_task(deployment, 0, 0)
+    start_task(deployment, 1, 2)
 
 
 def start_all_in_one_zone(deployment: SimulatedDeployment) -> None:
     for index in range(3):
-        start(deployment, index, 0)
+        start_task(deployment, index, 0)
 
 
 def run_unresponsive_after_cancel(deployment: SimulatedDeployment) -> None:
-    start(deployment, 0, 0)
+    start_task(deployment, 0, 0)
     deployment.agents["host-000000"].is_unresponsive = True
     confirm_cancel(deployment)
     deployment.run(deployment.cancel_s + 1.0)
@@ -105,7 +105,7 @@
 def start_late_after_cancel(deployment: SimulatedDeployment) -> None:
     confirm_cancel(deployment)
     deployment.run(deployment.cancel_s + 0.1)
-    start(deployment, 0, 0)
+    start_task(deployment, 0, 0)
 
 
 def launch_after_cancel(deployment: SimulatedDeployment) -> None:
@@ -119,33 +119,33 @@
 
 
 def answer_not_found(deployment: SimulatedDeployment) -> None:
-    answer(deployment, "query", "", 404)
+    reply_to_user(deployment, "query", "", 404)
 
 
 def refuse_for_good(deployment: SimulatedDeployment) -> None:
-    answer(deployment, "submit", "", 422)
+    reply_to_user(deployment, "submit", "", 422)
 
 
 def answer_for_nobodys_job(deployment: SimulatedDeployment) -> None:
-    answer(deployment, "query", "queued", 200, "job-000009")
+    reply_to_user(deployment, "query", "queued", 200, "job-000009")
 
 
 def answer_done(deployment: SimulatedDeployment) -> None:
-    answer(deployment, "query", "done")
+    reply_to_user(deployment, "query", "done")
 
 
 def answer_running_after_cancel(deployment: SimulatedDeployment) -> None:
     confirm_cancel(deployment)
-    answer(deployment, "query", "running")
+    reply_to_user(deployment, "query", "running")
 
 
 def answer_cancelled_by_nobody(deployment: SimulatedDeployment) -> None:
-    answer(deployment, "query", "cancelled")
+    reply_to_user(deployment, "query", "cancelled")
 
 
 def wait_beside_free_capacity(deployment: SimulatedDeployment) -> None:
     deployment.rules.failures_ended_at = deployment.now
-    start(deployment, 0, 0)
+    start_task(deployment, 0, 0)
     deployment.run(95.0)
 
 
@@ -169,19 +169,19 @@
     """The job starts before the one that it depends on is done."""
     deployment.tasks.specs[PARENT] = job_spec(2, task_count=2)
     deployment.tasks.done.add((PARENT, 0))
-    start(deployment, 0, 0)
+    start_task(deployment, 0, 0)
 
 
 def answer_orphan(deployment: SimulatedDeployment, state: str) -> None:
     """The job is called live too long after one before it, twice removed, was cancelled."""
     deployment.tasks.specs[PARENT] = job_spec(2, depends_on=[GRANDPARENT])
     deployment.tasks.specs[GRANDPARENT] = job_spec(3)
-    answer(deployment, "submit", "queued", 201, GRANDPARENT)
+    reply_to_user(deployment, "submit", "queued", 201, GRANDPARENT)
     confirm_cancel(deployment, GRANDPARENT)
-    answer(deployment, "query", state)
+    reply_to_user(deployment, "query", state)
     assert not deployment.rules.violations
     deployment.run(deployment.cancel_s + 0.1)
-    answer(deployment, "query", state)
+    reply_to_user(deployment, "query", state)
 
 
 def answer_orphan_queued(deployment: SimulatedDeployment) -> None:
@@ -194,9 +194,9 @@
 
 def run_after_done(deployment: SimulatedDeployment) -> None:
     """A task goes on though users were answered that its job is done."""
-    start(deployment, 0, 0)
+    start_task(deployment, 0, 0)
     deployment.tasks.done |= {(JOB, index) for index in range(6)}
-    answer(deployment, "query", "done")
+    reply_to_user(deployment, "query", "done")
     deployment.run(deployment.cancel_s)
     assert not deployment.rules.violations
     deployment.run(0.5)
@@ -205,9 +205,9 @@
 def run_after_parents_cancel(deployment: SimulatedDeployment) -> None:
     """A task goes on though a job before its own was cancelled."""
     deployment.tasks.specs[PARENT] = job_spec(2)
-    answer(deployment, "submit", "queued", 201, PARENT)
-    start(deployment, 0, 0)
-    describe(deployment, depends_on=[PARENT])
+    reply_to_user(deployment, "submit", "queued", 201, PARENT)
+    start_task(deployment, 0, 0)
+    set_job_spec(deployment, depends_on=[PARENT])
     confirm_cancel(deployment, PARENT)
     deployment.run(deployment.cancel_s + 0.5)
 
@@ -258,8 +258,8 @@
 def test_forgotten_unserved_and_late_jobs_are_reported() -> None:
     deployment = deployment_without_controllers()
     unserved = {"unserved: class c", "unserved: team red"}
-    assert set(deployment.rules.unserved()) == unserved
+    assert set(deployment.rules.unstarted_and_starved()) == unserved
     assert deployment.users.unanswered_jobs() == [JOB]
     deployment.run(241.0)
-    assert set(deployment.rules.unserved()) == unserved | {f"late: {JOB}"}
+    assert set(deployment.rules.unstarted_and_starved()) == unserved | {f"late: {JOB}"}
     assert not deployment.rules.violations
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -62,7 +62,7 @@
     tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     settings = tmp_path / "s.toml"
-    settings.write_text(to_toml(msgspec.to_builtins(node_settings(0))))
+    settings.write_text(encode_toml(msgspec.to_builtins(node_settings(0))))
     script = tmp_path / "p.star"
     script.write_text("tune(haste = 0.5)")
     assert cli.main(["--policy", str(script), "--check", str(settings)]) == 0
@@ -74,14 +74,16 @@
     assert "p.star:1:1" in error
 
 
-def to_toml(data: dict[str, Any], prefix: str = "") -> str:
+def encode_toml(data: dict[str, Any], prefix: str = "") -> str:
     """Just enough TOML for settings."""
     plain, tables = [], []
     for key, value in data.items():
         if isinstance(value, dict):
-            tables.append(f"[{prefix}{key}]\n{to_toml(value, f'{prefix}{key}.')}")
+            tables.append(f"[{prefix}{key}]\n{encode_toml(value, f'{prefix}{key}.')}")
         elif isinstance(value, list) and value and isinstance(value[0], dict):
-            tables += [f"[[{prefix}{key}]]\n{to_toml(item, f'{prefix}{key}.')}" for item in value]
+            tables += [
+                f"[[{prefix}{key}]]\n{encode_toml(item, f'{prefix}{key}.')}" for item in value
+            ]
         else:
             plain.append(f"{key} = {msgspec.json.encode(value).decode()}")
     return "\n".join([*plain, *tables]) + "\n"
--- a/tests/tools/bad_input.py
+++ b/tests/tools/bad_input.py
@@ -75,7 +75,7 @@
     ]
     bodies += [pack(describe(9000, **changes)) for changes in wrong]
     bodies += [pack({x: y for x, y in describe(9001).items() if x != "owner"}), TOO_LARGE_BODY]
-    return [build_request("POST", JOBS_PATH, body, is_last=False) for body in bodies]
+    return [build_request("POST", JOBS_PATH, body, closes_connection=False) for body in bodies]
 
 
 def impossible_jobs(first_number: int) -> list[dict[str, Any]]:
@@ -110,7 +110,7 @@
         (post("/v1/jobs/job-abc/withdraw", {}),),
         (post("/healthz", {}),),
         (get("/v1/report"),),
-        (build_request("DELETE", "/v1/jobs/job-000001", b"", is_last=True),),
+        (build_request("DELETE", "/v1/jobs/job-000001", b"", closes_connection=True),),
         (b"GET /\xff\xfe HTTP/1.1\r\n\r\n",),
         (b"nonsense\r\n\r\n",),
         (b"GET / HTTP/9.9\r\n\r\n",),
@@ -156,7 +156,7 @@
         {"bench": "host-000000", "pieces": [task], "tally": 2**40},
     ]
     bodies = [pack({**report, **change}) for change in changes] + [b"\xc1", pack([])]
-    return [build_request("POST", REPORT_PATH, body, is_last=False) for body in bodies]
+    return [build_request("POST", REPORT_PATH, body, closes_connection=False) for body in bodies]
 
 
 def malformed_frames() -> list[bytes]:
--- a/tests/tools/compare_versions.py
+++ b/tests/tools/compare_versions.py
@@ -22,7 +22,7 @@
     VersionError,
     copy_working_tree,
     extract_commit,
-    play_on,
+    run_scenario,
 )
 
 DEFAULT_SEEDS = [1]
@@ -37,7 +37,7 @@
     for name, version in (("first", first), ("second", second)):
         paths.append(records / f"{scenario}-{seed}-{name}.record")
         try:
-            play_on(version, scenario, seed, paths[-1])
+            run_scenario(version, scenario, seed, paths[-1])
         except PlayError as error:
             return Comparison(difference=[f"  the {name} version can not be played: {error}"])
     comparison = compare_records(*paths)
--- a/tests/tools/http_service.py
+++ b/tests/tools/http_service.py
@@ -148,7 +148,7 @@
         endpoint.write(request)
 
     def _answered(self, response: HttpMessage) -> None:
-        if response.is_last:
+        if response.closes_connection:
             self.close()
         self._finish(response.status, response)
 
@@ -170,11 +170,11 @@
             on_answer(status, response)
 
 
-def get(path: str, is_last: bool = False) -> bytes:
+def get(path: str, closes_connection: bool = False) -> bytes:
     """A GET request."""
-    return build_request("GET", path, b"", is_last)
+    return build_request("GET", path, b"", closes_connection)
 
 
-def post(path: str, value: Any, is_last: bool = False) -> bytes:
+def post(path: str, value: Any, closes_connection: bool = False) -> bytes:
     """A POST request with a value as MessagePack."""
-    return build_request("POST", path, pack(value), is_last)
+    return build_request("POST", path, pack(value), closes_connection)
--- a/tests/tools/network.py
+++ b/tests/tools/network.py
@@ -442,7 +442,7 @@
             if (endpoint.local.name, endpoint.remote.name) in pairs:
                 endpoint.receive(Ending.RESET)
 
-    def mend(self) -> None:
+    def end_partitions(self) -> None:
         """End all cuts and refusals; what was held back is delivered in order."""
         self._cut.clear()
         self._cut_kinds.clear()
--- a/tests/tools/scenarios_failures.py
+++ b/tests/tools/scenarios_failures.py
@@ -57,17 +57,17 @@
         cut_from(name, [*names, STORE_HOST.name, CLOUD_HOST.name])
 
     deployment.at(14.0, cut_from, names[0], names)
-    deployment.at(24.0, network.mend)
+    deployment.at(24.0, network.end_partitions)
     deployment.at(30.0, cut_one_way)
-    deployment.at(42.0, network.mend)
+    deployment.at(42.0, network.end_partitions)
     deployment.at(48.0, refuse_among_controllers)
-    deployment.at(62.0, network.mend)
+    deployment.at(62.0, network.end_partitions)
     deployment.at(66.0, network.cut_from_kind, names[1], "agent")
-    deployment.at(120.0, network.mend)
+    deployment.at(120.0, network.end_partitions)
     deployment.at(126.0, cut_off, names[2])
-    deployment.at(150.0, network.mend)
+    deployment.at(150.0, network.end_partitions)
     deployment.at(154.0, cut_from, names[1], [STORE_HOST.name])
-    deployment.at(164.0, network.mend)
+    deployment.at(164.0, network.end_partitions)
 
 
 def cut_pipelines(deployment: Deployment) -> None:
@@ -82,11 +82,11 @@
                 network.refuse(name, other)
 
     deployment.at(11.0, refuse_all)
-    deployment.at(30.0, network.mend)
+    deployment.at(30.0, network.end_partitions)
     deployment.at(34.0, network.cut_both_ways, names[0], names[1])
     deployment.at(35.0, network.cut_both_ways, names[0], STORE_HOST.name)
-    deployment.at(55.0, network.mend)
+    deployment.at(55.0, network.end_partitions)
     deployment.at(58.0, controllers.kill_for, 1, 14.0, True)
     deployment.at(78.0, refuse_all)
     deployment.at(84.0, controllers.kill_for, 0, 3.0)
-    deployment.at(100.0, network.mend)
+    deployment.at(100.0, network.end_partitions)
--- a/tests/tools/scenarios_storm.py
+++ b/tests/tools/scenarios_storm.py
@@ -51,7 +51,7 @@
 
 def _calm(deployment: Deployment) -> None:
     deployment.store.end_troubles()
-    deployment.network.mend()
+    deployment.network.end_partitions()
     for number in range(len(deployment.controllers.hosts)):
         deployment.controllers.start(number)
 
@@ -108,7 +108,7 @@
     for other in others:
         if other != name:
             cut(name, other)
-    return network.mend
+    return network.end_partitions
 
 
 def _hang(deployment: Deployment) -> Callable[[], Any]:
--- a/tests/tools/versions.py
+++ b/tests/tools/versions.py
@@ -42,7 +42,7 @@
     shutil.copytree(ROOT / PACKAGE, directory / PACKAGE, ignore=ignored)
 
 
-def play_on(version: pathlib.Path, scenario: str, seed: int, record: pathlib.Path) -> None:
+def run_scenario(version: pathlib.Path, scenario: str, seed: int, record: pathlib.Path) -> None:
     """Play a scenario on the package in a directory, in a process of its own."""
     path = [str(version), str(ROOT), os.environ.get("PYTHONPATH", "")]
     environment = {
