--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -47,14 +47,14 @@
     """Expect the listed tests to fail, strictly."""
     names = {item.nodeid: item for item in items}
     files = {name.split("::")[0] for name in names}
-    for name, why in config.known_failures.items():
+    for name, reason in config.known_failures.items():
         if name in names:
-            names[name].add_marker(pytest.mark.xfail(reason=why, strict=True))
+            names[name].add_marker(pytest.mark.xfail(reason=reason, strict=True))
         elif name.split("::")[0] in files or not config.has_path_arguments:
             raise pytest.UsageError(f"KNOWN-RED.txt: no such test: {name}")
 
 
 def pytest_terminal_summary(terminalreporter: Any, config: Any) -> None:
     """Print what is passed over."""
-    for name, why in config.known_failures.items():
-        terminalreporter.write_line(f"known red, passed over: {name}: {why}")
+    for name, reason in config.known_failures.items():
+        terminalreporter.write_line(f"known red, passed over: {name}: {reason}")
--- a/tests/fakes/agent.py
+++ b/tests/fakes/agent.py
@@ -34,7 +34,7 @@
 MAX_REDIRECT_PAUSE_S = 0.5
 #: pause before the first heartbeat of a new incarnation: after a lost lease, and after a restart
 LEASE_LOST_PAUSE_S = 0.1
-MIN_RESTART_S, MAX_RESTART_S = 0.05, 0.5
+MIN_RESTART_PAUSE_S, MAX_RESTART_PAUSE_S = 0.05, 0.5
 #: class of the jobs whose tasks all fail
 FAILING_CLASS = "bad"
 
@@ -301,7 +301,8 @@
         """Restart within a fraction of a second: a new incarnation, without tasks."""
         self._begin_incarnation()
         self.deployment.schedule(
-            self.deployment.rng.uniform(MIN_RESTART_S, MAX_RESTART_S), self.send_heartbeat
+            self.deployment.rng.uniform(MIN_RESTART_PAUSE_S, MAX_RESTART_PAUSE_S),
+            self.send_heartbeat,
         )
 
     def _begin_incarnation(self) -> None:
--- a/tests/fakes/agent_link.py
+++ b/tests/fakes/agent_link.py
@@ -18,7 +18,7 @@
 #: time after which a controller gives an inspection up
 INSPECTION_TIMEOUT_S = 1.5
 #: time in which an agent finds that a connection is refused
-CONNECTION_REFUSED_S = 0.001
+CONNECTION_REFUSED_DELAY_S = 0.001
 #: how late a duplicate of a heartbeat arrives: at least, and at most in leases
 MIN_DUPLICATE_DELAY_S = 2.0
 MAX_DUPLICATE_DELAY_LEASES = 3.5
@@ -45,7 +45,7 @@
                 return
             controller = deployment.nodes.controllers.get(node)
             if controller is None:
-                deployment.schedule(CONNECTION_REFUSED_S, lambda: respond(CONNECTION_REFUSED))
+                deployment.schedule(CONNECTION_REFUSED_DELAY_S, lambda: respond(CONNECTION_REFUSED))
                 return
             deployment.nodes.set_time(controller)
             response = controller.receive_heartbeat(heartbeat)
--- a/tests/fakes/store.py
+++ b/tests/fakes/store.py
@@ -77,7 +77,7 @@
         self.change_count = 0
         #: limits of one value in bytes and of one commit in changes
         self.value_limit_bytes = UNLIMITED
-        self.commit_limit = UNLIMITED
+        self.max_changes_per_commit = UNLIMITED
         #: commits that were refused because they exceeded a limit
         self.oversized_commits: list[str] = []
         self.largest_value_bytes = 0
@@ -90,7 +90,7 @@
     def set_limits(self, limits: dict[str, Any]) -> None:
         """Have these limits of values and commits from now on, named as in the settings."""
         self.value_limit_bytes = int(limits.get("value_kb", 64) * 1024)
-        self.commit_limit = int(limits.get("txn_ops", UNLIMITED))
+        self.max_changes_per_commit = int(limits.get("txn_ops", UNLIMITED))
 
     def start_outage(self) -> None:
         """Answer all requests with 503 from now on."""
@@ -220,7 +220,10 @@
         sizes = {put.key: len(msgspec.msgpack.encode(put.value)) for put in request.puts}
         largest = max(sizes.values(), default=0)
         self.largest_value_bytes = max(self.largest_value_bytes, largest)
-        if largest <= self.value_limit_bytes and request.change_count <= self.commit_limit:
+        if (
+            largest <= self.value_limit_bytes
+            and request.change_count <= self.max_changes_per_commit
+        ):
             return False
         self.oversized_commits.append(f"too large: {request.change_count} changes, {sizes}")
         return True
--- a/tests/fakes/test_rules.py
+++ b/tests/fakes/test_rules.py
@@ -19,7 +19,7 @@
 
 JOB, PARENT, GRANDPARENT = "job-000001", "job-000002", "job-000003"
 #: longer than any test: tasks do not end, and leases do not expire
-LONG_S = 1e6
+LONGER_THAN_TESTS_S = 1e6
 
 
 def deployment_without_controllers(**job: Any) -> SimulatedDeployment:
@@ -28,7 +28,7 @@
     deployment.nodes.kill("n0")
     for number, (zone, spot) in enumerate((("a", False), ("a", True), ("b", False))):
         agent = FakeAgent(deployment, f"host-{number:06d}", MACHINE_TYPES[1], zone, spot)
-        agent.is_up, agent.lease_renewed_at = True, LONG_S
+        agent.is_up, agent.lease_renewed_at = True, LONGER_THAN_TESTS_S
         deployment.agents[agent.name] = agent
     set_job_spec(deployment, **job)
     reply_to_user(deployment, "submit", "queued", 201)
@@ -37,7 +37,7 @@
 
 def set_job_spec(deployment: SimulatedDeployment, **changes: Any) -> None:
     """Have the job be described with some changes."""
-    base = {"allows_spot": True, "estimated_run_s": LONG_S}
+    base = {"allows_spot": True, "estimated_run_s": LONGER_THAN_TESTS_S}
     deployment.tasks.specs[JOB] = job_spec(1, **{**base, **changes})
 
 
@@ -212,7 +212,7 @@
     deployment.run(deployment.cancel_s + 0.5)
 
 
-def case(violate: Callable[[SimulatedDeployment], None], rule: str, /, **job: Any) -> Any:
+def violation_case(violate: Callable[[SimulatedDeployment], None], rule: str, /, **job: Any) -> Any:
     """A breach of a rule, with changes of the job; named by the function that commits it."""
     return pytest.param(job, violate, rule, id=violate.__name__)
 
@@ -220,30 +220,30 @@
 @pytest.mark.parametrize(
     ("job", "violate", "rule"),
     [
-        case(run_twice, "ran_twice"),
-        case(exceed_the_limit, "quota", cpus=4.0, task_count=9),
+        violation_case(run_twice, "ran_twice"),
+        violation_case(exceed_the_limit, "quota", cpus=4.0, task_count=9),
         pytest.param({"machine_types": ["t4"]}, start_on_first, "wrong_place", id="wrong_type"),
         pytest.param({"zone": "b"}, start_on_first, "wrong_place", id="wrong_zone"),
-        case(start_on_spot, "wrong_place", allows_spot=False),
-        case(start_in_two_zones, "wrong_place", single_zone=True),
-        case(start_all_in_one_zone, "wrong_place", spread_zones=True, task_count=3),
-        case(run_unresponsive_after_cancel, "ran_cancelled"),
-        case(start_late_after_cancel, "ran_cancelled"),
-        case(launch_after_cancel, "started_cancelled"),
-        case(answer_not_found, "forgotten"),
-        case(refuse_for_good, "forgotten"),
-        case(answer_for_nobodys_job, "invented"),
-        case(answer_done, "not_done"),
-        case(answer_running_after_cancel, "went_back"),
-        case(answer_cancelled_by_nobody, "went_back"),
-        case(wait_beside_free_capacity, "waits"),
-        case(start_before_dependency, "too_early", depends_on=[PARENT]),
-        case(answer_orphan_queued, "orphaned", depends_on=[PARENT]),
-        case(answer_orphan_running, "orphaned", depends_on=[PARENT]),
-        case(run_after_done, "orphaned"),
-        case(run_after_parents_cancel, "orphaned"),
-        case(commit_unguarded, "unguarded"),
-        case(commit_reordered, "reordered"),
+        violation_case(start_on_spot, "wrong_place", allows_spot=False),
+        violation_case(start_in_two_zones, "wrong_place", single_zone=True),
+        violation_case(start_all_in_one_zone, "wrong_place", spread_zones=True, task_count=3),
+        violation_case(run_unresponsive_after_cancel, "ran_cancelled"),
+        violation_case(start_late_after_cancel, "ran_cancelled"),
+        violation_case(launch_after_cancel, "started_cancelled"),
+        violation_case(answer_not_found, "forgotten"),
+        violation_case(refuse_for_good, "forgotten"),
+        violation_case(answer_for_nobodys_job, "invented"),
+        violation_case(answer_done, "not_done"),
+        violation_case(answer_running_after_cancel, "went_back"),
+        violation_case(answer_cancelled_by_nobody, "went_back"),
+        violation_case(wait_beside_free_capacity, "waits"),
+        violation_case(start_before_dependency, "too_early", depends_on=[PARENT]),
+        violation_case(answer_orphan_queued, "orphaned", depends_on=[PARENT]),
+        violation_case(answer_orphan_running, "orphaned", depends_on=[PARENT]),
+        violation_case(run_after_done, "orphaned"),
+        violation_case(run_after_parents_cancel, "orphaned"),
+        violation_case(commit_unguarded, "unguarded"),
+        violation_case(commit_reordered, "reordered"),
     ],
 )
 def test_a_violation_is_reported(
--- a/tests/tools/controllers.py
+++ b/tests/tools/controllers.py
@@ -63,15 +63,15 @@
         program.add_done_callback(lambda task: self._ended(process, task))
         self._programs.append(program)
 
-    def kill(self, number: int, is_silent: bool = False) -> None:
+    def kill(self, number: int, is_power_loss: bool = False) -> None:
         """End a controller at once; if silent, its host loses power."""
         process = self._processes[number]
         if process.is_alive:
-            self._network.kill(process, is_silent)
+            self._network.kill(process, is_power_loss)
 
-    def kill_for(self, number: int, pause_s: float, is_silent: bool = False) -> None:
+    def kill_for(self, number: int, pause_s: float, is_power_loss: bool = False) -> None:
         """End a controller and start it again after a pause."""
-        self.kill(number, is_silent)
+        self.kill(number, is_power_loss)
         self._network.loop.call_later(pause_s, self.start, number)
 
     def kill_all(self) -> None:
@@ -98,4 +98,4 @@
         """A program ended by itself, which none should."""
         error = None if program.cancelled() else program.exception()
         self._recorder.ended(process, type(error).__name__)
-        self._network.kill(process, is_silent=False)
+        self._network.kill(process, is_power_loss=False)
--- a/tests/tools/network.py
+++ b/tests/tools/network.py
@@ -115,10 +115,10 @@
         elif not self._is_closing:
             self._network.loop.call_soon(self._take, item, context=self.context)
 
-    def die(self, is_silent: bool) -> None:
+    def die(self, is_power_loss: bool) -> None:
         """End with the process or the host; unless silent, the other end sees a reset."""
         self._is_closing = True
-        if not is_silent:
+        if not is_power_loss:
             self.send_ending(Ending.RESET)
         self._network.forget(self)
 
@@ -307,15 +307,15 @@
         if self._listeners.get(listener.address) is listener:
             del self._listeners[listener.address]
 
-    def kill(self, process: Process, is_silent: bool) -> None:
+    def kill(self, process: Process, is_power_loss: bool) -> None:
         """End a process; if silent, its host loses power, and the other ends see nothing."""
         process.is_alive = False
-        if is_silent:
+        if is_power_loss:
             self._down.add(process.host.name)
         for listener in [x for x in self._listeners.values() if x.process is process]:
             self.stop_listening(listener)
         for endpoint in [x for x in self._endpoints if x.process is process]:
-            endpoint.die(is_silent)
+            endpoint.die(is_power_loss)
 
     def power_on(self, host: Host) -> None:
         """Let a host answer again, if only by refusing connections."""
@@ -328,7 +328,7 @@
         for listener in [x for x in self._listeners.values() if x.address[0] == host.address]:
             self.stop_listening(listener)
         for endpoint in [x for x in self._endpoints if x.local is host]:
-            endpoint.die(is_silent=True)
+            endpoint.die(is_power_loss=True)
 
     def forget(self, endpoint: Endpoint) -> None:
         """An end of a connection is closed."""
--- a/tests/tools/scenarios_storm.py
+++ b/tests/tools/scenarios_storm.py
@@ -63,7 +63,7 @@
 def _death(deployment: Deployment) -> Callable[[], Any]:
     """A controller dies, perhaps with its host."""
     number = _some_controller(deployment)
-    deployment.controllers.kill(number, is_silent=deployment.random.random() < 0.5)
+    deployment.controllers.kill(number, is_power_loss=deployment.random.random() < 0.5)
     return lambda: deployment.controllers.start(number)
 
 
