--- a/tests/core/jobs/test_answers.py
+++ b/tests/core/jobs/test_answers.py
@@ -1,4 +1,7 @@
-"""An answer never goes back: what users are answered while commits, reads and watches are late."""
+"""Consistency of the statuses that users get while commits, reads and watches are delayed.
+
+Once a user has got a final state of a job, no later request may get another state.
+"""
 
 from __future__ import annotations
 
@@ -13,11 +16,11 @@
 from marblestair.core.state import keys
 from tests.fakes.samples import job_spec
 from tests.fakes.simulated_deployment import SimulatedDeployment
-from tests.helpers import leader_of, manager_of, started
+from tests.helpers import leader_of, manager_of, start_deployment
 
 
-def ask_everywhere(deployment: SimulatedDeployment, job: str, seconds: float) -> None:
-    """Users ask for a job's state at every node, again and again."""
+def poll_all_nodes(deployment: SimulatedDeployment, job: str, seconds: float) -> None:
+    """Query a job's status at every running node, every 0.05 s for some seconds."""
     end = deployment.now + seconds
     while deployment.now < end:
         for name in deployment.nodes.running_names:
@@ -40,9 +43,9 @@
 def test_while_a_final_state_is_on_its_way_no_other_state_is_answered(
     delay_s: float, is_cancelled: bool
 ) -> None:
-    # The end is committed at once. The other nodes find it by their watch, while the response to
-    # the manager is still on its way or lost.
-    deployment = started(11)
+    # The final state is committed at once. The other nodes learn of it by their watches, while the
+    # response to the manager is delayed or lost.
+    deployment = start_deployment(11)
     job = deployment.users.submit(job_spec(1, task_count=3, estimated_run_s=3.0))
     manager = manager_of(deployment, job)
     deployment.store_link.watch_lag_s[manager] = 1.0
@@ -52,13 +55,13 @@
     if is_cancelled:
         deployment.run(12.0)
         deployment.users.request(manager_of(deployment, job), "cancel", job)
-    ask_everywhere(deployment, job, 30.0)
+    poll_all_nodes(deployment, job, 30.0)
     assert not deployment.rules.violations
     assert job in deployment.rules.final_answers
 
 
-def leave_only(deployment: SimulatedDeployment, name: str, shard_id: int) -> None:
-    """End all other controllers for good, so that one takes their shards."""
+def kill_all_but(deployment: SimulatedDeployment, name: str, shard_id: int) -> None:
+    """Kill all other controllers for good, and wait until ``name`` has taken a shard over."""
     for other in deployment.nodes.names:
         if other != name:
             deployment.nodes.kill(other)
@@ -67,9 +70,10 @@
 
 @pytest.mark.parametrize("is_cancelled", [False, True])
 def test_a_late_read_does_not_bring_a_job_back_that_is_over(is_cancelled: bool) -> None:
-    # Reads that are carried out just before the job ends, as migrations and cancels make them,
-    # are answered only after the reader's watch has shown the deletion of the record.
-    deployment = started(12)
+    # Migrations and cancels read a job's record. Here the store executes such reads just before the
+    # job ends, and the responses arrive after the reader's watch has returned the deletion of the
+    # record.
+    deployment = start_deployment(12)
     users, store = deployment.users, deployment.store
     job = users.submit(job_spec(1, task_count=3, estimated_run_s=4.0))
     deployment.run(6.0)
@@ -89,17 +93,18 @@
     assert deployment.run_until(lambda: bool(users.state_of(job, manager)), 5.0)
     deployment.run(3.0)
     assert job not in deployment.nodes.current(reader).view.jobs
-    # Whoever takes the manager's shard over answers for its jobs.
-    leave_only(deployment, reader, shard_id)
-    ask_everywhere(deployment, job, 8.0)
+    # The node that takes the manager's shard over answers queries of its jobs.
+    kill_all_but(deployment, reader, shard_id)
+    poll_all_nodes(deployment, job, 8.0)
     assert users.state_of(job, reader) == deployment.rules.final_answers[job].state
     assert not deployment.rules.violations
 
 
 def test_a_late_response_to_its_acceptance_does_not_bring_a_job_back() -> None:
-    # The record is accepted, found by the watch, cancelled and deleted before the node that
-    # accepted it gets the response. Were it recorded again, its tasks would start.
-    deployment = started(13)
+    # The record is created, returned by the watch, cancelled and deleted before the node that
+    # created it gets the response. If that response restored the record in the node's view, the
+    # job's tasks would start.
+    deployment = start_deployment(13)
     spec = job_spec(1, task_count=3)
     job, key, final_key = spec.id, keys.JOBS + spec.id, keys.FINAL_STATES + spec.id
     deployment.store_link.response_delay_s = lambda _node, request: (
@@ -113,7 +118,7 @@
             deployment.users.request(name, "cancel", job)
         deployment.run(0.02)
     assert final_key in deployment.store.data
-    ask_everywhere(deployment, job, 6.0)
+    poll_all_nodes(deployment, job, 6.0)
     for name in deployment.nodes.names:
         assert job not in deployment.nodes.current(name).view.jobs
     assert not deployment.tasks.has_started(job)
@@ -121,7 +126,7 @@
 
 
 def result_after(coroutine: Coroutine, response: StoreResponse) -> Any:
-    """What a coroutine returns once its one request is answered."""
+    """Return the result of a coroutine whose only request gets ``response``."""
     next(coroutine)
     with pytest.raises(StopIteration) as end:
         coroutine.send(response)
@@ -129,9 +134,10 @@
 
 
 def test_a_cancelled_record_that_was_read_late_is_not_called_queued() -> None:
-    # Read while the cancel was confirmed already, answered after the view has passed the deletion:
-    # the view knows neither the record nor the entry any more.
-    deployment = started(14)
+    # The record is read after the cancel was confirmed, and the response arrives when the view
+    # already includes the record's deletion: the view has neither the record nor the cancel's
+    # entry any more.
+    deployment = start_deployment(14)
     job = deployment.users.submit(job_spec(1, task_count=3, estimated_run_s=200.0))
     manager = manager_of(deployment, job)
     other = next(name for name in deployment.nodes.names if name != manager)
@@ -146,7 +152,7 @@
 
 
 def test_a_read_that_finds_no_record_is_ahead_of_the_watch() -> None:
-    deployment = started(17)
+    deployment = start_deployment(17)
     job = deployment.users.submit(job_spec(1, task_count=3, estimated_run_s=200.0))
     controller = deployment.nodes.current(manager_of(deployment, job))
     view = controller.view
@@ -156,11 +162,11 @@
     next(reading)
     reading.send(StoreResponse(404, revision=version + 5))
     assert job not in view.jobs
-    # What was read or committed before that comes too late.
+    # Neither reads nor changes of earlier revisions restore the record.
     view.apply_read(key, record, version + 4)
     view.apply_changes([KeyChange(key, record, version + 3)], version + 3)
     assert job not in view.jobs
-    # A read that was carried out before the acceptance removes nothing either.
+    # Neither a failed read nor a read of a revision before the record's version removes it.
     view.apply_read(key, record, version + 6)
     result_after(controller.job_services.reader.read_record(job), StoreResponse(0))
     late = controller.job_services.reader.read_record(job)
@@ -171,7 +177,7 @@
 
 @pytest.mark.parametrize("answer", [None, 7, ["done"], ["lost", 1, 1], ["unknown", None, None]])
 def test_a_malformed_answer_of_another_node_is_no_answer(answer: Any) -> None:
-    deployment = started(15)
+    deployment = start_deployment(15)
     job = deployment.users.submit(job_spec(1, task_count=3, estimated_run_s=200.0))
     deployment.run(5.0)
     manager = manager_of(deployment, job)
@@ -179,12 +185,12 @@
     answers = deployment.nodes.current(manager).job_services.answers
     answers.status_from_memory = lambda job: answer  # type: ignore[method-assign]
     state = deployment.users.state_of(job, reader)
-    # A status without its counts is one; everything else is left to a read.
+    # A status without task counts is valid; after any other reply the node reads the store.
     assert state == ("done" if answer == ["done"] else "queued")
 
 
 def test_the_manager_answers_from_memory_without_a_read() -> None:
-    deployment = started(16)
+    deployment = start_deployment(16)
     job = deployment.users.submit(job_spec(1, task_count=3, estimated_run_s=200.0))
     deployment.run(12.0)
     controller = deployment.nodes.current(manager_of(deployment, job))
--- a/tests/core/jobs/test_dependencies.py
+++ b/tests/core/jobs/test_dependencies.py
@@ -1,4 +1,4 @@
-"""Jobs that depend on others: acceptance, release, and what they reserve until then."""
+"""Jobs that depend on others: acceptance, release, and use of the quota until the release."""
 
 from __future__ import annotations
 
@@ -16,32 +16,32 @@
     wait_until_all_done,
 )
 from tests.fakes.samples import job_spec
-from tests.helpers import led_shards, started
-from tests.recorder import Recorder
+from tests.helpers import led_shards, start_deployment
+from tests.recorder import RequestRecorder
 
 
 def test_a_pipeline_of_four_stages_runs_from_submission_to_done() -> None:
-    deployment = started()
+    deployment = start_deployment()
     specs = submit_pipeline(deployment, deadline_s=60.0)
     assert deployment.users.state_of(specs[-1].id) == "queued"
     assert wait_until_all_done(deployment, specs)
     for spec in specs[1:]:
-        began = deployment.tasks.starts_of(spec.id)[0].at
-        ended = max(deployment.tasks.done_at[parent] for parent in spec.depends_on)
-        # A release, a watch and a heartbeat lie between the two.
-        assert 0.0 <= began - ended < 6.0, spec.id
+        child_started_at = deployment.tasks.starts_of(spec.id)[0].at
+        parents_done_at = max(deployment.tasks.done_at[parent] for parent in spec.depends_on)
+        # The delay consists of the release's commit, a watch response and a heartbeat.
+        assert 0.0 <= child_started_at - parents_done_at < 6.0, spec.id
     assert not deployment.rules.violations
 
 
 def test_a_waiting_job_reserves_nothing_of_its_teams_quota() -> None:
-    deployment = started()
+    deployment = start_deployment()
     users = deployment.users
     parent = users.submit(job_spec(1, task_count=1, estimated_run_s=40.0))
     child = users.submit(job_spec(2, task_count=6, depends_on=[parent]))
     independent = users.submit(job_spec(3, task_count=7, estimated_run_s=3.0))
     deployment.run(2.0)
     controller = deployment.nodes.current("n0")
-    # The guarantee is for eight tasks.
+    # The team's guarantee covers eight tasks.
     assert controller.scheduling_services.guarantees.jobs >= {parent, independent}
     assert child not in controller.scheduling_services.guarantees.jobs
     assert all(
@@ -50,7 +50,7 @@
         for job_slice in controller.scheduling_services.dispatcher.pending_in_order(shard)
     )
     assert users.wait_until_done(independent, 60.0)
-    # The whole of the team's limit is left for others.
+    # The team's whole limit is available to its other jobs.
     other = users.submit(job_spec(4, task_count=23, estimated_run_s=3.0))
     assert users.wait_until_done(other, 60.0)
     assert not deployment.tasks.has_started(child)
@@ -59,13 +59,13 @@
 
 
 def test_a_job_that_depends_on_one_never_accepted_is_refused() -> None:
-    deployment = started()
-    known = deployment.users.submit(job_spec(1))
-    unknown = job_spec(2, depends_on=[known, "job-999999"])
-    assert submit_once(deployment, "n0", unknown).status == 422
+    deployment = start_deployment()
+    accepted = deployment.users.submit(job_spec(1))
+    on_unknown = job_spec(2, depends_on=[accepted, "job-999999"])
+    assert submit_once(deployment, "n0", on_unknown).status == 422
     on_itself = job_spec(3, depends_on=["job-000003"])
     assert submit_once(deployment, "n1", on_itself).status == 422
-    # A repeated submission gets its state, whatever it depends on.
+    # A retry of an accepted submission gets the job's status; its dependencies are not checked.
     repeated = job_spec(1, depends_on=["job-999999"])
     assert submit_once(deployment, "n2", repeated).status == 200
     assert not deployment.rules.violations
@@ -73,12 +73,12 @@
 
 @pytest.mark.parametrize("is_announced", [True, False])
 def test_a_parent_accepted_a_moment_ago_by_another_node_is_known(is_announced: bool) -> None:
-    """By the message of the node that accepted it, without a read, or else by a read."""
-    deployment = started()
-    # The other node's watch lags behind.
+    """The other node knows the parent by the accepting node's message, or else by a read."""
+    deployment = start_deployment()
+    # The watch of n1, the other node, lags behind.
     deployment.store_link.watch_lag_s["n1"] = 3.0
     deployment.network.dropped_tags |= set() if is_announced else {"record"}
-    recorder = Recorder(deployment, "n1")
+    recorder = RequestRecorder(deployment, "n1")
     parent = job_spec(1)
     assert submit_once(deployment, "n0", parent).status == 201
     deployment.run(0.1)
@@ -91,7 +91,7 @@
 
 @pytest.mark.parametrize("final_state", ["done", "cancelled"])
 def test_a_parent_that_was_over_long_ago_is_known_by_its_final_state(final_state: str) -> None:
-    deployment = started()
+    deployment = start_deployment()
     users = deployment.users
     run_s = 1.0 if final_state == "done" else 60.0
     parent = users.submit(job_spec(1, task_count=1, estimated_run_s=run_s))
@@ -116,7 +116,7 @@
 def test_an_acceptance_as_cancelled_without_a_response_is_found_by_the_next_try(
     is_carried_out: bool,
 ) -> None:
-    deployment = started()
+    deployment = start_deployment()
     parent = deployment.users.submit(job_spec(1, task_count=1, estimated_run_s=60.0))
     deployment.users.cancel(parent)
     child = job_spec(2, depends_on=[parent])
@@ -142,7 +142,7 @@
 
 
 def test_what_cannot_be_decided_now_is_refused_for_now() -> None:
-    deployment = started()
+    deployment = start_deployment()
     deployment.store.start_outage()
     reply: UserReply = submit_once(deployment, "n0", job_spec(2, depends_on=["job-000001"]))
     assert reply.status == 503
@@ -150,14 +150,14 @@
 
 
 def test_ids_that_nobody_submitted_do_not_use_up_the_rate_of_the_store() -> None:
-    deployment = started()
-    recorder = Recorder(deployment, "n0")
+    deployment = start_deployment()
+    recorder = RequestRecorder(deployment, "n0")
     unknown = [f"job-{number}" for number in range(900_000, 901_000)]
     for number in range(100, 140):
         deployment.users.request("n0", "submit", job_spec(number, depends_on=unknown))
     deployment.run(5.0)
-    # The first unknown id decides, by three reads, and two more show that the job itself is not
-    # known; only so many are under way at once.
+    # The first unknown parent is found unknown by three reads, which decides the reply; two more
+    # reads find that the job itself is unknown. The number of concurrent lookups is limited.
     max_concurrent_reads = deployment.nodes.current("n0").job_services.lookups.max_concurrent_reads
     assert max_concurrent_reads < 20
     assert recorder.count(Get) <= 5 * max_concurrent_reads
@@ -166,7 +166,7 @@
 
 
 def test_many_finished_parents_are_looked_up_over_several_tries() -> None:
-    deployment = started()
+    deployment = start_deployment()
     tasks = deployment.tasks
     parents = [job_spec(number) for number in range(1000, 1300)]
     for parent in parents:
@@ -182,8 +182,8 @@
 
 
 def test_long_chains_of_dependencies_are_walked_without_recursion() -> None:
-    """A long chain and a wide stage: no walk over all waiting jobs either."""
-    deployment = started()
+    """Traversals must neither recurse nor visit all blocked jobs at each step."""
+    deployment = start_deployment()
     controller = deployment.nodes.current("n0")
     top = job_spec(1, task_count=1)
     descendants = chain_after(top, range(2, 3000))
@@ -198,15 +198,15 @@
 
 
 def test_a_job_released_after_a_failover_does_not_wait_for_unresponsive_agents() -> None:
-    deployment = started()
+    deployment = start_deployment()
     parent = job_spec(1, task_count=1, estimated_run_s=16.0)
     child = job_spec(2, task_count=2, estimated_run_s=1.0, depends_on=[parent.id])
     others = [job_spec(number, task_count=8, estimated_run_s=60.0) for number in (3, 4)]
     submit_all(deployment, parent, child, *others)
     tasks = deployment.tasks
     deployment.run_until(lambda: tasks.has_started(parent.id) and len(tasks.starts) >= 12, 30.0)
-    # One agent stops responding with the restart: its shard is reconciled only when its lease is
-    # over.
+    # One agent stops responding at the restart, so its shard stays unreconciled until its lease
+    # expires.
     unresponsive = next(
         agent
         for agent in deployment.agents.values()
--- a/tests/core/jobs/test_dependency_answers.py
+++ b/tests/core/jobs/test_dependency_answers.py
@@ -1,4 +1,4 @@
-"""What users are answered about jobs that depend on a cancelled one."""
+"""Statuses that users get for jobs that depend on a cancelled one."""
 
 from __future__ import annotations
 
@@ -16,23 +16,24 @@
     poll_all,
     stored_record,
     submit_all,
-    submit_chain_managed_apart,
+    submit_chain_with_three_managers,
     wait_until_all_cancelled,
 )
 from tests.fakes.nodes import OutputKind
 from tests.fakes.samples import job_spec
-from tests.helpers import manager_of, started
+from tests.helpers import manager_of, start_deployment
 
 
 @pytest.mark.parametrize("killed", ["", "n0", "n1"])
 def test_a_far_descendant_is_not_called_queued_once_the_job_between_is_over(killed: str) -> None:
     """The manager of a grandchild loses its peers and the store during a cancel.
 
-    It leads under promises afterwards. The job between ends first, and its record with it; the
-    cancel may still not be confirmed before the grandchild's manager has it or leads no more.
+    Afterwards that manager acts on promises. The job between ends first, and its record is deleted.
+    Even so, the cancel must not be confirmed before the grandchild's manager has applied it or has
+    lost its leadership.
     """
-    deployment = started()
-    chain = submit_chain_managed_apart(deployment)
+    deployment = start_deployment()
+    chain = submit_chain_with_three_managers(deployment)
     top = chain[0].id
     deployment.run(2.0)
     deployment.network.isolate("n2", "n0", "n1")
@@ -55,8 +56,8 @@
 
 
 def test_a_read_that_the_end_of_a_waiting_job_overtakes_does_not_call_it_queued() -> None:
-    """What the read found is older than the view by the time at which it arrives."""
-    deployment = started()
+    """The record that the read found is older than the view when the response arrives."""
+    deployment = start_deployment()
     child, other = cancel_parent_with_final_states_blocked(deployment)
     key = keys.JOBS + child.id
     deployment.network.dropped_tags |= {"query", "ended"}
@@ -75,7 +76,7 @@
 
 
 def test_a_descendant_is_called_cancelled_before_its_final_state_is_written() -> None:
-    deployment = started()
+    deployment = start_deployment()
     users = deployment.users
     child = cancel_parent_with_final_states_blocked(deployment).spec.id
     for name in deployment.nodes.names:
@@ -88,8 +89,8 @@
 
 
 def test_a_descendant_is_not_called_cancelled_while_another_node_may_call_it_queued() -> None:
-    """By a read, with a view that is younger than an agent's lease."""
-    deployment = started()
+    """The other node answers by a read, with a view that is younger than an agent's lease."""
+    deployment = start_deployment()
     parent, child = parent_and_child(100.0)
     submit_all(deployment, parent, child)
     deployment.run(1.0)
@@ -109,28 +110,28 @@
 
 
 def test_the_final_state_of_a_descendant_goes_ahead_of_progress_once_it_is_due() -> None:
-    """However much else there is to write, users learn of it within cancel_s."""
-    deployment = started()
-    tries: list[tuple[float, RequestPriority]] = []
+    """Users must get the state within ``cancel_s``, however many other writes there are."""
+    deployment = start_deployment()
+    attempts: list[tuple[float, RequestPriority]] = []
 
-    def record_lane(_kind: OutputKind, _node: str, output: object) -> None:
+    def record_attempt(_kind: OutputKind, _node: str, output: object) -> None:
         if isinstance(output, CompareAndSwap):
             if any(put.key == keys.FINAL_STATES + "job-000002" for put in output.puts):
-                tries.append((deployment.now, output.priority))
+                attempts.append((deployment.now, output.priority))
 
-    deployment.nodes.on_output = record_lane
+    deployment.nodes.on_output = record_attempt
     cancel_parent_with_final_states_blocked(deployment)
     confirmed_at = deployment.rules.cancel_confirmed_at["job-000001"]
-    assert tries[0][1] == RequestPriority.PROGRESS
-    due_at = next(at for at, priority in tries if priority == RequestPriority.FINAL_STATE)
+    assert attempts[0][1] == RequestPriority.PROGRESS
+    due_at = next(at for at, priority in attempts if priority == RequestPriority.FINAL_STATE)
     assert 0.1 * deployment.cancel_s < due_at - confirmed_at < 0.3 * deployment.cancel_s
-    assert all(priority == RequestPriority.FINAL_STATE for at, priority in tries if at > due_at)
+    assert all(priority == RequestPriority.FINAL_STATE for at, priority in attempts if at > due_at)
     assert not deployment.rules.violations
 
 
 def test_no_node_calls_a_job_queued_that_it_knows_to_depend_on_a_cancelled_one() -> None:
-    """Also when another node still does, by an older view."""
-    deployment = started()
+    """A node must not pass on the state queued from a peer whose view is older than its own."""
+    deployment = start_deployment()
     child, other = cancel_parent_with_final_states_blocked(deployment, 0.1)
     controller = deployment.nodes.current(other)
     queued = ProvenStatus(JobStatus(JobState.QUEUED, 0, 0), Proof.PEER)
@@ -138,8 +139,8 @@
 
 
 def test_a_read_of_a_waiting_job_leads_to_reads_of_its_ancestors_final_states() -> None:
-    """The parent is found live by a read, and its own parent is over and was cancelled."""
-    deployment = started()
+    """A read finds the parent live; the grandparent has ended as cancelled."""
+    deployment = start_deployment()
     first = job_spec(1)
     second, third = chain_after(first, range(2, 4))
     version = deployment.store.revision + 1000
--- a/tests/core/jobs/test_dependency_cancellations.py
+++ b/tests/core/jobs/test_dependency_cancellations.py
@@ -1,4 +1,4 @@
-"""What a cancel does to the jobs that depend on the cancelled one."""
+"""Effects of a cancel on the jobs that depend on the cancelled one."""
 
 from __future__ import annotations
 
@@ -16,15 +16,16 @@
     wait_until_all_cancelled,
 )
 from tests.fakes.samples import job_spec
-from tests.helpers import leaders_of_job, manager_of, started
+from tests.helpers import leaders_of_job, manager_of, start_deployment
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_cancel_reaches_all_descendants_also_those_submitted_later(seed: int) -> None:
-    deployment = started(seed)
+    deployment = start_deployment(seed)
     tasks = deployment.tasks
     parent = job_spec(1, task_count=2, estimated_run_s=60.0)
-    # Through depth and width: a chain of six, and twelve beside it.
+    # A deep and a wide part: a chain of six jobs, and twelve jobs that depend on the parent and
+    # on the chain's first job.
     chain = chain_after(parent, range(2, 8))
     wide = [job_spec(number, depends_on=[parent.id, chain[0].id]) for number in range(10, 22)]
     submit_all(deployment, parent, *chain, *wide)
@@ -35,14 +36,14 @@
     descendants = [*chain, *wide, *late]
     assert wait_until_all_cancelled(deployment, descendants, 0.8 * deployment.cancel_s)
     assert not any(tasks.has_started(spec.id) for spec in descendants)
-    # Nothing of them is left but their final states.
+    # Only their final states are left in the store.
     deployment.run(3.0)
-    assert not deployment.store.keys_with(keys.JOBS)
+    assert not deployment.store.keys_with_prefix(keys.JOBS)
     assert not deployment.rules.violations
 
 
 def test_a_cancel_answered_with_done_changes_nothing_for_dependent_jobs() -> None:
-    deployment = started()
+    deployment = start_deployment()
     users = deployment.users
     parent, child = parent_and_child(1.0, child_tasks=1, child_run_s=1.0)
     submit_all(deployment, parent, child)
@@ -53,7 +54,7 @@
 
 
 def test_a_diamond_with_one_side_done_and_the_other_cancelled_is_cancelled() -> None:
-    deployment = started()
+    deployment = start_deployment()
     users = deployment.users
     top = job_spec(1, task_count=1, estimated_run_s=1.0)
     left = job_spec(2, task_count=1, estimated_run_s=1.0, depends_on=[top.id])
@@ -68,7 +69,7 @@
 
 
 def test_a_chain_whose_middle_is_cancelled_still_runs_what_comes_before() -> None:
-    deployment = started()
+    deployment = start_deployment()
     first = job_spec(1, task_count=1, estimated_run_s=15.0)
     chain = [first, *chain_after(first, range(2, 6), task_count=1, estimated_run_s=1.0)]
     submit_all(deployment, *chain)
@@ -79,7 +80,7 @@
 
 
 def test_a_child_accepted_by_a_node_whose_view_lags_is_cancelled_too() -> None:
-    deployment = started()
+    deployment = start_deployment()
     parent, child = parent_and_child(60.0)
     deployment.users.submit(parent, "n0")
     deployment.run(2.0)
@@ -97,7 +98,7 @@
 def test_a_store_outage_right_after_the_answer_leaves_no_descendant_called_queued(
     seed: int,
 ) -> None:
-    deployment = started(seed)
+    deployment = start_deployment(seed)
     users = deployment.users
     parent = job_spec(1, task_count=1, estimated_run_s=60.0)
     chain = chain_after(parent, range(2, 9))
@@ -116,10 +117,10 @@
 def test_descendants_whose_final_states_cannot_be_written_are_not_called_queued(
     restart: bool, dropped_tags: set[str]
 ) -> None:
-    deployment = started()
+    deployment = start_deployment()
     parent = job_spec(1, task_count=1, estimated_run_s=100.0)
     descendants = chain_after(parent, range(2, 4))
-    # More than those whose final states are being written at once.
+    # More jobs than the number of final states that are written concurrently.
     descendants += [job_spec(number, depends_on=[parent.id]) for number in range(10, 40)]
     submit_all(deployment, parent, *descendants)
     block_final_states(deployment)
@@ -129,7 +130,8 @@
         deployment.nodes.kill_all(restart_after_s=1.0)
         deployment.run(10.0)
     answers = poll_all(deployment, descendants, 1.4 * deployment.cancel_s)
-    # Refused at first, and cancelled once no node can answer another state.
+    # Queries are refused at first, and answered with the state "cancelled" as soon as no node can
+    # return another state.
     assert "503" in answers
     assert set(answers[-20:]) == {"cancelled"}
     assert not {"queued", "running"} & set(answers[len(answers) // 4 :])
@@ -139,15 +141,15 @@
 
 
 def test_a_leader_under_promises_with_an_old_view_does_not_call_a_child_queued() -> None:
-    """Its parent's cancel is known to nobody any more as an entry, so no promise carries it."""
-    deployment = started()
+    """The parent's cancel is in no node's registry any more, so no promise carries its entry."""
+    deployment = start_deployment()
     for number in range(1, 40):
         parent = job_spec(10 * number, task_count=1, estimated_run_s=100.0)
         deployment.users.submit(parent, "n0")
         if leaders_of_job(deployment, parent.id) == {"n0"}:
             break
     else:
-        raise AssertionError("no such parent")
+        raise AssertionError("no job has its manager and all its slices in shards of n0")
     deployment.run(2.0)
     deployment.store_link.watch_lag_s["n1"] = 1000.0
     deployment.network.dropped_tags.add("confirmed")
@@ -168,8 +170,8 @@
 
 
 def test_a_grandchild_of_a_job_cancelled_out_of_view_is_not_called_queued() -> None:
-    """The final state of its grandparent is known to its manager by no entry, and must be read."""
-    deployment = started()
+    """No entry of the grandparent's cancel is known here, so its final state must be read."""
+    deployment = start_deployment()
     controller = deployment.nodes.current("n0")
     view = controller.view
     for number in (2, 3):
@@ -183,11 +185,11 @@
 
 
 def test_a_cancel_is_confirmed_only_after_the_managers_of_descendants_have_it() -> None:
-    """A node that the store refuses answers by an older view for a while."""
-    deployment = started()
+    """A node that the store refuses answers by an outdated view until its lease expires."""
+    deployment = start_deployment()
     users = deployment.users
     for number in range(1, 40):
-        # A parent whose manager and slices are elsewhere, and a child managed at n2.
+        # Find a parent of which n2 leads no shard, and a child that n2 manages.
         parent = job_spec(10 * number, task_count=1, estimated_run_s=90.0)
         child = job_spec(10 * number + 1, task_count=1, depends_on=[parent.id])
         users.submit(parent, "n0")
@@ -196,13 +198,13 @@
         if is_elsewhere and manager_of(deployment, child.id) == "n2":
             break
     else:
-        raise AssertionError("no such parent")
+        raise AssertionError("no child is managed by n2 while its parent is not in shards of n2")
     deployment.run(1.0)
     deployment.store.refused_nodes.add("n2")
     deployment.network.isolate("n2", "n0", "n1")
     cancels = users.request("n0", "cancel", parent.id)
     deployment.run(2.0)
-    # The child's manager still answers that it is queued; so the cancel is not confirmed yet.
+    # The child's manager still reports it as queued, so the cancel must not be confirmed yet.
     polls = users.request("n2", "query", child.id)
     deployment.run(0.5)
     assert polls[0].state == "queued"
@@ -214,8 +216,8 @@
 
 
 def cancel_near_the_end(delay_s: float) -> str:
-    """Cancel a parent some time after its last task was done; the state, which its child shares."""
-    deployment = started()
+    """Cancel a parent ``delay_s`` after its last task is done; return the state of both jobs."""
+    deployment = start_deployment()
     users = deployment.users
     parent, child = parent_and_child(3.0, child_tasks=1, child_run_s=1.0)
     submit_all(deployment, parent, child)
@@ -228,6 +230,6 @@
 
 
 def test_a_cancel_against_the_last_task_of_a_parent() -> None:
-    """Whichever of the two is committed first, what depends on the job follows it."""
+    """Dependent jobs follow the commit that comes first: the cancel or the completion."""
     states = {cancel_near_the_end(tenths / 20.0) for tenths in range(0, 40, 2)}
     assert states == {"done", "cancelled"}
