--- a/tests/core/leadership/test_pauses.py
+++ b/tests/core/leadership/test_pauses.py
@@ -1,7 +1,7 @@
-"""Controllers that stand still while their clocks run on.
+"""Controllers whose processes are paused while their clocks continue.
 
-A pause is put at a critical point: what was decided before it is sent after it. Late duplicates of
-heartbeats and requests that are carried out late follow.
+A pause begins at a critical point: what the controller decided before the pause is sent after it.
+Besides, heartbeats are duplicated and some commits are executed late.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 from tests.fakes.nodes import OutputKind
 from tests.fakes.samples import job_spec
 from tests.fakes.simulated_deployment import SimulatedDeployment
-from tests.helpers import leader_of, manager_of, started
-from tests.recorder import Recorder
+from tests.helpers import leader_of, manager_of, start_deployment
+from tests.recorder import RequestRecorder
 
 
 def is_commit(kind: OutputKind, output: Any) -> bool:
@@ -48,7 +48,7 @@
 
 
 def is_promise(kind: OutputKind, output: Any) -> bool:
-    # A promise is a list of the cancels that the asker may lack; a refusal is None.
+    # A granted promise is the list of cancels that the asking node may lack; a refusal is None.
     is_reply = kind == OutputKind.PEER_REPLY and output.tag == "promise"
     return is_reply and output.value is not None
 
@@ -68,8 +68,8 @@
 }
 
 
-class PauseAt:
-    """Freezes a node for some leases at an occurrence of a critical point."""
+class PauseAtOutput:
+    """Freezes a node at an occurrence of a critical point, for a number of leases."""
 
     def __init__(
         self, deployment: SimulatedDeployment, point: str, occurrence: int, leases: float
@@ -81,7 +81,7 @@
         self._leases = leases
 
     def __call__(self, kind: OutputKind, node: str, output: Any) -> None:
-        """Freeze the node if the output is the one to be delayed."""
+        """Freeze the node if this output is the chosen occurrence of the critical point."""
         if self.has_paused or not self._is_at_point(kind, output):
             return
         self._remaining -= 1
@@ -91,11 +91,11 @@
 
 
 def pause_at_a_critical_point(point: str, leases: float, seed: int) -> None:
-    deployment = started(3000 + 10 * seed)
+    deployment = start_deployment(3000 + 10 * seed)
     users = deployment.users
     deployment.agent_link.duplicate_ratio, deployment.store_link.late_commit_ratio = 0.1, 0.02
     occurrence = 1 if point == "failover" else random.Random(seed).randint(1, 4)
-    pause = PauseAt(deployment, point, occurrence, leases)
+    pause = PauseAtOutput(deployment, point, occurrence, leases)
     jobs = users.submit_many(range(1, 4), task_count=8, estimated_run_s=8.0)
     cancelled = users.submit(job_spec(4, task_count=8, estimated_run_s=60.0))
     deployment.run(4.0)
@@ -103,7 +103,7 @@
     if point == "failover":
         deployment.nodes.kill("n1", restart_after_s=25.0)
     elif point == "promise":
-        # Unlike after an outage, leases do not get their full time again.
+        # Unlike ``end_outage()``, this does not give the leases their full time again.
         deployment.store.is_down = True
         deployment.schedule(
             0.7 * deployment.lease_s, lambda: setattr(deployment.store, "is_down", False)
@@ -114,12 +114,12 @@
     if point != "promise":
         assert users.cancel(cancelled) == "cancelled"
     if point == "peer request":
-        # A poll at another node than the manager's is a request between controllers.
+        # A node that does not manage the job forwards a query to the manager as a peer request.
         for _ in range(20):
             if not pause.has_paused:
                 users.state_of(jobs[0])
     deployment.run((leases + 1.0) * deployment.lease_s)
-    assert pause.has_paused, "the test never came to its point"
+    assert pause.has_paused, "the critical point did not occur"
     deployment.nodes.on_output = None
     assert all(users.wait_until_done(job, 150.0) for job in jobs)
     deployment.run(deployment.cancel_s)
@@ -137,7 +137,7 @@
 
 
 def test_a_node_that_wakes_leads_nothing_until_it_has_read_the_shard_map() -> None:
-    deployment = started(3100)
+    deployment = start_deployment(3100)
     job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=60.0))
     deployment.run(6.0)
     name = leader_of(deployment, 0)
@@ -145,7 +145,8 @@
     assert controller.leadership.is_leader(0)
     deployment.nodes.freeze(name, 1.5 * deployment.lease_s)
     deployment.run(1.5 * deployment.lease_s - 0.01)
-    # Others have taken the shard over. On waking, before anything is read, it leads none.
+    # Another node has taken the shard over. At the end of its pause, before it reads the shard
+    # map, the paused node must not lead any shard.
     deployment.nodes.set_time(controller)
     assert not controller.leadership.led_shards()
     assert not controller.leadership.is_leader(0)
@@ -156,12 +157,12 @@
 
 
 def changed_keys(commit: CompareAndSwap) -> list[str]:
-    """The keys that a commit puts or deletes."""
+    """Return the keys that a commit puts or deletes."""
     return [put.key for put in commit.puts] + commit.deletes
 
 
 def is_commit_for_a_shard(commit: CompareAndSwap) -> bool:
-    """Whether a commit changes no key that belongs to no shard: a node's own, machine types."""
+    """Whether a commit changes no node's key, no machine types and not the shard map."""
     return not any(
         key.startswith((keys.NODES, keys.MACHINE_TYPES)) or key == keys.SHARD_MAP
         for key in changed_keys(commit)
@@ -169,15 +170,15 @@
 
 
 def test_commits_of_a_leader_from_before_a_pause_are_refused_after_a_failover() -> None:
-    deployment = started(3101)
+    deployment = start_deployment(3101)
     name = leader_of(deployment, 0)
     commits: list[CompareAndSwap] = []
 
-    def apply_commit(_kind: OutputKind, node: str, output: Any) -> None:
+    def record_commit(_kind: OutputKind, node: str, output: Any) -> None:
         if node == name and isinstance(output, CompareAndSwap) and is_commit_for_a_shard(output):
             commits.append(output)
 
-    deployment.nodes.on_output = apply_commit
+    deployment.nodes.on_output = record_commit
     jobs = [
         deployment.users.submit(job_spec(number, task_count=8, estimated_run_s=3.0), node=name)
         for number in range(1, 7)
@@ -187,10 +188,10 @@
     deployment.nodes.on_output = None
     deployment.nodes.freeze(name, 3 * deployment.lease_s)
     assert deployment.run_until(lambda: leader_of(deployment, 0) != name, 2 * deployment.lease_s)
-    kinds = {key.rsplit("/", 1)[0] for commit in commits for key in changed_keys(commit)}
+    prefixes = {key.rsplit("/", 1)[0] for commit in commits for key in changed_keys(commit)}
     assert len(commits) > 10
-    assert len(kinds) >= 4
-    # Each of them, sent late or once more.
+    assert len(prefixes) >= 4
+    # The store refuses each of the commits if it arrives late or for a second time.
     statuses = [deployment.store.execute(commit, name).status for commit in commits]
     assert statuses == [409] * len(commits)
     deployment.run(3 * deployment.lease_s)
@@ -199,20 +200,20 @@
 
 @pytest.mark.parametrize("leases", [0.3, 0.8, 2.5])
 def test_a_node_that_wakes_sends_no_burst_to_the_store_or_the_cloud(leases: float) -> None:
-    """All timers of a frozen node fall due together when it goes on."""
-    deployment = started(480, teams=[{"name": "red", "cpus": 40.0, "cpus_max": 60.0}])
+    """All timers of a paused node are due at once when it resumes."""
+    deployment = start_deployment(480, teams=[{"name": "red", "cpus": 40.0, "cpus_max": 60.0}])
     job = deployment.users.submit(job_spec(1, task_count=30, estimated_run_s=120.0))
     deployment.run(20.0)
     node = manager_of(deployment, job)
-    recorder = Recorder(deployment, node)
+    recorder = RequestRecorder(deployment, node)
     deployment.run(10.0)
-    usual = recorder.count_outside()
-    assert usual > 0
+    requests_before_pause = recorder.count_store_and_cloud_requests()
+    assert requests_before_pause > 0
     deployment.nodes.freeze(node, leases * deployment.lease_s)
     deployment.run(leases * deployment.lease_s)
     recorder.requests.clear()
     deployment.run(2.0)
-    # In the two seconds after it goes on no more than in ten ordinary ones.
-    assert recorder.count_outside() <= usual
+    # In the 2 s after the node resumes it sends no more requests than in 10 s before the pause.
+    assert recorder.count_store_and_cloud_requests() <= requests_before_pause
     assert deployment.users.wait_until_done(job, 300.0)
     assert not deployment.rules.violations
