--- a/tests/core/runtime/test_decision_log.py
+++ b/tests/core/runtime/test_decision_log.py
@@ -1,10 +1,10 @@
-"""The log of decisions: it shows the cause of a broken rule, and stays bounded."""
+"""The decision log: the facts that explain a violation, and the bound on its lines."""
 
 from __future__ import annotations
 
 from marblestair.core.runtime.decision_log import MAX_LINES_PER_S, Decision, DecisionLog
 from tests.fakes.samples import job_spec
-from tests.helpers import manager_of, started
+from tests.helpers import manager_of, start_deployment
 
 
 def test_lines_are_bounded_and_what_is_left_out_is_counted() -> None:
@@ -16,15 +16,15 @@
     assert len(lines) == MAX_LINES_PER_S
     log.log(11.0, Decision.CANCEL, "known", job="last")
     assert lines[MAX_LINES_PER_S:] == [
-        f"cancel: {4 * MAX_LINES_PER_S} more lines in one second",
+        f"cancel: {4 * MAX_LINES_PER_S} log lines suppressed within one second",
         "cancel known: job=last",
     ]
     assert log.counts == {"cancel known": 5 * MAX_LINES_PER_S + 1, "launch in an answer": 7}
 
 
 def test_the_log_shows_who_knew_a_cancel_before_its_confirmation_and_what_allowed_it() -> None:
-    """Answers at once, or time where a leader could not be asked."""
-    deployment = started()
+    """The proof is the leaders' replies, or elapsed time if a leader could not be asked."""
+    deployment = start_deployment()
     first, second = (
         deployment.users.submit(job_spec(number, task_count=6, estimated_run_s=100.0))
         for number in (1, 2)
@@ -36,7 +36,7 @@
     confirmed = deployment.logged("cancel confirmed", first)[0]
     assert "by=answers" in confirmed.text
     assert confirmed.at <= deployment.now
-    # The second by time only: the request to apply it is lost.
+    # The second is confirmed by elapsed time only, as the requests to apply it are lost.
     deployment.network.dropped_tags.add("apply")
     manager = manager_of(deployment, second)
     lagging = next(name for name in deployment.nodes.names if name != manager)
@@ -44,12 +44,12 @@
     deployment.run(3.0)
     deployment.users.cancel(second)
     assert "by=time" in deployment.logged("cancel confirmed", second)[0].text
-    # By then the leader with an old view leads no more, and its log says so.
+    # Before that, the leader with the outdated view has lost its authority and has logged this.
     assert [line for line in deployment.logged("authority none") if line.node == lagging]
 
 
 def test_the_log_tells_a_release_from_an_end_and_counts_starts_and_stops() -> None:
-    deployment = started()
+    deployment = start_deployment()
     users = deployment.users
     parent = users.submit(job_spec(1, task_count=1, estimated_run_s=2.0))
     child = users.submit(job_spec(2, task_count=1, estimated_run_s=60.0, depends_on=[parent]))
@@ -67,7 +67,7 @@
     assert sum(count.get("launch in an answer", 0) for count in counts) == 2
     stops = [count.get("stop in an answer", 0) + count.get("stop direct", 0) for count in counts]
     assert sum(stops) >= 1
-    shown = deployment.nodes.current("n0").status_report.collect()
-    assert shown["cancels_not_confirmed"] == 0
-    assert shown["stops_waiting"] == 0
+    status = deployment.nodes.current("n0").status_report.collect()
+    assert status["cancels_not_confirmed"] == 0
+    assert status["stops_waiting"] == 0
     assert not deployment.rules.violations
--- a/tests/core/state/test_record_compatibility.py
+++ b/tests/core/state/test_record_compatibility.py
@@ -1,4 +1,4 @@
-"""Records and messages of the version in production and the present one, read by each other."""
+"""Compatibility of records and messages between the version in production and this one."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.fakes import production
 from tests.fakes.samples import MACHINE_TYPES, job_spec
 
-#: finds a struct of one of the versions, by its module and its name in production
+#: returns a struct type of one version, given its module and name in production
 FindStruct: TypeAlias = Callable[[str, str], Any]
 
 
@@ -78,7 +78,7 @@
 
 
 def readable_fields(value: Any, kind: Any) -> dict[str, Any]:
-    """What a decoder of plain values, as they come from outside, makes of an encoded struct."""
+    """Encode a struct, decode it as another struct type, and return the fields of the result."""
     decoded = msgspec.convert(msgspec.msgpack.decode(msgspec.msgpack.encode(value)), kind)
     return {field: msgspec.to_builtins(getattr(decoded, field)) for field in kind.__struct_fields__}
 
@@ -99,16 +99,16 @@
 ) -> None:
     by_production, by_present = example(production_struct), example(present_struct)
     production_kind = type(by_production)
-    # Written by production, read here: nothing is lost.
+    # This version decodes production's encoding without losing a field.
     assert readable_fields(by_production, kind) == readable_fields(by_present, kind)
-    # Written here, read by production's own decoder: the same as if it had written it.
+    # Production decodes this version's encoding to the same fields as its own.
     assert readable_fields(by_present, production_kind) == readable_fields(
         by_production, production_kind
     )
 
 
 def test_what_production_rewrites_of_a_released_job_can_start() -> None:
-    """It drops the dependencies, on which no rule may rest once the job is released."""
+    """Production drops the dependencies, so a released job must be startable without them."""
     record = JobRecord(
         job_spec(1, depends_on=["job-000009"]), 0, {"0": [[0, 6]]}, [["release", 1, 5.0]]
     )
--- a/tests/core/state/test_store_view.py
+++ b/tests/core/state/test_store_view.py
@@ -1,4 +1,4 @@
-"""The view of the store never goes back, in whatever order reads and answers arrive."""
+"""The view of the store never returns to an older state, in any order of responses."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 class KeyState(NamedTuple):
-    """A state of a key since a revision; a version of 0 is a deletion."""
+    """State of a key from a revision on; version 0 means that the key does not exist."""
 
     revision: int
     version: int
 
 
 class History:
-    """Everything that was ever committed, and what reads of each revision return."""
+    """All committed changes, and the successive states of each key."""
 
     def __init__(self) -> None:
         self.revision = 0
@@ -44,66 +44,67 @@
         self.states[key].append(KeyState(self.revision, 0 if is_deletion else self.revision))
 
     def version(self, key: str) -> int:
-        """The latest version of a key, or 0."""
+        """Return the latest version of a key; 0 if it does not exist."""
         return self.states[key][-1].version
 
     def changes_after(self, revision: int) -> list[KeyChange]:
-        """The changes after a revision, in order."""
+        """Return the changes after a revision, in order."""
         return [change for change in self._changes if change.version > revision]
 
 
-class LateArrivals:
-    """A view, and what is still on its way to it."""
+class ViewSimulation:
+    """Simulates a view to which responses are delivered late and in random order."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.history = History()
         self.view = StoreView()
-        self.on_their_way: list[Callable[[], None]] = []
-        #: key -> place in its states before which the view may not fall back
-        self._least_state = dict.fromkeys(NODE_KEYS, 0)
+        #: callbacks that each apply a response to the view
+        self.in_flight: list[Callable[[], None]] = []
+        #: key -> index of the oldest of its states that the view may show
+        self._min_index = dict.fromkeys(NODE_KEYS, 0)
 
     def commit(self) -> None:
-        """Change a key; if this node does, the response comes later."""
+        """Change a random key; half of the commits are this node's and get a late response."""
         key = self.rng.choice(NODE_KEYS)
         exists = self.history.version(key) > 0
         is_deletion = exists and self.rng.random() < 0.5
         self.history.change(key, is_deletion)
         revision = self.history.revision
         puts = [] if is_deletion else [Put(key, revision)]
-        own = CompareAndSwap([], puts, [key] if is_deletion else [])
+        swap = CompareAndSwap([], puts, [key] if is_deletion else [])
         if self.rng.random() < 0.5:
-            self.on_their_way.append(lambda: self.view.apply_commit(own, revision))
+            self.in_flight.append(lambda: self.view.apply_commit(swap, revision))
 
     def read(self) -> None:
-        """Read a key; the response comes later."""
+        """Read a random key; the response is delivered later."""
         key = self.rng.choice(NODE_KEYS)
         version, revision = self.history.version(key), self.history.revision
         if version:
-            self.on_their_way.append(lambda: self.view.apply_read(key, version, version))
+            self.in_flight.append(lambda: self.view.apply_read(key, version, version))
         else:
-            self.on_their_way.append(lambda: self.view.apply_absence(key, revision))
+            self.in_flight.append(lambda: self.view.apply_absence(key, revision))
 
-    def arrive(self) -> None:
-        """Have something that was on its way arrive, in any order."""
-        if self.on_their_way:
-            self.on_their_way.pop(self.rng.randrange(len(self.on_their_way)))()
+    def deliver(self) -> None:
+        """Deliver one of the responses in flight, chosen at random."""
+        if self.in_flight:
+            self.in_flight.pop(self.rng.randrange(len(self.in_flight)))()
 
     def _interleave(self) -> None:
-        """Have a few other things happen."""
+        """Perform up to three random commits, reads or deliveries."""
         for _ in range(self.rng.randrange(4)):
-            self.rng.choice([self.commit, self.read, self.arrive])()
+            self.rng.choice([self.commit, self.read, self.deliver])()
             self.check()
 
     def watch(self) -> None:
-        """Answer the one watch; other things may arrive before its response does."""
+        """Answer the watch; other responses may be delivered before the watch's response."""
         revision = self.history.revision
         changes = self.history.changes_after(self.view.revision)
         self._interleave()
         self.view.apply_changes(changes, revision)
 
     def load(self) -> None:
-        """List all keys, as when the watch's history is too short, with changes in between."""
+        """Load a listing, as if the watch's history were too short; changes occur between pages."""
         pages = [self._page("")]
         while pages[-1].has_more:
             self._interleave()
@@ -111,7 +112,7 @@
         self.view.load_listing(pages)
 
     def _page(self, after_key: str) -> StoreResponse:
-        """One page of a listing, of one key."""
+        """Return a page of a listing with the first key after ``after_key``."""
         found = [key for key in NODE_KEYS if key > after_key and self.history.version(key)]
         items = [
             StoredKey(key, self.history.version(key), self.history.version(key)) for key in found
@@ -121,33 +122,38 @@
         )
 
     def check(self) -> None:
-        """No key may fall back behind what was known of it, nor behind the view's revision."""
+        """Check that each key's state is no older than before, nor than the view's revision."""
         for key, states in self.history.states.items():
-            known = [
-                place for place, state in enumerate(states) if state.revision <= self.view.revision
+            included = [
+                index for index, state in enumerate(states) if state.revision <= self.view.revision
             ]
-            least = max(self._least_state[key], known[-1] if known else 0)
-            shown = self.view.version(key)
-            places = [
-                place for place in range(least, len(states)) if states[place].version == shown
+            min_index = max(self._min_index[key], included[-1] if included else 0)
+            version = self.view.version(key)
+            matches = [
+                index for index in range(min_index, len(states)) if states[index].version == version
             ]
-            assert places, (key, states, shown, self.view.revision)
-            self._least_state[key] = places[0]
-
-
-def play_late_arrivals(seed: int) -> None:
-    late = LateArrivals(seed)
-    late.load()
-    steps: list[Callable[[], None]] = [late.commit, late.read, late.arrive, late.arrive]
+            assert matches, (key, states, version, self.view.revision)
+            self._min_index[key] = matches[0]
+
+
+def simulate_late_responses(seed: int) -> None:
+    simulation = ViewSimulation(seed)
+    simulation.load()
+    steps: list[Callable[[], None]] = [
+        simulation.commit,
+        simulation.read,
+        simulation.deliver,
+        simulation.deliver,
+    ]
     for _ in range(40):
-        chance = late.rng.random()
-        step = late.load if chance < 0.05 else late.watch if chance < 0.25 else None
-        (step or late.rng.choice(steps))()
-        late.check()
-    while late.on_their_way:
-        late.arrive()
-        late.check()
-    view, history = late.view, late.history
+        chance = simulation.rng.random()
+        step = simulation.load if chance < 0.05 else simulation.watch if chance < 0.25 else None
+        (step or simulation.rng.choice(steps))()
+        simulation.check()
+    while simulation.in_flight:
+        simulation.deliver()
+        simulation.check()
+    view, history = simulation.view, simulation.history
     view.apply_changes(history.changes_after(view.revision), history.revision)
     for key in NODE_KEYS:
         assert view.version(key) == history.version(key)
@@ -156,11 +162,12 @@
 @pytest.mark.parametrize("batch", range(8))
 def test_nothing_that_arrives_late_makes_the_view_older(batch: int) -> None:
     for seed in range(100):
-        play_late_arrivals(1000 * batch + seed)
+        simulate_late_responses(1000 * batch + seed)
 
 
 def test_a_deleted_machine_does_not_come_back() -> None:
-    # Rented, recorded and returned, before the node that rented it gets its response.
+    # The machine is rented, recorded and released before the node that recorded it gets the
+    # response to its commit.
     key = keys.MACHINES + "host-000001"
     record = [0, "t8", "a", False, 0.0]
     view = StoreView()
@@ -173,12 +180,12 @@
 
 def test_what_is_known_beyond_the_watch_is_forgotten_once_it_is_there() -> None:
     view = StoreView()
-    followed = [f"{keys.NODES}{number}" for number in range(1000)]
-    view.apply_changes([KeyChange(key, 1, 1) for key in followed], 1)
-    for key in followed:
+    watched_keys = [f"{keys.NODES}{number}" for number in range(1000)]
+    view.apply_changes([KeyChange(key, 1, 1) for key in watched_keys], 1)
+    for key in watched_keys:
         view.apply_absence(key, 2)
-        # Nothing is remembered of keys that the view never had, however many users ask for.
+        # Keys that the view never had are not retained, however many of them users query.
         view.apply_absence(key + "/unknown", 2)
     assert len(view._absent_at) == 1000
-    view.apply_changes([KeyChange(key, None, 2) for key in followed], 2)
+    view.apply_changes([KeyChange(key, None, 2) for key in watched_keys], 2)
     assert not view._absent_at
--- a/tests/core/test_peer_service.py
+++ b/tests/core/test_peer_service.py
@@ -1,4 +1,4 @@
-"""Malformed messages between controllers."""
+"""Handling of malformed messages from other controllers."""
 
 from __future__ import annotations
 
