--- a/tests/core/jobs/test_cancel_registry.py
+++ b/tests/core/jobs/test_cancel_registry.py
@@ -1,4 +1,4 @@
-"""What a controller concludes from the cancels that it knows."""
+"""Effects of the committed cancels in one controller's registry."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def test_a_cancel_known_ahead_of_the_view_is_applied_and_not_confirmed() -> None:
-    """The entry came by message: the view is older, and slices may come by older records."""
+    """The entry arrives by message; the view is older and may add slices from older records."""
     deployment = start_deployment(4040)
     job = deployment.users.submit(job_spec(1, task_count=9, estimated_run_s=300.0))
     deployment.run(16.0)
@@ -19,14 +19,14 @@
     cancels.record(job, view.revision + 5)
     assert shard.slices[job].is_cancelled
     assert not shard.slices[job].pending
-    # Leaders may have changed before the entry was committed, and this view would not show it.
+    # This view may lack a change of leader that was committed before the entry.
     applied_terms = cancels._entries[job].applied_terms
     for shard_id in map(int, view.jobs[job].slices):
         applied_terms[shard_id] = view.shard_map.shards[shard_id].term
     assert controller.job_services.cancellations.shards_without_entry(job) is None
     assert not controller.job_services.cancellations.is_confirmed(job)
     assert controller.job_services.answers.status_from_memory(job) is None
-    # The slice leaves, and comes again by a record that is older than the entry.
+    # The slice is removed, and added again from a record that is older than the entry.
     del shard.slices[job]
     controller.synchronizer.sync_slice(shard, job)
     assert shard.slices[job].is_cancelled
--- a/tests/core/jobs/test_cancellations.py
+++ b/tests/core/jobs/test_cancellations.py
@@ -32,7 +32,7 @@
     controller = deployment.nodes.controller("n0")
     job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=120.0), "n0")
     deployment.run(14.0)
-    # n0 still responds to its agents while its lease lasts, and cannot see the entry.
+    # n0 answers its agents until its lease expires, and cannot read the cancel's entry.
     deployment.network.isolate("n0", STORE, "n1", "n2")
     is_confirmed = False
     cancels = []
--- a/tests/core/jobs/test_dependency_releases.py
+++ b/tests/core/jobs/test_dependency_releases.py
@@ -34,7 +34,7 @@
 @pytest.mark.parametrize("is_cancelled", [False, True])
 @pytest.mark.parametrize("number", range(1, 11))
 def test_a_controller_ends_with_each_commit_of_a_pipeline(number: int, is_cancelled: bool) -> None:
-    """Its commit is carried out; who takes over finds what it left."""
+    """The commit is executed, and the controller that takes over continues from it."""
     deployment = start_deployment(number)
     users = deployment.users
     first = job_spec(1, task_count=1, estimated_run_s=4.0)
--- a/tests/core/leadership/test_failover.py
+++ b/tests/core/leadership/test_failover.py
@@ -1,4 +1,4 @@
-"""Failover: leaders that end, restart or are cut off, and what arrives late from them."""
+"""Failover of leaders that are killed, restart or are isolated, and their late messages."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     assert all(deployment.users.wait_until_done(job, 200.0) for job in jobs)
     assert not deployment.rules.violations
     deployment.run(30.0)
-    # Shards went back to the node that returned.
+    # The restarted node leads a shard again.
     assert sorted(leaders(deployment)) == ["n0", "n1", "n2"]
 
 
@@ -42,7 +42,7 @@
         deployment.run(1.5)
     assert all(deployment.users.wait_until_done(job, 200.0) for job in jobs)
     assert not deployment.rules.violations
-    # Running tasks went on: no agent lost its lease.
+    # Running tasks continued, because no agent's lease expired.
     assert agent_incarnations(deployment) == {1}
 
 
@@ -50,7 +50,7 @@
     deployment = start_deployment(5)
     jobs = deployment.users.submit_many(range(1, 4), task_count=9, estimated_run_s=15.0)
     deployment.run(10.0)
-    # All that goes to and from n0 is delayed, while another node takes its shard.
+    # All messages to and from n0 are delayed while another node takes its shard over.
     deployment.network.isolate("n0", delay=True)
     deployment.run(20.0)
     deployment.network.heal()
@@ -62,7 +62,7 @@
     deployment = start_deployment(6)
     jobs = deployment.users.submit_many(range(1, 4), task_count=9, estimated_run_s=15.0)
     deployment.run(8.0)
-    # n2 still reaches its agents, but its authority must end.
+    # n2 still reaches its agents, but must stop acting as a leader.
     deployment.network.isolate("n2", STORE, "n0", "n1")
     deployment.run(9.0)
     assert deployment.nodes.controller("n2").leadership.led_shards() == []
@@ -84,7 +84,7 @@
         deployment.network.heal()
         deployment.network.isolate(deployment.nodes.names[round_number % 3], delay=True)
         deployment.run(rng.uniform(0.5, 5.0))
-        # The one that would take over ends in the middle of it, and so does the isolated one.
+        # Kills may hit the isolated node, and also a node in the middle of taking its shard over.
         for name in deployment.nodes.names:
             if rng.random() < 0.6:
                 deployment.nodes.kill(name, restart_after_s=rng.uniform(0.05, 0.4))
--- a/tests/core/test_status.py
+++ b/tests/core/test_status.py
@@ -1,4 +1,4 @@
-"""What operators see of a controller."""
+"""Contents of the status report that operators request from a controller."""
 
 from __future__ import annotations
 
