--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -41,7 +41,7 @@
         ("tune(margin = 'a')", ":1:1:", "must be a number"),
         ("tune(spare_gangs = 1.5)", ":1:1:", "whole number"),
         ("tune(margin = 9)", ":1:1:", "from 0.0 to 5.0"),
-        ("lead(3, 4)", ":1:1:", "must be a text"),
+        ("lead(3, 4)", ":1:1:", "must be a non-empty string, got 3"),
         ("def f():\n    return 1 / 0\nf()", ":2:12:", "division by zero"),
     ],
 )
