--- a/marblestair/core/capacity/releases.py
+++ b/marblestair/core/capacity/releases.py
@@ -1,4 +1,4 @@
-"""Releases of machines to the cloud, and the removal of their records once it has confirmed."""
+"""Release of machines to the cloud, and removal of their records after its confirmation."""
 
 from __future__ import annotations
 
@@ -7,21 +7,22 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.runtime.coroutines import Coroutine
 from marblestair.core.runtime.requests import Sleep
-from marblestair.core.runtime.store_requests import CompareAndSwap, Lane, StoreResponse
+from marblestair.core.runtime.store_requests import CompareAndSwap, RequestPriority, StoreResponse
 from marblestair.core.shard.machine import Machine
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
 from marblestair.core.state.store_follower import StoreFollower
 from marblestair.core.state.store_view import StoreView
 
-#: pause after a release that the cloud did not confirm
+#: pause after a release request that the cloud did not confirm, in seconds
 RETRY_PAUSE_S = 0.5
-#: share of ``cancel_s`` after which a machine that still has a cancelled task is given up
-GIVE_UP_SHARE = 0.5
+#: time after which a machine that still has a task of a cancelled job is decommissioned, as a share
+#: of the setting ``cancel_s``
+CANCEL_TIMEOUT_SHARE = 0.5
 
 
 class Releases:
-    """The releases of one node's shards."""
+    """Releases the machines of the shards that one node leads."""
 
     def __init__(
         self,
@@ -36,40 +37,41 @@
         self._follower = follower
 
     def release(self, shard: Shard, machines: list[Machine]) -> Coroutine[None]:
-        """Release machines; their tasks have ended once the cloud has confirmed, not before."""
+        """Request the release of machines; their tasks count as ended only once it is confirmed."""
         for machine in machines:
             machine.is_releasing = True
         names = [machine.name for machine in machines]
         self._context.log("info", f"releasing {names}")
         response: CloudResponse = yield ReleaseMachines(names)
         if response.status == 200:
-            self._context.spawn(self._remove(shard, names))
+            self._context.spawn(self._remove_records(shard, names))
             return
         for machine in machines:
-            # A late copy of the request may still end the machine; its release is requested again.
-            machine.is_releasing = machine.is_given_up
+            # A late duplicate of the request may still end a machine. The release can be requested
+            # again, except for a decommissioned machine, which stays marked.
+            machine.is_releasing = machine.is_decommissioned
             if not machine.tasks:
                 machine.idle_since = self._context.now
         yield Sleep(RETRY_PAUSE_S)
 
-    def _remove(self, shard: Shard, names: list[str]) -> Coroutine[None]:
-        """Delete the records of machines that are gone."""
+    def _remove_records(self, shard: Shard, names: list[str]) -> Coroutine[None]:
+        """Remove the tasks and delete the records of machines whose release is confirmed."""
         now = self._context.now
         for name in names:
             machine = shard.machines.get(name)
             if machine is not None:
-                shard.forget_tasks(machine, now)
-            self._view.gone_machines[name] = None
+                shard.remove_all_tasks(machine, now)
+            self._view.removed_machines[name] = None
         batch_size = self._context.max_batch_changes
         while names and self._leadership.shards.get(shard.shard_id) is shard:
             names = [name for name in names if name in self._view.machines]
             deleted = [keys.MACHINES + name for name in names[:batch_size]]
             versions = [(key, self._view.version(key)) for key in deleted]
             fence = self._leadership.fence_precondition(shard.shard_id)
-            swap = CompareAndSwap([fence, *versions], [], deleted, Lane.FINAL_STATE)
+            swap = CompareAndSwap([fence, *versions], [], deleted, RequestPriority.FINAL_STATE)
             response: StoreResponse = yield swap
             if response.status == 200:
-                self._view.record_commit(swap, response.revision)
+                self._view.apply_commit(swap, response.revision)
                 self._view.publish_changes()
                 names = names[batch_size:]
                 continue
@@ -79,17 +81,21 @@
             yield Sleep(0.3 + 0.3 * self._context.rng.random())
 
     def enforce_cancel_deadline(self, shard: Shard) -> None:
-        """Stop responding to machines that have had a cancelled task for too long.
+        """Decommission machines that still have a task of a job cancelled too long ago.
 
-        Without 200 responses the agent's lease expires, and the machine is released, so that
-        both the lease and the cloud end the task.
+        Heartbeats of a decommissioned machine are not answered with status 200, so that the agent's
+        lease expires, and the machine is released: either of these ends the task.
         """
         now = self._context.now
-        limit_s = GIVE_UP_SHARE * self._context.settings.cluster.workers.cancel_s
+        limit_s = CANCEL_TIMEOUT_SHARE * self._context.settings.cluster.workers.cancel_s
         for job_slice in shard.slices.values():
             if not job_slice.is_cancelled or now - job_slice.cancelled_at <= limit_s:
                 continue
             for machine in job_slice.placed_on.values():
-                if not machine.is_given_up:
-                    machine.is_given_up = True
-                    self._context.log("info", f"{machine.name} does not stop a cancelled task")
+                if not machine.is_decommissioned:
+                    machine.is_decommissioned = True
+                    self._context.log(
+                        "info",
+                        f"decommissioning machine {machine.name}: it still has a task of cancelled"
+                        f" job {job_slice.spec.id} after {limit_s:.1f} s",
+                    )
--- a/marblestair/core/domain/amounts.py
+++ b/marblestair/core/domain/amounts.py
@@ -1,4 +1,4 @@
-"""Amounts of resources in fixed point, so that sums never drift from a limit."""
+"""Fixed-point resource amounts, so that sums accumulate no rounding error against a limit."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from functools import lru_cache
 from typing import NamedTuple
 
-#: units of fixed point in one cpu, gpu or GB
-FIXED_POINT_UNIT = 1_000_000
+#: fixed-point units in one cpu, one gpu or one GB
+FIXED_POINT_SCALE = 1_000_000
 
 
 class Resources(NamedTuple):
-    """Amounts of the three resources, each in fixed point."""
+    """Amounts of cpus, gpus and memory, each in fixed point."""
 
     cpus: int
     gpus: int
@@ -22,13 +22,13 @@
 @lru_cache(maxsize=4096)
 def fixed_point_up(amount: float) -> int:
     """Convert a requested amount to fixed point, rounded up."""
-    return int((Decimal(repr(amount)) * FIXED_POINT_UNIT).to_integral_value(ROUND_CEILING))
+    return int((Decimal(repr(amount)) * FIXED_POINT_SCALE).to_integral_value(ROUND_CEILING))
 
 
 @lru_cache(maxsize=4096)
 def fixed_point_down(amount: float) -> int:
     """Convert an available amount to fixed point, rounded down."""
-    return int((Decimal(repr(amount)) * FIXED_POINT_UNIT).to_integral_value(ROUND_FLOOR))
+    return int((Decimal(repr(amount)) * FIXED_POINT_SCALE).to_integral_value(ROUND_FLOOR))
 
 
 @lru_cache(maxsize=4096)
@@ -44,5 +44,5 @@
 
 
 def are_valid_amounts(*values: float | None) -> bool:
-    """Whether every amount that is given is finite and not negative."""
+    """Return whether every amount that is not None is finite and not negative."""
     return all(value is None or (math.isfinite(value) and value >= 0) for value in values)
--- a/marblestair/core/scheduling/__init__.py
+++ b/marblestair/core/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Which task starts where: order, placement, preemption, quota, and moves between shards."""
+"""Scheduling of pending tasks: order, placement, preemption, quota, and transfers of machines."""
--- a/marblestair/core/scheduling/services.py
+++ b/marblestair/core/scheduling/services.py
@@ -1,4 +1,4 @@
-"""Composes what decides which task starts where, and what moves between shards."""
+"""Creates and connects the scheduling components of one node."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from marblestair.core.runtime.context import NodeContext
 from marblestair.core.scheduling.arrivals import Arrivals
 from marblestair.core.scheduling.dispatch import Dispatcher
+from marblestair.core.scheduling.effective_quotas import EffectiveQuotas
 from marblestair.core.scheduling.fleet_plan import FleetPlan
 from marblestair.core.scheduling.guarantees import Guarantees
 from marblestair.core.scheduling.inherited_urgency import InheritedUrgency
 from marblestair.core.scheduling.machine_transfers import MachineTransfers
 from marblestair.core.scheduling.migration_planner import MigrationPlanner
 from marblestair.core.scheduling.preemption import Preemption
-from marblestair.core.scheduling.quota_ledger import QuotaLedger
 from marblestair.core.scheduling.quota_transfers import QuotaTransfers
 from marblestair.core.scheduling.run_times import RunTimes
-from marblestair.core.scheduling.shard_summary import ShardSummarizer
+from marblestair.core.scheduling.shard_summarizer import ShardSummarizer
 from marblestair.core.scheduling.slice_assignment import SliceAssigner
 from marblestair.core.scheduling.slice_migration import SliceMigrations
 from marblestair.core.shard.boot_times import BootTimes
@@ -29,13 +29,13 @@
 
 
 class SchedulingServices:
-    """The components of this package, for one node."""
+    """The scheduling components of one node."""
 
-    def __init__(  # noqa: PLR0913 - what the components of a whole package need
+    def __init__(  # noqa: PLR0913 - the collaborators of all components
         self,
         context: NodeContext,
         view: StoreView,
-        leading: LeadershipServices,
+        leadership_services: LeadershipServices,
         jobs: JobServices,
         catalog: MachineCatalog,
         summaries: ReceivedSummaries,
@@ -43,7 +43,7 @@
     ) -> None:
         self._context = context
         self._view = view
-        self._leading = leading
+        self._leadership_services = leadership_services
         self._jobs = jobs
         self._summaries = summaries
         self.failures = FailureAttribution(context.settings.cluster.workers)
@@ -51,17 +51,21 @@
         self.run_times = RunTimes()
         self.fleet_plan = FleetPlan()
         self.arrivals = Arrivals(context, catalog)
-        self.quotas = QuotaLedger(view)
+        self.quotas = EffectiveQuotas(view)
         self.guarantees = Guarantees(context, view, self.failures)
         self.urgency = InheritedUrgency(context, view, jobs.dependencies, self.run_times)
-        jobs.dependencies.notify(jobs.job_managers.advance, self.urgency.dependents_changed)
+        jobs.dependencies.subscribe(jobs.job_managers.advance, self.urgency.recompute)
         self.assigner = SliceAssigner(view, summaries, self.arrivals)
-        self._compose_placement(dict(deadline_offsets_s))
-        self._compose_moves()
+        self._create_placement(dict(deadline_offsets_s))
+        self._create_transfers()
 
-    def _compose_placement(self, deadline_offsets_s: dict[str, float]) -> None:
+    def _create_placement(self, deadline_offsets_s: dict[str, float]) -> None:
         self.preemption = Preemption(
-            self._context, self._view, self._leading.leadership, self.arrivals, self.fleet_plan
+            self._context,
+            self._view,
+            self._leadership_services.leadership,
+            self.arrivals,
+            self.fleet_plan,
         )
         self.dispatcher = Dispatcher(
             self._context,
@@ -76,14 +80,14 @@
             deadline_offsets_s,
         )
 
-    def _compose_moves(self) -> None:
-        context, view, leading = self._context, self._view, self._leading
+    def _create_transfers(self) -> None:
+        context, view, leadership_services = self._context, self._view, self._leadership_services
         self.machine_transfers = MachineTransfers(
             context,
             view,
-            leading.leadership,
-            leading.follower,
-            leading.shard_map_updates,
+            leadership_services.leadership,
+            leadership_services.follower,
+            leadership_services.shard_map_updates,
             self._summaries,
             self.failures,
             self.fleet_plan,
@@ -102,14 +106,18 @@
         self.quota_transfers = QuotaTransfers(
             context,
             view,
-            leading.leadership,
-            leading.shard_map_updates,
+            leadership_services.leadership,
+            leadership_services.shard_map_updates,
             self.quotas,
             self._summaries,
             self.summarizer,
         )
         self.slice_migrations = SliceMigrations(
-            context, view, leading.leadership, self._jobs.migration_locks, self._jobs.reader
+            context,
+            view,
+            leadership_services.leadership,
+            self._jobs.migration_locks,
+            self._jobs.reader,
         )
         self.migration_planner = MigrationPlanner(
             context,
--- a/marblestair/core/scheduling/quota_offers.py
+++ b/marblestair/core/scheduling/unused_quota_transfers.py
@@ -1,7 +1,8 @@
-"""Quota for shards that have free capacity for tasks which can be placed in no shard now.
+"""Transfers of unused quota to shards that have free capacity for pending tasks.
 
-The tasks follow their quota by migration. Quota that no machine of its shard can use would
-otherwise be lost to the team.
+They are for tasks that cannot be placed in any shard now, since no shard has both the capacity and
+the quota for them. The tasks then migrate to the target shard. Without a transfer, the team could
+not use quota in a shard whose machines have no capacity for its tasks.
 """
 
 from __future__ import annotations
@@ -9,21 +10,21 @@
 from marblestair.core.domain.jobs import JobKind
 from marblestair.core.messaging.shard_summary import ShardSummary
 from marblestair.core.runtime.context import NodeContext
+from marblestair.core.scheduling.effective_quotas import EffectiveQuotas
 from marblestair.core.scheduling.placement import placeable_tasks
-from marblestair.core.scheduling.quota_ledger import QuotaLedger
 from marblestair.core.scheduling.quota_transfers import QuotaTransfers
 from marblestair.core.scheduling.reported_capacity import ReportedCapacity
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.shard import Shard
 
 
-class QuotaOffers:
-    """The offers of one shard's quota in one pass over its pending slices."""
+class UnusedQuotaTransfers:
+    """Transfers a shard's unused quota during one pass over its pending slices."""
 
     def __init__(
         self,
         context: NodeContext,
-        quotas: QuotaLedger,
+        quotas: EffectiveQuotas,
         transfers: QuotaTransfers,
         shard: Shard,
         summaries: list[ShardSummary],
@@ -35,22 +36,25 @@
         self._shard = shard
         self._summaries = summaries
         self._capacity = capacity
-        #: team -> whether some of its quota here is not in use
+        #: team -> whether part of its quota in the shard is unused
         self._has_unused_quota: dict[str, bool] = {}
 
-    def offer(self, job_slice: JobSlice) -> None:
-        """Transfer unused quota to a shard with free capacity for a slice's tasks, if there is."""
+    def transfer_for(self, job_slice: JobSlice) -> None:
+        """Begin to transfer unused quota to a shard with capacity for a slice's tasks, if any.
+
+        Only one transfer at a time is in progress per node.
+        """
         team = job_slice.spec.team
         has_unused = self._has_unused_quota.get(team)
         if has_unused is None:
             used, quota = self._shard.usage(team), self._quotas.quota(self._shard, team)
             has_unused = any(u < q for u, q in zip(used, quota, strict=True))
             self._has_unused_quota[team] = has_unused
-        if has_unused and not self._quotas.pending_releases:
+        if has_unused and not self._quotas.pending_transfers:
             self._begin_transfer(job_slice)
 
     def _begin_transfer(self, job_slice: JobSlice) -> None:
-        """Transfer quota to the first shard whose machines have free capacity for the tasks."""
+        """Begin a transfer to the first shard whose machines have free capacity for the tasks."""
         spec, resources = job_slice.spec, job_slice.resources
         used = self._shard.usage(spec.team)
         cpus, gpus = self._quotas.quota(self._shard, spec.team)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
-"""Known failures: the tests named in KNOWN-RED.txt are passed over and printed, and nothing else.
+"""Known failures: pytest expects the tests listed in KNOWN-RED.txt to fail and prints them.
 
-Each line has a test's id, the cause, and the issue, separated by ``|``; three lines at most. A
-listed test that passes, a name that is no test, and a line too many fail the run.
+Each line has the id of a test, the cause and the issue, separated by ``|``; three lines at most.
+The run fails if a listed test passes, an id names no test, or the file has more lines.
 """
 
 from __future__ import annotations
@@ -11,46 +11,58 @@
 
 import pytest
 
-MAX_LISTED = 3
-FILE = pathlib.Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
+MAX_KNOWN_FAILURES = 3
+KNOWN_FAILURES_FILE = pathlib.Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
 
 
-def known_red(text: str) -> dict[str, str]:
-    """The listed tests, each with its cause and issue."""
-    listed: dict[str, str] = {}
+def parse_known_failures(text: str) -> dict[str, str]:
+    """Parse KNOWN-RED.txt into the id of each test and its cause with the issue.
+
+    Raises
+    ------
+    pytest.UsageError
+        If a line is malformed or there are too many.
+    """
+    known: dict[str, str] = {}
     for line in text.splitlines():
         if not line.strip():
             continue
         fields = [field.strip() for field in line.split("|")]
         if len(fields) != 3 or not all(fields):
             raise pytest.UsageError(f"KNOWN-RED.txt: not 'test | cause | issue': {line}")
-        listed[fields[0]] = f"{fields[1]} (issue {fields[2]})"
-    if len(listed) > MAX_LISTED:
-        raise pytest.UsageError(f"KNOWN-RED.txt lists {len(listed)} tests; {MAX_LISTED} at most")
-    return listed
+        known[fields[0]] = f"{fields[1]} (issue {fields[2]})"
+    if len(known) > MAX_KNOWN_FAILURES:
+        raise pytest.UsageError(
+            f"KNOWN-RED.txt lists {len(known)} tests; {MAX_KNOWN_FAILURES} at most"
+        )
+    return known
 
 
 def pytest_configure(config: Any) -> None:
-    """Read the list; find whether only some files are to be run.
+    """Read KNOWN-RED.txt and note whether the command line restricts the run to some paths.
 
-    The name of a test in a file that is not run is no mistake then.
+    In a restricted run, the file may list tests of files that do not run.
     """
-    config.known_red = known_red(FILE.read_text()) if FILE.exists() else {}
-    config.args_given = list(config.args) != list(config.getini("testpaths"))
+    config.known_failures = (
+        parse_known_failures(KNOWN_FAILURES_FILE.read_text())
+        if KNOWN_FAILURES_FILE.exists()
+        else {}
+    )
+    config.has_path_arguments = list(config.args) != list(config.getini("testpaths"))
 
 
 def pytest_collection_modifyitems(config: Any, items: list[Any]) -> None:
-    """Expect the listed tests to fail, strictly."""
+    """Mark the listed tests as strict expected failures."""
     names = {item.nodeid: item for item in items}
     files = {name.split("::")[0] for name in names}
-    for name, why in config.known_red.items():
+    for name, reason in config.known_failures.items():
         if name in names:
-            names[name].add_marker(pytest.mark.xfail(reason=why, strict=True))
-        elif name.split("::")[0] in files or not config.args_given:
+            names[name].add_marker(pytest.mark.xfail(reason=reason, strict=True))
+        elif name.split("::")[0] in files or not config.has_path_arguments:
             raise pytest.UsageError(f"KNOWN-RED.txt: no such test: {name}")
 
 
 def pytest_terminal_summary(terminalreporter: Any, config: Any) -> None:
-    """Print what is passed over."""
-    for name, why in config.known_red.items():
-        terminalreporter.write_line(f"known red, passed over: {name}: {why}")
+    """Print the listed tests."""
+    for name, reason in config.known_failures.items():
+        terminalreporter.write_line(f"known red, passed over: {name}: {reason}")
--- a/tests/core/shard/test_failing_jobs.py
+++ b/tests/core/shard/test_failing_jobs.py
@@ -1,4 +1,4 @@
-"""What a job that always fails may cost, and machines that fail every task."""
+"""Bounded cost of jobs that always fail, and machines that fail every task."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from marblestair.core.domain.agents import TaskCommand
 from tests.fakes.agent import FakeAgent, FakeTask
 from tests.fakes.samples import job_spec
-from tests.helpers import leader_of, started
+from tests.helpers import leader_of, start_deployment
 
 
 class AttemptRecorder:
-    """Records when agents were commanded to start a task of one job."""
+    """Records the times at which agents receive a command to start a task of one job."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, job: str) -> None:
         self.times: list[float] = []
@@ -25,7 +25,7 @@
         monkeypatch.setattr(FakeAgent, "start_task", record)
 
     def count_since(self, moment: float) -> int:
-        """Attempts after a moment."""
+        """Return the number of attempts after a given time."""
         return sum(at > moment for at in self.times)
 
 
@@ -33,11 +33,11 @@
 def test_a_job_that_always_fails_costs_little_until_it_is_cancelled(
     monkeypatch: pytest.MonkeyPatch, kind: str, tasks: int, max_attempts: int
 ) -> None:
-    """Found on simulated days: each of its failures counted against a machine.
+    """The failures of a job that fails on every machine must not count against the machines.
 
-    A healthy fleet was returned and rented again.
+    Otherwise a healthy fleet is released and rented again.
     """
-    deployment = started(430)
+    deployment = start_deployment(430)
     users, agents = deployment.users, deployment.agents
     healthy = users.submit(job_spec(1, team="blue", task_count=8, estimated_run_s=200.0))
     deployment.run(15.0)
@@ -47,12 +47,13 @@
         job_spec(2, job_class="bad", kind=kind, task_count=tasks, estimated_run_s=10.0)
     )
     deployment.run(40.0)
-    quarantined_at, rented = deployment.now, len(agents)
+    quarantined_at, rented_count = deployment.now, len(agents)
     deployment.run(60.0)
-    # A few tries in a minute, by each of the shards with a slice of it, of one task or gang.
+    # Each shard with a slice of the job makes a few attempts a minute, each of one task or of the
+    # whole gang.
     assert 1 <= attempts.count_since(quarantined_at) <= max_attempts
-    # Nothing is rented for what of it waits.
-    assert len(agents) == rented
+    # No machines are rented for the job's pending tasks.
+    assert len(agents) == rented_count
     assert not any(agents[name].is_released for name in rented_before)
     others = users.submit_many((3, 4), task_count=6, estimated_run_s=3.0)
     assert all(users.wait_until_done(job, 25.0) for job in others)
@@ -68,7 +69,7 @@
 def test_a_new_leader_does_not_begin_a_failing_job_at_full_width(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    deployment = started(431)
+    deployment = start_deployment(431)
     users = deployment.users
     healthy = users.submit(job_spec(1, team="blue", task_count=6, estimated_run_s=300.0))
     attempts = AttemptRecorder(monkeypatch, "job-000002")
@@ -84,7 +85,7 @@
 
 
 def test_a_job_that_fails_everywhere_does_not_block_others() -> None:
-    deployment = started(18)
+    deployment = start_deployment(18)
     users = deployment.users
     failing = users.submit(job_spec(1, job_class="bad", task_count=4))
     healthy = users.submit(job_spec(2, task_count=4))
@@ -94,7 +95,7 @@
 
 
 def test_a_faulty_machine_delays_no_healthy_job_and_none_is_quarantined() -> None:
-    deployment = started(432)
+    deployment = start_deployment(432)
     users = deployment.users
     first = users.submit(job_spec(1, task_count=12, estimated_run_s=4.0))
     assert users.wait_until_done(first, 60.0)
@@ -112,7 +113,7 @@
 
 
 def test_no_machines_are_rented_on_for_a_job_that_always_fails() -> None:
-    deployment = started(434, teams=[{"name": "red", "cpus": 8.0, "cpus_max": 0.0}])
+    deployment = start_deployment(434, teams=[{"name": "red", "cpus": 8.0, "cpus_max": 0.0}])
     deployment.users.submit(job_spec(1, job_class="bad", task_count=400, estimated_run_s=20.0))
     deployment.run(40.0)
     assert len(deployment.agents) > 8
--- a/tests/net/test_budget.py
+++ b/tests/net/test_budget.py
@@ -1,4 +1,4 @@
-"""Rate budgets: lanes, and what waits for what."""
+"""The rate limiter: order by priority, and which requests wait for which others."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 import pytest
 
-from marblestair.core.runtime.store_requests import Lane
-from marblestair.net.budget import Budget
+from marblestair.core.runtime.store_requests import RequestPriority
+from marblestair.net.rate_limiter import RateLimiter
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
@@ -37,12 +37,15 @@
         loop.close()
 
 
-async def served_order(budget: Budget, *requests: tuple[str, int, int]) -> list[str]:
-    """The order in which requests, made at the same time, are served: name, lane, changes."""
+async def served_order(rate_limiter: RateLimiter, *requests: tuple[str, int, int]) -> list[str]:
+    """Return the names of simultaneous requests in the order in which they are granted.
+
+    Each request is given by its name, its priority and its number of writes.
+    """
     served: list[str] = []
 
-    async def take(name: str, lane: int, writes: int) -> None:
-        if await budget.take(lane, writes):
+    async def take(name: str, priority: int, writes: int) -> None:
+        if await rate_limiter.acquire(priority, writes):
             served.append(name)
 
     await asyncio.gather(*(take(*request) for request in requests))
@@ -50,15 +53,19 @@
 
 
 def test_a_read_does_not_wait_for_commits_that_wait_for_changes() -> None:
-    """Found on simulated days with the lower limits: submissions were refused.
+    """Under low rate limits, reads must not wait behind commits.
 
-    The jobs that they depend on had to be read, and the reads waited behind commits.
+    Otherwise submissions are refused, since the jobs that they depend on are not read in time.
     """
 
     async def check() -> None:
-        budget = Budget(20.0, 2.0)
-        assert await budget.take(Lane.ACCEPTANCE, 2)
-        order = await served_order(budget, ("commit", Lane.ACCEPTANCE, 2), ("read", Lane.LOOKUP, 0))
+        rate_limiter = RateLimiter(20.0, 2.0)
+        assert await rate_limiter.acquire(RequestPriority.ACCEPTANCE, 2)
+        order = await served_order(
+            rate_limiter,
+            ("commit", RequestPriority.ACCEPTANCE, 2),
+            ("read", RequestPriority.LOOKUP, 0),
+        )
         assert order == ["read", "commit"]
 
     run(check())
@@ -66,13 +73,13 @@
 
 def test_changes_are_served_in_order_and_the_lowest_lane_first() -> None:
     async def check() -> None:
-        budget = Budget(20.0, 2.0, 10.0)
-        assert await budget.take(Lane.ACCEPTANCE, 2)
+        rate_limiter = RateLimiter(20.0, 2.0, 10.0)
+        assert await rate_limiter.acquire(RequestPriority.ACCEPTANCE, 2)
         order = await served_order(
-            budget,
-            ("progress", Lane.PROGRESS, 1),
-            ("large", Lane.ACCEPTANCE, 2),
-            ("lease", Lane.LEASE, 1),
+            rate_limiter,
+            ("progress", RequestPriority.PROGRESS, 1),
+            ("large", RequestPriority.ACCEPTANCE, 2),
+            ("lease", RequestPriority.LEASE, 1),
         )
         assert order == ["lease", "large", "progress"]
 
@@ -82,18 +89,18 @@
 @pytest.mark.parametrize("writes", [0, 1])
 def test_a_request_that_waits_for_too_long_is_refused(writes: int) -> None:
     async def check() -> None:
-        budget = Budget(1.0, 1.0, 0.5)
-        assert await budget.take(Lane.ACCEPTANCE, 1)
-        assert not await budget.take(Lane.ACCEPTANCE, writes)
+        rate_limiter = RateLimiter(1.0, 1.0, 0.5)
+        assert await rate_limiter.acquire(RequestPriority.ACCEPTANCE, 1)
+        assert not await rate_limiter.acquire(RequestPriority.ACCEPTANCE, writes)
 
     run(check())
 
 
 def test_a_request_that_cannot_wait_is_refused_at_once() -> None:
     async def check() -> None:
-        budget = Budget(0.6, 1.0, max_wait_s=0.0)
-        assert await budget.take(1, 0)
-        # The bucket is empty now.
-        assert not await budget.take(0, 0)
+        rate_limiter = RateLimiter(0.6, 1.0, max_wait_s=0.0)
+        assert await rate_limiter.acquire(1, 0)
+        # The bucket of requests is empty now.
+        assert not await rate_limiter.acquire(0, 0)
 
     run(check())
--- a/tests/recorder.py
+++ b/tests/recorder.py
@@ -1,4 +1,4 @@
-"""A recorder of the requests that one node makes."""
+"""Records the requests of one node's coroutines."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class DelayedRead(NamedTuple):
-    """A read that is not sent yet, and the controller that waits for it."""
+    """A read that is not sent yet, and the controller that made it."""
 
     controller: Controller
     number: int
     request: Get
 
 
-class Recorder:
+class RequestRecorder:
     """Records the requests of one node's coroutines, and can delay its reads."""
 
     def __init__(self, deployment: SimulatedDeployment, node: str) -> None:
@@ -27,8 +27,8 @@
         self.delayed_reads: list[DelayedRead] = []
         self.delays_reads = False
         self._node = node
-        self._carry_out = deployment.nodes.carry_out
-        deployment.nodes.carry_out = self._record
+        self._execute_request = deployment.nodes.execute_request
+        deployment.nodes.execute_request = self._record
 
     def _record(self, controller: Controller, number: int, request: Any) -> None:
         if controller.context.node == self._node:
@@ -36,27 +36,27 @@
             if self.delays_reads and isinstance(request, Get):
                 self.delayed_reads.append(DelayedRead(controller, number, request))
                 return
-        self._carry_out(controller, number, request)
+        self._execute_request(controller, number, request)
 
     def send_delayed_reads(self) -> None:
-        """Send the reads that were delayed, and delay no more."""
+        """Send the delayed reads and stop delaying reads."""
         self.delays_reads = False
         for read in self.delayed_reads:
-            self._carry_out(*read)
+            self._execute_request(*read)
 
     def count_reads(self, job: str) -> int:
-        """How often a job's keys were read."""
-        job_keys = (keys.JOBS + job, keys.FINALS + job)
+        """Return the number of reads of a job's record and final state."""
+        job_keys = (keys.JOBS + job, keys.FINAL_STATES + job)
         return sum(
             isinstance(request, Get) and request.key in job_keys for request in self.requests
         )
 
-    def count_outside(self) -> int:
-        """How many requests went to the store or the cloud."""
+    def count_store_and_cloud_requests(self) -> int:
+        """Return the number of requests to the store and the cloud."""
         return sum(
             not isinstance(request, (PeerRequest, InspectAgent)) for request in self.requests
         )
 
     def count(self, kind: type) -> int:
-        """How many requests of a kind were made."""
+        """Return the number of requests of a type."""
         return sum(isinstance(request, kind) for request in self.requests)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""The operators' policy script, and how a bad one is refused."""
+"""The policy script sets the tuning; an invalid script is rejected with its position."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 
 from marblestair import cli
-from marblestair.core.scheduling.service_order import priority_key
+from marblestair.core.scheduling.scheduling_order import priority_key
 from marblestair.policy import PolicyError, load
 from tests.fakes.samples import job_spec, node_settings
 
@@ -25,7 +25,7 @@
     tuning = policy.tuning
     assert (tuning.capacity_margin, tuning.headroom_jobs, tuning.standby_gangs) == (0.2, 1.0, 2)
     assert policy.deadline_offsets_s == {"urgent": 30.0}
-    # A class with an offset is served as if it were due that much earlier.
+    # A job of a class with an offset is scheduled as if its deadline were that much earlier.
     earlier, later = job_spec(1, deadline_s=100.0), job_spec(2, deadline_s=110.0)
     earlier_key = priority_key(earlier, wall_time=0.0, run_time_ratio=1.0)
     assert earlier_key < priority_key(later, wall_time=0.0, run_time_ratio=1.0)
@@ -41,7 +41,7 @@
         ("tune(margin = 'a')", ":1:1:", "must be a number"),
         ("tune(spare_gangs = 1.5)", ":1:1:", "whole number"),
         ("tune(margin = 9)", ":1:1:", "from 0.0 to 5.0"),
-        ("lead(3, 4)", ":1:1:", "must be a text"),
+        ("lead(3, 4)", ":1:1:", "must be a non-empty string, got 3"),
         ("def f():\n    return 1 / 0\nf()", ":2:12:", "division by zero"),
     ],
 )
@@ -62,7 +62,7 @@
     tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     settings = tmp_path / "s.toml"
-    settings.write_text(to_toml(msgspec.to_builtins(node_settings(0))))
+    settings.write_text(encode_toml(msgspec.to_builtins(node_settings(0))))
     script = tmp_path / "p.star"
     script.write_text("tune(haste = 0.5)")
     assert cli.main(["--policy", str(script), "--check", str(settings)]) == 0
@@ -74,14 +74,16 @@
     assert "p.star:1:1" in error
 
 
-def to_toml(data: dict[str, Any], prefix: str = "") -> str:
-    """Just enough TOML for settings."""
+def encode_toml(data: dict[str, Any], prefix: str = "") -> str:
+    """Encode plain settings as TOML."""
     plain, tables = [], []
     for key, value in data.items():
         if isinstance(value, dict):
-            tables.append(f"[{prefix}{key}]\n{to_toml(value, f'{prefix}{key}.')}")
+            tables.append(f"[{prefix}{key}]\n{encode_toml(value, f'{prefix}{key}.')}")
         elif isinstance(value, list) and value and isinstance(value[0], dict):
-            tables += [f"[[{prefix}{key}]]\n{to_toml(item, f'{prefix}{key}.')}" for item in value]
+            tables += [
+                f"[[{prefix}{key}]]\n{encode_toml(item, f'{prefix}{key}.')}" for item in value
+            ]
         else:
             plain.append(f"{key} = {msgspec.json.encode(value).decode()}")
     return "\n".join([*plain, *tables]) + "\n"
