--- a/tests/test_compare_versions.py
+++ b/tests/test_compare_versions.py
@@ -85,7 +85,7 @@
 def test_two_plays_give_the_same_record(unchanged: pathlib.Path, tmp_path: pathlib.Path) -> None:
     records = [tmp_path / name for name in ("one", "two")]
     for record in records:
-        versions.play_on(unchanged, SCENARIO, SEED, record)
+        versions.run_scenario(unchanged, SCENARIO, SEED, record)
     assert records[0].read_bytes() == records[1].read_bytes()
 
 
@@ -103,7 +103,7 @@
 
 def test_streams_are_split_into_messages_whatever_the_pieces() -> None:
     for splitter, message in (
-        (HttpSplitter(), build_request("POST", "/v1/jobs", b"some body", is_last=False)),
+        (HttpSplitter(), build_request("POST", "/v1/jobs", b"some body", closes_connection=False)),
         (FrameSplitter(), build_frame(["note", "node-0", "tag", [1, 2]])),
     ):
         stream = message * 3
@@ -193,6 +193,6 @@
     network.connect(client, (server.address, 80), asyncio.Protocol, send, lambda error: None)
     loop.run_until(began_s + 5.0)
     assert received == ["one"]
-    network.mend()
+    network.end_partitions()
     loop.run_until(began_s + 6.0)
     assert received == ["one", "two", "three"]
--- a/tests/tools/bad_input.py
+++ b/tests/tools/bad_input.py
@@ -11,25 +11,25 @@
 from tests.tools.messages import build_frame, build_request, pack
 from tests.tools.network import Address, Endpoint, Network
 from tests.tools.processes import Host
-from tests.tools.workload import describe
+from tests.tools.workload import job_submission
 
 #: how long a careless client keeps its connection
-KEPT_S = 4.0
+HOLD_S = 4.0
 #: pause between two pieces of a request that is sent in pieces
-PIECE_PAUSE_S = 0.05
-TOO_LARGE_BODY = b"\x00" * (70 * 1024)
-TOO_LARGE_HEAD = b"X-Long: " + b"a" * (20 * 1024)
+CHUNK_PAUSE_S = 0.05
+OVERSIZED_BODY = b"\x00" * (70 * 1024)
+OVERSIZED_HEAD = b"X-Long: " + b"a" * (20 * 1024)
 JOBS_PATH = "/v1/jobs"
 
 
-class Mischief:
+class RawClients:
     """Clients that send bytes as they like, each on a connection of its own."""
 
     def __init__(self, network: Network) -> None:
         self._network = network
         self._clients = 0
 
-    def send(self, address: Address, *pieces: bytes, kept_s: float = KEPT_S) -> None:
+    def send(self, address: Address, *chunks: bytes, hold_s: float = HOLD_S) -> None:
         """Connect, send pieces one after another, and close after a time."""
         self._clients += 1
         name = f"client-{self._clients}"
@@ -37,14 +37,14 @@
             Host("mischief", name, name),
             address,
             asyncio.Protocol,
-            lambda endpoint: self._opened(endpoint, pieces, kept_s),
+            lambda endpoint: self._opened(endpoint, chunks, hold_s),
             lambda error: None,
         )
 
-    def _opened(self, endpoint: Endpoint, pieces: tuple[bytes, ...], kept_s: float) -> None:
-        for number, piece in enumerate(pieces):
-            self._network.loop.call_later(number * PIECE_PAUSE_S, endpoint.write, piece)
-        self._network.loop.call_later(kept_s, endpoint.close)
+    def _opened(self, endpoint: Endpoint, chunks: tuple[bytes, ...], hold_s: float) -> None:
+        for number, chunk in enumerate(chunks):
+            self._network.loop.call_later(number * CHUNK_PAUSE_S, endpoint.write, chunk)
+        self._network.loop.call_later(hold_s, endpoint.close)
 
 
 def malformed_submissions() -> list[bytes]:
@@ -73,9 +73,12 @@
         {"together": 1},
         {"bundle": None},
     ]
-    bodies += [pack(describe(9000, **changes)) for changes in wrong]
-    bodies += [pack({x: y for x, y in describe(9001).items() if x != "owner"}), TOO_LARGE_BODY]
-    return [build_request("POST", JOBS_PATH, body, is_last=False) for body in bodies]
+    bodies += [pack(job_submission(9000, **changes)) for changes in wrong]
+    bodies += [
+        pack({x: y for x, y in job_submission(9001).items() if x != "owner"}),
+        OVERSIZED_BODY,
+    ]
+    return [build_request("POST", JOBS_PATH, body, closes_connection=False) for body in bodies]
 
 
 def impossible_jobs(first_number: int) -> list[dict[str, Any]]:
@@ -90,13 +93,13 @@
         {"builds": ["c16"], "room": "c"},
         {"room": "nowhere"},
     ]
-    return [describe(first_number + x, **change) for x, change in enumerate(changes)]
+    return [job_submission(first_number + x, **change) for x, change in enumerate(changes)]
 
 
-def odd_requests() -> list[tuple[bytes, ...]]:
+def unusual_requests() -> list[tuple[bytes, ...]]:
     """Requests with unknown paths, wrong methods or broken HTTP, some of them in pieces."""
     query = get(f"{JOBS_PATH}/job-000001")
-    submission = post(JOBS_PATH, describe(9100))
+    submission = post(JOBS_PATH, job_submission(9100))
     return [
         (get("/"),),
         (get("/v1/jobs"),),
@@ -110,11 +113,11 @@
         (post("/v1/jobs/job-abc/withdraw", {}),),
         (post("/healthz", {}),),
         (get("/v1/report"),),
-        (build_request("DELETE", "/v1/jobs/job-000001", b"", is_last=True),),
+        (build_request("DELETE", "/v1/jobs/job-000001", b"", closes_connection=True),),
         (b"GET /\xff\xfe HTTP/1.1\r\n\r\n",),
         (b"nonsense\r\n\r\n",),
         (b"GET / HTTP/9.9\r\n\r\n",),
-        (b"GET / HTTP/1.1\r\n" + TOO_LARGE_HEAD + b"\r\n\r\n",),
+        (b"GET / HTTP/1.1\r\n" + OVERSIZED_HEAD + b"\r\n\r\n",),
         (b"POST /v1/jobs HTTP/1.1\r\nContent-Length: x\r\n\r\n",),
         (b"GET /healthz HTTP/1.1\r\nConnection: Upgrade\r\nUpgrade: websocket\r\n\r\n",),
         (b"POST /v1/jobs HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",),
@@ -156,7 +159,7 @@
         {"bench": "host-000000", "pieces": [task], "tally": 2**40},
     ]
     bodies = [pack({**report, **change}) for change in changes] + [b"\xc1", pack([])]
-    return [build_request("POST", REPORT_PATH, body, is_last=False) for body in bodies]
+    return [build_request("POST", REPORT_PATH, body, closes_connection=False) for body in bodies]
 
 
 def malformed_frames() -> list[bytes]:
--- a/tests/tools/cloud.py
+++ b/tests/tools/cloud.py
@@ -15,24 +15,24 @@
 from tests.tools.rates import TokenBucket
 
 #: most machines of one rental, in one release, and in one page of the list
-RENTAL_MACHINES, RELEASE_MACHINES, LIST_MACHINES = 50, 100, 500
+MAX_RENTAL_MACHINES, MAX_RELEASE_MACHINES, MAX_LIST_MACHINES = 50, 100, 500
 #: requests that may come at once, in seconds' worth
 BURST_S = 2.0
 #: bounds of the time that the cloud takes for a request
-SHORTEST_WORK_S, LONGEST_WORK_S = 0.01, 0.2
+MIN_PROCESSING_S, MAX_PROCESSING_S = 0.01, 0.2
 #: bounds of the delay of a request that is carried out late
-SHORTEST_LATENESS_S, LONGEST_LATENESS_S = 2.0, 25.0
+MIN_LATENESS_S, MAX_LATENESS_S = 2.0, 25.0
 #: bounds of a boot and of a late boot, as multiples of the type's boot time
 BOOT_FACTORS, LATE_BOOT_FACTORS = (0.6, 1.5), (3.0, 8.0)
 #: a machine that died is listed as running for this long
-DEATH_UNSEEN_S = 30.0
+FAILURE_LIST_DELAY_S = 30.0
 #: bounds of the current spot price, as multiples of the nominal one
 SPOT_PRICE_FACTORS = (2 / 3, 4 / 3)
 #: bounds of a boot that takes next to no time
-INSTANT_BOOT_S = (0.05, 2.0)
+INSTANT_BOOT_BOUNDS_S = (0.05, 2.0)
 AGENT_PORT = 9000
 #: addresses in one part of the machines' network
-ADDRESSES = 250
+ADDRESSES_PER_SUBNET = 250
 MALFORMED_BODIES = [b"\xc1", b"", pack([]), pack({"benches": 3, "builds": None})]
 
 
@@ -47,7 +47,7 @@
     rented_at_s: float
     up_at_s: float | None = None
     failed_at_s: float | None = None
-    gone_at_s: float | None = None
+    terminated_at_s: float | None = None
 
     @property
     def name(self) -> str:
@@ -61,7 +61,7 @@
 
 
 @dataclass
-class CloudTroubles:
+class CloudFaults:
     """What may go wrong at present; shares are of the requests, or of the boots."""
 
     is_down: bool = False
@@ -92,63 +92,63 @@
         self._types = {x["sku"]: x for x in types}
         self._rentals: dict[str, list[str]] = {}
         self.machines: dict[str, Machine] = {}
-        self.troubles = CloudTroubles()
+        self.faults = CloudFaults()
         #: most machines by kind; what is not named has no limit
         self.capacity: dict[tuple[str, str, bool], int] = {}
-        self.list_machines = LIST_MACHINES
+        self.max_list_machines = MAX_LIST_MACHINES
         #: called when a machine is up, and when it is gone
         self.on_up: Callable[[Machine], None] = lambda machine: None
-        self.on_gone: Callable[[Machine], None] = lambda machine: None
+        self.on_down: Callable[[Machine], None] = lambda machine: None
         network.listen(address, lambda: ServiceConnection(self._receive))
 
     # what happens to machines
 
-    def take_back(self, machine: Machine) -> None:
+    def terminate(self, machine: Machine) -> None:
         """End a machine that is not released by its user."""
-        if machine.gone_at_s is None:
-            machine.gone_at_s = self._loop.time()
-            self.on_gone(machine)
+        if machine.terminated_at_s is None:
+            machine.terminated_at_s = self._loop.time()
+            self.on_down(machine)
 
     def fail(self, machine: Machine) -> None:
         """Let a machine stop by itself; it remains listed."""
-        if machine.gone_at_s is None and machine.failed_at_s is None:
+        if machine.terminated_at_s is None and machine.failed_at_s is None:
             machine.failed_at_s = self._loop.time()
-            self.on_gone(machine)
+            self.on_down(machine)
 
-    def rent_unasked(self, sku: str, zone: str) -> Machine:
+    def create_unrequested(self, sku: str, zone: str) -> Machine:
         """Create a machine that nobody asked for."""
         return self._create(sku, zone, is_spot=False)
 
     # requests
 
     def _receive(self, request: HttpMessage, responder: Responder) -> None:
-        work_s = self._random.uniform(SHORTEST_WORK_S, LONGEST_WORK_S)
-        self._loop.call_later(work_s, self._handle, request, responder)
+        processing_s = self._random.uniform(MIN_PROCESSING_S, MAX_PROCESSING_S)
+        self._loop.call_later(processing_s, self._handle, request, responder)
 
     def _handle(self, request: HttpMessage, responder: Responder) -> None:
-        if self.troubles.is_down:
+        if self.faults.is_down:
             responder.answer(503, {"error": "trouble"})
         elif not self._requests.take(1):
             responder.answer(429, {"error": "too many requests"})
-        elif request.method == "POST" and self._happens(self.troubles.late_requests):
-            lateness_s = self._random.uniform(SHORTEST_LATENESS_S, LONGEST_LATENESS_S)
+        elif request.method == "POST" and self._occurs(self.faults.late_requests):
+            lateness_s = self._random.uniform(MIN_LATENESS_S, MAX_LATENESS_S)
             self._loop.call_later(lateness_s, self._execute, request)
         else:
             status, value = self._execute(request)
-            if self._happens(self.troubles.lost_answers):
+            if self._occurs(self.faults.lost_answers):
                 return
-            if self._happens(self.troubles.malformed_answers):
+            if self._occurs(self.faults.malformed_answers):
                 responder.answer_malformed(self._random, status, MALFORMED_BODIES)
                 return
             responder.answer(status, value)
 
-    def _happens(self, share: float) -> bool:
+    def _occurs(self, share: float) -> bool:
         return share > 0 and self._random.random() < share
 
     def _execute(self, request: HttpMessage) -> tuple[int, Any]:
         url = urlsplit(request.target)
         if url.path == "/machine_types":
-            return 200, {"builds": [self._priced(x) for x in self._types.values()]}
+            return 200, {"builds": [self._with_spot_price(x) for x in self._types.values()]}
         if request.method == "GET" and url.path == "/rentals":
             return self._list({x: y[0] for x, y in parse_qs(url.query).items()})
         body = unpack(request.body)
@@ -160,7 +160,7 @@
             return self._release(body["benches"])
         return 400, {"error": "malformed"}
 
-    def _priced(self, machine_type: dict[str, Any]) -> dict[str, Any]:
+    def _with_spot_price(self, machine_type: dict[str, Any]) -> dict[str, Any]:
         price = machine_type["market_price"] * self._random.uniform(*SPOT_PRICE_FACTORS)
         return {**machine_type, "market_price": price}
 
@@ -168,45 +168,50 @@
         name = body["hire"]
         if name not in self._rentals:
             kind = (body["build"], body["room"], body["loaners"])
-            count = min(body["how_many"], RENTAL_MACHINES, self._free(kind))
+            count = min(body["how_many"], MAX_RENTAL_MACHINES, self._available(kind))
             if count <= 0:
                 return 503, {"error": "no capacity"}
             self._rentals[name] = [self._create(*kind).name for _ in range(count)]
         return 200, {"benches": self._rentals[name]}
 
-    def _free(self, kind: tuple[str, str, bool]) -> int:
-        used = sum(1 for x in self.machines.values() if x.kind == kind and x.gone_at_s is None)
-        return self.capacity.get(kind, RENTAL_MACHINES + used) - used
+    def _available(self, kind: tuple[str, str, bool]) -> int:
+        used = sum(
+            1 for x in self.machines.values() if x.kind == kind and x.terminated_at_s is None
+        )
+        return self.capacity.get(kind, MAX_RENTAL_MACHINES + used) - used
 
     def _create(self, sku: str, zone: str, is_spot: bool) -> Machine:
         number = len(self.machines)
-        name, address = f"host-{number:06d}", f"10.1.{number // ADDRESSES}.{number % ADDRESSES + 1}"
+        name, address = (
+            f"host-{number:06d}",
+            f"10.1.{number // ADDRESSES_PER_SUBNET}.{number % ADDRESSES_PER_SUBNET + 1}",
+        )
         host = Host("agent", name, address)
         self._network.add_host(host)
         machine = Machine(host, self._types[sku], zone, is_spot, self._loop.time())
         self.machines[name] = machine
-        if not self._happens(self.troubles.never_boots):
+        if not self._occurs(self.faults.never_boots):
             self._loop.call_later(self._boot_s(machine), self._boot, machine)
         return machine
 
     def _boot_s(self, machine: Machine) -> float:
-        if self._happens(self.troubles.instant_boots):
-            return self._random.uniform(*INSTANT_BOOT_S)
-        is_late = self._happens(self.troubles.late_boots)
+        if self._occurs(self.faults.instant_boots):
+            return self._random.uniform(*INSTANT_BOOT_BOUNDS_S)
+        is_late = self._occurs(self.faults.late_boots)
         factor = self._random.uniform(*(LATE_BOOT_FACTORS if is_late else BOOT_FACTORS))
         return float(machine.machine_type["startup_s"] * factor)
 
     def _boot(self, machine: Machine) -> None:
-        if machine.gone_at_s is None and machine.failed_at_s is None:
+        if machine.terminated_at_s is None and machine.failed_at_s is None:
             machine.up_at_s = self._loop.time()
             self.on_up(machine)
 
     def _release(self, names: list[str]) -> tuple[int, Any]:
-        if len(names) > RELEASE_MACHINES:
+        if len(names) > MAX_RELEASE_MACHINES:
             return 400, {"error": "too many"}
         for name in names:
             if name in self.machines:
-                self.take_back(self.machines[name])
+                self.terminate(self.machines[name])
         return 200, {}
 
     # the list
@@ -214,7 +219,7 @@
     def _list(self, query: dict[str, str]) -> tuple[int, Any]:
         at_s = self._loop.time() - self._list_lag_s * self._random.uniform(0.5, 1.5)
         after = query.get("from", "")
-        limit = min(int(query.get("limit", LIST_MACHINES)), self.list_machines)
+        limit = min(int(query.get("limit", MAX_LIST_MACHINES)), self.max_list_machines)
         listed = [x for x in self.machines.values() if x.name > after and _is_listed(x, at_s)]
         page = [self._entry(x, at_s) for x in listed[:limit]]
         return 200, {"benches": page, "more": len(listed) > limit}
@@ -223,7 +228,7 @@
         status = "booting"
         if machine.up_at_s is not None and machine.up_at_s <= at_s:
             status = "running"
-        if machine.failed_at_s is not None and machine.failed_at_s + DEATH_UNSEEN_S <= at_s:
+        if machine.failed_at_s is not None and machine.failed_at_s + FAILURE_LIST_DELAY_S <= at_s:
             status = "failed"
         return {
             "ref": machine.name,
@@ -237,5 +242,5 @@
 
 
 def _is_listed(machine: Machine, at_s: float) -> bool:
-    is_there = machine.gone_at_s is None or machine.gone_at_s > at_s
+    is_there = machine.terminated_at_s is None or machine.terminated_at_s > at_s
     return machine.rented_at_s <= at_s and is_there
--- a/tests/tools/compare_versions.py
+++ b/tests/tools/compare_versions.py
@@ -18,11 +18,11 @@
 from tests.tools.comparison import Comparison, compare_records
 from tests.tools.scenarios import SCENARIOS
 from tests.tools.versions import (
-    PlayError,
+    ScenarioError,
     VersionError,
     copy_working_tree,
     extract_commit,
-    play_on,
+    run_scenario,
 )
 
 DEFAULT_SEEDS = [1]
@@ -37,8 +37,8 @@
     for name, version in (("first", first), ("second", second)):
         paths.append(records / f"{scenario}-{seed}-{name}.record")
         try:
-            play_on(version, scenario, seed, paths[-1])
-        except PlayError as error:
+            run_scenario(version, scenario, seed, paths[-1])
+        except ScenarioError as error:
             return Comparison(difference=[f"  the {name} version can not be played: {error}"])
     comparison = compare_records(*paths)
     for path in paths:
@@ -55,13 +55,11 @@
             path.mkdir()
         extract_commit(commit, first)
         copy_working_tree(second)
-        plays = [(scenario, seed) for scenario in scenarios for seed in seeds]
+        runs = [(scenario, seed) for scenario in scenarios for seed in seeds]
         with ThreadPoolExecutor(jobs) as pool:
-            results = pool.map(
-                lambda play: compare(first, second, play[0], play[1], records), plays
-            )
+            results = pool.map(lambda run: compare(first, second, run[0], run[1], records), runs)
             is_same = True
-            for (scenario, seed), comparison in zip(plays, results, strict=True):
+            for (scenario, seed), comparison in zip(runs, results, strict=True):
                 print(f"{scenario} seed {seed}: {comparison.summary()}", flush=True)
                 for line in comparison.difference:
                     print(line, flush=True)
--- a/tests/tools/comparison.py
+++ b/tests/tools/comparison.py
@@ -12,11 +12,11 @@
 from tests.tools.recording import Entry, Event, read_record
 
 #: entries shown before and after the first difference
-SHOWN_BEFORE, SHOWN_AFTER = 5, 3
+ENTRIES_BEFORE, ENTRIES_AFTER = 5, 3
 #: characters of one message, and differing fields, that are shown
-SHOWN_CHARACTERS, SHOWN_FIELDS = 2000, 10
+MAX_MESSAGE_CHARACTERS, MAX_FIELDS = 2000, 10
 #: characters of a message that is shown only for its place
-BRIEF_CHARACTERS = 200
+MAX_CONTEXT_CHARACTERS = 200
 
 
 @dataclass
@@ -43,7 +43,7 @@
 def compare_records(first: pathlib.Path, second: pathlib.Path) -> Comparison:
     """Compare two records entry by entry, up to the first difference."""
     comparison = Comparison()
-    before: deque[Entry] = deque(maxlen=SHOWN_BEFORE)
+    before: deque[Entry] = deque(maxlen=ENTRIES_BEFORE)
     left, right = read_record(first), read_record(second)
     for one, other in itertools.zip_longest(left, right):
         if one != other:
@@ -59,29 +59,29 @@
 
 def _describe_difference(one: Entry | None, other: Entry | None, before: deque[Entry]) -> list[str]:
     lines = ["  before, the same in both:"]
-    lines += [f"    {describe_entry(entry, BRIEF_CHARACTERS)}" for entry in before]
+    lines += [f"    {describe_entry(entry, MAX_CONTEXT_CHARACTERS)}" for entry in before]
     for name, entry in (("first", one), ("second", other)):
-        text = "the record ends" if entry is None else describe_entry(entry, SHOWN_CHARACTERS)
+        text = "the record ends" if entry is None else describe_entry(entry, MAX_MESSAGE_CHARACTERS)
         lines.append(f"  {name + ':':8}{text}")
     if one is not None and other is not None:
-        fields = list(itertools.islice(_differing_fields(one, other), SHOWN_FIELDS))
+        fields = list(itertools.islice(_differing_fields(one, other), MAX_FIELDS))
         lines += [f"  differs in {text}" for text in fields]
     return lines
 
 
 def _describe_following(name: str, entries: Any) -> list[str]:
-    following = list(itertools.islice(entries, SHOWN_AFTER))
-    lines = [f"    {describe_entry(entry, BRIEF_CHARACTERS)}" for entry in following]
+    following = list(itertools.islice(entries, ENTRIES_AFTER))
+    lines = [f"    {describe_entry(entry, MAX_CONTEXT_CHARACTERS)}" for entry in following]
     return [f"  then in the {name}:", *lines] if lines else []
 
 
-def describe_entry(entry: Entry, most: int) -> str:
+def describe_entry(entry: Entry, max_characters: int) -> str:
     """One line about an entry, with at most so many characters of its message."""
     text = describe_message(entry) if entry.event == Event.MESSAGE else entry.event
     if entry.event == Event.ENDED:
         text += f" by itself: {entry.data.decode()}"
-    if len(text) > most:
-        text = f"{text[:most]}... ({len(text)} characters)"
+    if len(text) > max_characters:
+        text = f"{text[:max_characters]}... ({len(text)} characters)"
     place = f"{entry.time_s:.6f} s {entry.node} (run {entry.run})"
     return f"{place} -> {entry.kind} {entry.destination}: {text}"
 
--- a/tests/tools/controllers.py
+++ b/tests/tools/controllers.py
@@ -14,7 +14,7 @@
 
 PUBLIC_PORT, FRAME_PORT = 8080, 8081
 #: how long an operator waits for the answer to a question
-STATUS_WAIT_S = 3.0
+STATUS_TIMEOUT_S = 3.0
 
 
 def controller_host(number: int) -> Host:
@@ -51,16 +51,16 @@
 
     def start(self, number: int) -> None:
         """Start a controller, unless it runs."""
-        old = self._processes.get(number)
-        if old is not None and old.is_alive:
+        previous = self._processes.get(number)
+        if previous is not None and previous.is_alive:
             return
-        run = old.run + 1 if old is not None else 1
+        run = previous.run + 1 if previous is not None else 1
         process = self._processes[number] = Process(self.hosts[number], run)
         self._network.power_on(process.host)
         program = self._network.loop.create_task(
             run_controller(self._settings[number], self._policy_script), context=process.context()
         )
-        program.add_done_callback(lambda task: self._ended(process, task))
+        program.add_done_callback(lambda task: self._record_exit(process, task))
         self._programs.append(program)
 
     def kill(self, number: int, is_silent: bool = False) -> None:
@@ -69,7 +69,7 @@
         if process.is_alive:
             self._network.kill(process, is_silent)
 
-    def kill_for(self, number: int, pause_s: float, is_silent: bool = False) -> None:
+    def kill_and_restart(self, number: int, pause_s: float, is_silent: bool = False) -> None:
         """End a controller and start it again after a pause."""
         self.kill(number, is_silent)
         self._network.loop.call_later(pause_s, self.start, number)
@@ -86,16 +86,16 @@
             operator,
             (self.hosts[number].address, FRAME_PORT),
             asyncio.Protocol,
-            self._send_question,
+            self._send_status_request,
             lambda error: None,
         )
 
-    def _send_question(self, endpoint: Endpoint) -> None:
+    def _send_status_request(self, endpoint: Endpoint) -> None:
         endpoint.write(build_frame(["ask", 1, "status", "status", []]))
-        self._network.loop.call_later(STATUS_WAIT_S, endpoint.close)
+        self._network.loop.call_later(STATUS_TIMEOUT_S, endpoint.close)
 
-    def _ended(self, process: Process, program: asyncio.Task[None]) -> None:
+    def _record_exit(self, process: Process, program: asyncio.Task[None]) -> None:
         """A program ended by itself, which none should."""
         error = None if program.cancelled() else program.exception()
-        self._recorder.ended(process, type(error).__name__)
+        self._recorder.on_exit(process, type(error).__name__)
         self._network.kill(process, is_silent=False)
--- a/tests/tools/deployment.py
+++ b/tests/tools/deployment.py
@@ -66,7 +66,7 @@
     },
 ]
 
-CLUSTER: dict[str, Any] = {
+CLUSTER_SETTINGS: dict[str, Any] = {
     "zones": ZONES,
     "skew_ms": 1000.0,
     "teams": [
@@ -95,7 +95,7 @@
 
 
 @dataclass(frozen=True)
-class Plan:
+class DeploymentConfig:
     """How large a deployment is, and what its settings hold beside the usual."""
 
     controllers: int = 3
@@ -107,21 +107,21 @@
 class Deployment:
     """Everything that takes part in one scenario."""
 
-    def __init__(self, plan: Plan, seed: str, file: BinaryIO) -> None:
+    def __init__(self, config: DeploymentConfig, seed: str, file: BinaryIO) -> None:
         self.loop = SimulatedLoop()
         self.network = Network(self.loop, seed)
         self.recorder = Recorder(self.loop, FRAME_PORT, file)
         self.network.observer = self.recorder
         self.random = random.Random(f"{seed}/scenario")
-        cluster = {**copy.deepcopy(CLUSTER), "size": plan.controllers, **plan.cluster}
-        settings = [raw_settings(x, plan.controllers, cluster) for x in range(plan.controllers)]
+        cluster = {**copy.deepcopy(CLUSTER_SETTINGS), "size": config.controllers, **config.cluster}
+        settings = [raw_settings(x, config.controllers, cluster) for x in range(config.controllers)]
         for host in (STORE_HOST, CLOUD_HOST):
             self.network.add_host(host)
         self.store = Store(self.network, (STORE_HOST.address, STORE_PORT), cluster["state"], seed)
         self.cloud = Cloud(
             self.network, (CLOUD_HOST.address, CLOUD_PORT), cluster["cloud"], MACHINE_TYPES, seed
         )
-        self.controllers = Controllers(self.network, self.recorder, settings, plan.policy_script)
+        self.controllers = Controllers(self.network, self.recorder, settings, config.policy_script)
         self.workload = Workload(seed)
         addresses = self.controllers.addresses
         timing = {x: cluster["workers"][x] for x in cluster["workers"] if x != "cancel_s"}
@@ -129,10 +129,10 @@
             self.network, self.workload, AgentSettings(**timing, controllers=addresses), seed
         )
         self.cloud.on_up = self._agents.start
-        self.cloud.on_gone = self._agents.end
+        self.cloud.on_down = self._agents.stop
         self.users = Users(self.network, self.workload, list(addresses.values()), seed)
         self._began_at_s = self.loop.time()
-        for number in range(plan.controllers):
+        for number in range(config.controllers):
             self.at(START_SPREAD_S * self.random.random(), self.controllers.start, number)
 
     def at(self, after_s: float, action: Callable[..., object], *args: Any, **named: Any) -> None:
@@ -142,14 +142,14 @@
     @property
     def agents(self) -> list[Agent]:
         """Agents of the machines that are there."""
-        return self._agents.present
+        return self._agents.live
 
-    def some_agents(self, count: int) -> list[Agent]:
+    def random_agents(self, count: int) -> list[Agent]:
         """Some agents, chosen at random."""
-        present = self.agents
-        return self.random.sample(present, min(count, len(present)))
+        live_agents = self.agents
+        return self.random.sample(live_agents, min(count, len(live_agents)))
 
-    def play(self, duration_s: float) -> None:
+    def run(self, duration_s: float) -> None:
         """Let time pass, then end everything."""
         self.loop.run_until(self._began_at_s + duration_s)
         self.controllers.kill_all()
--- a/tests/tools/http_service.py
+++ b/tests/tools/http_service.py
@@ -16,10 +16,10 @@
     pack,
     read_http,
 )
-from tests.tools.network import Address, Attempt, Endpoint, Network
+from tests.tools.network import Address, ConnectAttempt, Endpoint, Network
 from tests.tools.processes import Host
 
-NO_HTTP = b"nonsense\r\n\r\n"
+MALFORMED_HTTP = b"nonsense\r\n\r\n"
 #: status told to a caller when no response came
 NO_RESPONSE = 0
 
@@ -43,11 +43,13 @@
         """Answer with a body as it is."""
         self._endpoint.write(build_response(status, body))
 
-    def answer_malformed(self, source: random.Random, status: int, bodies: list[bytes]) -> None:
+    def answer_malformed(self, rng: random.Random, status: int, bodies: list[bytes]) -> None:
         """Answer with one of the bodies, or with what is no proper HTTP."""
-        response = build_response(status, source.choice(bodies))
+        response = build_response(status, rng.choice(bodies))
         closing = response.replace(HEAD_END, b"\r\nConnection: close" + HEAD_END, 1)
-        self._endpoint.write(source.choice([response, response, closing, response * 2, NO_HTTP]))
+        self._endpoint.write(
+            rng.choice([response, response, closing, response * 2, MALFORMED_HTTP])
+        )
 
 
 #: handles a request of a service
@@ -102,7 +104,7 @@
         self._host = host
         self._address: Address | None = None
         self._endpoint: Endpoint | None = None
-        self._attempt: Attempt | None = None
+        self._attempt: ConnectAttempt | None = None
         self._timeout: asyncio.TimerHandle | None = None
         self._on_answer: Callable[[int, HttpMessage | None], None] | None = None
 
@@ -130,8 +132,8 @@
         self._attempt = self._network.connect(
             self._host,
             address,
-            lambda: _CallerConnection(self._answered, self._lost),
-            lambda endpoint: self._opened(endpoint, request),
+            lambda: _CallerConnection(self._handle_response, self._handle_lost),
+            lambda endpoint: self._send_first(endpoint, request),
             lambda _: self._fail(),
         )
 
@@ -139,20 +141,20 @@
         """Close the connection that is kept, if there is one."""
         endpoint, self._endpoint = self._endpoint, None
         if self._attempt is not None:
-            self._attempt.give_up()
+            self._attempt.cancel()
         if endpoint is not None:
             endpoint.close()
 
-    def _opened(self, endpoint: Endpoint, request: bytes) -> None:
+    def _send_first(self, endpoint: Endpoint, request: bytes) -> None:
         self._endpoint = endpoint
         endpoint.write(request)
 
-    def _answered(self, response: HttpMessage) -> None:
-        if response.is_last:
+    def _handle_response(self, response: HttpMessage) -> None:
+        if response.closes_connection:
             self.close()
         self._finish(response.status, response)
 
-    def _lost(self) -> None:
+    def _handle_lost(self) -> None:
         """A connection is lost; one that was closed here is not the one that is kept."""
         if self._endpoint is not None and self._endpoint.is_closing():
             self._endpoint = None
@@ -170,11 +172,11 @@
             on_answer(status, response)
 
 
-def get(path: str, is_last: bool = False) -> bytes:
+def get(path: str, closes_connection: bool = False) -> bytes:
     """A GET request."""
-    return build_request("GET", path, b"", is_last)
+    return build_request("GET", path, b"", closes_connection)
 
 
-def post(path: str, value: Any, is_last: bool = False) -> bytes:
+def post(path: str, value: Any, closes_connection: bool = False) -> bytes:
     """A POST request with a value as MessagePack."""
-    return build_request("POST", path, pack(value), is_last)
+    return build_request("POST", path, pack(value), closes_connection)
--- a/tests/tools/messages.py
+++ b/tests/tools/messages.py
@@ -95,7 +95,7 @@
         return self.start_line.split(" ")[1]
 
     @property
-    def is_last(self) -> bool:
+    def closes_connection(self) -> bool:
         """Whether the connection ends after this message."""
         return self.headers.get("connection", "").lower() == "close"
 
@@ -107,10 +107,10 @@
     return HttpMessage(start_line, read_headers(head), body)
 
 
-def build_request(method: str, path: str, body: bytes, is_last: bool) -> bytes:
+def build_request(method: str, path: str, body: bytes, closes_connection: bool) -> bytes:
     """A request as the outside systems send it."""
     head = f"{method} {path} HTTP/1.1\r\nHost: marblestair\r\nContent-Length: {len(body)}\r\n"
-    if is_last:
+    if closes_connection:
         head += "Connection: close\r\n"
     return head.encode("ascii") + b"\r\n" + body
 
--- a/tests/tools/network.py
+++ b/tests/tools/network.py
@@ -21,12 +21,12 @@
 Address: TypeAlias = tuple[str, int]
 
 #: bounds of the time that a packet is under way
-SHORTEST_DELAY_S, LONGEST_DELAY_S = 0.0002, 0.002
+MIN_DELAY_S, MAX_DELAY_S = 0.0002, 0.002
 #: the least time between two arrivals on one direction of a connection
-ORDER_GAP_S = 1e-6
+MIN_ARRIVAL_GAP_S = 1e-6
 
 
-class Ending(enum.Enum):
+class ConnectionEnd(enum.Enum):
     """How a direction of a connection ends."""
 
     ORDERLY = "orderly"
@@ -36,10 +36,10 @@
 class Observer(Protocol):
     """Sees what simulated processes do with their connections."""
 
-    def written(self, endpoint: Endpoint, data: bytes) -> None:
+    def on_write(self, endpoint: Endpoint, data: bytes) -> None:
         """A process wrote to a connection."""
 
-    def closed(self, endpoint: Endpoint) -> None:
+    def on_close(self, endpoint: Endpoint) -> None:
         """A process closed a connection."""
 
 
@@ -50,31 +50,31 @@
         self._network = network
         self._receiver = receiver
         self._delays = delays
-        self._under_way: deque[tuple[float, bytes | Ending]] = deque()
+        self._in_flight: deque[tuple[float, bytes | ConnectionEnd]] = deque()
         #: nothing arrives before this time
         self.last_arrival_s = 0.0
 
-    def send(self, item: bytes | Ending) -> None:
+    def send(self, item: bytes | ConnectionEnd) -> None:
         """Take a piece of data, or the end, and deliver it later."""
-        delay_s = self._delays.uniform(SHORTEST_DELAY_S, LONGEST_DELAY_S)
-        earliest_s = self.last_arrival_s + ORDER_GAP_S
+        delay_s = self._delays.uniform(MIN_DELAY_S, MAX_DELAY_S)
+        earliest_s = self.last_arrival_s + MIN_ARRIVAL_GAP_S
         self.last_arrival_s = max(earliest_s, self._network.loop.time() + delay_s)
-        self._under_way.append((self.last_arrival_s, item))
-        if len(self._under_way) == 1:
+        self._in_flight.append((self.last_arrival_s, item))
+        if len(self._in_flight) == 1:
             self.schedule()
 
     def schedule(self) -> None:
         """Wait for the arrival of what is next."""
-        arrival_s, _ = self._under_way[0]
+        arrival_s, _ = self._in_flight[0]
         self._network.loop.call_at(arrival_s, self._deliver, context=self._network.context)
 
     def _deliver(self) -> None:
         if self._network.is_blocked(self._receiver.remote, self._receiver.local):
-            self._network.stalled.append(self)
+            self._network.blocked_pipes.append(self)
             return
-        _, item = self._under_way.popleft()
+        _, item = self._in_flight.popleft()
         self._receiver.receive(item)
-        if self._under_way:
+        if self._in_flight:
             self.schedule()
 
 
@@ -96,9 +96,9 @@
         self._outgoing: Pipe | None = None
         self._is_closing = False
         self._is_paused = False
-        self._unread: deque[bytes | Ending] = deque()
+        self._unread: deque[bytes | ConnectionEnd] = deque()
 
-    def join(self, outgoing: Pipe) -> None:
+    def set_outgoing(self, outgoing: Pipe) -> None:
         """Set the direction on which this end writes."""
         self._outgoing = outgoing
 
@@ -107,66 +107,66 @@
         self.protocol = protocol_factory()
         self.protocol.connection_made(self)
 
-    def receive(self, item: bytes | Ending) -> None:
+    def receive(self, item: bytes | ConnectionEnd) -> None:
         """Something has arrived at this end's host."""
-        if self._is_dead:
+        if self._is_process_dead:
             if isinstance(item, bytes):
-                self._network.refuse_for_dead(self)
+                self._network.reset_for_dead_process(self)
         elif not self._is_closing:
-            self._network.loop.call_soon(self._take, item, context=self.context)
+            self._network.loop.call_soon(self._dispatch, item, context=self.context)
 
-    def die(self, is_silent: bool) -> None:
+    def terminate(self, is_silent: bool) -> None:
         """End with the process or the host; unless silent, the other end sees a reset."""
         self._is_closing = True
         if not is_silent:
-            self.send_ending(Ending.RESET)
-        self._network.forget(self)
+            self.send_end(ConnectionEnd.RESET)
+        self._network.remove_endpoint(self)
 
-    def send_ending(self, ending: Ending) -> None:
+    def send_end(self, ending: ConnectionEnd) -> None:
         """Let the other end see that the connection is over."""
         if self._outgoing is not None:
             self._outgoing.send(ending)
 
     @property
-    def _is_dead(self) -> bool:
+    def _is_process_dead(self) -> bool:
         return self.process is not None and not self.process.is_alive
 
-    def _take(self, item: bytes | Ending) -> None:
+    def _dispatch(self, item: bytes | ConnectionEnd) -> None:
         if self._is_closing:
             return
         if self._is_paused:
             self._unread.append(item)
         elif isinstance(item, bytes):
             self.protocol.data_received(item)
-        elif item is Ending.RESET:
+        elif item is ConnectionEnd.RESET:
             self._is_closing = True
-            self._lose(ConnectionResetError("reset by the other end"))
+            self._notify_lost(ConnectionResetError("reset by the other end"))
         elif not self.protocol.eof_received():
             self.close()
 
-    def _lose(self, error: Exception | None) -> None:
-        self._network.forget(self)
+    def _notify_lost(self, error: Exception | None) -> None:
+        self._network.remove_endpoint(self)
         self.protocol.connection_lost(error)
 
     # asyncio.Transport
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
         """Send data."""
-        if self._is_closing or self._is_dead or self._outgoing is None:
+        if self._is_closing or self._is_process_dead or self._outgoing is None:
             return
         if self.process is not None and self._network.observer is not None:
-            self._network.observer.written(self, bytes(data))
+            self._network.observer.on_write(self, bytes(data))
         self._outgoing.send(bytes(data))
 
     def close(self) -> None:
         """Close once what was written has been sent."""
-        if self._is_closing or self._is_dead:
+        if self._is_closing or self._is_process_dead:
             return
         self._is_closing = True
         if self.process is not None and self._network.observer is not None:
-            self._network.observer.closed(self)
-        self.send_ending(Ending.ORDERLY)
-        self._network.loop.call_soon(self._lose, None, context=self.context)
+            self._network.observer.on_close(self)
+        self.send_end(ConnectionEnd.ORDERLY)
+        self._network.loop.call_soon(self._notify_lost, None, context=self.context)
 
     def abort(self) -> None:
         """Close at once; what was written is on its way already."""
@@ -185,7 +185,7 @@
         self._is_paused = False
         unread, self._unread = self._unread, deque()
         for item in unread:
-            self._network.loop.call_soon(self._take, item, context=self.context)
+            self._network.loop.call_soon(self._dispatch, item, context=self.context)
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
         """The addresses of both ends; nothing else is known."""
@@ -218,7 +218,7 @@
             self._network.stop_listening(self)
 
 
-class Attempt:
+class ConnectAttempt:
     """An attempt to connect, until it succeeded, failed or was given up."""
 
     def __init__(
@@ -237,20 +237,20 @@
         self.on_failed = on_failed
         self.context = context
         self.process: Process | None = context.get(CURRENT_PROCESS)
-        self._is_given_up = False
+        self._was_cancelled = False
 
-    def give_up(self) -> None:
+    def cancel(self) -> None:
         """Let the attempt come to nothing, if it has not succeeded yet."""
-        self._is_given_up = True
+        self._was_cancelled = True
 
     @property
-    def is_over(self) -> bool:
+    def is_cancelled(self) -> bool:
         """Whether nobody waits for the connection any more."""
-        return self._is_given_up or (self.process is not None and not self.process.is_alive)
+        return self._was_cancelled or (self.process is not None and not self.process.is_alive)
 
     def succeed(self, endpoint: Endpoint) -> None:
         """Hand over this side's end of the connection."""
-        if self.is_over:
+        if self.is_cancelled:
             endpoint.close()
             return
         endpoint.open(self.protocol_factory)
@@ -267,19 +267,19 @@
         self.context = contextvars.copy_context()
         self.observer: Observer | None = None
         #: directions that wait for a cut to end
-        self.stalled: list[Pipe] = []
+        self.blocked_pipes: list[Pipe] = []
         self._seed = seed
         self._hosts: dict[str, Host] = {}
         self._listeners: dict[Address, Listener] = {}
         self._endpoints: dict[Endpoint, None] = {}
-        self._connections: dict[tuple[str, Address], int] = {}
-        self._waiting: list[Attempt] = []
+        self._connection_counts: dict[tuple[str, Address], int] = {}
+        self._pending_attempts: list[ConnectAttempt] = []
         #: names of hosts that neither send nor receive, and of hosts without power
         self._frozen: set[str] = set()
-        self._down: set[str] = set()
+        self._powered_off: set[str] = set()
         #: pairs of names (from, to) between which nothing passes, or connections are refused
-        self._cut: set[tuple[str, str]] = set()
-        self._refused: set[tuple[str, str]] = set()
+        self._cut_pairs: set[tuple[str, str]] = set()
+        self._refused_pairs: set[tuple[str, str]] = set()
         #: names of hosts that nothing passes to or from a kind of hosts, with that kind
         self._cut_kinds: set[tuple[str, str]] = set()
 
@@ -311,33 +311,33 @@
         """End a process; if silent, its host loses power, and the other ends see nothing."""
         process.is_alive = False
         if is_silent:
-            self._down.add(process.host.name)
+            self._powered_off.add(process.host.name)
         for listener in [x for x in self._listeners.values() if x.process is process]:
             self.stop_listening(listener)
         for endpoint in [x for x in self._endpoints if x.process is process]:
-            endpoint.die(is_silent)
+            endpoint.terminate(is_silent)
 
     def power_on(self, host: Host) -> None:
         """Let a host answer again, if only by refusing connections."""
-        self._down.discard(host.name)
-        self._resume()
+        self._powered_off.discard(host.name)
+        self._retry_blocked()
 
-    def vanish(self, host: Host) -> None:
+    def remove_host(self, host: Host) -> None:
         """Remove a host; whoever is connected to it sees nothing."""
-        self._down.add(host.name)
+        self._powered_off.add(host.name)
         for listener in [x for x in self._listeners.values() if x.address[0] == host.address]:
             self.stop_listening(listener)
         for endpoint in [x for x in self._endpoints if x.local is host]:
-            endpoint.die(is_silent=True)
+            endpoint.terminate(is_silent=True)
 
-    def forget(self, endpoint: Endpoint) -> None:
+    def remove_endpoint(self, endpoint: Endpoint) -> None:
         """An end of a connection is closed."""
         self._endpoints.pop(endpoint, None)
 
-    def refuse_for_dead(self, endpoint: Endpoint) -> None:
+    def reset_for_dead_process(self, endpoint: Endpoint) -> None:
         """Data arrived for a process that is dead: its host resets the connection."""
-        if endpoint.local.name not in self._down:
-            endpoint.send_ending(Ending.RESET)
+        if endpoint.local.name not in self._powered_off:
+            endpoint.send_end(ConnectionEnd.RESET)
 
     # connecting
 
@@ -349,45 +349,51 @@
         on_open: Callable[[Endpoint], object],
         on_failed: Callable[[OSError], object],
         context: contextvars.Context | None = None,
-    ) -> Attempt:
+    ) -> ConnectAttempt:
         """Connect a host to an address; exactly one of the callbacks is called, or none."""
-        attempt = Attempt(
+        attempt = ConnectAttempt(
             source, address, protocol_factory, on_open, on_failed, context or self.context
         )
-        self._request(attempt)
+        self._send_connect_request(attempt)
         return attempt
 
-    def _request(self, attempt: Attempt) -> None:
+    def _send_connect_request(self, attempt: ConnectAttempt) -> None:
         delays = self._new_delays(attempt)
-        when_s = self.loop.time() + delays.uniform(SHORTEST_DELAY_S, LONGEST_DELAY_S)
-        self.loop.call_at(when_s, self._arrive, attempt, delays, context=self.context)
+        when_s = self.loop.time() + delays.uniform(MIN_DELAY_S, MAX_DELAY_S)
+        self.loop.call_at(
+            when_s, self._handle_connect_request, attempt, delays, context=self.context
+        )
 
-    def _new_delays(self, attempt: Attempt) -> random.Random:
+    def _new_delays(self, attempt: ConnectAttempt) -> random.Random:
         pair = (attempt.source.name, attempt.address)
-        number = self._connections[pair] = self._connections.get(pair, 0) + 1
+        number = self._connection_counts[pair] = self._connection_counts.get(pair, 0) + 1
         host, port = attempt.address
         return random.Random(f"{self._seed}/{attempt.source.name}/{host}:{port}/{number}")
 
-    def _arrive(self, attempt: Attempt, delays: random.Random) -> None:
+    def _handle_connect_request(self, attempt: ConnectAttempt, delays: random.Random) -> None:
         """The request to connect has reached the other host, unless something is in its way."""
         target = self._hosts.get(attempt.address[0])
-        if attempt.is_over:
+        if attempt.is_cancelled:
             return
-        if target is None or target.name in self._down or self._is_cut(attempt.source, target):
-            self._waiting.append(attempt)
+        if (
+            target is None
+            or target.name in self._powered_off
+            or self._is_cut(attempt.source, target)
+        ):
+            self._pending_attempts.append(attempt)
             return
-        answered_s = self.loop.time() + delays.uniform(SHORTEST_DELAY_S, LONGEST_DELAY_S)
+        answered_s = self.loop.time() + delays.uniform(MIN_DELAY_S, MAX_DELAY_S)
         listener = self._listeners.get(attempt.address)
-        if listener is None or (attempt.source.name, target.name) in self._refused:
+        if listener is None or (attempt.source.name, target.name) in self._refused_pairs:
             refusal = ConnectionRefusedError(f"refused by {target.name}")
             self.loop.call_at(answered_s, attempt.on_failed, refusal, context=attempt.context)
             return
-        client_end = self._join(attempt, target, listener, answered_s, delays)
+        client_end = self._establish(attempt, target, listener, answered_s, delays)
         self.loop.call_at(answered_s, attempt.succeed, client_end, context=attempt.context)
 
-    def _join(
+    def _establish(
         self,
-        attempt: Attempt,
+        attempt: ConnectAttempt,
         target: Host,
         listener: Listener,
         answered_s: float,
@@ -399,8 +405,8 @@
         client_end = Endpoint(self, source, target, port, attempt.context.copy())
         to_client = Pipe(self, client_end, random.Random(delays.random()))
         to_client.last_arrival_s = answered_s
-        server_end.join(to_client)
-        client_end.join(Pipe(self, server_end, random.Random(delays.random())))
+        server_end.set_outgoing(to_client)
+        client_end.set_outgoing(Pipe(self, server_end, random.Random(delays.random())))
         self._endpoints[server_end] = None
         self._endpoints[client_end] = None
         self.loop.call_soon(server_end.open, listener.protocol_factory, context=server_end.context)
@@ -416,14 +422,14 @@
             return True
         if (target.name, source.kind) in self._cut_kinds:
             return True
-        return (source.name, target.name) in self._cut
+        return (source.name, target.name) in self._cut_pairs
 
     def _is_cut(self, first: Host, second: Host) -> bool:
         return self.is_blocked(first, second) or self.is_blocked(second, first)
 
     def cut(self, source: str, target: str) -> None:
         """Hold back all that goes from one host to another, until the cut ends."""
-        self._cut.add((source, target))
+        self._cut_pairs.add((source, target))
 
     def cut_both_ways(self, first: str, second: str) -> None:
         """Hold back all that goes between two hosts, until the cut ends."""
@@ -437,31 +443,31 @@
     def refuse(self, first: str, second: str) -> None:
         """Reset all connections between two hosts and refuse new ones."""
         pairs = [(first, second), (second, first)]
-        self._refused.update(pairs)
+        self._refused_pairs.update(pairs)
         for endpoint in list(self._endpoints):
             if (endpoint.local.name, endpoint.remote.name) in pairs:
-                endpoint.receive(Ending.RESET)
+                endpoint.receive(ConnectionEnd.RESET)
 
-    def mend(self) -> None:
+    def end_partitions(self) -> None:
         """End all cuts and refusals; what was held back is delivered in order."""
-        self._cut.clear()
+        self._cut_pairs.clear()
         self._cut_kinds.clear()
-        self._refused.clear()
-        self._resume()
+        self._refused_pairs.clear()
+        self._retry_blocked()
 
     def freeze(self, host: Host) -> None:
         """Let a host neither send nor receive until it is thawed."""
         self._frozen.add(host.name)
 
-    def thaw(self, host: Host) -> None:
+    def unfreeze(self, host: Host) -> None:
         """Let a frozen host go on; what was held back is delivered in order."""
         self._frozen.discard(host.name)
-        self._resume()
+        self._retry_blocked()
 
-    def _resume(self) -> None:
-        stalled, self.stalled = self.stalled, []
-        for pipe in stalled:
+    def _retry_blocked(self) -> None:
+        blocked_pipes, self.blocked_pipes = self.blocked_pipes, []
+        for pipe in blocked_pipes:
             pipe.schedule()
-        waiting, self._waiting = self._waiting, []
+        waiting, self._pending_attempts = self._pending_attempts, []
         for attempt in waiting:
-            self._request(attempt)
+            self._send_connect_request(attempt)
--- a/tests/tools/play.py
+++ b/tests/tools/play.py
@@ -16,7 +16,7 @@
 
 from tests.tools.deployment import Deployment
 from tests.tools.package_under_test import package_directory
-from tests.tools.scenarios import find
+from tests.tools.scenarios import find_scenario
 from tests.tools.simulated_loop import SimulatedLoop
 
 #: the time of day at simulated time 0
@@ -33,7 +33,7 @@
     random.seed(f"{seed}/global")
 
 
-def keep_log(loop: SimulatedLoop, path: pathlib.Path) -> None:
+def write_log(loop: SimulatedLoop, path: pathlib.Path) -> None:
     """Write what the controllers log to a file, with the simulated time."""
     handler = logging.FileHandler(path, mode="w")
     handler.setFormatter(logging.Formatter(LOG_FORMAT))
@@ -46,16 +46,16 @@
     logging.basicConfig(level=logging.INFO, handlers=[handler], force=True)
 
 
-def play(name: str, seed: str, record: pathlib.Path) -> None:
+def run_scenario(name: str, seed: str, record: pathlib.Path) -> None:
     """Play a scenario and write its record, and the log beside it."""
-    scenario = find(name)
+    scenario = find_scenario(name)
     seed = f"{name}/{seed}"
     with record.open("wb") as file:
-        deployment = Deployment(scenario.plan, seed, file)
+        deployment = Deployment(scenario.config, seed, file)
         replace_clock_and_randomness(deployment.loop, seed)
-        keep_log(deployment.loop, record.with_suffix(".log"))
+        write_log(deployment.loop, record.with_suffix(".log"))
         scenario.arrange(deployment)
-        deployment.play(scenario.duration_s)
+        deployment.run(scenario.duration_s)
 
 
 def main() -> int:
@@ -70,7 +70,7 @@
     if found != arguments.package.resolve():
         print(f"the package comes from {found}, not from {arguments.package}", file=sys.stderr)
         return 2
-    play(arguments.scenario, arguments.seed, arguments.record)
+    run_scenario(arguments.scenario, arguments.seed, arguments.record)
     return 0
 
 
--- a/tests/tools/recording.py
+++ b/tests/tools/recording.py
@@ -49,9 +49,9 @@
         self._frame_port = frame_port
         self._file = file
         self._splitters: dict[Endpoint, Splitter] = {}
-        self._closings: list[Entry] = []
+        self._pending_closes: list[Entry] = []
 
-    def written(self, endpoint: Endpoint, data: bytes) -> None:
+    def on_write(self, endpoint: Endpoint, data: bytes) -> None:
         """Note the messages that are complete now."""
         splitter = self._splitters.get(endpoint)
         if splitter is None:
@@ -61,12 +61,12 @@
             is_compared = endpoint.remote.kind not in KINDS_WITHOUT_CONTENT
             self._write(self._entry(endpoint, Event.MESSAGE, message if is_compared else b""))
 
-    def closed(self, endpoint: Endpoint) -> None:
+    def on_close(self, endpoint: Endpoint) -> None:
         """Note that a controller closed a connection."""
         self._splitters.pop(endpoint, None)
-        self._closings.append(self._entry(endpoint, Event.CLOSED, b""))
+        self._pending_closes.append(self._entry(endpoint, Event.CLOSED, b""))
 
-    def ended(self, process: Process, reason: str) -> None:
+    def on_exit(self, process: Process, reason: str) -> None:
         """Note that a controller's program ended by itself."""
         host = process.host
         data = reason.encode()
@@ -74,7 +74,7 @@
 
     def finish(self) -> None:
         """Write what is left."""
-        self._write_closings()
+        self._flush_closes()
 
     def _entry(self, endpoint: Endpoint, event: str, data: bytes) -> Entry:
         assert endpoint.process is not None
@@ -89,17 +89,17 @@
         )
 
     def _write(self, entry: Entry) -> None:
-        self._write_closings()
+        self._flush_closes()
         self._append(entry)
 
-    def _write_closings(self) -> None:
+    def _flush_closes(self) -> None:
         """Write the connections closed since the last message.
 
         Those closed at one moment are put in order by their other ends: a controller may keep its
         connections in a set, whose order differs from run to run.
         """
-        closings, self._closings = self._closings, []
-        for entry in sorted(closings, key=lambda x: (x.time_s, x.node, x.kind, x.destination)):
+        pending, self._pending_closes = self._pending_closes, []
+        for entry in sorted(pending, key=lambda x: (x.time_s, x.node, x.kind, x.destination)):
             self._append(entry)
 
     def _append(self, entry: Entry) -> None:
--- a/tests/tools/scenarios.py
+++ b/tests/tools/scenarios.py
@@ -13,13 +13,13 @@
     scenarios_input,
     scenarios_jobs,
     scenarios_machines,
+    scenarios_random_faults,
     scenarios_store,
-    scenarios_storm,
 )
-from tests.tools.deployment import CLUSTER, Deployment, Plan
+from tests.tools.deployment import CLUSTER_SETTINGS, Deployment, DeploymentConfig
 
 POLICY_SCRIPT = pathlib.Path(__file__).parent / "policy.star"
-SIZES = (3, 5)
+CONTROLLER_COUNTS = (3, 5)
 
 
 @dataclass(frozen=True)
@@ -27,7 +27,7 @@
     """A scenario: a deployment, what happens in it, and for how long."""
 
     name: str
-    plan: Plan
+    config: DeploymentConfig
     duration_s: float
     arrange: Callable[[Deployment], None]
 
@@ -37,45 +37,54 @@
         return (self.arrange.__doc__ or "").splitlines()[0]
 
 
-def _in_all_sizes(
+def _for_each_size(
     name: str, duration_s: float, arrange: Callable[[Deployment], None], **cluster: Any
 ) -> list[Scenario]:
     return [
-        Scenario(f"{name}-{size}", Plan(size, cluster=cluster), duration_s, arrange)
-        for size in SIZES
+        Scenario(f"{name}-{size}", DeploymentConfig(size, cluster=cluster), duration_s, arrange)
+        for size in CONTROLLER_COUNTS
     ]
 
 
 #: the store's limits become smaller later
-LATER_LIMITS = {**CLUSTER["state"], "next": {"value_kb": 3.0, "txn_ops": 8, "write_rps": 30.0}}
+STATE_WITH_LOWER_NEXT_LIMITS = {
+    **CLUSTER_SETTINGS["state"],
+    "next": {"value_kb": 3.0, "txn_ops": 8, "write_rps": 30.0},
+}
 #: half of the time for a cancel is over before the lease of an agent that hangs
-QUICK_CANCELS = {**CLUSTER["workers"], "cancel_s": 12.0}
-SOME_SOCKETS = {**CLUSTER["machine_limits"], "sockets": 150.0}
-FEW_SOCKETS = {**CLUSTER["machine_limits"], "sockets": 90.0}
+WORKERS_WITH_SHORT_CANCEL = {**CLUSTER_SETTINGS["workers"], "cancel_s": 12.0}
+LIMITS_WITH_150_SOCKETS = {**CLUSTER_SETTINGS["machine_limits"], "sockets": 150.0}
+LIMITS_WITH_90_SOCKETS = {**CLUSTER_SETTINGS["machine_limits"], "sockets": 90.0}
 
 SCENARIOS: list[Scenario] = [
-    Scenario("submissions-3", Plan(), 60.0, scenarios_jobs.submissions),
-    *_in_all_sizes("steady", 140.0, scenarios_jobs.steady),
-    Scenario("policy-3", Plan(policy_script=POLICY_SCRIPT), 90.0, scenarios_jobs.steady),
-    *_in_all_sizes("contention", 150.0, scenarios_jobs.contention),
-    *_in_all_sizes("starved", 230.0, scenarios_jobs.starved),
-    *_in_all_sizes("cancels", 120.0, scenarios_cancels.cancels, workers=QUICK_CANCELS),
-    *_in_all_sizes("pipelines", 140.0, scenarios_cancels.pipelines, state=LATER_LIMITS),
-    *_in_all_sizes("deaths", 150.0, scenarios_failures.deaths),
-    *_in_all_sizes("all-at-once", 120.0, scenarios_failures.all_at_once),
-    *_in_all_sizes("cuts", 180.0, scenarios_failures.cuts),
-    *_in_all_sizes("cut-pipelines", 130.0, scenarios_failures.cut_pipelines),
-    *_in_all_sizes("store-outages", 160.0, scenarios_store.outages),
-    *_in_all_sizes("store-answers", 160.0, scenarios_store.answers),
-    *_in_all_sizes("machines", 180.0, scenarios_machines.machines, machine_limits=SOME_SOCKETS),
-    *_in_all_sizes("cloud", 160.0, scenarios_machines.cloud_troubles),
-    *_in_all_sizes("spot", 140.0, scenarios_machines.spot),
-    *_in_all_sizes("storm", 180.0, scenarios_storm.storm),
-    *_in_all_sizes("bad-input", 100.0, scenarios_input.bad_input_everywhere),
-    *_in_all_sizes("crowd", 80.0, scenarios_input.crowd, machine_limits=FEW_SOCKETS),
+    Scenario("submissions-3", DeploymentConfig(), 60.0, scenarios_jobs.submissions),
+    *_for_each_size("steady", 140.0, scenarios_jobs.steady),
+    Scenario(
+        "policy-3", DeploymentConfig(policy_script=POLICY_SCRIPT), 90.0, scenarios_jobs.steady
+    ),
+    *_for_each_size("contention", 150.0, scenarios_jobs.contention),
+    *_for_each_size("starved", 230.0, scenarios_jobs.starved),
+    *_for_each_size("cancels", 120.0, scenarios_cancels.cancels, workers=WORKERS_WITH_SHORT_CANCEL),
+    *_for_each_size(
+        "pipelines", 140.0, scenarios_cancels.pipelines, state=STATE_WITH_LOWER_NEXT_LIMITS
+    ),
+    *_for_each_size("deaths", 150.0, scenarios_failures.controller_crashes),
+    *_for_each_size("all-at-once", 120.0, scenarios_failures.simultaneous_crashes),
+    *_for_each_size("cuts", 180.0, scenarios_failures.partitions),
+    *_for_each_size("cut-pipelines", 130.0, scenarios_failures.partitioned_pipelines),
+    *_for_each_size("store-outages", 160.0, scenarios_store.outages),
+    *_for_each_size("store-answers", 160.0, scenarios_store.faulty_answers),
+    *_for_each_size(
+        "machines", 180.0, scenarios_machines.machines, machine_limits=LIMITS_WITH_150_SOCKETS
+    ),
+    *_for_each_size("cloud", 160.0, scenarios_machines.cloud_faults),
+    *_for_each_size("spot", 140.0, scenarios_machines.spot),
+    *_for_each_size("storm", 180.0, scenarios_random_faults.random_faults),
+    *_for_each_size("bad-input", 100.0, scenarios_input.bad_input_everywhere),
+    *_for_each_size("crowd", 80.0, scenarios_input.overload, machine_limits=LIMITS_WITH_90_SOCKETS),
 ]
 
 
-def find(name: str) -> Scenario:
+def find_scenario(name: str) -> Scenario:
     """The scenario of a name."""
     return next(scenario for scenario in SCENARIOS if scenario.name == name)
--- a/tests/tools/scenarios_failures.py
+++ b/tests/tools/scenarios_failures.py
@@ -7,21 +7,21 @@
 from tests.tools.scenarios_jobs import submit_mix
 
 
-def deaths(deployment: Deployment) -> None:
+def controller_crashes(deployment: Deployment) -> None:
     """Controllers die one by one, for long, for a moment, and without a sign."""
     submit_mix(deployment, 20, 90.0, first_number=200)
     cancels(deployment)
     controllers = deployment.controllers
-    deployment.at(12.0, controllers.kill_for, 0, 25.0)
-    deployment.at(30.0, controllers.kill_for, 1, 0.2)
-    deployment.at(31.0, controllers.kill_for, 1, 0.4)
-    deployment.at(50.0, controllers.kill_for, 2, 15.0, True)
-    deployment.at(75.0, controllers.kill_for, 0, 5.0)
-    deployment.at(76.0, controllers.kill_for, 1, 12.0)
-    deployment.at(100.0, controllers.kill_for, 2, 0.1)
+    deployment.at(12.0, controllers.kill_and_restart, 0, 25.0)
+    deployment.at(30.0, controllers.kill_and_restart, 1, 0.2)
+    deployment.at(31.0, controllers.kill_and_restart, 1, 0.4)
+    deployment.at(50.0, controllers.kill_and_restart, 2, 15.0, True)
+    deployment.at(75.0, controllers.kill_and_restart, 0, 5.0)
+    deployment.at(76.0, controllers.kill_and_restart, 1, 12.0)
+    deployment.at(100.0, controllers.kill_and_restart, 2, 0.1)
 
 
-def all_at_once(deployment: Deployment) -> None:
+def simultaneous_crashes(deployment: Deployment) -> None:
     """All controllers end at once, and come back soon, or after the agents' leases."""
     submit_mix(deployment, 12, 80.0, first_number=200)
     pipelines(deployment)
@@ -33,7 +33,7 @@
         deployment.at(66.0 + 3.0 * number, controllers.start, number)
 
 
-def cuts(deployment: Deployment) -> None:
+def partitions(deployment: Deployment) -> None:
     """Controllers are cut from each other, from the store, from agents, and from everything."""
     submit_mix(deployment, 36, 140.0, first_number=200)
     cancels(deployment)
@@ -53,24 +53,24 @@
         for name in names[1:]:
             network.refuse(names[0], name)
 
-    def cut_off(name: str) -> None:
+    def isolate(name: str) -> None:
         cut_from(name, [*names, STORE_HOST.name, CLOUD_HOST.name])
 
     deployment.at(14.0, cut_from, names[0], names)
-    deployment.at(24.0, network.mend)
+    deployment.at(24.0, network.end_partitions)
     deployment.at(30.0, cut_one_way)
-    deployment.at(42.0, network.mend)
+    deployment.at(42.0, network.end_partitions)
     deployment.at(48.0, refuse_among_controllers)
-    deployment.at(62.0, network.mend)
+    deployment.at(62.0, network.end_partitions)
     deployment.at(66.0, network.cut_from_kind, names[1], "agent")
-    deployment.at(120.0, network.mend)
-    deployment.at(126.0, cut_off, names[2])
-    deployment.at(150.0, network.mend)
+    deployment.at(120.0, network.end_partitions)
+    deployment.at(126.0, isolate, names[2])
+    deployment.at(150.0, network.end_partitions)
     deployment.at(154.0, cut_from, names[1], [STORE_HOST.name])
-    deployment.at(164.0, network.mend)
+    deployment.at(164.0, network.end_partitions)
 
 
-def cut_pipelines(deployment: Deployment) -> None:
+def partitioned_pipelines(deployment: Deployment) -> None:
     """Controllers are cut off or die while jobs wait for others."""
     pipelines(deployment)
     network, controllers = deployment.network, deployment.controllers
@@ -82,11 +82,11 @@
                 network.refuse(name, other)
 
     deployment.at(11.0, refuse_all)
-    deployment.at(30.0, network.mend)
+    deployment.at(30.0, network.end_partitions)
     deployment.at(34.0, network.cut_both_ways, names[0], names[1])
     deployment.at(35.0, network.cut_both_ways, names[0], STORE_HOST.name)
-    deployment.at(55.0, network.mend)
-    deployment.at(58.0, controllers.kill_for, 1, 14.0, True)
+    deployment.at(55.0, network.end_partitions)
+    deployment.at(58.0, controllers.kill_and_restart, 1, 14.0, True)
     deployment.at(78.0, refuse_all)
-    deployment.at(84.0, controllers.kill_for, 0, 3.0)
-    deployment.at(100.0, network.mend)
+    deployment.at(84.0, controllers.kill_and_restart, 0, 3.0)
+    deployment.at(100.0, network.end_partitions)
--- a/tests/tools/scenarios_input.py
+++ b/tests/tools/scenarios_input.py
@@ -6,14 +6,14 @@
 from functools import partial
 
 from tests.tools import bad_input
-from tests.tools.bad_input import Mischief
+from tests.tools.bad_input import RawClients
 from tests.tools.controllers import FRAME_PORT
 from tests.tools.deployment import Deployment
 from tests.tools.http_service import get, post
 from tests.tools.messages import build_frame
 from tests.tools.network import Address
 from tests.tools.scenarios_jobs import submit_mix
-from tests.tools.workload import describe, job_id
+from tests.tools.workload import job_id, job_submission
 
 #: an outage of the store, after its answers were garbled
 OUTAGE_BEGINS_S, OUTAGE_S = 70.0, 14.0
@@ -22,65 +22,67 @@
 def bad_input_everywhere(deployment: Deployment) -> None:
     """Malformed requests, reports, frames and answers, and jobs that can never run."""
     submit_mix(deployment, 20, 70.0, first_number=0)
-    mischief = Mischief(deployment.network)
+    raw_clients = RawClients(deployment.network)
     public = list(deployment.controllers.addresses.values())
     inner = [(host.address, FRAME_PORT) for host in deployment.controllers.hosts]
-    requests = bad_input.odd_requests()
+    requests = bad_input.unusual_requests()
     requests += [(x,) for x in bad_input.malformed_submissions()]
     requests += [(x,) for x in bad_input.malformed_reports()]
-    for number, pieces in enumerate(requests):
+    for number, chunks in enumerate(requests):
         at_s = 8.0 + 0.4 * number
-        deployment.at(at_s, partial(mischief.send, public[number % len(public)], *pieces))
+        deployment.at(at_s, partial(raw_clients.send, public[number % len(public)], *chunks))
     for number, frame in enumerate(bad_input.malformed_frames()):
         at_s = 8.0 + 0.7 * number
-        deployment.at(at_s, mischief.send, inner[number % len(inner)], frame)
+        deployment.at(at_s, raw_clients.send, inner[number % len(inner)], frame)
     for number, description in enumerate(bad_input.impossible_jobs(900)):
         deployment.at(0.5 + number, deployment.users.submit, description)
-    _garble_answers(deployment)
-    _ask_for_promises(deployment, mischief, inner)
+    _send_malformed_answers(deployment)
+    _ask_for_promises(deployment, raw_clients, inner)
 
 
-def _ask_for_promises(deployment: Deployment, mischief: Mischief, addresses: list[Address]) -> None:
+def _ask_for_promises(
+    deployment: Deployment, raw_clients: RawClients, addresses: list[Address]
+) -> None:
     """In an outage of the store, a controller that nobody knows asks for promises."""
     store = deployment.store
     deployment.at(OUTAGE_BEGINS_S, store.begin_outage)
     deployment.at(OUTAGE_BEGINS_S + OUTAGE_S, store.end_outage)
     for number, address in enumerate(addresses):
         frame = build_frame(["ask", 1, "node-0", "promise", ["node-0", 7, 10**6]])
-        deployment.at(OUTAGE_BEGINS_S + OUTAGE_S / 2 + number, mischief.send, address, frame)
+        deployment.at(OUTAGE_BEGINS_S + OUTAGE_S / 2 + number, raw_clients.send, address, frame)
 
 
-def _garble_answers(deployment: Deployment) -> None:
+def _send_malformed_answers(deployment: Deployment) -> None:
     """The store, the cloud and agents send malformed answers for a time."""
 
-    def garble(share: float) -> None:
+    def set_malformed_share(share: float) -> None:
         store, cloud = deployment.store, deployment.cloud
-        store.troubles = replace(store.troubles, malformed_answers=share)
-        cloud.troubles = replace(cloud.troubles, malformed_answers=share)
-        for agent in deployment.some_agents(3):
-            agent.is_garbled = share > 0
+        store.faults = replace(store.faults, malformed_answers=share)
+        cloud.faults = replace(cloud.faults, malformed_answers=share)
+        for agent in deployment.random_agents(3):
+            agent.sends_malformed_answers = share > 0
 
-    deployment.at(40.0, garble, 0.15)
-    deployment.at(60.0, garble, 0.0)
+    deployment.at(40.0, set_malformed_share, 0.15)
+    deployment.at(60.0, set_malformed_share, 0.0)
 
 
-def crowd(deployment: Deployment) -> None:
+def overload(deployment: Deployment) -> None:
     """Many submissions and questions at once, and more connections than are taken."""
     submit_mix(deployment, 10, 50.0)
-    mischief = Mischief(deployment.network)
+    raw_clients = RawClients(deployment.network)
     public = list(deployment.controllers.addresses.values())
     for number in range(250):
         at_s = 10.0 + 0.004 * number
-        description = describe(1000 + number, pieces=1, expected_s=1.0)
+        description = job_submission(1000 + number, chunks=1, expected_s=1.0)
         deployment.at(at_s, deployment.users.submit, description)
     for number in range(300):
-        question = get(f"/v1/jobs/{job_id(5000 + number % 90)}")
+        query = get(f"/v1/jobs/{job_id(5000 + number % 90)}")
         address = public[number % len(public)]
-        deployment.at(25.0 + 0.002 * number, mischief.send, address, question)
+        deployment.at(25.0 + 0.002 * number, raw_clients.send, address, query)
     for number in range(100 * len(public)):
         address = public[number % len(public)]
-        idle = partial(mischief.send, address, get("/healthz"), kept_s=20.0)
-        deployment.at(35.0 + 0.003 * number, idle)
+        open_idle = partial(raw_clients.send, address, get("/healthz"), hold_s=20.0)
+        deployment.at(35.0 + 0.003 * number, open_idle)
     for number in range(20):
-        submission = post("/v1/jobs", describe(2000 + number, pieces=1))
-        deployment.at(38.0 + 0.1 * number, mischief.send, public[0], submission)
+        submission = post("/v1/jobs", job_submission(2000 + number, chunks=1))
+        deployment.at(38.0 + 0.1 * number, raw_clients.send, public[0], submission)
--- a/tests/tools/scenarios_store.py
+++ b/tests/tools/scenarios_store.py
@@ -28,7 +28,7 @@
     deployment.at(60.0, refuse, 1)
     deployment.at(74.0, store.refused_hosts.clear)
     deployment.at(82.0, store.begin_outage)
-    deployment.at(85.0, controllers.kill_for, 2, 4.0)
+    deployment.at(85.0, controllers.kill_and_restart, 2, 4.0)
     deployment.at(96.0, store.end_outage)
     deployment.at(108.0, refuse, 0)
     deployment.at(109.0, store.begin_outage)
@@ -36,26 +36,26 @@
     deployment.at(130.0, store.refused_hosts.clear)
 
 
-def answers(deployment: Deployment) -> None:
+def faulty_answers(deployment: Deployment) -> None:
     """Slow and lost answers, late transactions, watches that must begin anew, small pages."""
     submit_mix(deployment, 25, 110.0, first_number=200)
     pipelines(deployment)
     store, controllers = deployment.store, deployment.controllers
-    store.page_items = 7
-
-    def trouble(**changes: Any) -> None:
-        store.troubles = replace(store.troubles, **changes)
-
-    def forget_changes(log_limit: int) -> None:
-        store.log_limit = log_limit
-
-    deployment.at(15.0, trouble, slowness_s=0.3)
-    deployment.at(25.0, trouble, slowness_s=0.0, lost_answers=0.15)
-    deployment.at(40.0, trouble, lost_answers=0.0, late_transactions=0.25)
-    deployment.at(60.0, trouble, late_transactions=0.0, watch_lag_s=1.5)
-    deployment.at(70.0, trouble, watch_lag_s=0.0)
-    deployment.at(74.0, forget_changes, 2)
-    deployment.at(80.0, forget_changes, 1000)
-    deployment.at(84.0, trouble, late_transactions=0.1, lost_answers=0.1, slowness_s=0.1)
-    deployment.at(90.0, controllers.kill_for, 1, 8.0)
-    deployment.at(110.0, store.end_troubles)
+    store.max_page_items = 7
+
+    def set_faults(**changes: Any) -> None:
+        store.faults = replace(store.faults, **changes)
+
+    def limit_log(max_log_changes: int) -> None:
+        store.max_log_changes = max_log_changes
+
+    deployment.at(15.0, set_faults, slowness_s=0.3)
+    deployment.at(25.0, set_faults, slowness_s=0.0, lost_answers=0.15)
+    deployment.at(40.0, set_faults, lost_answers=0.0, late_transactions=0.25)
+    deployment.at(60.0, set_faults, late_transactions=0.0, watch_lag_s=1.5)
+    deployment.at(70.0, set_faults, watch_lag_s=0.0)
+    deployment.at(74.0, limit_log, 2)
+    deployment.at(80.0, limit_log, 1000)
+    deployment.at(84.0, set_faults, late_transactions=0.1, lost_answers=0.1, slowness_s=0.1)
+    deployment.at(90.0, controllers.kill_and_restart, 1, 8.0)
+    deployment.at(110.0, store.end_faults)
--- a/tests/tools/simulated_loop.py
+++ b/tests/tools/simulated_loop.py
@@ -23,10 +23,10 @@
 #: the simulated time at which a loop begins
 START_S = 1000.0
 #: times of timers that are kept before those that are past are dropped
-MOST_PLANNED = 50_000
+MAX_TIMER_TIMES = 50_000
 
 
-class _JumpingClock:
+class _ClockSelector:
     """Stands in for the selector of a loop: instead of waiting, it moves the clock."""
 
     def __init__(self) -> None:
@@ -45,12 +45,12 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._selector = _JumpingClock()
+        self._selector = _ClockSelector()
         #: the times of timers, each of them different
-        self._planned: dict[float, None] = {}
+        self._timer_times: dict[float, None] = {}
         self.network: Network | None = None
         #: an error in a callback of the outside systems: a fault of the simulation itself
-        self.fault: BaseException | None = None
+        self.first_error: BaseException | None = None
 
     def time(self) -> float:
         """The simulated time in seconds."""
@@ -66,8 +66,8 @@
         """Run until a simulated time; raise the first error of an outside system."""
         self.call_at(when_s, self.stop)
         self.run_forever()
-        if self.fault is not None:
-            raise self.fault
+        if self.first_error is not None:
+            raise self.first_error
 
     def call_soon(
         self,
@@ -77,8 +77,8 @@
     ) -> asyncio.Handle:
         """Run a callback in the next pass, if its process is alive then."""
         context = contextvars.copy_context() if context is None else context
-        owner = context.get(CURRENT_PROCESS)
-        return super().call_soon(self._run_if_alive, owner, callback, args, context=context)
+        process = context.get(CURRENT_PROCESS)
+        return super().call_soon(self._run_if_alive, process, callback, args, context=context)
 
     def call_at(
         self,
@@ -89,34 +89,34 @@
     ) -> asyncio.TimerHandle:
         """Run a callback at a time, if its process is alive then."""
         context = contextvars.copy_context() if context is None else context
-        owner = context.get(CURRENT_PROCESS)
-        when = self._unique(when)
-        return super().call_at(when, self._run_if_alive, owner, callback, args, context=context)
+        process = context.get(CURRENT_PROCESS)
+        when = self._unique_time(when)
+        return super().call_at(when, self._run_if_alive, process, callback, args, context=context)
 
-    def _unique(self, when: float) -> float:
+    def _unique_time(self, when: float) -> float:
         """A time at which no other timer is due, as good as the same.
 
         The order of timers that are due at one time would depend on all others. Then the order in
         which a controller closes connections that it keeps in a set could change the rest.
         """
-        while when in self._planned:
+        while when in self._timer_times:
             when = math.nextafter(when, math.inf)
-        if len(self._planned) > MOST_PLANNED:
-            self._planned = {x: None for x in self._planned if x >= self.time()}
-        self._planned[when] = None
+        if len(self._timer_times) > MAX_TIMER_TIMES:
+            self._timer_times = {x: None for x in self._timer_times if x >= self.time()}
+        self._timer_times[when] = None
         return when
 
     def _run_if_alive(
-        self, owner: Process | None, callback: Callable[..., object], args: tuple[Any, ...]
+        self, process: Process | None, callback: Callable[..., object], args: tuple[Any, ...]
     ) -> None:
-        if owner is not None:
-            if owner.is_alive:
+        if process is not None:
+            if process.is_alive:
                 callback(*args)
             return
         try:
             callback(*args)
         except Exception as error:
-            self.fault = self.fault or error
+            self.first_error = self.first_error or error
             self.stop()
 
     async def create_server(  # type: ignore[override]
@@ -138,18 +138,18 @@
             process.host,
             (host, port),
             protocol_factory,
-            lambda endpoint: _settle(opened, endpoint),
-            lambda error: _settle(opened, error),
+            lambda endpoint: _resolve(opened, endpoint),
+            lambda error: _resolve(opened, error),
             contextvars.copy_context(),
         )
         try:
             endpoint = await opened
         finally:
-            attempt.give_up()
+            attempt.cancel()
         return endpoint, endpoint.protocol
 
 
-def _settle(opened: asyncio.Future[Endpoint], result: Endpoint | OSError) -> None:
+def _resolve(opened: asyncio.Future[Endpoint], result: Endpoint | OSError) -> None:
     """Tell the result of an attempt to connect, unless nobody waits for it any more."""
     if opened.done():
         return
--- a/tests/tools/store.py
+++ b/tests/tools/store.py
@@ -14,20 +14,20 @@
 from tests.tools.rates import TokenBucket
 
 #: most items and bytes in one page of a listing
-PAGE_ITEMS, PAGE_BYTES = 1000, 512 * 1024
+MAX_PAGE_ITEMS, MAX_PAGE_BYTES = 1000, 512 * 1024
 #: changes that watches can go back to
-LOG_LIMIT = 10_000
+MAX_LOG_CHANGES = 10_000
 #: most bytes of one transaction
-TRANSACTION_BYTES = 64 * 1024
-GUARDS_PER_OPERATION = 4
+MAX_TRANSACTION_BYTES = 64 * 1024
+MAX_GUARDS_PER_OPERATION = 4
 #: a lease may end this much late
 LEASE_GRACE_S = 0.1
 #: pause between two looks at leases and watches
-LOOK_S = 0.05
+SCAN_INTERVAL_S = 0.05
 #: bounds of the time that the store takes for a request
-SHORTEST_WORK_S, LONGEST_WORK_S = 0.001, 0.008
+MIN_PROCESSING_S, MAX_PROCESSING_S = 0.001, 0.008
 #: bounds of the delay of a transaction that is carried out late
-SHORTEST_LATENESS_S, LONGEST_LATENESS_S = 0.5, 20.0
+MIN_LATENESS_S, MAX_LATENESS_S = 0.5, 20.0
 MALFORMED_BODIES = [
     b"\xc1",
     b"",
@@ -51,7 +51,7 @@
     """A lease and the keys' end with it."""
 
     ttl_s: float
-    ends_at_s: float
+    expires_at_s: float
 
 
 @dataclass
@@ -60,12 +60,12 @@
 
     prefix: str
     version: int
-    ends_at_s: float
+    expires_at_s: float
     responder: Responder
 
 
 @dataclass
-class StoreTroubles:
+class StoreFaults:
     """What may go wrong at present; shares are of the requests."""
 
     is_down: bool = False
@@ -87,47 +87,47 @@
         self._random = random.Random(f"{seed}/store")
         self._requests = TokenBucket(limits["rps"], self._loop.time)
         self._writes = TokenBucket(limits["write_rps"], self._loop.time)
-        self.troubles = StoreTroubles()
+        self.faults = StoreFaults()
         #: names of hosts whose requests are refused
         self.refused_hosts: set[str] = set()
-        self.log_limit = LOG_LIMIT
-        self.page_items = PAGE_ITEMS
+        self.max_log_changes = MAX_LOG_CHANGES
+        self.max_page_items = MAX_PAGE_ITEMS
         self._revision = 0
         self._keys: dict[str, StoredValue] = {}
         self._log: deque[dict[str, Any]] = deque()
-        self._forgotten_revision = 0
+        self._compacted_revision = 0
         self._leases: dict[int, Lease] = {}
         self._last_lease = 0
         self._watches: list[Watch] = []
         network.listen(address, lambda: ServiceConnection(self._receive))
-        self._look()
+        self._scan()
 
     # troubles
 
     def begin_outage(self) -> None:
         """Refuse all requests; open watches wait."""
-        self.troubles.is_down = True
+        self.faults.is_down = True
 
     def end_outage(self) -> None:
         """End an outage; all leases have their full time again."""
-        self.troubles.is_down = False
+        self.faults.is_down = False
         for lease in self._leases.values():
-            lease.ends_at_s = self._loop.time() + lease.ttl_s
+            lease.expires_at_s = self._loop.time() + lease.ttl_s
 
-    def end_troubles(self) -> None:
+    def end_faults(self) -> None:
         """End all troubles."""
-        if self.troubles.is_down:
+        if self.faults.is_down:
             self.end_outage()
-        self.troubles = StoreTroubles()
+        self.faults = StoreFaults()
         self.refused_hosts.clear()
 
     # requests
 
     def _receive(self, request: HttpMessage, responder: Responder) -> None:
-        work_s = self._random.uniform(SHORTEST_WORK_S, LONGEST_WORK_S)
-        if self.troubles.slowness_s:
-            work_s += self.troubles.slowness_s * self._random.uniform(0.5, 1.5)
-        self._loop.call_later(work_s, self._handle, request, responder)
+        processing_s = self._random.uniform(MIN_PROCESSING_S, MAX_PROCESSING_S)
+        if self.faults.slowness_s:
+            processing_s += self.faults.slowness_s * self._random.uniform(0.5, 1.5)
+        self._loop.call_later(processing_s, self._handle, request, responder)
 
     def _handle(self, request: HttpMessage, responder: Responder) -> None:
         if self._is_refused(responder):
@@ -136,31 +136,31 @@
             responder.answer(429, {"error": "too many requests"})
         elif request.target.startswith("/watch"):
             self._open_watch(request, responder)
-        elif request.target == "/commit" and self._happens(self.troubles.late_transactions):
-            lateness_s = self._random.uniform(SHORTEST_LATENESS_S, LONGEST_LATENESS_S)
+        elif request.target == "/commit" and self._occurs(self.faults.late_transactions):
+            lateness_s = self._random.uniform(MIN_LATENESS_S, MAX_LATENESS_S)
             self._loop.call_later(lateness_s, self._execute, request)
         else:
             status, value = self._execute(request)
             self._answer(responder, status, value)
 
     def _answer(self, responder: Responder, status: int, value: Any) -> None:
-        if self._happens(self.troubles.lost_answers):
+        if self._occurs(self.faults.lost_answers):
             return
-        if self._happens(self.troubles.malformed_answers):
+        if self._occurs(self.faults.malformed_answers):
             status = self._random.choice([status, status, 500, 404])
             responder.answer_malformed(self._random, status, MALFORMED_BODIES)
         else:
             responder.answer(status, value)
 
-    def _happens(self, share: float) -> bool:
+    def _occurs(self, share: float) -> bool:
         return share > 0 and self._random.random() < share
 
     def _is_refused(self, responder: Responder) -> bool:
-        return self.troubles.is_down or responder.caller.name in self.refused_hosts
+        return self.faults.is_down or responder.caller.name in self.refused_hosts
 
     def _execute(self, request: HttpMessage) -> tuple[int, Any]:
         """Carry out a request: its status and the value of its answer."""
-        self._end_leases()
+        self._expire_leases()
         url = urlsplit(request.target)
         query = {name: values[0] for name, values in parse_qs(url.query).items()}
         if request.method == "GET" and url.path.startswith("/keys/"):
@@ -190,7 +190,7 @@
 
     def _list(self, query: dict[str, str]) -> tuple[int, Any]:
         prefix, after = query.get("starts", ""), query.get("from", "")
-        limit = min(int(query.get("limit", PAGE_ITEMS)), self.page_items)
+        limit = min(int(query.get("limit", MAX_PAGE_ITEMS)), self.max_page_items)
         keys = sorted(key for key in self._keys if key.startswith(prefix) and key > after)
         items: list[dict[str, Any]] = []
         size = 0
@@ -198,7 +198,7 @@
             stored = self._keys[key]
             item = {"path": key, "value": stored.value, "stamp": stored.version}
             size += len(pack(item))
-            if size > PAGE_BYTES:
+            if size > MAX_PAGE_BYTES:
                 break
             items.append(item)
         is_more = len(items) < len(keys)
@@ -208,7 +208,7 @@
 
     def _commit(self, body: dict[str, Any], size: int) -> tuple[int, Any]:
         guards, changes = body.get("guards") or [], body.get("apply") or []
-        if size > TRANSACTION_BYTES or not self._is_within_limits(guards, changes):
+        if size > MAX_TRANSACTION_BYTES or not self._is_within_limits(guards, changes):
             return 400, {"error": "too large"}
         if not self._writes.take(len(changes)):
             return 429, {"error": "too many changes"}
@@ -223,11 +223,11 @@
         return 200, {"ledger_rev": self._revision}
 
     def _is_within_limits(self, guards: list[Any], changes: list[dict[str, Any]]) -> bool:
-        most = self._limits["txn_ops"]
-        if len(changes) > most or len(guards) > GUARDS_PER_OPERATION * most:
+        max_operations = self._limits["txn_ops"]
+        if len(changes) > max_operations or len(guards) > MAX_GUARDS_PER_OPERATION * max_operations:
             return False
-        largest = self._limits["value_kb"] * 1024
-        return all(len(pack(x.get("value"))) <= largest for x in changes)
+        max_value_bytes = self._limits["value_kb"] * 1024
+        return all(len(pack(x.get("value"))) <= max_value_bytes for x in changes)
 
     def _version(self, key: str) -> int:
         stored = self._keys.get(key)
@@ -242,8 +242,8 @@
                 self._log.append({"set": key, "value": value, "stamp": self._revision})
             elif self._keys.pop(change["delete"], None) is not None:
                 self._log.append({"delete": change["delete"], "stamp": self._revision})
-        while len(self._log) > self.log_limit:
-            self._forgotten_revision = self._log.popleft()["stamp"]
+        while len(self._log) > self.max_log_changes:
+            self._compacted_revision = self._log.popleft()["stamp"]
 
     # leases
 
@@ -257,14 +257,16 @@
         lease = self._leases.get(number)
         if lease is None:
             return 404, {"error": "no such lease"}
-        lease.ends_at_s = self._loop.time() + lease.ttl_s
+        lease.expires_at_s = self._loop.time() + lease.ttl_s
         return 200, {"tenancy": number}
 
-    def _end_leases(self) -> None:
-        if self.troubles.is_down:
+    def _expire_leases(self) -> None:
+        if self.faults.is_down:
             return
-        late_s = self._loop.time() - LEASE_GRACE_S / 2
-        for number in [n for n, lease in self._leases.items() if lease.ends_at_s < late_s]:
+        expired_before_s = self._loop.time() - LEASE_GRACE_S / 2
+        for number in [
+            n for n, lease in self._leases.items() if lease.expires_at_s < expired_before_s
+        ]:
             del self._leases[number]
             keys = [key for key, stored in self._keys.items() if stored.lease == number]
             if keys:
@@ -274,8 +276,8 @@
 
     def _open_watch(self, request: HttpMessage, responder: Responder) -> None:
         query = {x: y[0] for x, y in parse_qs(urlsplit(request.target).query).items()}
-        ends_at_s = self._loop.time() + int(query.get("hold_ms", "0")) / 1000
-        watch = Watch(query["starts"], int(query["from"]), ends_at_s, responder)
+        expires_at_s = self._loop.time() + int(query.get("hold_ms", "0")) / 1000
+        watch = Watch(query["starts"], int(query["from"]), expires_at_s, responder)
         if not self._answer_watch(watch):
             self._watches.append(watch)
 
@@ -283,14 +285,14 @@
         """Answer a watch if there is something to tell."""
         if self._is_refused(watch.responder):
             return False
-        if watch.version < self._forgotten_revision:
+        if watch.version < self._compacted_revision:
             watch.responder.answer(410, {"error": "too old"})
             return True
         changes = self._changes(watch)
-        if not changes and self._loop.time() < watch.ends_at_s:
+        if not changes and self._loop.time() < watch.expires_at_s:
             return False
         answer = {"ledger_rev": self._revision, "log": changes}
-        lag_s = self.troubles.watch_lag_s
+        lag_s = self.faults.watch_lag_s
         self._loop.call_later(lag_s, self._answer, watch.responder, 200, answer)
         return True
 
@@ -304,8 +306,8 @@
                 changes.append(change)
         return changes[::-1]
 
-    def _look(self) -> None:
+    def _scan(self) -> None:
         """End leases that ran out, and answer watches that have something to tell."""
-        self._end_leases()
+        self._expire_leases()
         self._watches = [watch for watch in self._watches if not self._answer_watch(watch)]
-        self._loop.call_later(LOOK_S, self._look)
+        self._loop.call_later(SCAN_INTERVAL_S, self._scan)
--- a/tests/tools/tasks.py
+++ b/tests/tools/tasks.py
@@ -11,7 +11,7 @@
 #: time that passes in one step of all tasks
 STEP_S = 0.25
 #: a task whose result is known already needs this long
-KNOWN_RESULT_S = 0.2
+COMPLETED_RERUN_S = 0.2
 
 
 class State:
@@ -41,7 +41,7 @@
 class Task:
     """One attempt of a task on one machine."""
 
-    piece: str
+    task_id: str
     attempt: int
     #: None: the job is not known
     job: Job | None
@@ -51,7 +51,7 @@
     is_stored: bool | None = None
     fetch_left_s: float = 0.0
     waited_s: float = 0.0
-    broken_for_s: float = 0.0
+    gang_broken_s: float = 0.0
     progress_s: float = 0.0
     save_left_s: float = 0.0
 
@@ -61,14 +61,14 @@
         return self.state != State.EXITED
 
     @property
-    def is_on_machine(self) -> bool:
+    def has_image(self) -> bool:
         """Whether the task has its image and has not ended."""
         return self.state in (State.WAITING, State.RUNNING, State.SAVING)
 
     @property
-    def key(self) -> tuple[str, int]:
+    def gang_key(self) -> tuple[str, int]:
         """What the tasks of one gang have in common."""
-        return self.piece.rpartition("/")[0], self.attempt
+        return self.task_id.rpartition("/")[0], self.attempt
 
     def end(self, cause: str) -> None:
         """Exit."""
@@ -76,7 +76,7 @@
 
     def report(self) -> dict[str, Any]:
         """The task as it appears in a report."""
-        entry: dict[str, Any] = {"piece": self.piece, "try": self.attempt, "status": self.state}
+        entry: dict[str, Any] = {"piece": self.task_id, "try": self.attempt, "status": self.state}
         if self.cause is not None:
             entry["cause"] = self.cause
         if self.is_stored is not None:
@@ -85,7 +85,7 @@
 
     # progress
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Go on from the saved progress."""
         assert self.job is not None
         self.state = State.RUNNING
@@ -101,7 +101,7 @@
             self._save(steps * job.checkpoint_s)
         if job.is_service:
             return False
-        needed_s = KNOWN_RESULT_S if self.index in job.completed else job.run_s[self.index]
+        needed_s = COMPLETED_RERUN_S if self.index in job.completed else job.run_s[self.index]
         return self.progress_s >= needed_s
 
     def complete(self) -> None:
@@ -131,8 +131,8 @@
 
     def _save(self, progress_s: float) -> None:
         assert self.job is not None
-        key = self.job.progress_key(self.index)
-        self.job.saved_s[key] = max(progress_s, self.job.saved_s.get(key, 0.0))
+        gang_key = self.job.progress_key(self.index)
+        self.job.saved_s[gang_key] = max(progress_s, self.job.saved_s.get(gang_key, 0.0))
 
 
 class Gangs:
@@ -143,13 +143,13 @@
 
     def join(self, task: Task, is_reachable: Callable[[], bool]) -> None:
         """A task of a gang has begun on a machine."""
-        self._members.setdefault(task.key, []).append((task, is_reachable))
+        self._members.setdefault(task.gang_key, []).append((task, is_reachable))
 
     def members(self, task: Task) -> list[Task]:
         """The live tasks of a task's gang whose machines can be reached."""
-        members = self._members.get(task.key, [])
-        members = [(x, is_reachable) for x, is_reachable in members if x.is_on_machine]
-        self._members[task.key] = members
+        members = self._members.get(task.gang_key, [])
+        members = [(x, is_reachable) for x, is_reachable in members if x.has_image]
+        self._members[task.gang_key] = members
         return [x for x, is_reachable in members if is_reachable()]
 
     def is_complete(self, task: Task) -> bool:
--- a/tests/tools/users.py
+++ b/tests/tools/users.py
@@ -13,17 +13,17 @@
 from tests.tools.workload import Job, Workload
 
 SUBMIT_TIMEOUT_S, POLL_TIMEOUT_S, PROBE_TIMEOUT_S = 5.0, 2.0, 1.0
-POLL_S, PROBE_S = 5.0, 1.0
+POLL_INTERVAL_S, PROBE_INTERVAL_S = 5.0, 1.0
 #: least pause before a request is repeated, and for how long it is
-RETRY_S, GIVE_UP_S = 1.0, 60.0
+MIN_RETRY_DELAY_S, MAX_RETRY_PERIOD_S = 1.0, 60.0
 #: probes in a row that fail before a controller counts as unhealthy
-FAILED_PROBES = 2
+UNHEALTHY_AFTER_PROBES = 2
 #: after the end of its job a user asks again, after these times
-LATE_QUESTIONS_S = (1.0, 9.0, 40.0)
+QUERIES_AFTER_END_S = (1.0, 9.0, 40.0)
 #: share of the requests after which the connection is closed
-CLOSING_SHARE = 0.3
+CONNECTION_CLOSE_SHARE = 0.3
 FINAL_STATES = ("done", "aborted")
-NOT_RETRIED = (400, 422)
+NOT_RETRIED_STATUSES = (400, 422)
 
 
 class LoadBalancer:
@@ -32,7 +32,7 @@
     def __init__(self, network: Network, controllers: list[Address], seed: str) -> None:
         self._network = network
         self._random = random.Random(f"{seed}/balancer")
-        self._failures = dict.fromkeys(controllers, FAILED_PROBES)
+        self._failures = dict.fromkeys(controllers, UNHEALTHY_AFTER_PROBES)
         host = Host("balancer", "balancer", "balancer")
         self._callers = {address: HttpCaller(network, host) for address in controllers}
         for address in controllers:
@@ -40,7 +40,7 @@
 
     def choose(self) -> Address:
         """A healthy controller, or any while none is healthy."""
-        healthy = [x for x, failures in self._failures.items() if failures < FAILED_PROBES]
+        healthy = [x for x, failures in self._failures.items() if failures < UNHEALTHY_AFTER_PROBES]
         return self._random.choice(healthy or list(self._failures))
 
     def _probe(self, address: Address) -> None:
@@ -49,16 +49,16 @@
             address,
             get("/healthz"),
             PROBE_TIMEOUT_S,
-            lambda status, answer: self._probed(address, status),
+            lambda status, answer: self._handle_probe(address, status),
         )
 
-    def _probed(self, address: Address, status: int) -> None:
+    def _handle_probe(self, address: Address, status: int) -> None:
         self._failures[address] = 0 if status == 200 else self._failures[address] + 1
-        self._network.loop.call_later(PROBE_S, self._probe, address)
+        self._network.loop.call_later(PROBE_INTERVAL_S, self._probe, address)
 
 
 @dataclass(frozen=True)
-class Plan:
+class UserPlan:
     """What a user does besides waiting for the end of the job; times are from the submission."""
 
     withdraw_after_s: float | None = None
@@ -71,7 +71,7 @@
     """The user of one job."""
 
     def __init__(
-        self, network: Network, balancer: LoadBalancer, job: Job, plan: Plan, seed: str
+        self, network: Network, balancer: LoadBalancer, job: Job, plan: UserPlan, seed: str
     ) -> None:
         self._network = network
         self._loop = network.loop
@@ -81,7 +81,7 @@
         self._random = random.Random(f"{seed}/user/{job.name}")
         self._host = Host("user", job.name, f"user of {job.name}")
         self._path = f"/v1/jobs/{job.name}"
-        self._polls = HttpCaller(network, self._host)
+        self._poll_caller = HttpCaller(network, self._host)
         self._began_at_s = self._loop.time()
         self._is_withdrawing = False
         #: the last status that was told, '' before the job was accepted
@@ -94,63 +94,68 @@
 
     # requests
 
-    def _send(self, request: bytes, timeout_s: float, then: Any) -> None:
+    def _send(self, request: bytes, timeout_s: float, on_answer: Any) -> None:
         """Send a request on a connection of its own."""
         caller = HttpCaller(self._network, self._host)
 
-        def answered(status: int, answer: HttpMessage | None) -> None:
+        def close_and_forward(status: int, answer: HttpMessage | None) -> None:
             caller.close()
-            then(status, answer)
+            on_answer(status, answer)
 
-        caller.request(self._balancer.choose(), request, timeout_s, answered)
+        caller.request(self._balancer.choose(), request, timeout_s, close_and_forward)
 
-    def _is_last(self) -> bool:
-        return self._random.random() < CLOSING_SHARE
+    def _closes_connection(self) -> bool:
+        return self._random.random() < CONNECTION_CLOSE_SHARE
 
     def _submit(self, since_s: float) -> None:
-        request = post("/v1/jobs", self._job.description, self._is_last())
+        request = post("/v1/jobs", self._job.description, self._closes_connection())
         self._send(
             request,
             SUBMIT_TIMEOUT_S,
-            lambda status, answer: self._submitted(status, answer, since_s),
+            lambda status, answer: self._handle_submission(status, answer, since_s),
         )
 
-    def _submitted(self, status: int, answer: HttpMessage | None, since_s: float) -> None:
+    def _handle_submission(self, status: int, answer: HttpMessage | None, since_s: float) -> None:
         if status in (200, 201):
-            self._note(answer)
-            self._loop.call_later(self._random.uniform(0.1, POLL_S), self._poll)
-        elif status not in NOT_RETRIED and self._loop.time() - since_s < GIVE_UP_S:
-            self._loop.call_later(self._pause_s(answer), self._submit, since_s)
-
-    def _pause_s(self, answer: HttpMessage | None) -> float:
+            self._record_status(answer)
+            self._loop.call_later(self._random.uniform(0.1, POLL_INTERVAL_S), self._poll)
+        elif (
+            status not in NOT_RETRIED_STATUSES and self._loop.time() - since_s < MAX_RETRY_PERIOD_S
+        ):
+            self._loop.call_later(self._retry_delay_s(answer), self._submit, since_s)
+
+    def _retry_delay_s(self, answer: HttpMessage | None) -> float:
         """The pause before a request is repeated."""
-        told_s = answer.headers.get("retry-after", "0") if answer is not None else "0"
-        return max(RETRY_S, float(told_s)) + self._random.random()
+        retry_after_s = answer.headers.get("retry-after", "0") if answer is not None else "0"
+        return max(MIN_RETRY_DELAY_S, float(retry_after_s)) + self._random.random()
 
     def _submit_again(self) -> None:
         self._send(
             post("/v1/jobs", self._job.description),
             SUBMIT_TIMEOUT_S,
-            lambda status, answer: self._note(answer) if status in (200, 201) else None,
+            lambda status, answer: self._record_status(answer) if status in (200, 201) else None,
         )
 
     def _poll(self) -> None:
-        if self._polls.is_busy:
+        if self._poll_caller.is_busy:
             return
-        self._polls.request(
-            self._balancer.choose(), get(self._path, self._is_last()), POLL_TIMEOUT_S, self._polled
+        self._poll_caller.request(
+            self._balancer.choose(),
+            get(self._path, self._closes_connection()),
+            POLL_TIMEOUT_S,
+            self._handle_poll,
         )
 
-    def _polled(self, status: int, answer: HttpMessage | None) -> None:
+    def _handle_poll(self, status: int, answer: HttpMessage | None) -> None:
         was_over = self.status in FINAL_STATES
         if status == 200:
-            self._note(answer)
+            self._record_status(answer)
         if self.status not in FINAL_STATES:
-            self._loop.call_later(POLL_S * self._random.uniform(0.9, 1.1), self._poll)
+            self._loop.call_later(POLL_INTERVAL_S * self._random.uniform(0.9, 1.1), self._poll)
         elif not was_over:
-            for pause_s in LATE_QUESTIONS_S:
+            for pause_s in QUERIES_AFTER_END_S:
                 self._loop.call_later(pause_s, self._poll)
-            self._loop.call_later(LATE_QUESTIONS_S[0], self._submit_again)
+            self._loop.call_later(QUERIES_AFTER_END_S[0], self._submit_again)
 
     def _withdraw(self, since_s: float | None) -> None:
         since_s = self._loop.time() if since_s is None else since_s
@@ -158,25 +163,25 @@
         self._send(
             post(f"{self._path}/withdraw", {}),
             SUBMIT_TIMEOUT_S,
-            lambda status, answer: self._withdrawn(status, answer, since_s),
+            lambda status, answer: self._handle_withdrawal(status, answer, since_s),
         )
 
-    def _withdrawn(self, status: int, answer: HttpMessage | None, since_s: float) -> None:
+    def _handle_withdrawal(self, status: int, answer: HttpMessage | None, since_s: float) -> None:
         if status == 200:
-            self._note(answer)
-        elif status not in (400, 404) and self._loop.time() - since_s < GIVE_UP_S:
-            self._loop.call_later(self._pause_s(answer), self._withdraw, since_s)
+            self._record_status(answer)
+        elif status not in (400, 404) and self._loop.time() - since_s < MAX_RETRY_PERIOD_S:
+            self._loop.call_later(self._retry_delay_s(answer), self._withdraw, since_s)
 
-    def _note(self, answer: HttpMessage | None) -> None:
+    def _record_status(self, answer: HttpMessage | None) -> None:
         """Remember what was told, and withdraw the job at the moment that was planned."""
         body = unpack(answer.body) if answer is not None else None
         if not isinstance(body, dict):
             return
         self.status = body.get("status", "")
         done = body.get("done")
-        planned = self._plan.withdraw_at_done
-        if planned is not None and done is not None and not self._is_withdrawing:
-            if done >= planned and self.status == "running":
+        withdraw_at_done = self._plan.withdraw_at_done
+        if withdraw_at_done is not None and done is not None and not self._is_withdrawing:
+            if done >= withdraw_at_done and self.status == "running":
                 self._withdraw(None)
 
 
@@ -192,10 +197,12 @@
         self.balancer = LoadBalancer(network, controllers, seed)
         self.users: dict[str, User] = {}
 
-    def submit(self, description: dict[str, Any], plan: Plan | None = None) -> None:
+    def submit(self, description: dict[str, Any], plan: UserPlan | None = None) -> None:
         """Submit a job now, and see to it until its end."""
         job = self._workload.add(description)
-        self.users[job.name] = User(self._network, self.balancer, job, plan or Plan(), self._seed)
+        self.users[job.name] = User(
+            self._network, self.balancer, job, plan or UserPlan(), self._seed
+        )
 
     def ask(self, path: str) -> None:
         """Ask once, with no user of a job behind it."""
--- a/tests/tools/versions.py
+++ b/tests/tools/versions.py
@@ -14,14 +14,14 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
 PACKAGE = "marblestair"
 #: a play that takes longer hangs
-PLAY_TIMEOUT_S = 300
+RUN_TIMEOUT_S = 300
 
 
 class VersionError(Exception):
     """A version that can not be had."""
 
 
-class PlayError(Exception):
+class ScenarioError(Exception):
     """A play that did not come to its end."""
 
 
@@ -42,7 +42,7 @@
     shutil.copytree(ROOT / PACKAGE, directory / PACKAGE, ignore=ignored)
 
 
-def play_on(version: pathlib.Path, scenario: str, seed: int, record: pathlib.Path) -> None:
+def run_scenario(version: pathlib.Path, scenario: str, seed: int, record: pathlib.Path) -> None:
     """Play a scenario on the package in a directory, in a process of its own."""
     path = [str(version), str(ROOT), os.environ.get("PYTHONPATH", "")]
     environment = {
@@ -58,7 +58,7 @@
         env=environment,
         capture_output=True,
         check=False,
-        timeout=PLAY_TIMEOUT_S,
+        timeout=RUN_TIMEOUT_S,
     )
     if played.returncode:
-        raise PlayError(played.stderr.decode(errors="replace").strip())
+        raise ScenarioError(played.stderr.decode(errors="replace").strip())
--- a/tests/tools/workload.py
+++ b/tests/tools/workload.py
@@ -7,12 +7,12 @@
 from typing import Any
 
 #: true run times lie between these multiples of the owner's estimate
-RUN_FACTORS = (0.5, 1.5)
+RUN_TIME_FACTORS = (0.5, 1.5)
 #: the class of jobs that fail on every machine
-FLAWED_CLASS = "flawed"
+FAILING_CLASS = "flawed"
 GANG, SERVICE = "group", "daemon"
 #: under which the progress of a whole gang is kept
-GANG_PROGRESS = -1
+GANG_PROGRESS_KEY = -1
 
 
 @dataclass
@@ -42,9 +42,9 @@
         return bool(self.description["shape"] == SERVICE)
 
     @property
-    def is_flawed(self) -> bool:
+    def always_fails(self) -> bool:
         """Whether its tasks fail on every machine."""
-        return bool(self.description["jobclass"] == FLAWED_CLASS)
+        return bool(self.description["jobclass"] == FAILING_CLASS)
 
     @property
     def checkpoint_s(self) -> float:
@@ -53,7 +53,7 @@
 
     def progress_key(self, index: int) -> int:
         """Under which a task's progress is kept."""
-        return GANG_PROGRESS if self.is_gang else index
+        return GANG_PROGRESS_KEY if self.is_gang else index
 
 
 class Workload:
@@ -67,9 +67,9 @@
         """Add a job whose true run times are drawn at random."""
         estimate_s = description["expected_s"]
         is_gang = description["shape"] == GANG
-        common_s = estimate_s * self._random.uniform(*RUN_FACTORS)
+        common_s = estimate_s * self._random.uniform(*RUN_TIME_FACTORS)
         run_s = {
-            index: common_s if is_gang else estimate_s * self._random.uniform(*RUN_FACTORS)
+            index: common_s if is_gang else estimate_s * self._random.uniform(*RUN_TIME_FACTORS)
             for index in range(description["pieces"])
         }
         job = self.jobs[description["ref"]] = Job(description, run_s)
@@ -81,7 +81,7 @@
     return f"job-{number:06d}"
 
 
-def describe(number: int, **changes: Any) -> dict[str, Any]:
+def job_submission(number: int, **overrides: Any) -> dict[str, Any]:
     """The submission of a small job, with changes."""
     description: dict[str, Any] = {
         "ref": job_id(number),
@@ -105,5 +105,5 @@
         "bookmark_cost_s": 0.0,
         "due_s": None,
     }
-    description.update(changes)
+    description.update(overrides)
     return description
