--- a/tests/core/capacity/test_late_machines.py
+++ b/tests/core/capacity/test_late_machines.py
@@ -11,7 +11,7 @@
 from tests.fakes.agent import FakeAgent
 from tests.fakes.samples import MACHINE_TYPES, job_spec
 from tests.fakes.simulated_deployment import SimulatedDeployment
-from tests.helpers import START_UP_S, leader_of, started
+from tests.helpers import START_UP_S, leader_of, start_deployment
 
 SMALL_TYPE = MACHINE_TYPES[0]
 
@@ -38,7 +38,7 @@
 
 
 def test_work_does_not_wait_for_machines_that_never_boot(monkeypatch: pytest.MonkeyPatch) -> None:
-    deployment = started(460)
+    deployment = start_deployment(460)
     delayed_boots = DelayedBoots(monkeypatch, None)
     job = deployment.users.submit(job_spec(1, task_count=8, estimated_run_s=4.0))
     assert deployment.run_until(lambda: bool(delayed_boots.agents), 20.0)
@@ -72,7 +72,7 @@
 
     No heartbeat of its machines had come to the new leader yet.
     """
-    deployment = started(462, teams=[{"name": "red", "cpus": 40.0, "cpus_max": 80.0}])
+    deployment = start_deployment(462, teams=[{"name": "red", "cpus": 40.0, "cpus_max": 80.0}])
     deployment.users.submit(job_spec(1, task_count=20, cpus=4.0, estimated_run_s=300.0))
     deployment.run(30.0)
     machines = set(deployment.nodes.controller("n0").view.machines)
@@ -90,7 +90,7 @@
 
 
 def test_a_machine_that_has_just_moved_to_another_shard_is_counted_on() -> None:
-    deployment = started(463, 1)
+    deployment = start_deployment(463, 1)
     controller = deployment.nodes.current("n0")
     context = controller.context
     shard = controller.leadership.led_shards()[0]
--- a/tests/core/capacity/test_planning.py
+++ b/tests/core/capacity/test_planning.py
@@ -6,7 +6,7 @@
 from marblestair.core.capacity.provisioning import AvailableMachine, JobLoad, Tuning
 from tests.fakes.samples import MACHINE_TYPES, job_spec
 from tests.fakes.simulated_deployment import SimulatedDeployment
-from tests.helpers import started
+from tests.helpers import start_deployment
 
 
 def test_work_bound_to_a_zone_gets_machines_there_though_other_zones_have_some() -> None:
@@ -36,7 +36,7 @@
 
 
 def test_machines_are_rented_for_an_array_while_its_dependencies_run() -> None:
-    deployment = started()
+    deployment = start_deployment()
     users = deployment.users
     parent = users.submit(job_spec(1, task_count=2, estimated_run_s=8.0))
     far = users.submit(job_spec(2, task_count=2, estimated_run_s=1000.0))
--- a/tests/core/capacity/test_rentals.py
+++ b/tests/core/capacity/test_rentals.py
@@ -9,29 +9,29 @@
 from marblestair.core.state import keys
 from tests.fakes.samples import job_spec
 from tests.fakes.simulated_deployment import SimulatedDeployment
-from tests.helpers import START_UP_S, leader_of, started
+from tests.helpers import START_UP_S, leader_of, start_deployment
 
 
 def test_a_rental_left_uncertain_is_finished_by_the_next_leader() -> None:
-    deployment = started(19)
+    deployment = start_deployment(19)
     store = deployment.store
     deployment.cloud.is_down = True
     job = deployment.users.submit(job_spec(1, task_count=6, estimated_run_s=30.0))
     # Kill every node after the intents were written and before the cloud responded.
-    assert deployment.run_until(lambda: bool(store.keys_with(keys.RENTAL_INTENTS)), 10.0)
+    assert deployment.run_until(lambda: bool(store.keys_with_prefix(keys.RENTAL_INTENTS)), 10.0)
     deployment.nodes.kill_all(restart_after_s=1.0)
     deployment.cloud.is_down = False
     assert deployment.users.wait_until_done(job, 200.0)
     deployment.run(120.0)
     assert not deployment.serving_agents
-    assert not store.keys_with(keys.RENTAL_INTENTS)
+    assert not store.keys_with_prefix(keys.RENTAL_INTENTS)
     assert not deployment.rules.violations
 
 
 def test_obsolete_intents_are_deleted_however_busy_a_shard_is(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    deployment = started(450, 1)
+    deployment = start_deployment(450, 1)
     deployment.users.submit(job_spec(1, task_count=4, estimated_run_s=300.0))
     deployment.run(15.0)
     controller = deployment.nodes.controller("n0")
@@ -44,7 +44,7 @@
     endless = [progress_pages.DirtyPage(next(iter(shard.slices.values())), 0)]
     monkeypatch.setattr(progress_pages, "dirty_pages", lambda shard, now: endless)
     deployment.run(60.0)
-    assert not deployment.store.keys_with(f"{keys.RENTAL_INTENTS}0/r-0-")
+    assert not deployment.store.keys_with_prefix(f"{keys.RENTAL_INTENTS}0/r-0-")
     assert not deployment.rules.violations
 
 
@@ -82,12 +82,12 @@
     assert bool(sent) is is_sent
     assert len(deployment.agents) == (40 if is_sent else 0)
     # None is left behind.
-    assert not deployment.store.keys_with(f"{keys.RENTAL_INTENTS}0/r-1-9")
+    assert not deployment.store.keys_with_prefix(f"{keys.RENTAL_INTENTS}0/r-1-9")
     assert not deployment.rules.violations
 
 
 def test_a_rental_whose_response_is_lost_in_a_crash_is_used() -> None:
-    deployment = started(452)
+    deployment = start_deployment(452)
     execute = deployment.cloud.execute
     unanswered: list[str] = []
 
--- a/tests/core/jobs/test_acceptance.py
+++ b/tests/core/jobs/test_acceptance.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from tests.fakes.samples import job_spec
-from tests.helpers import incarnations, started
+from tests.helpers import agent_incarnations, start_deployment
 
 
 def test_jobs_end_well_though_responses_are_lost_and_commits_come_late() -> None:
-    deployment = started(12)
+    deployment = start_deployment(12)
     users = deployment.users
     deployment.store_link.lost_response_ratio = 0.2
     deployment.store_link.late_commit_ratio = 0.05
@@ -19,7 +19,7 @@
 
 
 def test_repeated_submissions_make_one_job() -> None:
-    deployment = started(13)
+    deployment = start_deployment(13)
     users, tasks = deployment.users, deployment.tasks
     spec = job_spec(1, task_count=3)
     asked = [
@@ -38,7 +38,7 @@
 
 
 def test_unknown_jobs_and_infeasible_submissions_are_refused_for_good() -> None:
-    deployment = started(14)
+    deployment = start_deployment(14)
     users = deployment.users
     replies = users.request("n0", "query", "job-999999")
     deployment.run(2.0)
@@ -56,7 +56,7 @@
 
 
 def test_a_store_outage_refuses_submissions_for_now_and_loses_nothing() -> None:
-    deployment = started(15)
+    deployment = start_deployment(15)
     users = deployment.users
     jobs = users.submit_many(range(1, 4), task_count=6, estimated_run_s=8.0)
     deployment.run(8.0)
@@ -73,7 +73,7 @@
 
 
 def test_a_cloud_outage_at_the_start_does_not_block_acceptance() -> None:
-    deployment = started(16)
+    deployment = start_deployment(16)
     deployment.run(3.0)
     deployment.cloud.is_down = True
     deployment.nodes.kill_all(restart_after_s=1.0)
@@ -85,7 +85,7 @@
 
 
 def test_a_flood_of_submissions_is_refused_at_once_while_heartbeats_go_on() -> None:
-    deployment = started(41)
+    deployment = start_deployment(41)
     users, names = deployment.users, deployment.nodes.names
     job = users.submit(job_spec(1, task_count=12, estimated_run_s=30.0))
     deployment.run(12.0)
@@ -102,7 +102,7 @@
     deployment.run(3.0)
     assert all(replies and replies[0].status in (201, 429) for replies in asked)
     # Agents get their responses all the while, and what was accepted is done.
-    assert incarnations(deployment) == {1}
+    assert agent_incarnations(deployment) == {1}
     assert all(deployment.now - agent.lease_renewed_at < 3.0 for agent in deployment.serving_agents)
     accepted = list(deployment.rules.accepted_at)
     assert job in accepted
--- a/tests/core/jobs/test_answers.py
+++ b/tests/core/jobs/test_answers.py
@@ -13,7 +13,7 @@
 from marblestair.core.state import keys
 from tests.fakes.samples import job_spec
 from tests.fakes.simulated_deployment import SimulatedDeployment
-from tests.helpers import leader_of, manager_of, started
+from tests.helpers import leader_of, manager_of, start_deployment
 
 
 def ask_everywhere(deployment: SimulatedDeployment, job: str, seconds: float) -> None:
@@ -42,7 +42,7 @@
 ) -> None:
     # The end is committed at once. The other nodes find it by their watch, while the response to
     # the manager is still on its way or lost.
-    deployment = started(11)
+    deployment = start_deployment(11)
     job = deployment.users.submit(job_spec(1, task_count=3, estimated_run_s=3.0))
     manager = manager_of(deployment, job)
     deployment.store_link.watch_lag_s[manager] = 1.0
@@ -69,7 +69,7 @@
 def test_a_late_read_does_not_bring_a_job_back_that_is_over(is_cancelled: bool) -> None:
     # Reads that are carried out just before the job ends, as migrations and cancels make them,
     # are answered only after the reader's watch has shown the deletion of the record.
-    deployment = started(12)
+    deployment = start_deployment(12)
     users, store = deployment.users, deployment.store
     job = users.submit(job_spec(1, task_count=3, estimated_run_s=4.0))
     deployment.run(6.0)
@@ -99,7 +99,7 @@
 def test_a_late_response_to_its_acceptance_does_not_bring_a_job_back() -> None:
     # The record is accepted, found by the watch, cancelled and deleted before the node that
     # accepted it gets the response. Were it recorded again, its tasks would start.
-    deployment = started(13)
+    deployment = start_deployment(13)
     spec = job_spec(1, task_count=3)
     job, key, final_key = spec.id, keys.JOBS + spec.id, keys.FINAL_STATES + spec.id
     deployment.store_link.response_delay_s = lambda _node, request: (
@@ -131,7 +131,7 @@
 def test_a_cancelled_record_that_was_read_late_is_not_called_queued() -> None:
     # Read while the cancel was confirmed already, answered after the view has passed the deletion:
     # the view knows neither the record nor the entry any more.
-    deployment = started(14)
+    deployment = start_deployment(14)
     job = deployment.users.submit(job_spec(1, task_count=3, estimated_run_s=200.0))
     manager = manager_of(deployment, job)
     other = next(name for name in deployment.nodes.names if name != manager)
@@ -146,7 +146,7 @@
 
 
 def test_a_read_that_finds_no_record_is_ahead_of_the_watch() -> None:
-    deployment = started(17)
+    deployment = start_deployment(17)
     job = deployment.users.submit(job_spec(1, task_count=3, estimated_run_s=200.0))
     controller = deployment.nodes.current(manager_of(deployment, job))
     view = controller.view
@@ -171,7 +171,7 @@
 
 @pytest.mark.parametrize("answer", [None, 7, ["done"], ["lost", 1, 1], ["unknown", None, None]])
 def test_a_malformed_answer_of_another_node_is_no_answer(answer: Any) -> None:
-    deployment = started(15)
+    deployment = start_deployment(15)
     job = deployment.users.submit(job_spec(1, task_count=3, estimated_run_s=200.0))
     deployment.run(5.0)
     manager = manager_of(deployment, job)
@@ -184,7 +184,7 @@
 
 
 def test_the_manager_answers_from_memory_without_a_read() -> None:
-    deployment = started(16)
+    deployment = start_deployment(16)
     job = deployment.users.submit(job_spec(1, task_count=3, estimated_run_s=200.0))
     deployment.run(12.0)
     controller = deployment.nodes.current(manager_of(deployment, job))
--- a/tests/core/jobs/test_cancel_registry.py
+++ b/tests/core/jobs/test_cancel_registry.py
@@ -5,12 +5,12 @@
 from marblestair.core.jobs.manager_steps import has_no_placed_tasks
 from marblestair.core.messaging.messages import SliceProgress
 from tests.fakes.samples import job_spec
-from tests.helpers import agents_running, leader_of, leaders_running, manager_of, started
+from tests.helpers import agents_running, leader_of, leaders_running, manager_of, start_deployment
 
 
 def test_a_cancel_known_ahead_of_the_view_is_applied_and_not_confirmed() -> None:
     """The entry came by message: the view is older, and slices may come by older records."""
-    deployment = started(4040)
+    deployment = start_deployment(4040)
     job = deployment.users.submit(job_spec(1, task_count=9, estimated_run_s=300.0))
     deployment.run(16.0)
     controller = deployment.nodes.current(manager_of(deployment, job))
@@ -34,7 +34,7 @@
 
 
 def test_a_job_is_not_over_by_progress_from_before_its_cancel() -> None:
-    deployment = started(4041)
+    deployment = start_deployment(4041)
     job = deployment.users.submit(job_spec(1, task_count=9, estimated_run_s=300.0))
     deployment.run(16.0)
     controller = deployment.nodes.current(manager_of(deployment, job))
@@ -51,7 +51,7 @@
 
 
 def test_after_a_failover_the_time_of_a_cancel_counts_from_before_it() -> None:
-    deployment = started(4042)
+    deployment = start_deployment(4042)
     job = deployment.users.submit(job_spec(1, task_count=9, estimated_run_s=300.0))
     deployment.run(16.0)
     killed = min(leaders_running(deployment, job))
@@ -66,7 +66,7 @@
     controller = deployment.nodes.current(leader_of(deployment, shard_id))
     job_slice = controller.leadership.shards[shard_id].slices.get(job)
     assert job_slice is not None
-    drift = deployment.nodes.drift[controller.context.node]
+    drift = deployment.nodes.clock_rate[controller.context.node]
     confirmed_at_by_its_clock = controller.context.now - (deployment.now - confirmed_at) * drift
     assert job_slice.cancelled_at <= confirmed_at_by_its_clock + 0.5
     deployment.run(deployment.cancel_s)
--- a/tests/core/jobs/test_cancellations.py
+++ b/tests/core/jobs/test_cancellations.py
@@ -4,11 +4,11 @@
 
 from tests.fakes.network import STORE
 from tests.fakes.samples import job_spec
-from tests.helpers import started
+from tests.helpers import start_deployment
 
 
 def test_cancels_that_race_launches_and_a_failover() -> None:
-    deployment = started(7)
+    deployment = start_deployment(7)
     users = deployment.users
     *cancelled, other = users.submit_many(range(1, 4), task_count=12, estimated_run_s=20.0)
     deployment.run(6.0)
@@ -28,7 +28,7 @@
 
 
 def test_a_cancel_by_the_record_waits_for_a_leader_that_may_still_lead() -> None:
-    deployment = started(72)
+    deployment = start_deployment(72)
     controller = deployment.nodes.controller("n0")
     job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=120.0), "n0")
     deployment.run(14.0)
--- a/tests/core/jobs/test_cancellations_without_store.py
+++ b/tests/core/jobs/test_cancellations_without_store.py
@@ -19,11 +19,11 @@
 from tests.fakes.simulated_deployment import SimulatedDeployment
 from tests.helpers import (
     agents_running,
-    keep_asking,
+    poll_job,
     leaders_running,
-    main_leader,
+    leader_of_most_machines,
     manager_of,
-    started,
+    start_deployment,
 )
 
 
@@ -73,7 +73,7 @@
 def cancel_while_the_leader_is_refused(
     managed: str, controller_failure: str, agent_failure: str, seed: int
 ) -> None:
-    deployment = started(4000 + seed)
+    deployment = start_deployment(4000 + seed)
     users, names = deployment.users, deployment.nodes.names
     rng = random.Random(f"{managed} {controller_failure} {agent_failure} {seed}")
     other_job = users.submit(job_spec(1, team="blue", task_count=6, estimated_run_s=70.0))
@@ -102,7 +102,7 @@
         AGENT_FAILURES[agent_failure](agents[0])
     deployment.store.start_outage()
     fail_one_of(deployment, controller_failure, others[0], rng)
-    keep_asking(deployment, job, 1.4 * deployment.cancel_s)
+    poll_job(deployment, job, 1.4 * deployment.cancel_s)
     assert not deployment.rules.violations, seed
     end_outage_and_failures(deployment)
     assert users.cancel(job) == "cancelled"
@@ -123,12 +123,12 @@
 
 
 def test_a_cancel_confirmed_without_the_store_leaves_other_work_where_it_is() -> None:
-    deployment = started(4010)
+    deployment = start_deployment(4010)
     users, tasks = deployment.users, deployment.tasks
     other_job = users.submit(job_spec(1, team="blue", task_count=9, estimated_run_s=60.0))
     job = users.submit(job_spec(2, task_count=9, estimated_run_s=300.0))
     deployment.run(16.0)
-    refused = main_leader(deployment, job)
+    refused = leader_of_most_machines(deployment, job)
     starts = tasks.starts_of(other_job)
     assert len(starts) == 9
     deployment.store.refused_nodes.add(refused)
@@ -145,7 +145,7 @@
     deployment.store.start_outage()
     deployment.run(3.0)
     assert not agents_running(deployment, job)
-    keep_asking(deployment, job, 1.2 * deployment.cancel_s, cancel=False)
+    poll_job(deployment, job, 1.2 * deployment.cancel_s, cancel=False)
     deployment.store.end_outage()
     deployment.store.refused_nodes.clear()
     assert users.wait_until_done(other_job, 100.0)
@@ -160,7 +160,7 @@
 
     The promises under which it then leads bring the entry.
     """
-    deployment = started(4021)
+    deployment = start_deployment(4021)
     users = deployment.users
     job = users.submit(job_spec(1, task_count=12, estimated_run_s=300.0))
     deployment.run(16.0)
@@ -206,7 +206,7 @@
 
 def test_a_cancel_waits_for_a_manager_without_a_slice_too() -> None:
     """It is left with its users and agents, and would go on answering that the job runs."""
-    deployment = started(4030)
+    deployment = start_deployment(4030)
     users = deployment.users
     job = submit_job_managed_apart(deployment)
     manager = manager_of(deployment, job)
@@ -226,5 +226,5 @@
         assert not deployment.rules.violations
     assert any(reply.state == "cancelled" for replies in cancels for reply in replies)
     assert not polls or polls[0].status == 503
-    keep_asking(deployment, job, deployment.lease_s)
+    poll_job(deployment, job, deployment.lease_s)
     assert not deployment.rules.violations
--- a/tests/core/jobs/test_dependencies.py
+++ b/tests/core/jobs/test_dependencies.py
@@ -16,12 +16,12 @@
     wait_until_all_done,
 )
 from tests.fakes.samples import job_spec
-from tests.helpers import led_shards, started
-from tests.recorder import Recorder
+from tests.helpers import led_shards, start_deployment
+from tests.recorder import RequestRecorder
 
 
 def test_a_pipeline_of_four_stages_runs_from_submission_to_done() -> None:
-    deployment = started()
+    deployment = start_deployment()
     specs = submit_pipeline(deployment, deadline_s=60.0)
     assert deployment.users.state_of(specs[-1].id) == "queued"
     assert wait_until_all_done(deployment, specs)
@@ -34,7 +34,7 @@
 
 
 def test_a_waiting_job_reserves_nothing_of_its_teams_quota() -> None:
-    deployment = started()
+    deployment = start_deployment()
     users = deployment.users
     parent = users.submit(job_spec(1, task_count=1, estimated_run_s=40.0))
     child = users.submit(job_spec(2, task_count=6, depends_on=[parent]))
@@ -59,7 +59,7 @@
 
 
 def test_a_job_that_depends_on_one_never_accepted_is_refused() -> None:
-    deployment = started()
+    deployment = start_deployment()
     known = deployment.users.submit(job_spec(1))
     unknown = job_spec(2, depends_on=[known, "job-999999"])
     assert submit_once(deployment, "n0", unknown).status == 422
@@ -74,11 +74,11 @@
 @pytest.mark.parametrize("is_announced", [True, False])
 def test_a_parent_accepted_a_moment_ago_by_another_node_is_known(is_announced: bool) -> None:
     """By the message of the node that accepted it, without a read, or else by a read."""
-    deployment = started()
+    deployment = start_deployment()
     # The other node's watch lags behind.
     deployment.store_link.watch_lag_s["n1"] = 3.0
     deployment.network.dropped_tags |= set() if is_announced else {"record"}
-    recorder = Recorder(deployment, "n1")
+    recorder = RequestRecorder(deployment, "n1")
     parent = job_spec(1)
     assert submit_once(deployment, "n0", parent).status == 201
     deployment.run(0.1)
@@ -91,7 +91,7 @@
 
 @pytest.mark.parametrize("final_state", ["done", "cancelled"])
 def test_a_parent_that_was_over_long_ago_is_known_by_its_final_state(final_state: str) -> None:
-    deployment = started()
+    deployment = start_deployment()
     users = deployment.users
     run_s = 1.0 if final_state == "done" else 60.0
     parent = users.submit(job_spec(1, task_count=1, estimated_run_s=run_s))
@@ -116,7 +116,7 @@
 def test_an_acceptance_as_cancelled_without_a_response_is_found_by_the_next_try(
     is_carried_out: bool,
 ) -> None:
-    deployment = started()
+    deployment = start_deployment()
     parent = deployment.users.submit(job_spec(1, task_count=1, estimated_run_s=60.0))
     deployment.users.cancel(parent)
     child = job_spec(2, depends_on=[parent])
@@ -142,7 +142,7 @@
 
 
 def test_what_cannot_be_decided_now_is_refused_for_now() -> None:
-    deployment = started()
+    deployment = start_deployment()
     deployment.store.start_outage()
     reply: UserReply = submit_once(deployment, "n0", job_spec(2, depends_on=["job-000001"]))
     assert reply.status == 503
@@ -150,8 +150,8 @@
 
 
 def test_ids_that_nobody_submitted_do_not_use_up_the_rate_of_the_store() -> None:
-    deployment = started()
-    recorder = Recorder(deployment, "n0")
+    deployment = start_deployment()
+    recorder = RequestRecorder(deployment, "n0")
     unknown = [f"job-{number}" for number in range(900_000, 901_000)]
     for number in range(100, 140):
         deployment.users.request("n0", "submit", job_spec(number, depends_on=unknown))
@@ -166,7 +166,7 @@
 
 
 def test_many_finished_parents_are_looked_up_over_several_tries() -> None:
-    deployment = started()
+    deployment = start_deployment()
     tasks = deployment.tasks
     parents = [job_spec(number) for number in range(1000, 1300)]
     for parent in parents:
@@ -183,7 +183,7 @@
 
 def test_long_chains_of_dependencies_are_walked_without_recursion() -> None:
     """A long chain and a wide stage: no walk over all waiting jobs either."""
-    deployment = started()
+    deployment = start_deployment()
     controller = deployment.nodes.current("n0")
     top = job_spec(1, task_count=1)
     descendants = chain_after(top, range(2, 3000))
@@ -198,7 +198,7 @@
 
 
 def test_a_job_released_after_a_failover_does_not_wait_for_unresponsive_agents() -> None:
-    deployment = started()
+    deployment = start_deployment()
     parent = job_spec(1, task_count=1, estimated_run_s=16.0)
     child = job_spec(2, task_count=2, estimated_run_s=1.0, depends_on=[parent.id])
     others = [job_spec(number, task_count=8, estimated_run_s=60.0) for number in (3, 4)]
--- a/tests/core/jobs/test_dependency_answers.py
+++ b/tests/core/jobs/test_dependency_answers.py
@@ -21,7 +21,7 @@
 )
 from tests.fakes.nodes import OutputKind
 from tests.fakes.samples import job_spec
-from tests.helpers import manager_of, started
+from tests.helpers import manager_of, start_deployment
 
 
 @pytest.mark.parametrize("killed", ["", "n0", "n1"])
@@ -31,7 +31,7 @@
     It leads under promises afterwards. The job between ends first, and its record with it; the
     cancel may still not be confirmed before the grandchild's manager has it or leads no more.
     """
-    deployment = started()
+    deployment = start_deployment()
     chain = submit_chain_managed_apart(deployment)
     top = chain[0].id
     deployment.run(2.0)
@@ -56,7 +56,7 @@
 
 def test_a_read_that_the_end_of_a_waiting_job_overtakes_does_not_call_it_queued() -> None:
     """What the read found is older than the view by the time at which it arrives."""
-    deployment = started()
+    deployment = start_deployment()
     child, other = cancel_parent_with_final_states_blocked(deployment)
     key = keys.JOBS + child.id
     deployment.network.dropped_tags |= {"query", "ended"}
@@ -75,7 +75,7 @@
 
 
 def test_a_descendant_is_called_cancelled_before_its_final_state_is_written() -> None:
-    deployment = started()
+    deployment = start_deployment()
     users = deployment.users
     child = cancel_parent_with_final_states_blocked(deployment).spec.id
     for name in deployment.nodes.names:
@@ -89,7 +89,7 @@
 
 def test_a_descendant_is_not_called_cancelled_while_another_node_may_call_it_queued() -> None:
     """By a read, with a view that is younger than an agent's lease."""
-    deployment = started()
+    deployment = start_deployment()
     parent, child = parent_and_child(100.0)
     submit_all(deployment, parent, child)
     deployment.run(1.0)
@@ -110,7 +110,7 @@
 
 def test_the_final_state_of_a_descendant_goes_ahead_of_progress_once_it_is_due() -> None:
     """However much else there is to write, users learn of it within cancel_s."""
-    deployment = started()
+    deployment = start_deployment()
     tries: list[tuple[float, RequestPriority]] = []
 
     def record_lane(_kind: OutputKind, _node: str, output: object) -> None:
@@ -130,7 +130,7 @@
 
 def test_no_node_calls_a_job_queued_that_it_knows_to_depend_on_a_cancelled_one() -> None:
     """Also when another node still does, by an older view."""
-    deployment = started()
+    deployment = start_deployment()
     child, other = cancel_parent_with_final_states_blocked(deployment, 0.1)
     controller = deployment.nodes.current(other)
     queued = ProvenStatus(JobStatus(JobState.QUEUED, 0, 0), Proof.PEER)
@@ -139,7 +139,7 @@
 
 def test_a_read_of_a_waiting_job_leads_to_reads_of_its_ancestors_final_states() -> None:
     """The parent is found live by a read, and its own parent is over and was cancelled."""
-    deployment = started()
+    deployment = start_deployment()
     first = job_spec(1)
     second, third = chain_after(first, range(2, 4))
     version = deployment.store.revision + 1000
--- a/tests/core/jobs/test_dependency_cancellations.py
+++ b/tests/core/jobs/test_dependency_cancellations.py
@@ -16,12 +16,12 @@
     wait_until_all_cancelled,
 )
 from tests.fakes.samples import job_spec
-from tests.helpers import leaders_of_job, manager_of, started
+from tests.helpers import leaders_of_job, manager_of, start_deployment
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_cancel_reaches_all_descendants_also_those_submitted_later(seed: int) -> None:
-    deployment = started(seed)
+    deployment = start_deployment(seed)
     tasks = deployment.tasks
     parent = job_spec(1, task_count=2, estimated_run_s=60.0)
     # Through depth and width: a chain of six, and twelve beside it.
@@ -37,12 +37,12 @@
     assert not any(tasks.has_started(spec.id) for spec in descendants)
     # Nothing of them is left but their final states.
     deployment.run(3.0)
-    assert not deployment.store.keys_with(keys.JOBS)
+    assert not deployment.store.keys_with_prefix(keys.JOBS)
     assert not deployment.rules.violations
 
 
 def test_a_cancel_answered_with_done_changes_nothing_for_dependent_jobs() -> None:
-    deployment = started()
+    deployment = start_deployment()
     users = deployment.users
     parent, child = parent_and_child(1.0, child_tasks=1, child_run_s=1.0)
     submit_all(deployment, parent, child)
@@ -53,7 +53,7 @@
 
 
 def test_a_diamond_with_one_side_done_and_the_other_cancelled_is_cancelled() -> None:
-    deployment = started()
+    deployment = start_deployment()
     users = deployment.users
     top = job_spec(1, task_count=1, estimated_run_s=1.0)
     left = job_spec(2, task_count=1, estimated_run_s=1.0, depends_on=[top.id])
@@ -68,7 +68,7 @@
 
 
 def test_a_chain_whose_middle_is_cancelled_still_runs_what_comes_before() -> None:
-    deployment = started()
+    deployment = start_deployment()
     first = job_spec(1, task_count=1, estimated_run_s=15.0)
     chain = [first, *chain_after(first, range(2, 6), task_count=1, estimated_run_s=1.0)]
     submit_all(deployment, *chain)
@@ -79,7 +79,7 @@
 
 
 def test_a_child_accepted_by_a_node_whose_view_lags_is_cancelled_too() -> None:
-    deployment = started()
+    deployment = start_deployment()
     parent, child = parent_and_child(60.0)
     deployment.users.submit(parent, "n0")
     deployment.run(2.0)
@@ -97,7 +97,7 @@
 def test_a_store_outage_right_after_the_answer_leaves_no_descendant_called_queued(
     seed: int,
 ) -> None:
-    deployment = started(seed)
+    deployment = start_deployment(seed)
     users = deployment.users
     parent = job_spec(1, task_count=1, estimated_run_s=60.0)
     chain = chain_after(parent, range(2, 9))
@@ -116,7 +116,7 @@
 def test_descendants_whose_final_states_cannot_be_written_are_not_called_queued(
     restart: bool, dropped_tags: set[str]
 ) -> None:
-    deployment = started()
+    deployment = start_deployment()
     parent = job_spec(1, task_count=1, estimated_run_s=100.0)
     descendants = chain_after(parent, range(2, 4))
     # More than those whose final states are being written at once.
@@ -140,7 +140,7 @@
 
 def test_a_leader_under_promises_with_an_old_view_does_not_call_a_child_queued() -> None:
     """Its parent's cancel is known to nobody any more as an entry, so no promise carries it."""
-    deployment = started()
+    deployment = start_deployment()
     for number in range(1, 40):
         parent = job_spec(10 * number, task_count=1, estimated_run_s=100.0)
         deployment.users.submit(parent, "n0")
@@ -169,7 +169,7 @@
 
 def test_a_grandchild_of_a_job_cancelled_out_of_view_is_not_called_queued() -> None:
     """The final state of its grandparent is known to its manager by no entry, and must be read."""
-    deployment = started()
+    deployment = start_deployment()
     controller = deployment.nodes.current("n0")
     view = controller.view
     for number in (2, 3):
@@ -184,7 +184,7 @@
 
 def test_a_cancel_is_confirmed_only_after_the_managers_of_descendants_have_it() -> None:
     """A node that the store refuses answers by an older view for a while."""
-    deployment = started()
+    deployment = start_deployment()
     users = deployment.users
     for number in range(1, 40):
         # A parent whose manager and slices are elsewhere, and a child managed at n2.
@@ -215,7 +215,7 @@
 
 def cancel_near_the_end(delay_s: float) -> str:
     """Cancel a parent some time after its last task was done; the state, which its child shares."""
-    deployment = started()
+    deployment = start_deployment()
     users = deployment.users
     parent, child = parent_and_child(3.0, child_tasks=1, child_run_s=1.0)
     submit_all(deployment, parent, child)
--- a/tests/core/jobs/test_dependency_releases.py
+++ b/tests/core/jobs/test_dependency_releases.py
@@ -16,12 +16,12 @@
 )
 from tests.fakes.nodes import OutputKind
 from tests.fakes.samples import job_spec
-from tests.helpers import manager_of, started
+from tests.helpers import manager_of, start_deployment
 
 
 @pytest.mark.parametrize("restart_after_s", [0.2, 6.0])
 def test_a_failover_between_the_parents_end_and_the_release(restart_after_s: float) -> None:
-    deployment = started()
+    deployment = start_deployment()
     parent, child = parent_and_child(3.0, child_tasks=2, child_run_s=1.0)
     submit_all(deployment, parent, child)
     deployment.network.dropped_tags.add("ended")
@@ -35,7 +35,7 @@
 @pytest.mark.parametrize("number", range(1, 11))
 def test_a_controller_ends_with_each_commit_of_a_pipeline(number: int, is_cancelled: bool) -> None:
     """Its commit is carried out; who takes over finds what it left."""
-    deployment = started(number)
+    deployment = start_deployment(number)
     users = deployment.users
     first = job_spec(1, task_count=1, estimated_run_s=4.0)
     chain = [first, *chain_after(first, range(2, 4), task_count=2, estimated_run_s=1.0)]
@@ -66,7 +66,7 @@
 
 
 def test_messages_of_final_states_and_releases_may_all_be_lost() -> None:
-    deployment = started()
+    deployment = start_deployment()
     deployment.network.dropped_tags |= {"ended", "record"}
     specs = submit_pipeline(deployment)
     assert wait_until_all_done(deployment, specs)
@@ -74,7 +74,7 @@
 
 
 def test_a_release_that_comes_late_and_without_a_response_is_not_repeated() -> None:
-    deployment = started()
+    deployment = start_deployment()
     parent, child = parent_and_child(2.0, child_tasks=2, child_run_s=1.0)
     submit_all(deployment, parent, child)
     delays = iter([2.0])
@@ -89,7 +89,7 @@
 
 
 def test_all_controllers_restart_while_jobs_wait_for_others() -> None:
-    deployment = started()
+    deployment = start_deployment()
     specs = submit_pipeline(deployment)
     deployment.nodes.kill_all(restart_after_s=1.0)
     assert wait_until_all_done(deployment, specs, 120.0)
--- a/tests/core/jobs/test_lookups.py
+++ b/tests/core/jobs/test_lookups.py
@@ -13,32 +13,32 @@
 from marblestair.core.runtime.store_requests import CompareAndSwap, Get, RequestPriority
 from marblestair.core.state import keys
 from tests.fakes.samples import job_spec
-from tests.helpers import manager_of, started
+from tests.helpers import manager_of, start_deployment
 from tests.measurements import count_calls
-from tests.recorder import Recorder
+from tests.recorder import RequestRecorder
 
 #: ids of requests that nobody made
 UNUSED_REQUEST_ID = 1 << 40
 
 
 def test_a_poll_of_the_manager_makes_no_request() -> None:
-    deployment = started(410)
+    deployment = start_deployment(410)
     job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=60.0))
     deployment.run(2.0)
     node = manager_of(deployment, job)
-    recorder = Recorder(deployment, node)
+    recorder = RequestRecorder(deployment, node)
     asked = [deployment.users.request(node, "query", job) for _ in range(200)]
     assert all(replies and replies[0].status == 200 for replies in asked)
     assert recorder.requests == []
 
 
 def test_polls_of_one_job_share_one_request_to_its_manager() -> None:
-    deployment = started(411)
+    deployment = start_deployment(411)
     job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=60.0))
     deployment.run(2.0)
     manager = manager_of(deployment, job)
     other = next(name for name in deployment.nodes.names if name != manager)
-    recorder = Recorder(deployment, other)
+    recorder = RequestRecorder(deployment, other)
     asked = [deployment.users.request(other, "query", job) for _ in range(200)]
     deployment.run(0.3)
     assert all(replies and replies[0].status == 200 for replies in asked)
@@ -52,8 +52,8 @@
 
 
 def test_polls_of_an_unknown_job_share_two_reads_of_its_keys() -> None:
-    deployment = started(412)
-    recorder = Recorder(deployment, "n0")
+    deployment = start_deployment(412)
+    recorder = RequestRecorder(deployment, "n0")
     asked = [deployment.users.request("n0", "query", "job-999999") for _ in range(200)]
     deployment.run(0.5)
     assert {replies[0].status for replies in asked} == {404}
@@ -61,11 +61,11 @@
 
 
 def test_polls_of_many_unknown_jobs_are_refused_at_once_beyond_a_bound() -> None:
-    deployment = started(413)
+    deployment = start_deployment(413)
     max_concurrent_reads = deployment.nodes.controller(
         "n0"
     ).job_services.lookups.max_concurrent_reads
-    recorder = Recorder(deployment, "n0")
+    recorder = RequestRecorder(deployment, "n0")
     asked = [
         deployment.users.request("n0", "query", f"job-{number:06d}")
         for number in range(900_000, 900_200)
@@ -87,9 +87,9 @@
 @pytest.mark.parametrize("polls", [1, 5])
 def test_a_poll_is_never_answered_by_a_read_that_began_before_it(polls: int) -> None:
     """Guards the sharing of reads: one under way may be older than an earlier answer."""
-    deployment = started(414)
+    deployment = start_deployment(414)
     deployment.network.isolate("n0", "n1", "n2")
-    recorder = Recorder(deployment, "n0")
+    recorder = RequestRecorder(deployment, "n0")
     recorder.delays_reads = True
     spec = job_spec(7)
     # Begun before the job is submitted, this one may be answered either way.
@@ -121,7 +121,7 @@
 def test_the_calls_of_a_poll_do_not_grow_with_the_jobs() -> None:
     calls = {}
     for jobs in (3, 60):
-        deployment = started(416)
+        deployment = start_deployment(416)
         ids = deployment.users.submit_many(range(1, jobs + 1), task_count=4, estimated_run_s=200.0)
         deployment.run(2.0)
         controller = deployment.nodes.controller(manager_of(deployment, ids[0]))
@@ -133,7 +133,7 @@
 def test_polls_during_a_change_share_their_reads() -> None:
     # While the end of a job is on its way the manager cannot answer from memory. However many
     # ask, one lookup is under way at a time, and none is delayed by the commit.
-    deployment = started(31)
+    deployment = start_deployment(31)
     job = deployment.users.submit(job_spec(1, task_count=2, estimated_run_s=3.0))
     manager = manager_of(deployment, job)
     deployment.store_link.watch_lag_s[manager] = 1.0
@@ -145,7 +145,7 @@
     deployment.store_link.response_delay_s = delay_final_state
     while keys.FINAL_STATES + job not in deployment.store.data:
         deployment.run(0.01)
-    recorder = Recorder(deployment, manager)
+    recorder = RequestRecorder(deployment, manager)
     asked: list[list[UserReply]] = []
     for _ in range(50):
         asked += [deployment.users.request(manager, "query", job) for _ in range(10)]
--- a/tests/core/leadership/test_connectivity.py
+++ b/tests/core/leadership/test_connectivity.py
@@ -9,14 +9,14 @@
 from tests.fakes.network import STORE, USERS
 from tests.fakes.samples import job_spec
 from tests.fakes.simulated_deployment import SimulatedDeployment
-from tests.helpers import isolate_controllers, leader_of, leaders, started
+from tests.helpers import isolate_controllers, leader_of, leaders, start_deployment
 
 #: one team that may use a whole fleet
 ONE_TEAM = [{"name": "red", "cpus": 40.0, "cpus_max": 80.0}]
 
 
 def test_a_leader_cut_from_all_but_the_store_transfers_its_shard() -> None:
-    deployment = started(36)
+    deployment = start_deployment(36)
     job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=60.0))
     deployment.run(12.0)
     deployment.network.isolate("n0", "n1", "n2", USERS, *deployment.agents)
@@ -33,7 +33,7 @@
 
 def test_shards_stay_with_their_leaders_when_no_agent_responds() -> None:
     """Found in an incident: with all agents unresponsive, nodes passed shards around in vain."""
-    deployment = started(37)
+    deployment = start_deployment(37)
     job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=60.0))
     deployment.run(12.0)
     for agent in deployment.agents.values():
@@ -60,7 +60,7 @@
 
 
 def test_controllers_that_cannot_reach_each_other_serve_by_the_store() -> None:
-    deployment = started(70)
+    deployment = start_deployment(70)
     nodes, users = deployment.nodes, deployment.users
     before = users.submit_many(range(1, 4), task_count=9, estimated_run_s=8.0)
     deployment.run(10.0)
@@ -89,7 +89,7 @@
 
 
 def test_a_controller_that_reaches_only_its_agents_fails_over() -> None:
-    deployment = started(71)
+    deployment = start_deployment(71)
     job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=40.0))
     deployment.run(12.0)
     controller = deployment.nodes.controller("n1")
@@ -138,7 +138,7 @@
 
     Its agents' leases ran out, since a new leader that receives no heartbeat did not notice.
     """
-    deployment = started(seed, teams=ONE_TEAM)
+    deployment = start_deployment(seed, teams=ONE_TEAM)
     jobs = deployment.users.submit_many((1, 2), task_count=10, cpus=4.0, estimated_run_s=120.0)
     deployment.run(15.0)
     before = {
@@ -165,7 +165,7 @@
 
 def test_a_controller_that_leads_no_shard_accepts_jobs_for_the_others() -> None:
     """Found on the same day: it refused every submission for as long as it led no shard."""
-    deployment = started(443, teams=ONE_TEAM)
+    deployment = start_deployment(443, teams=ONE_TEAM)
     long_job = deployment.users.submit(job_spec(1, task_count=10, cpus=4.0, estimated_run_s=60.0))
     deployment.run(15.0)
     node = a_leader(deployment)
--- a/tests/core/leadership/test_failover.py
+++ b/tests/core/leadership/test_failover.py
@@ -5,11 +5,11 @@
 import pytest
 
 from tests.fakes.network import STORE
-from tests.helpers import incarnations, leader_of, leaders, started
+from tests.helpers import agent_incarnations, leader_of, leaders, start_deployment
 
 
 def test_failover_of_a_killed_leader_runs_no_task_twice() -> None:
-    deployment = started(2)
+    deployment = start_deployment(2)
     jobs = deployment.users.submit_many(range(1, 4), task_count=9, estimated_run_s=12.0)
     deployment.run(12.0)
     assert deployment.tasks.starts
@@ -22,7 +22,7 @@
 
 
 def test_no_job_is_forgotten_when_all_controllers_are_killed() -> None:
-    deployment = started(3)
+    deployment = start_deployment(3)
     jobs = deployment.users.submit_many(range(1, 5), task_count=5, estimated_run_s=10.0)
     deployment.run(9.0)
     deployment.nodes.kill_all(restart_after_s=5.0)
@@ -33,7 +33,7 @@
 
 
 def test_controllers_restart_within_a_fraction_of_a_second() -> None:
-    deployment = started(4)
+    deployment = start_deployment(4)
     jobs = deployment.users.submit_many(range(1, 4), task_count=8, estimated_run_s=10.0)
     deployment.run(9.0)
     assert deployment.tasks.starts
@@ -43,11 +43,11 @@
     assert all(deployment.users.wait_until_done(job, 200.0) for job in jobs)
     assert not deployment.rules.violations
     # Running tasks went on: no agent lost its lease.
-    assert incarnations(deployment) == {1}
+    assert agent_incarnations(deployment) == {1}
 
 
 def test_late_heartbeats_and_commands_of_an_earlier_leader_change_nothing() -> None:
-    deployment = started(5)
+    deployment = start_deployment(5)
     jobs = deployment.users.submit_many(range(1, 4), task_count=9, estimated_run_s=15.0)
     deployment.run(10.0)
     # All that goes to and from n0 is delayed, while another node takes its shard.
@@ -59,7 +59,7 @@
 
 
 def test_a_leader_cut_from_store_and_peers_stops_leading() -> None:
-    deployment = started(6)
+    deployment = start_deployment(6)
     jobs = deployment.users.submit_many(range(1, 4), task_count=9, estimated_run_s=15.0)
     deployment.run(8.0)
     # n2 still reaches its agents, but its authority must end.
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize("seed", range(80, 83))
 def test_controllers_restart_at_once_amid_failovers_with_late_messages(seed: int) -> None:
-    deployment = started(seed)
+    deployment = start_deployment(seed)
     rng = deployment.rng
     deployment.store_link.late_commit_ratio = 0.1
     deployment.store_link.lost_response_ratio = 0.05
--- a/tests/core/leadership/test_pauses.py
+++ b/tests/core/leadership/test_pauses.py
@@ -19,8 +19,8 @@
 from tests.fakes.nodes import OutputKind
 from tests.fakes.samples import job_spec
 from tests.fakes.simulated_deployment import SimulatedDeployment
-from tests.helpers import leader_of, manager_of, started
-from tests.recorder import Recorder
+from tests.helpers import leader_of, manager_of, start_deployment
+from tests.recorder import RequestRecorder
 
 
 def is_commit(kind: OutputKind, output: Any) -> bool:
@@ -91,7 +91,7 @@
 
 
 def pause_at_a_critical_point(point: str, leases: float, seed: int) -> None:
-    deployment = started(3000 + 10 * seed)
+    deployment = start_deployment(3000 + 10 * seed)
     users = deployment.users
     deployment.agent_link.duplicate_ratio, deployment.store_link.late_commit_ratio = 0.1, 0.02
     occurrence = 1 if point == "failover" else random.Random(seed).randint(1, 4)
@@ -137,7 +137,7 @@
 
 
 def test_a_node_that_wakes_leads_nothing_until_it_has_read_the_shard_map() -> None:
-    deployment = started(3100)
+    deployment = start_deployment(3100)
     job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=60.0))
     deployment.run(6.0)
     name = leader_of(deployment, 0)
@@ -169,7 +169,7 @@
 
 
 def test_commits_of_a_leader_from_before_a_pause_are_refused_after_a_failover() -> None:
-    deployment = started(3101)
+    deployment = start_deployment(3101)
     name = leader_of(deployment, 0)
     commits: list[CompareAndSwap] = []
 
@@ -200,19 +200,19 @@
 @pytest.mark.parametrize("leases", [0.3, 0.8, 2.5])
 def test_a_node_that_wakes_sends_no_burst_to_the_store_or_the_cloud(leases: float) -> None:
     """All timers of a frozen node fall due together when it goes on."""
-    deployment = started(480, teams=[{"name": "red", "cpus": 40.0, "cpus_max": 60.0}])
+    deployment = start_deployment(480, teams=[{"name": "red", "cpus": 40.0, "cpus_max": 60.0}])
     job = deployment.users.submit(job_spec(1, task_count=30, estimated_run_s=120.0))
     deployment.run(20.0)
     node = manager_of(deployment, job)
-    recorder = Recorder(deployment, node)
+    recorder = RequestRecorder(deployment, node)
     deployment.run(10.0)
-    usual = recorder.count_outside()
+    usual = recorder.count_store_and_cloud_requests()
     assert usual > 0
     deployment.nodes.freeze(node, leases * deployment.lease_s)
     deployment.run(leases * deployment.lease_s)
     recorder.requests.clear()
     deployment.run(2.0)
     # In the two seconds after it goes on no more than in ten ordinary ones.
-    assert recorder.count_outside() <= usual
+    assert recorder.count_store_and_cloud_requests() <= usual
     assert deployment.users.wait_until_done(job, 300.0)
     assert not deployment.rules.violations
--- a/tests/core/leadership/test_promises.py
+++ b/tests/core/leadership/test_promises.py
@@ -4,25 +4,25 @@
 
 from tests.fakes.samples import job_spec
 from tests.fakes.simulated_deployment import SimulatedDeployment
-from tests.helpers import all_lead, incarnations, leader_of, started
+from tests.helpers import all_controllers_lead, agent_incarnations, leader_of, start_deployment
 
 
 def test_an_outage_longer_than_a_lease_loses_no_task_while_controllers_reach_each_other() -> None:
-    deployment = started(30)
+    deployment = start_deployment(30)
     job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=60.0))
     deployment.run(14.0)
     deployment.store.start_outage()
     deployment.run(35.0)
-    assert all_lead(deployment)
+    assert all_controllers_lead(deployment)
     deployment.store.end_outage()
     assert deployment.users.wait_until_done(job, 200.0)
-    assert incarnations(deployment) == {1}
+    assert agent_incarnations(deployment) == {1}
     assert len(deployment.tasks.starts) == 12
     assert not deployment.rules.violations
 
 
 def test_a_leader_that_the_store_refuses_alone_gets_no_promise_and_fails_over() -> None:
-    deployment = started(31)
+    deployment = start_deployment(31)
     job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=60.0))
     deployment.run(10.0)
     deployment.store.refused_nodes.add("n1")
@@ -31,13 +31,13 @@
     assert leader_of(deployment, 1) != "n1"
     deployment.store.refused_nodes.clear()
     assert deployment.users.wait_until_done(job, 300.0)
-    assert incarnations(deployment) == {1}
+    assert agent_incarnations(deployment) == {1}
     assert not deployment.rules.violations
 
 
 def run_into_an_outage_with_a_peer_missing(*, is_isolated: bool) -> None:
     """Isolate or restart one of three controllers in an outage: none gets all promises."""
-    deployment = started(32)
+    deployment = start_deployment(32)
     job = deployment.users.submit(job_spec(1, task_count=6, estimated_run_s=30.0))
     deployment.run(10.0)
     deployment.store.start_outage()
@@ -70,7 +70,7 @@
 
 
 def test_a_promise_holds_after_the_outage_and_for_a_controller_that_restarts() -> None:
-    deployment = started(33)
+    deployment = start_deployment(33)
     job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=40.0))
     deployment.run(10.0)
     deployment.store.start_outage()
--- a/tests/core/leadership/test_shard_recovery.py
+++ b/tests/core/leadership/test_shard_recovery.py
@@ -8,8 +8,8 @@
 from marblestair.core.runtime.store_requests import ListKeys, RequestPriority
 from marblestair.core.state import keys
 from tests.fakes.samples import job_spec
-from tests.helpers import manager_of, started
-from tests.recorder import Recorder
+from tests.helpers import manager_of, start_deployment
+from tests.recorder import RequestRecorder
 
 
 def test_a_shard_lost_and_regained_is_rebuilt_even_if_only_the_shard_map_is_read() -> None:
@@ -17,7 +17,7 @@
 
     It took the shard that came back to it for the one it had lost, and started what ran elsewhere.
     """
-    deployment = started(34)
+    deployment = start_deployment(34)
     deployment.users.submit(job_spec(1, task_count=9, estimated_run_s=30.0))
     deployment.run(8.0)
     controller = deployment.nodes.controller("n0")
@@ -47,10 +47,10 @@
     Polls of the shard's jobs filled that lane, and the agents' leases ran out before the shard was
     ready.
     """
-    deployment = started(415)
+    deployment = start_deployment(415)
     job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=60.0))
     deployment.run(2.0)
-    recorders = [Recorder(deployment, name) for name in deployment.nodes.names]
+    recorders = [RequestRecorder(deployment, name) for name in deployment.nodes.names]
     deployment.nodes.kill(manager_of(deployment, job), restart_after_s=60.0)
     deployment.run(8.0)
     listings = [
--- a/tests/core/leadership/test_store_lease.py
+++ b/tests/core/leadership/test_store_lease.py
@@ -7,7 +7,7 @@
 from marblestair.core.runtime.store_requests import CompareAndSwap
 from marblestair.core.state import keys
 from tests.fakes.samples import job_spec
-from tests.helpers import started
+from tests.helpers import start_deployment
 
 N0_KEY = keys.NODES + "n0"
 
@@ -15,7 +15,7 @@
 @pytest.mark.parametrize("late_s", [1.4, 2.5, 3.8, 6.0])
 def test_a_late_commit_of_a_nodes_key_does_not_tie_it_to_an_older_lease(late_s: float) -> None:
     """The key would end with the older lease, and others would take shards that are led."""
-    deployment = started(4100)
+    deployment = start_deployment(4100)
     job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=60.0))
     deployment.run(12.0)
     delays = iter([late_s, late_s])
@@ -40,7 +40,7 @@
             assert lease_id is not None
             # The authority ends no later than the lease that the key is tied to.
             expires_at = (
-                controller.leadership_services.lease.expires_at / deployment.nodes.drift["n0"]
+                controller.leadership_services.lease.expires_at / deployment.nodes.clock_rate["n0"]
             )
             assert expires_at <= deployment.store.leases[lease_id].expires_at
     assert has_led
--- a/tests/core/runtime/test_decision_log.py
+++ b/tests/core/runtime/test_decision_log.py
@@ -4,7 +4,7 @@
 
 from marblestair.core.runtime.decision_log import MAX_LINES_PER_S, Decision, DecisionLog
 from tests.fakes.samples import job_spec
-from tests.helpers import manager_of, started
+from tests.helpers import manager_of, start_deployment
 
 
 def test_lines_are_bounded_and_what_is_left_out_is_counted() -> None:
@@ -24,7 +24,7 @@
 
 def test_the_log_shows_who_knew_a_cancel_before_its_confirmation_and_what_allowed_it() -> None:
     """Answers at once, or time where a leader could not be asked."""
-    deployment = started()
+    deployment = start_deployment()
     first, second = (
         deployment.users.submit(job_spec(number, task_count=6, estimated_run_s=100.0))
         for number in (1, 2)
@@ -49,7 +49,7 @@
 
 
 def test_the_log_tells_a_release_from_an_end_and_counts_starts_and_stops() -> None:
-    deployment = started()
+    deployment = start_deployment()
     users = deployment.users
     parent = users.submit(job_spec(1, task_count=1, estimated_run_s=2.0))
     child = users.submit(job_spec(2, task_count=1, estimated_run_s=60.0, depends_on=[parent]))
--- a/tests/core/scheduling/test_best_effort.py
+++ b/tests/core/scheduling/test_best_effort.py
@@ -12,7 +12,7 @@
 from marblestair.settings import UNLIMITED, Team
 from tests.fakes.samples import MACHINE_TYPES, job_spec
 from tests.fakes.simulated_deployment import SimulatedDeployment
-from tests.helpers import START_UP_S, started
+from tests.helpers import START_UP_S, start_deployment
 
 GUARANTEED_TEAM = Team("red", 8.0, 24.0)
 BEST_EFFORT_TEAM = Team("guest", 0.0, 0.0)
@@ -57,7 +57,7 @@
 
 
 def test_best_effort_work_is_done_when_nobody_else_submits() -> None:
-    deployment = started(401, teams=TEAMS)
+    deployment = start_deployment(401, teams=TEAMS)
     users = deployment.users
     array = job_spec(1, team="guest", priority="low", task_count=40, estimated_run_s=6.0)
     gang = job_spec(2, team="guest", kind="gang", task_count=2, cpus=3.0, estimated_run_s=6.0)
@@ -67,7 +67,7 @@
 
 
 def test_best_effort_work_is_preempted_for_guaranteed_work_as_far_as_needed() -> None:
-    deployment = started(402, teams=TEAMS)
+    deployment = start_deployment(402, teams=TEAMS)
     deployment.cloud.capacity = 6
     filling = submit_filling_array(deployment, checkpoint_interval_s=5.0)
     deployment.run(40.0)
@@ -84,7 +84,7 @@
 
 
 def test_work_beyond_a_guarantee_does_not_preempt_best_effort_work() -> None:
-    deployment = started(403, teams=TEAMS)
+    deployment = start_deployment(403, teams=TEAMS)
     deployment.cloud.capacity = 6
     filling = submit_filling_array(deployment)
     deployment.run(40.0)
--- a/tests/core/scheduling/test_gangs.py
+++ b/tests/core/scheduling/test_gangs.py
@@ -11,12 +11,12 @@
 from tests.fakes.agent import FakeAgent
 from tests.fakes.samples import job_spec, wait_objective
 from tests.fakes.simulated_deployment import SimulatedDeployment
-from tests.helpers import led_shards, started
+from tests.helpers import led_shards, start_deployment
 from tests.scenarios.fleets import medium_fleet, whole_machine_gang
 
 
 def test_a_gang_larger_than_a_shards_quota_gets_that_of_the_others() -> None:
-    deployment = started(9)
+    deployment = start_deployment(9)
     # 12 CPUs are the whole limit of the team, of which each shard has a third.
     gang = deployment.users.submit(
         job_spec(1, kind="gang", team="blue", task_count=12, estimated_run_s=5.0)
@@ -83,7 +83,7 @@
     Its team's arrays used the whole limit, so no machine was planned for it, and quota that came
     free in its shard went where arrays had free capacity.
     """
-    deployment = started(13)
+    deployment = start_deployment(13)
     users, tasks = deployment.users, deployment.tasks
     arrays = users.submit_many((1, 2), team="blue", task_count=150, estimated_run_s=4.0)
     assert deployment.run_until(lambda: len(tasks.starts) >= 30, 60.0)
@@ -134,7 +134,7 @@
 
 
 def test_work_does_not_wait_beside_a_machine_that_is_reserved_for_gangs() -> None:
-    deployment = started(4210, objectives=[wait_objective(6.0)])
+    deployment = start_deployment(4210, objectives=[wait_objective(6.0)])
     users, tasks = deployment.users, deployment.tasks
     deployment.cloud.capacity = 1
     gang = users.submit(
@@ -178,7 +178,7 @@
     It is completed, started again whole, or stopped whole, and what it uses comes free.
     """
     rng = random.Random(seed)
-    deployment = started(3200 + seed)
+    deployment = start_deployment(3200 + seed)
     users = deployment.users
     deployment.agent_link.duplicate_ratio = 0.05
     gang = users.submit(
--- a/tests/core/scheduling/test_inherited_urgency.py
+++ b/tests/core/scheduling/test_inherited_urgency.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from tests.core.jobs.pipelines import submit_pipeline
-from tests.helpers import started
+from tests.helpers import start_deployment
 
 
 def test_priority_and_deadline_of_the_last_job_reach_those_before_it() -> None:
-    deployment = started()
+    deployment = start_deployment()
     jobs = [spec.id for spec in submit_pipeline(deployment, deadline_s=100.0)]
     deployment.run(2.0)
     controller = deployment.nodes.current("n0")
--- a/tests/core/scheduling/test_placement.py
+++ b/tests/core/scheduling/test_placement.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from tests.fakes.samples import job_spec
-from tests.helpers import started
+from tests.helpers import start_deployment
 
 
 def test_jobs_of_one_zone_and_gangs_spread_over_zones() -> None:
-    deployment = started(10)
+    deployment = start_deployment(10)
     users = deployment.users
     together = users.submit(job_spec(1, task_count=8, single_zone=True))
     spread = users.submit(job_spec(2, task_count=5, spread_zones=True, kind="gang", zone=None))
--- a/tests/core/scheduling/test_preemption.py
+++ b/tests/core/scheduling/test_preemption.py
@@ -6,12 +6,12 @@
 
 from marblestair.core.domain.agents import CommandVerb, TaskCommand
 from tests.fakes.samples import job_spec, wait_objective
-from tests.helpers import started
+from tests.helpers import start_deployment
 from tests.scenarios.fleets import FLEET_AGENTS, TEAM_NAMES, large_fleet, submit_arrays
 
 
 def test_a_latency_sensitive_gang_of_higher_priority_preempts_arrays() -> None:
-    deployment = started(38, objectives=[wait_objective(4.0)])
+    deployment = start_deployment(38, objectives=[wait_objective(4.0)])
     users, tasks = deployment.users, deployment.tasks
     deployment.cloud.capacity = 1
     low = users.submit(job_spec(1, task_count=16, estimated_run_s=60.0, machine_types=["t8"]))
@@ -48,7 +48,7 @@
     The team's urgent gangs waited for minutes. The class had two objectives, too, and only the
     longer one counted.
     """
-    deployment = started(42, objectives=[wait_objective(4.0), wait_objective(60.0, 0.97)])
+    deployment = start_deployment(42, objectives=[wait_objective(4.0), wait_objective(60.0, 0.97)])
     users, tasks = deployment.users, deployment.tasks
     arrays = users.submit(job_spec(1, team="blue", task_count=40, estimated_run_s=60.0))
     assert deployment.run_until(lambda: len(tasks.starts) >= 12, 40.0)
@@ -67,7 +67,7 @@
 
 
 def test_a_reclaim_notice_saves_checkpoints_and_reconciles_the_rest_early() -> None:
-    deployment = started(39)
+    deployment = start_deployment(39)
     users, tasks = deployment.users, deployment.tasks
     with_checkpoints = users.submit(
         job_spec(
--- a/tests/core/scheduling/test_quota.py
+++ b/tests/core/scheduling/test_quota.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from tests.helpers import started
+from tests.helpers import start_deployment
 
 
 def test_the_limit_of_a_team_holds_across_failovers() -> None:
-    deployment = started(8)
+    deployment = start_deployment(8)
     jobs = deployment.users.submit_many((1, 2), team="blue", task_count=20, estimated_run_s=8.0)
     for number in range(6):
         deployment.run(7.0)
--- a/tests/core/scheduling/test_slice_migration.py
+++ b/tests/core/scheduling/test_slice_migration.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.fakes.samples import job_spec
-from tests.helpers import led_shards, started
+from tests.helpers import led_shards, start_deployment
 
 
 def test_an_earlier_migration_does_not_restore_what_a_later_one_dropped() -> None:
@@ -14,7 +14,7 @@
     The end of one migration put the task numbers of the next one back while that was being
     committed.
     """
-    deployment = started(20)
+    deployment = start_deployment(20)
     deployment.cloud.capacity = 1
     job = deployment.users.submit(job_spec(1, task_count=30, team="red", estimated_run_s=30.0))
     deployment.run(3.0)
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize("seed", range(200, 204))
 def test_a_crowded_fleet_with_many_migrations_breaks_no_rule(seed: int) -> None:
-    deployment = started(seed)
+    deployment = start_deployment(seed)
     rng, names = deployment.rng, deployment.nodes.names
     deployment.cloud.capacity = 3
     deployment.store_link.lost_response_ratio = 0.03
--- a/tests/core/scheduling/test_starvation.py
+++ b/tests/core/scheduling/test_starvation.py
@@ -7,7 +7,7 @@
 from marblestair.core.shard.machine import Machine
 from tests.fakes.samples import job_spec
 from tests.fakes.simulated_deployment import SimulatedDeployment
-from tests.helpers import started
+from tests.helpers import start_deployment
 
 #: task counts of the jobs of a flood, in turn
 FLOOD_SIZES = [4, 4, 4, 4, 30]
@@ -16,7 +16,7 @@
 
 
 def test_in_a_flood_the_largest_jobs_begin_and_every_job_stays_known() -> None:
-    deployment = started(90)
+    deployment = start_deployment(90)
     deployment.cloud.capacity = 3
     # Several times what the fleet can do, all with deadlines, which the large ones never meet.
     sizes = {}
--- a/tests/core/shard/test_failing_jobs.py
+++ b/tests/core/shard/test_failing_jobs.py
@@ -7,7 +7,7 @@
 from marblestair.core.domain.agents import TaskCommand
 from tests.fakes.agent import FakeAgent, FakeTask
 from tests.fakes.samples import job_spec
-from tests.helpers import leader_of, started
+from tests.helpers import leader_of, start_deployment
 
 
 class AttemptRecorder:
@@ -37,7 +37,7 @@
 
     A healthy fleet was returned and rented again.
     """
-    deployment = started(430)
+    deployment = start_deployment(430)
     users, agents = deployment.users, deployment.agents
     healthy = users.submit(job_spec(1, team="blue", task_count=8, estimated_run_s=200.0))
     deployment.run(15.0)
@@ -68,7 +68,7 @@
 def test_a_new_leader_does_not_begin_a_failing_job_at_full_width(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    deployment = started(431)
+    deployment = start_deployment(431)
     users = deployment.users
     healthy = users.submit(job_spec(1, team="blue", task_count=6, estimated_run_s=300.0))
     attempts = AttemptRecorder(monkeypatch, "job-000002")
@@ -84,7 +84,7 @@
 
 
 def test_a_job_that_fails_everywhere_does_not_block_others() -> None:
-    deployment = started(18)
+    deployment = start_deployment(18)
     users = deployment.users
     failing = users.submit(job_spec(1, job_class="bad", task_count=4))
     healthy = users.submit(job_spec(2, task_count=4))
@@ -94,7 +94,7 @@
 
 
 def test_a_faulty_machine_delays_no_healthy_job_and_none_is_quarantined() -> None:
-    deployment = started(432)
+    deployment = start_deployment(432)
     users = deployment.users
     first = users.submit(job_spec(1, task_count=12, estimated_run_s=4.0))
     assert users.wait_until_done(first, 60.0)
@@ -112,7 +112,7 @@
 
 
 def test_no_machines_are_rented_on_for_a_job_that_always_fails() -> None:
-    deployment = started(434, teams=[{"name": "red", "cpus": 8.0, "cpus_max": 0.0}])
+    deployment = start_deployment(434, teams=[{"name": "red", "cpus": 8.0, "cpus_max": 0.0}])
     deployment.users.submit(job_spec(1, job_class="bad", task_count=400, estimated_run_s=20.0))
     deployment.run(40.0)
     assert len(deployment.agents) > 8
--- a/tests/core/shard/test_heartbeat_duplicates.py
+++ b/tests/core/shard/test_heartbeat_duplicates.py
@@ -8,12 +8,12 @@
 from marblestair.core.domain.agents import ExitReason, TaskState, TaskStatus
 from marblestair.core.state import keys
 from tests.fakes.samples import job_spec
-from tests.helpers import shard_with_machine, started
+from tests.helpers import shard_with_machine, start_deployment
 
 
 @pytest.mark.parametrize("seed", range(60, 64))
 def test_late_duplicates_of_heartbeats_change_nothing(seed: int) -> None:
-    deployment = started(seed)
+    deployment = start_deployment(seed)
     rng, nodes = deployment.rng, deployment.nodes
     deployment.agent_link.duplicate_ratio = 0.6
     jobs = []
@@ -32,7 +32,7 @@
 
 
 def test_a_late_duplicate_of_a_released_machine_revives_nothing() -> None:
-    deployment = started(65)
+    deployment = start_deployment(65)
     job = deployment.users.submit(job_spec(1, task_count=6, estimated_run_s=3.0))
     assert deployment.users.wait_until_done(job, 60.0)
     agents = deployment.agents
@@ -46,12 +46,12 @@
             deployment.agent_link.deliver_duplicate(name, heartbeat)
             deployment.run(0.3)
     deployment.run(5.0)
-    assert not deployment.store.keys_with(keys.MACHINES)
+    assert not deployment.store.keys_with_prefix(keys.MACHINES)
     assert not deployment.rules.violations
 
 
 def test_a_late_duplicate_reconciles_no_task_after_a_failover() -> None:
-    deployment = started(66)
+    deployment = start_deployment(66)
     job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=60.0))
     deployment.run(15.0)
     # Heartbeats from before the launches: they list nothing.
@@ -73,7 +73,7 @@
 
 
 def test_an_old_duplicate_neither_withdraws_nor_brings_a_reclaim_notice() -> None:
-    deployment = started(67)
+    deployment = start_deployment(67)
     job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=60.0))
     deployment.run(14.0)
     agent = deployment.busy_agents[0]
@@ -95,7 +95,7 @@
 
 
 def test_a_duplicate_from_an_earlier_incarnation_brings_no_task_back() -> None:
-    deployment = started(68)
+    deployment = start_deployment(68)
     job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=90.0))
     deployment.run(14.0)
     agent = deployment.busy_agents[0]
--- a/tests/core/shard/test_reconciliation.py
+++ b/tests/core/shard/test_reconciliation.py
@@ -14,7 +14,7 @@
 from tests.fakes.agent import FakeAgent
 from tests.fakes.samples import job_spec
 from tests.fakes.simulated_deployment import SimulatedDeployment
-from tests.helpers import leader_of_machine, started
+from tests.helpers import leader_of_machine, start_deployment
 
 #: term of the new leader
 TERM = 99
@@ -32,7 +32,7 @@
 
 def fail_over(seed: int) -> Failover:
     """Give the machine of a busy agent to a new leader, with the slice of its job."""
-    deployment = started(seed)
+    deployment = start_deployment(seed)
     job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=60.0))
     deployment.run(14.0)
     agent = deployment.busy_agents[0]
@@ -84,7 +84,7 @@
 
 def test_an_agent_forgets_a_result_only_once_a_page_contains_it() -> None:
     """Else only this process would know it, which may end."""
-    deployment = started(4230)
+    deployment = start_deployment(4230)
     job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=60.0))
     deployment.run(14.0)
     agent = deployment.busy_agents[0]
--- a/tests/core/shard/test_unresponsive_agents.py
+++ b/tests/core/shard/test_unresponsive_agents.py
@@ -7,11 +7,11 @@
 from marblestair.core.domain.agents import CommandVerb, TaskCommand
 from marblestair.core.shard.heartbeat_response import HeartbeatResponse
 from tests.fakes.samples import job_spec
-from tests.helpers import leader_of_machine, started
+from tests.helpers import leader_of_machine, start_deployment
 
 
 def test_work_goes_around_machines_that_hang_or_fail_tasks() -> None:
-    deployment = started(17)
+    deployment = start_deployment(17)
     users = deployment.users
     jobs = users.submit_many(range(1, 4), task_count=8, estimated_run_s=6.0)
     deployment.run(10.0)
@@ -25,7 +25,7 @@
 
 
 def test_an_inbound_partitioned_machine_loses_its_work_and_gets_no_more() -> None:
-    deployment = started(50)
+    deployment = start_deployment(50)
     users, tasks = deployment.users, deployment.tasks
     first = users.submit(job_spec(1, task_count=12, estimated_run_s=30.0))
     deployment.run(14.0)
@@ -49,7 +49,7 @@
 
 
 def test_a_new_machine_that_never_receives_a_response_delays_nothing() -> None:
-    deployment = started(51, teams=[{"name": "red", "cpus": 24.0, "cpus_max": 24.0}])
+    deployment = start_deployment(51, teams=[{"name": "red", "cpus": 24.0, "cpus_max": 24.0}])
     job = deployment.users.submit(job_spec(1, task_count=16, estimated_run_s=6.0))
     deployment.run(1.0)
     assert deployment.run_until(lambda: len(deployment.agents) >= 2, 10.0)
@@ -61,7 +61,7 @@
 
 
 def test_a_cancel_reaches_inbound_partitioned_machines_in_time() -> None:
-    deployment = started(52)
+    deployment = start_deployment(52)
     job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=200.0))
     deployment.run(14.0)
     for agent in deployment.busy_agents:
@@ -75,7 +75,7 @@
 
 
 def test_a_failover_waits_for_an_inbound_partitioned_machines_lease_and_no_longer() -> None:
-    deployment = started(53, 2)
+    deployment = start_deployment(53, 2)
     job = deployment.users.submit(job_spec(1, task_count=12, estimated_run_s=4.0))
     assert deployment.run_until(lambda: len(deployment.tasks.starts) >= 4, 20.0)
     agent = deployment.busy_agents[0]
@@ -88,7 +88,7 @@
 
 
 def test_an_inbound_partitioned_machine_is_not_sent_launches_on_and_on() -> None:
-    deployment = started(54, 1)
+    deployment = start_deployment(54, 1)
     users = deployment.users
     jobs = users.submit_many((1, 2), task_count=8, estimated_run_s=10.0)
     assert deployment.run_until(lambda: len(deployment.busy_agents) >= 2, 30.0)
@@ -119,7 +119,7 @@
 
 
 def test_machines_that_were_all_partitioned_serve_again_once_responses_arrive() -> None:
-    deployment = started(4200, 1)
+    deployment = start_deployment(4200, 1)
     users = deployment.users
     deployment.cloud.capacity = 3
     users.submit(job_spec(1, task_count=36, estimated_run_s=8.0))
--- a/tests/core/state/test_store_limits.py
+++ b/tests/core/state/test_store_limits.py
@@ -22,7 +22,7 @@
     raw_node_settings,
 )
 from tests.fakes.simulated_deployment import SimulatedDeployment
-from tests.helpers import START_UP_S, led_shards, manager_of, started
+from tests.helpers import START_UP_S, led_shards, manager_of, start_deployment
 
 
 @pytest.mark.parametrize(
@@ -103,13 +103,13 @@
     submit_all(deployment, *specs)
     assert wait_until_all_done(deployment, specs, 400.0)
     deployment.run(10.0)
-    assert not deployment.store.keys_with(keys.JOBS)
+    assert not deployment.store.keys_with_prefix(keys.JOBS)
     assert not deployment.store.oversized_commits
     assert not deployment.rules.violations
 
 
 def test_a_commit_that_is_refused_is_counted_and_logged_as_a_defect() -> None:
-    controller = started(1).nodes.controller("n0")
+    controller = start_deployment(1).nodes.controller("n0")
     rejected_writes, log_lines = controller.rejected_writes, controller.context.outbox.log_lines
     rejected_writes.record(CompareAndSwap([], [Put("main/w/node/n0", 1, lease_id=5)]))
     assert controller.status_report.collect()["refused_commits"] == 0
@@ -120,7 +120,7 @@
 
 
 def test_a_refused_change_of_a_record_is_not_repeated_at_once() -> None:
-    deployment = started(1)
+    deployment = start_deployment(1)
     job = deployment.users.submit(job_spec(1, task_count=1, estimated_run_s=60.0))
     deployment.store.set_limits(dict(value_kb=0.1))
     deployment.users.request(manager_of(deployment, job), "cancel", job)
@@ -149,7 +149,9 @@
 
 
 def test_no_record_outgrows_a_value() -> None:
-    deployment = started(10, state=dict(rps=100.0, write_rps=40.0, value_kb=0.5, txn_ops=8))
+    deployment = start_deployment(
+        10, state=dict(rps=100.0, write_rps=40.0, value_kb=0.5, txn_ops=8)
+    )
     # A description that leaves no space for the slices is refused for good, at every node.
     types = [f"type-{number:04d}-{'x' * 20}" for number in range(40)]
     spec = job_spec(1, machine_types=[*types, "t8"])
--- a/tests/core/test_status.py
+++ b/tests/core/test_status.py
@@ -7,11 +7,11 @@
 from tests.fakes.peer_wire import deliver_request
 from tests.fakes.samples import job_spec
 from tests.fakes.wire_message import WireMessage
-from tests.helpers import manager_of, started
+from tests.helpers import manager_of, start_deployment
 
 
 def test_the_status_shows_shards_terms_quotas_and_backlog() -> None:
-    deployment = started(35)
+    deployment = start_deployment(35)
     deployment.users.submit(job_spec(1, task_count=9, estimated_run_s=30.0))
     deployment.run(3.0)
     controller = deployment.nodes.controller("n1")
@@ -32,7 +32,7 @@
 
 
 def test_the_status_shows_what_a_waiting_job_depends_on() -> None:
-    deployment = started()
+    deployment = start_deployment()
     parent = deployment.users.submit(job_spec(1, task_count=1, estimated_run_s=60.0))
     child = deployment.users.submit(job_spec(2, depends_on=[parent]))
     deployment.run(1.0)
--- a/tests/fakes/agent.py
+++ b/tests/fakes/agent.py
@@ -21,7 +21,7 @@
     from tests.fakes.simulated_deployment import SimulatedDeployment
 
 #: pace at which tasks go on
-STEP_S = 0.25
+TASK_STEP_S = 0.25
 #: how often an unresponsive agent tries again what it cannot do now
 UNRESPONSIVE_RETRY_S = 0.5
 #: pause between two heartbeats: at least, at most
@@ -34,7 +34,7 @@
 MAX_REDIRECT_PAUSE_S = 0.5
 #: pause before the first heartbeat of a new incarnation: after a lost lease, and after a restart
 LEASE_LOST_PAUSE_S = 0.1
-MIN_RESTART_S, MAX_RESTART_S = 0.05, 0.5
+MIN_RESTART_PAUSE_S, MAX_RESTART_PAUSE_S = 0.05, 0.5
 #: class of the jobs whose tasks all fail
 FAILING_CLASS = "bad"
 
@@ -187,7 +187,7 @@
         def time_out() -> None:
             if not self.is_released and number == self._heartbeat_number:
                 self._heartbeat_number += 1
-                self._turn_to_next_node()
+                self._retry_at_next_node()
 
         deployment.schedule(RESPONSE_TIMEOUT_S, time_out)
         deployment.agent_link.send_heartbeat(node, heartbeat, receive)
@@ -215,9 +215,9 @@
             pause_s = deployment.rng.uniform(0.0, MAX_REDIRECT_PAUSE_S)
             deployment.schedule(pause_s, self.send_heartbeat)
         else:
-            self._turn_to_next_node()
+            self._retry_at_next_node()
 
-    def _turn_to_next_node(self) -> None:
+    def _retry_at_next_node(self) -> None:
         self._node_index += 1
         self.deployment.schedule(NEXT_NODE_PAUSE_S, self.send_heartbeat)
 
@@ -288,12 +288,12 @@
             for index, amount in enumerate(self.machine_type.capacity)
         ]
 
-    def _is_lease_over(self) -> bool:
+    def _is_lease_expired(self) -> bool:
         return self.deployment.now - self.lease_renewed_at > self.deployment.lease_s
 
     def _check_lease(self) -> None:
         """Drop all tasks once the lease is over, and go on as a new incarnation."""
-        if self._is_lease_over():
+        if self._is_lease_expired():
             self._begin_incarnation()
             self.deployment.schedule(LEASE_LOST_PAUSE_S, self.send_heartbeat)
 
@@ -301,7 +301,8 @@
         """Restart within a fraction of a second: a new incarnation, without tasks."""
         self._begin_incarnation()
         self.deployment.schedule(
-            self.deployment.rng.uniform(MIN_RESTART_S, MAX_RESTART_S), self.send_heartbeat
+            self.deployment.rng.uniform(MIN_RESTART_PAUSE_S, MAX_RESTART_PAUSE_S),
+            self.send_heartbeat,
         )
 
     def _begin_incarnation(self) -> None:
@@ -314,9 +315,9 @@
         """Let the tasks go on by one step."""
         if self.is_released:
             return
-        self.deployment.schedule(STEP_S, self._advance)
+        self.deployment.schedule(TASK_STEP_S, self._advance)
         if self.is_unresponsive:
-            if self._is_lease_over():
+            if self._is_lease_expired():
                 self.tasks = {}
             return
         self._check_lease()
@@ -334,14 +335,14 @@
     def _fetch(self, task: FakeTask) -> None:
         """Fetch the image of a task."""
         if task.fetch_remaining_s > 0.0:
-            task.fetch_remaining_s -= STEP_S
+            task.fetch_remaining_s -= TASK_STEP_S
         else:
             task.state = TaskState.WAITING if self._is_in_gang(task) else TaskState.RUNNING
 
     def _wait_for_gang(self, task: FakeTask) -> None:
         """Begin to run a gang once all its tasks wait."""
         deployment = self.deployment
-        task.gang_wait_s += STEP_S
+        task.gang_wait_s += TASK_STEP_S
         gang = deployment.tasks.gang(task)
         is_complete = len(gang) == deployment.tasks.specs[task.job].task_count
         if is_complete and all(member.task.state == TaskState.WAITING for member in gang):
@@ -358,12 +359,12 @@
             len(gang) < ledger.specs[task.job].task_count
             or any(member.agent.is_unresponsive for member in gang)
         ):
-            task.gang_wait_s += STEP_S
+            task.gang_wait_s += TASK_STEP_S
             if task.gang_wait_s > self.deployment.agent_settings.gang_peer_s:
                 task.exit(ExitReason.PEER_LOST)
             return
         task.gang_wait_s = 0.0
-        task.remaining_s -= STEP_S
+        task.remaining_s -= TASK_STEP_S
         if task.remaining_s <= 0:
             for done in [member.task for member in gang] or [task]:
                 done.exit(ExitReason.DONE)
--- a/tests/fakes/agent_link.py
+++ b/tests/fakes/agent_link.py
@@ -18,7 +18,7 @@
 #: time after which a controller gives an inspection up
 INSPECTION_TIMEOUT_S = 1.5
 #: time in which an agent finds that a connection is refused
-CONNECTION_REFUSED_S = 0.001
+CONNECTION_REFUSED_DELAY_S = 0.001
 #: how late a duplicate of a heartbeat arrives: at least, and at most in leases
 MIN_DUPLICATE_DELAY_S = 2.0
 MAX_DUPLICATE_DELAY_LEASES = 3.5
@@ -41,11 +41,11 @@
         deployment = self._deployment
 
         def deliver() -> None:
-            if deployment.nodes.postpone(node, deliver):
+            if deployment.nodes.defer_while_frozen(node, deliver):
                 return
             controller = deployment.nodes.controllers.get(node)
             if controller is None:
-                deployment.schedule(CONNECTION_REFUSED_S, lambda: respond(CONNECTION_REFUSED))
+                deployment.schedule(CONNECTION_REFUSED_DELAY_S, lambda: respond(CONNECTION_REFUSED))
                 return
             deployment.nodes.set_time(controller)
             response = controller.receive_heartbeat(heartbeat)
@@ -68,7 +68,7 @@
     def _respond(self, node: str, machine: str, deliver: Callable[[], None]) -> None:
         """Send a response, once the node does not stand still."""
         deployment = self._deployment
-        if deployment.nodes.postpone(node, lambda: self._respond(node, machine, deliver)):
+        if deployment.nodes.defer_while_frozen(node, lambda: self._respond(node, machine, deliver)):
             return
         if not deployment.agents[machine].inbound_partitioned:
             deployment.network.send(node, machine, deliver)
@@ -76,7 +76,7 @@
     def deliver_duplicate(self, node: str, heartbeat: Heartbeat) -> None:
         """Have a duplicate of a heartbeat arrive at a node; its response goes nowhere."""
         nodes = self._deployment.nodes
-        if nodes.postpone(node, lambda: self.deliver_duplicate(node, heartbeat)):
+        if nodes.defer_while_frozen(node, lambda: self.deliver_duplicate(node, heartbeat)):
             return
         controller = nodes.controllers.get(node)
         if controller is not None:
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -22,7 +22,7 @@
     from tests.fakes.simulated_deployment import SimulatedDeployment
 
 #: time after which a controller gives a request up
-TIMEOUT_S = 4.0
+RESPONSE_TIMEOUT_S = 4.0
 #: how late a machine is in the list
 LIST_LAG_S = 5.0
 #: ratios of its type's boot time between which that of a machine is drawn
@@ -46,7 +46,7 @@
     def send(self, node: str, request: CloudRequest, call: PendingCall) -> None:
         """Carry a request of a controller to the cloud, and its response back."""
         deployment = self._deployment
-        deployment.schedule(TIMEOUT_S, lambda: call.complete(CloudResponse(0)))
+        deployment.schedule(RESPONSE_TIMEOUT_S, lambda: call.complete(CloudResponse(0)))
 
         def execute() -> None:
             response = self.execute(request)
--- a/tests/fakes/network.py
+++ b/tests/fakes/network.py
@@ -24,31 +24,31 @@
         self._events = events
         self._rng = rng
         self._hosts = hosts
-        self._dropping_cuts: set[frozenset[str]] = set()
-        self._delaying_cuts: set[frozenset[str]] = set()
-        self._delayed: list[Callable[[], None]] = []
+        self._dropping_links: set[frozenset[str]] = set()
+        self._delaying_links: set[frozenset[str]] = set()
+        self._delayed_packets: list[Callable[[], None]] = []
         #: messages between controllers that get lost, by their tag
         self.dropped_tags: set[str] = set()
 
     def send(self, sender: str, receiver: str, deliver: Callable[[], None]) -> None:
         """Deliver a packet between two hosts, as far as no cut is between them."""
         pair = frozenset((sender, receiver))
-        if pair in self._delaying_cuts:
-            self._delayed.append(deliver)
-        elif pair not in self._dropping_cuts:
+        if pair in self._delaying_links:
+            self._delayed_packets.append(deliver)
+        elif pair not in self._dropping_links:
             self._events.schedule(self._rng.uniform(MIN_LATENCY_S, MAX_LATENCY_S), deliver)
 
     def drops(self, sender: str, receiver: str) -> bool:
         """Whether packets between two hosts are dropped."""
-        return frozenset((sender, receiver)) in self._dropping_cuts
+        return frozenset((sender, receiver)) in self._dropping_links
 
     def isolate(self, host: str, *others: str, delay: bool = False) -> None:
         """Cut a host from others (all hosts when none are named).
 
         Packets are dropped, or delayed until the cut ends.
         """
-        cuts = self._delaying_cuts if delay else self._dropping_cuts
-        cuts.update(frozenset((host, other)) for other in others or self._hosts())
+        links = self._delaying_links if delay else self._dropping_links
+        links.update(frozenset((host, other)) for other in others or self._hosts())
 
     def isolate_group(self, group: list[str]) -> None:
         """Cut a group of hosts from all others, the store and the cloud."""
@@ -58,8 +58,8 @@
 
     def heal(self) -> None:
         """End all cuts; delayed packets are delivered in order."""
-        self._dropping_cuts.clear()
-        self._delaying_cuts.clear()
-        delayed, self._delayed = self._delayed, []
+        self._dropping_links.clear()
+        self._delaying_links.clear()
+        delayed, self._delayed_packets = self._delayed_packets, []
         for deliver in delayed:
             self._events.schedule(DELAYED_LATENCY_S, deliver)
--- a/tests/fakes/nodes.py
+++ b/tests/fakes/nodes.py
@@ -20,7 +20,7 @@
 from marblestair.core.shard.heartbeat_response import HeartbeatResponse
 from tests.fakes.pending_call import PendingCall
 from tests.fakes.production import ProductionController
-from tests.fakes.samples import EPOCH, node_settings, raw_node_settings
+from tests.fakes.samples import START_WALL_TIME_S, node_settings, raw_node_settings
 from tests.fakes.store import RequestOrder
 
 if TYPE_CHECKING:
@@ -29,9 +29,9 @@
 #: pause between two ticks of a controller
 TICK_S = 0.2
 #: by how much clocks run too fast or too slow, at most
-MAX_DRIFT = 0.0005
+MAX_CLOCK_DRIFT_FRACTION = 0.0005
 #: by how much the steady clocks of two nodes differ
-CLOCK_OFFSET_S = 100
+CLOCK_OFFSET_PER_NODE_S = 100
 
 CLOUD_REQUESTS = (ListMachineTypes, RentMachines, ReleaseMachines, ListMachines)
 
@@ -65,14 +65,15 @@
         self.in_production = set(self.names) if in_production else set()
         self.controllers: dict[str, Controller | None] = dict.fromkeys(self.names)
         #: speed of each node's steady clock
-        self.drift = {
-            name: 1.0 + deployment.rng.uniform(-MAX_DRIFT, MAX_DRIFT) for name in self.names
+        self.clock_rate = {
+            name: 1.0 + deployment.rng.uniform(-MAX_CLOCK_DRIFT_FRACTION, MAX_CLOCK_DRIFT_FRACTION)
+            for name in self.names
         }
         #: nodes that stand still while time passes, and until when
         self._frozen_until: dict[str, float] = {}
         #: carries a request of a controller out, by its number; a test may put another function
         #: in its place
-        self.carry_out: Callable[[Controller, int, Any], None] = self._carry_out
+        self.execute_request: Callable[[Controller, int, Any], None] = self._execute_request
         #: called with a node and what it is about to hand to the network
         self.on_output: Callable[[OutputKind, str, Any], None] | None = None
 
@@ -116,7 +117,7 @@
         index = self.names.index(name)
         incarnation = rng.getrandbits(50)
         own_rng = random.Random(rng.getrandbits(32))
-        clocks = self._steady_time(name), EPOCH + now
+        clocks = self._steady_time(name), START_WALL_TIME_S + now
         if name in self.in_production:
             return ProductionController(self._raw_settings[index], incarnation, own_rng, *clocks)
         return Controller(self.settings[index], incarnation, own_rng, *clocks)
@@ -142,7 +143,7 @@
         end = self._deployment.now + seconds
         self._frozen_until[name] = max(self._frozen_until.get(name, 0.0), end)
 
-    def postpone(self, name: str, action: Callable[[], object]) -> bool:
+    def defer_while_frozen(self, name: str, action: Callable[[], object]) -> bool:
         """Whether a node stands still; its action then comes when it goes on, in order."""
         remaining_s = self._frozen_until.get(name, 0.0) - self._deployment.now
         if remaining_s <= 0:
@@ -153,7 +154,7 @@
     def _tick(self, name: str, controller: Controller) -> None:
         if self.controllers[name] is not controller:
             return
-        if self.postpone(name, lambda: self._tick(name, controller)):
+        if self.defer_while_frozen(name, lambda: self._tick(name, controller)):
             return
         self.set_time(controller)
         controller.tick()
@@ -161,19 +162,19 @@
         self._deployment.schedule(TICK_S, lambda: self._tick(name, controller))
 
     def _steady_time(self, name: str) -> float:
-        offset_s = CLOCK_OFFSET_S * self.names.index(name)
-        return self._deployment.now * self.drift[name] + offset_s
+        offset_s = CLOCK_OFFSET_PER_NODE_S * self.names.index(name)
+        return self._deployment.now * self.clock_rate[name] + offset_s
 
     def set_time(self, controller: Controller) -> None:
         """Set a controller's clocks to this moment."""
         controller.set_time(
-            self._steady_time(controller.context.node), EPOCH + self._deployment.now
+            self._steady_time(controller.context.node), START_WALL_TIME_S + self._deployment.now
         )
 
     def complete(self, controller: Controller, number: int, result: Any) -> None:
         """Hand the result of a request to the controller that made it, if it still runs."""
         name = controller.context.node
-        if self.postpone(name, lambda: self.complete(controller, number, result)):
+        if self.defer_while_frozen(name, lambda: self.complete(controller, number, result)):
             return
         if self.controllers.get(name) is controller:
             self.set_time(controller)
@@ -185,7 +186,7 @@
         controller = self.controllers[name]
         if controller is None:
             return
-        if self.postpone(name, lambda: self.flush(name)):
+        if self.defer_while_frozen(name, lambda: self.flush(name)):
             return
         self._flush_requests(name, controller)
         deployment, outbox = self._deployment, controller.context.outbox
@@ -198,7 +199,7 @@
         peer_replies, outbox.peer_replies = outbox.peer_replies, []
         deployment.peer_link.send_replies(name, peer_replies)
         log_lines, outbox.log_lines = outbox.log_lines, []
-        deployment.record_log(name, log_lines)
+        deployment.append_log(name, log_lines)
 
     def _flush_requests(self, name: str, controller: Controller) -> None:
         coroutines = controller.context.coroutines
@@ -206,16 +207,18 @@
             requests, coroutines.requests = coroutines.requests, []
             for number, request in requests:
                 self._report(OutputKind.REQUEST, name, request)
-                late = functools.partial(self._carry_out_late, controller, number, request)
-                if not self.postpone(name, late):
-                    self.carry_out(controller, number, request)
+                late = functools.partial(
+                    self._execute_deferred_request, controller, number, request
+                )
+                if not self.defer_while_frozen(name, late):
+                    self.execute_request(controller, number, request)
 
-    def _carry_out_late(self, controller: Controller, number: int, request: Any) -> None:
+    def _execute_deferred_request(self, controller: Controller, number: int, request: Any) -> None:
         """Carry out a request that was made before a pause."""
         if self.controllers.get(controller.context.node) is controller:
-            self.carry_out(controller, number, request)
+            self.execute_request(controller, number, request)
 
-    def _carry_out(self, controller: Controller, number: int, request: Any) -> None:
+    def _execute_request(self, controller: Controller, number: int, request: Any) -> None:
         deployment, node = self._deployment, controller.context.node
         call = PendingCall(self, controller, number)
         if isinstance(request, PeerRequest):
--- a/tests/fakes/peer_link.py
+++ b/tests/fakes/peer_link.py
@@ -9,7 +9,7 @@
 from marblestair.core.runtime.requests import PeerRequest
 from tests.fakes.peer_wire import deliver, deliver_request, encode
 from tests.fakes.pending_call import PendingCall
-from tests.fakes.wire_message import WireMessage, over_the_wire
+from tests.fakes.wire_message import WireMessage, wire_round_trip
 
 if TYPE_CHECKING:
     from tests.fakes.simulated_deployment import SimulatedDeployment
@@ -42,7 +42,7 @@
 
     def _deliver(self, sender: str, node: str, message: WireMessage) -> None:
         nodes = self._deployment.nodes
-        if nodes.postpone(node, lambda: self._deliver(sender, node, message)):
+        if nodes.defer_while_frozen(node, lambda: self._deliver(sender, node, message)):
             return
         controller = nodes.controllers.get(node)
         if controller is not None:
@@ -59,7 +59,7 @@
             return
 
         def arrive() -> None:
-            if deployment.nodes.postpone(request.node, arrive):
+            if deployment.nodes.defer_while_frozen(request.node, arrive):
                 return
             peer = deployment.nodes.controllers.get(request.node)
             if peer is None:
@@ -90,10 +90,10 @@
             receive = self._pending.pop(reply.request_id, None)
             if receive is not None:
                 tag = self._tags.pop(reply.request_id)
-                self._reply(node, tag, over_the_wire(reply.value), receive)
+                self._reply(node, tag, wire_round_trip(reply.value), receive)
 
     def _reply(self, node: str, tag: str, value: Any, receive: Callable[[Any], None]) -> None:
         nodes = self._deployment.nodes
         nodes.report_peer_reply(node, tag, value)
-        if not nodes.postpone(node, lambda: receive(value)):
+        if not nodes.defer_while_frozen(node, lambda: receive(value)):
             receive(value)
--- a/tests/fakes/peer_wire.py
+++ b/tests/fakes/peer_wire.py
@@ -13,14 +13,14 @@
     tag_of,
 )
 from tests.fakes.production import ProductionController
-from tests.fakes.wire_message import WireMessage, over_the_wire
+from tests.fakes.wire_message import WireMessage, wire_round_trip
 
 
 def encode(message: PeerMessage) -> WireMessage:
     """A message as it goes over the wire; one of production's is that already."""
     if isinstance(message, WireMessage):
         return message
-    return WireMessage(tag_of(message), over_the_wire(arguments_of(message)))
+    return WireMessage(tag_of(message), wire_round_trip(arguments_of(message)))
 
 
 def deliver(controller: Any, sender: str, message: WireMessage) -> None:
--- a/tests/fakes/production.py
+++ b/tests/fakes/production.py
@@ -29,7 +29,7 @@
 from marblestair.core.runtime.requests import PeerRequest
 from marblestair.core.runtime.store_requests import Put
 from marblestair.core.shard.heartbeat_response import HeartbeatResponse
-from tests.fakes.wire_message import WireMessage, over_the_wire
+from tests.fakes.wire_message import WireMessage, wire_round_trip
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
 PACKAGE = "marblestair"
@@ -152,7 +152,7 @@
 
     def translate(self, value: Any) -> Any:
         """A value of the present version as production's, its structs by their names."""
-        return _translated(value, self._production_struct)
+        return _translate_structs(value, self._production_struct)
 
     def _production_struct(self, present: type) -> Any:
         module, _, name = PRODUCTION_STRUCTS[_full_name(present)].rpartition(".")
@@ -172,7 +172,7 @@
 
 def to_present(value: Any) -> Any:
     """A value of production as the present version's, its structs by their names."""
-    return _translated(value, _present_struct)
+    return _translate_structs(value, _present_struct)
 
 
 def _present_struct(old: type) -> Any:
@@ -195,15 +195,15 @@
     return list(dict.fromkeys(name.rpartition(".")[0] for name in names))
 
 
-def _translated(value: Any, other_struct: Callable[[type], Any]) -> Any:
+def _translate_structs(value: Any, other_struct: Callable[[type], Any]) -> Any:
     """A value with its structs replaced by those of the other version, field by field.
 
     Fields may have other names, but stand in the same order; the longer form has more at its end.
     """
     if isinstance(value, list):
-        return [_translated(item, other_struct) for item in value]
+        return [_translate_structs(item, other_struct) for item in value]
     if isinstance(value, tuple):
-        return tuple(_translated(item, other_struct) for item in value)
+        return tuple(_translate_structs(item, other_struct) for item in value)
     if not isinstance(value, msgspec.Struct):
         return value
     kind = other_struct(type(value))
@@ -213,7 +213,7 @@
     for name, other_name in zip(value.__struct_fields__, kind.__struct_fields__, strict=False):
         plain = is_put and name == "value"
         field = getattr(value, name)
-        fields[other_name] = field if plain else _translated(field, other_struct)
+        fields[other_name] = field if plain else _translate_structs(field, other_struct)
     return kind(**fields)
 
 
@@ -235,7 +235,7 @@
 def _present_request(call: Any) -> Any:
     if type(call).__name__ == "PeerCall":
         # What goes to another controller passes as it is on the wire.
-        message = WireMessage(call.tag, over_the_wire(call.args))
+        message = WireMessage(call.tag, wire_round_trip(call.args))
         return PeerRequest(call.node, message, call.timeout_s)
     return to_present(call)
 
@@ -265,7 +265,7 @@
     @property
     def messages(self) -> list[Any]:
         return [
-            OutgoingMessage(item.node, WireMessage(item.tag, over_the_wire(item.args)))
+            OutgoingMessage(item.node, WireMessage(item.tag, wire_round_trip(item.args)))
             for item in self._core.notes
         ]
 
@@ -276,7 +276,7 @@
     @property
     def peer_replies(self) -> list[Any]:
         return [
-            PeerReply(number, over_the_wire(value)) for number, value in self._core.peer_replies
+            PeerReply(number, wire_round_trip(value)) for number, value in self._core.peer_replies
         ]
 
     @peer_replies.setter
@@ -338,7 +338,7 @@
         if isinstance(result, msgspec.Struct):
             self.core.complete(call, self._production.translate(result))
         else:
-            self.core.complete(call, over_the_wire(result))
+            self.core.complete(call, wire_round_trip(result))
 
     def receive_heartbeat(self, heartbeat: Any) -> HeartbeatResponse:
         """Handle a heartbeat; its response."""
@@ -349,11 +349,11 @@
 
     def receive_message(self, node: str, tag: str, args: list[Any]) -> None:
         """Handle a one-way message of another controller."""
-        self.core.note(node, tag, over_the_wire(args))
+        self.core.note(node, tag, wire_round_trip(args))
 
     def receive_request(self, request: int, node: str, tag: str, args: list[Any]) -> None:
         """Handle a request of another controller."""
-        self.core.peer_request(request, node, tag, over_the_wire(args))
+        self.core.peer_request(request, node, tag, wire_round_trip(args))
 
     def request(self, kind: str, number: int, argument: Any) -> None:
         """Have the controller handle a user's request."""
--- a/tests/fakes/rules.py
+++ b/tests/fakes/rules.py
@@ -17,9 +17,9 @@
 #: pause between two checks of what runs
 CHECK_INTERVAL_S = 0.25
 #: by how much sums of decimals may exceed a limit
-ROUNDING = 1e-9
+MAX_ROUNDING_ERROR_CPUS = 1e-9
 #: time within which every job has to begin
-MAX_WAIT_S = 240.0
+MAX_START_DELAY_S = 240.0
 
 
 class FinalAnswer(NamedTuple):
@@ -46,7 +46,7 @@
         #: job -> when a user was first answered that it is cancelled
         self.cancel_confirmed_at: dict[str, float] = {}
         #: job -> when a user was first answered that it is over, done or cancelled
-        self.over_since: dict[str, float] = {}
+        self.final_since: dict[str, float] = {}
         self._waiting_rule = WaitingRule(deployment, self)
 
     @property
@@ -58,7 +58,7 @@
     def failures_ended_at(self, at: float) -> None:
         self._waiting_rule.failures_ended_at = at
 
-    def judge(
+    def check_reply(
         self, kind: str, argument: JobSpec | str, reply: UserReply, number: int | None = None
     ) -> None:
         """Judge a reply to a request, of which ``number`` is the place among all requests."""
@@ -66,28 +66,28 @@
             number = next(self._deployment.request_numbers)
         job = argument.id if isinstance(argument, JobSpec) else argument
         if kind == "submit":
-            self._judge_submission(job, reply.status)
+            self._check_submission(job, reply.status)
         if reply.status == 404 and job in self.accepted_at:
             self.violations.append(f"forgotten: {job} answered 404")
         if reply.status in (200, 201):
-            self._judge_state(job, reply.state, number)
+            self._check_state(job, reply.state, number)
 
-    def _judge_submission(self, job: str, status: int) -> None:
+    def _check_submission(self, job: str, status: int) -> None:
         if status in (200, 201):
             self.accepted_at.setdefault(job, self._deployment.now)
         elif status in (400, 422) and job in self.accepted_at:
             self.violations.append(f"forgotten: {job} refused with {status}")
 
-    def _judge_state(self, job: str, state: str, number: int) -> None:
+    def _check_state(self, job: str, state: str, number: int) -> None:
         if job not in self._deployment.tasks.specs:
             self.violations.append(f"invented: {job}")
             return
-        self._judge_order(job, state, number)
+        self._check_state_order(job, state, number)
         if state == JobState.CANCELLED and not self.is_cancel_requested(job):
             self.violations.append(f"went_back: {job} cancelled by nobody")
-        self._judge_orphan(job, state)
+        self._check_orphan(job, state)
         if state == JobState.DONE:
-            undone = self._deployment.tasks.undone(job)
+            undone = self._deployment.tasks.unfinished_tasks(job)
             if undone:
                 self.violations.append(f"not_done: {job} lacks {undone}")
         self._record_state(job, state)
@@ -95,12 +95,12 @@
     def _record_state(self, job: str, state: str) -> None:
         now = self._deployment.now
         if state in FINAL_STATES:
-            self.over_since.setdefault(job, now)
+            self.final_since.setdefault(job, now)
         if state == JobState.CANCELLED:
             self.cancel_confirmed_at.setdefault(job, now)
         self.last_state[job] = state
 
-    def _judge_order(self, job: str, state: str, number: int) -> None:
+    def _check_state_order(self, job: str, state: str, number: int) -> None:
         """Judge that no answer goes back.
 
         What was requested before a final state was answered may be answered with what was true
@@ -134,7 +134,7 @@
         """Whether the time that a cancel may take has passed since a moment."""
         return since is not None and self._deployment.now > since + self._deployment.cancel_s
 
-    def _judge_orphan(self, job: str, state: str) -> None:
+    def _check_orphan(self, job: str, state: str) -> None:
         """Judge that what depends on a cancelled job is not called live for too long."""
         if state not in (JobState.QUEUED, JobState.RUNNING):
             return
@@ -142,14 +142,14 @@
             if self._is_overdue(self.cancel_confirmed_at.get(ancestor)):
                 self.violations.append(f"orphaned: {job} called {state}, {ancestor} is cancelled")
 
-    def undone_dependencies(self, job: str) -> list[str]:
+    def unfinished_dependencies(self, job: str) -> list[str]:
         """The jobs that a job depends on and of which some task is not done."""
         tasks = self._deployment.tasks
         return [parent for parent in tasks.specs[job].depends_on if not tasks.is_done(parent)]
 
     def _startable_since(self, job: str) -> float:
         """When a job's tasks could start: accepted, and all that it depends on done."""
-        if self.undone_dependencies(job):
+        if self.unfinished_dependencies(job):
             return self._deployment.now
         tasks = self._deployment.tasks
         done_at = [tasks.done_at.get(parent, 0.0) for parent in tasks.specs[job].depends_on]
@@ -164,7 +164,7 @@
     def check_start(self, agent: FakeAgent, task: FakeTask) -> None:
         """Judge the start of a task, and record it."""
         self._deployment.tasks.record_start(task, agent.name)
-        undone = self.undone_dependencies(task.job)
+        undone = self.unfinished_dependencies(task.job)
         if undone:
             self.violations.append(f"too_early: {task.job} starts, {undone} are not done")
         self._check_runs_once(agent, task)
@@ -224,26 +224,26 @@
                 used_cpus[spec.team] = used_cpus.get(spec.team, 0.0) + spec.cpus
                 if self._is_overdue(self.cancel_confirmed_at.get(task.job)):
                     self.violations.append(f"ran_cancelled: {task.job} on {agent.name}")
-                self._check_left_over(agent, task)
+                self._check_orphaned_task(agent, task)
         for team in deployment.cluster.teams:
-            if used_cpus.get(team.name, 0.0) > team.cpu_limit + ROUNDING:
+            if used_cpus.get(team.name, 0.0) > team.cpu_limit + MAX_ROUNDING_ERROR_CPUS:
                 self.violations.append(f"quota: {team.name} uses {used_cpus[team.name]}")
 
-    def _check_left_over(self, agent: FakeAgent, task: FakeTask) -> None:
+    def _check_orphaned_task(self, agent: FakeAgent, task: FakeTask) -> None:
         """Judge that no task goes on that the controllers no longer know.
 
         A user was answered that its job is over, or that one before its job is cancelled, and it
         runs all the same.
         """
         over = {job: self.cancel_confirmed_at.get(job) for job in self.ancestors(task.job)}
-        over[task.job] = self.over_since.get(task.job)
+        over[task.job] = self.final_since.get(task.job)
         for job, since in over.items():
             if self._is_overdue(since):
                 self.violations.append(
                     f"orphaned: {task.job}/{task.index} on {agent.name}, {job} is over"
                 )
 
-    def unserved(self) -> list[str]:
+    def unstarted_and_starved(self) -> list[str]:
         """Jobs that did not begin in time, and classes and teams of which too little is done.
 
         Too little is less than half of what was accepted and not cancelled.
@@ -260,7 +260,10 @@
             spec = tasks.specs[job]
             for group in (f"class {spec.job_class}", f"team {spec.team}"):
                 is_done.setdefault(group, []).append(tasks.is_done(job))
-            if began.get(job, self._deployment.now) - self._startable_since(job) > MAX_WAIT_S:
+            if (
+                began.get(job, self._deployment.now) - self._startable_since(job)
+                > MAX_START_DELAY_S
+            ):
                 late.append(f"late: {job}")
         return late + [
             f"unserved: {group}" for group, done in is_done.items() if 2 * sum(done) < len(done)
--- a/tests/fakes/samples.py
+++ b/tests/fakes/samples.py
@@ -9,7 +9,7 @@
 from marblestair.core.domain.machines import MachineType
 
 #: wall-clock time at which a deployment begins
-EPOCH = 1_000_000.0
+START_WALL_TIME_S = 1_000_000.0
 
 
 def job_spec(number: int, **changes: Any) -> JobSpec:
--- a/tests/fakes/simulated_deployment.py
+++ b/tests/fakes/simulated_deployment.py
@@ -24,7 +24,7 @@
 from tests.fakes.rules import RuleChecker
 from tests.fakes.store import FakeStore
 from tests.fakes.store_link import StoreLink
-from tests.fakes.tasks import TaskLedger
+from tests.fakes.tasks import TaskHistory
 from tests.fakes.users import SimulatedUsers
 
 #: latest lines of the controllers' logs that are remembered
@@ -60,7 +60,7 @@
         self.store_link = StoreLink(self)
         self.agent_link = AgentLink(self)
         self.peer_link = PeerLink(self)
-        self.tasks = TaskLedger(self.rng, self._events)
+        self.tasks = TaskHistory(self.rng, self._events)
         self.rules = RuleChecker(self)
         self.users = SimulatedUsers(self)
         for name in self.nodes.names:
@@ -117,7 +117,7 @@
         """The agents among them that have live tasks."""
         return [agent for agent in self.serving_agents if agent.live_tasks]
 
-    def record_log(self, node: str, lines: list[LogLine]) -> None:
+    def append_log(self, node: str, lines: list[LogLine]) -> None:
         """Remember what a controller logs; an error is a defect."""
         errors = [line.text for line in lines if line.level == "error"]
         assert not errors, errors
--- a/tests/fakes/store.py
+++ b/tests/fakes/store.py
@@ -28,7 +28,7 @@
 #: keys that a late retry may create anew after their deletion: a membership is dropped like that
 #: of a machine that ended; a progress page says only what is done, which stays true; the name of a
 #: rental intent gives the same machines again, or none
-RECREATABLE = (keys.MACHINES, keys.PROGRESS, keys.RENTAL_INTENTS)
+RECREATABLE_PREFIXES = (keys.MACHINES, keys.PROGRESS, keys.RENTAL_INTENTS)
 
 
 class StoredValue(NamedTuple):
@@ -77,7 +77,7 @@
         self.change_count = 0
         #: limits of one value in bytes and of one commit in changes
         self.value_limit_bytes = UNLIMITED
-        self.commit_limit = UNLIMITED
+        self.max_changes_per_commit = UNLIMITED
         #: commits that were refused because they exceeded a limit
         self.oversized_commits: list[str] = []
         self.largest_value_bytes = 0
@@ -85,12 +85,12 @@
         #: same process: the checker reports them as violations
         self.unsafe_changes: list[str] = []
         #: (key, process) -> number of the latest request that changed the key
-        self._latest: dict[tuple[str, int], int] = {}
+        self._latest_request: dict[tuple[str, int], int] = {}
 
     def set_limits(self, limits: dict[str, Any]) -> None:
         """Have these limits of values and commits from now on, named as in the settings."""
         self.value_limit_bytes = int(limits.get("value_kb", 64) * 1024)
-        self.commit_limit = int(limits.get("txn_ops", UNLIMITED))
+        self.max_changes_per_commit = int(limits.get("txn_ops", UNLIMITED))
 
     def start_outage(self) -> None:
         """Answer all requests with 503 from now on."""
@@ -118,7 +118,7 @@
         """The version of a key, or 0."""
         return self.data[key].version if key in self.data else 0
 
-    def keys_with(self, prefix: str) -> list[str]:
+    def keys_with_prefix(self, prefix: str) -> list[str]:
         """The keys with a prefix."""
         return [key for key in self.data if key.startswith(prefix)]
 
@@ -220,7 +220,10 @@
         sizes = {put.key: len(msgspec.msgpack.encode(put.value)) for put in request.puts}
         largest = max(sizes.values(), default=0)
         self.largest_value_bytes = max(self.largest_value_bytes, largest)
-        if largest <= self.value_limit_bytes and request.change_count <= self.commit_limit:
+        if (
+            largest <= self.value_limit_bytes
+            and request.change_count <= self.max_changes_per_commit
+        ):
             return False
         self.oversized_commits.append(f"too large: {request.change_count} changes, {sizes}")
         return True
@@ -235,13 +238,13 @@
                 self.unsafe_changes.append(f"unguarded: {key}")
             if order is None:
                 continue
-            newest = self._latest.get((key, order.process), -1)
-            is_recreated = guarded.get(key) == 0 and key.startswith(RECREATABLE)
+            newest = self._latest_request.get((key, order.process), -1)
+            is_recreated = guarded.get(key) == 0 and key.startswith(RECREATABLE_PREFIXES)
             if order.number < newest and not is_recreated:
                 self.unsafe_changes.append(
                     f"reordered: {key}, request {order.number} after {newest}"
                 )
-            self._latest[(key, order.process)] = max(order.number, newest)
+            self._latest_request[(key, order.process)] = max(order.number, newest)
 
     def changes_after(self, prefix: str, revision: int) -> StoreResponse:
         """What a watch returns; 410 when the history does not reach back to the revision."""
--- a/tests/fakes/store_link.py
+++ b/tests/fakes/store_link.py
@@ -20,13 +20,13 @@
     from tests.fakes.simulated_deployment import SimulatedDeployment
 
 #: time after which a controller gives a request up
-TIMEOUT_S = 1.2
+RESPONSE_TIMEOUT_S = 1.2
 #: time in which a controller finds that the store is cut off
 CONNECT_TIMEOUT_S = 0.3
 #: how often a watch looks for changes
-WATCH_INTERVAL_S = 0.02
+WATCH_POLL_INTERVAL_S = 0.02
 #: how late a commit is carried out that comes late: at least, at most
-MIN_LATE_S, MAX_LATE_S = 0.5, 20.0
+MIN_COMMIT_DELAY_S, MAX_COMMIT_DELAY_S = 0.5, 20.0
 #: ratios of the latency between which the time of a request is drawn
 MIN_LATENCY_RATIO, MAX_LATENCY_RATIO = 0.5, 1.5
 
@@ -63,7 +63,7 @@
         """Answer a watch once there are changes, or when its time is over."""
         deployment = self._deployment
         wait_s = request.wait_ms / 1000
-        deployment.schedule(wait_s + TIMEOUT_S, lambda: call.complete(StoreResponse(0)))
+        deployment.schedule(wait_s + RESPONSE_TIMEOUT_S, lambda: call.complete(StoreResponse(0)))
         end = deployment.now + wait_s
 
         def poll() -> None:
@@ -75,7 +75,7 @@
                 if response.events or response.status != 200 or deployment.now >= end:
                     self._respond(node, call, response, self.watch_lag_s.get(node, 0.0))
                     return
-            deployment.schedule(WATCH_INTERVAL_S, poll)
+            deployment.schedule(WATCH_POLL_INTERVAL_S, poll)
 
         deployment.network.send(node, STORE, poll)
 
@@ -84,7 +84,7 @@
     ) -> None:
         """Send a request to the store, and its response back."""
         deployment = self._deployment
-        deployment.schedule(TIMEOUT_S, lambda: call.complete(StoreResponse(0)))
+        deployment.schedule(RESPONSE_TIMEOUT_S, lambda: call.complete(StoreResponse(0)))
 
         def execute() -> None:
             delay_s = self._commit_delay_s(node, request)
@@ -112,7 +112,7 @@
             return None
         delay_s = self.commit_delay_s(node, request)
         if self._deployment.rng.random() < self.late_commit_ratio:
-            delay_s = self._deployment.rng.uniform(MIN_LATE_S, MAX_LATE_S)
+            delay_s = self._deployment.rng.uniform(MIN_COMMIT_DELAY_S, MAX_COMMIT_DELAY_S)
         return delay_s
 
     def _respond(
--- a/tests/fakes/tasks.py
+++ b/tests/fakes/tasks.py
@@ -35,7 +35,7 @@
     task: FakeTask
 
 
-class TaskLedger:
+class TaskHistory:
     """What every job is, what of it started where, and what of it is done."""
 
     def __init__(self, rng: random.Random, events: EventQueue) -> None:
@@ -87,7 +87,7 @@
         """Whether all tasks of a job are done."""
         return all((job, index) in self.done for index in range(self.specs[job].task_count))
 
-    def undone(self, job: str) -> list[int]:
+    def unfinished_tasks(self, job: str) -> list[int]:
         """The tasks of a job that are not done."""
         return [
             index for index in range(self.specs[job].task_count) if (job, index) not in self.done
@@ -97,9 +97,9 @@
         """How long a task runs."""
         if (job, index) in self.done:
             return REPEATED_RUN_S
-        return self.run_times_s.get((job, index)) or self._drawn_run_time_s(self.specs[job])
+        return self.run_times_s.get((job, index)) or self._random_run_time_s(self.specs[job])
 
-    def _drawn_run_time_s(self, spec: JobSpec) -> float:
+    def _random_run_time_s(self, spec: JobSpec) -> float:
         if spec.kind == JobKind.GANG:
             return spec.estimated_run_s
         return spec.estimated_run_s * self._rng.uniform(MIN_RUN_RATIO, MAX_RUN_RATIO)
--- a/tests/fakes/test_production.py
+++ b/tests/fakes/test_production.py
@@ -6,11 +6,11 @@
 
 from marblestair.core.controller import Controller
 from tests.fakes import production
-from tests.helpers import started
+from tests.helpers import start_deployment
 
 
 def test_the_version_in_production_is_another_than_the_present_one() -> None:
-    controller = started(in_production=True).nodes.controllers["n0"]
+    controller = start_deployment(in_production=True).nodes.controllers["n0"]
     assert isinstance(controller, production.ProductionController)
     assert type(controller.core) is not Controller
     assert not hasattr(controller.core, "job_services")
--- a/tests/fakes/users.py
+++ b/tests/fakes/users.py
@@ -24,7 +24,7 @@
 #: tries after which a user gives up
 MAX_SUBMISSIONS, MAX_CANCELS = 40, 60
 #: statuses after which a submission is not repeated
-SUBMISSION_DECIDED = (200, 201, 400, 422)
+FINAL_SUBMISSION_STATUSES = (200, 201, 400, 422)
 
 
 class SimulatedUsers:
@@ -59,13 +59,15 @@
 
         def receive(reply: UserReply) -> None:
             replies.append(reply)
-            deployment.rules.judge(kind, argument, reply, number)
+            deployment.rules.check_reply(kind, argument, reply, number)
 
         self._pending[number] = receive
 
         def deliver() -> None:
             nodes = deployment.nodes
-            if nodes.controllers.get(node) is controller and not nodes.postpone(node, deliver):
+            if nodes.controllers.get(node) is controller and not nodes.defer_while_frozen(
+                node, deliver
+            ):
                 nodes.set_time(controller)
                 if isinstance(controller, ProductionController):
                     controller.request(kind, number, argument)
@@ -88,7 +90,7 @@
         for _ in range(MAX_SUBMISSIONS):
             replies = self.request(node or self._choose_node(), "submit", spec)
             deployment.run_until(functools.partial(bool, replies), REPLY_TIMEOUT_S)
-            if replies and replies[0].status in SUBMISSION_DECIDED:
+            if replies and replies[0].status in FINAL_SUBMISSION_STATUSES:
                 return spec.id
             deployment.run(RETRY_PAUSE_S)
         raise AssertionError(f"{spec.id} was not accepted")
--- a/tests/fakes/waiting_rule.py
+++ b/tests/fakes/waiting_rule.py
@@ -14,7 +14,7 @@
 #: time for which a job may wait beside free capacity
 MAX_WAIT_S = 90.0
 #: latest starts among which a job's own are looked for
-RECENT_STARTS = 200
+MAX_RECENT_STARTS = 200
 
 
 class FreeMachine(NamedTuple):
@@ -92,7 +92,7 @@
         is_over = rules.last_state.get(job) in FINAL_STATES
         if rules.is_cancel_requested(job) or spec.task_count <= len(placed | done) or is_over:
             return False
-        if rules.undone_dependencies(job):
+        if rules.unfinished_dependencies(job):
             return False
         is_gang = spec.kind == JobKind.GANG
         if is_gang and placed:
@@ -113,7 +113,7 @@
         """Judge the wait of a job that could start; each start of a task begins it anew."""
         now = self._deployment.now
         since = self._waiting_since.setdefault(job, now)
-        recent = self._deployment.tasks.starts[-RECENT_STARTS:]
+        recent = self._deployment.tasks.starts[-MAX_RECENT_STARTS:]
         last = max((start.at for start in recent if start.job == job), default=0.0)
         if now - max(since, last) > MAX_WAIT_S:
             self._rules.violations.append(f"waits: {job} beside room")
--- a/tests/fakes/wire_message.py
+++ b/tests/fakes/wire_message.py
@@ -16,6 +16,6 @@
     arguments: list[Any]
 
 
-def over_the_wire(value: Any) -> Any:
+def wire_round_trip(value: Any) -> Any:
     """What arrives of a value that goes between two controllers."""
     return msgspec.msgpack.decode(msgspec.msgpack.encode(value))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -15,7 +15,7 @@
 START_UP_S = 4.0
 
 
-def started(seed: int = 1, nodes: int = 3, **cluster: Any) -> SimulatedDeployment:
+def start_deployment(seed: int = 1, nodes: int = 3, **cluster: Any) -> SimulatedDeployment:
     """A deployment whose controllers lead their shards."""
     deployment = SimulatedDeployment(seed, nodes, **cluster)
     deployment.run(START_UP_S)
@@ -58,7 +58,7 @@
     return [leader_of_machine(deployment, agent.name) for agent in agents_running(deployment, job)]
 
 
-def main_leader(deployment: SimulatedDeployment, job: str) -> str:
+def leader_of_most_machines(deployment: SimulatedDeployment, job: str) -> str:
     """The node that leads the machines which run most of a job."""
     nodes = leaders_running(deployment, job)
     return max(sorted(nodes), key=nodes.count)
@@ -78,7 +78,7 @@
     return next(pair for pair in led_shards(deployment) if machine in pair[1].machines)
 
 
-def all_lead(deployment: SimulatedDeployment) -> bool:
+def all_controllers_lead(deployment: SimulatedDeployment) -> bool:
     """Whether every controller runs and leads a shard."""
     controllers = deployment.nodes.controllers.values()
     return all(
@@ -86,7 +86,7 @@
     )
 
 
-def incarnations(deployment: SimulatedDeployment) -> set[int]:
+def agent_incarnations(deployment: SimulatedDeployment) -> set[int]:
     """Incarnations of the serving agents; {1} if none ever lost its lease."""
     return {agent.incarnation for agent in deployment.serving_agents}
 
@@ -97,7 +97,7 @@
         deployment.network.isolate(node, other)
 
 
-def keep_asking(
+def poll_job(
     deployment: SimulatedDeployment, job: str, seconds: float, cancel: bool = True
 ) -> None:
     """Have users poll a job at every node each second, and cancel it at one."""
--- a/tests/measurements.py
+++ b/tests/measurements.py
@@ -61,7 +61,7 @@
     return count
 
 
-def measure_events(deployment: SimulatedDeployment, seconds: float) -> EventCost:
+def measure_event_costs(deployment: SimulatedDeployment, seconds: float) -> EventCost:
     """What events cost on the average over some seconds."""
     heartbeats, ticks, messages = _Mean(), _Mean(), _Mean()
     receive_heartbeat, tick = Controller.receive_heartbeat, Controller.tick
--- a/tests/recorder.py
+++ b/tests/recorder.py
@@ -19,7 +19,7 @@
     request: Get
 
 
-class Recorder:
+class RequestRecorder:
     """Records the requests of one node's coroutines, and can delay its reads."""
 
     def __init__(self, deployment: SimulatedDeployment, node: str) -> None:
@@ -27,8 +27,8 @@
         self.delayed_reads: list[DelayedRead] = []
         self.delays_reads = False
         self._node = node
-        self._carry_out = deployment.nodes.carry_out
-        deployment.nodes.carry_out = self._record
+        self._execute_request = deployment.nodes.execute_request
+        deployment.nodes.execute_request = self._record
 
     def _record(self, controller: Controller, number: int, request: Any) -> None:
         if controller.context.node == self._node:
@@ -36,13 +36,13 @@
             if self.delays_reads and isinstance(request, Get):
                 self.delayed_reads.append(DelayedRead(controller, number, request))
                 return
-        self._carry_out(controller, number, request)
+        self._execute_request(controller, number, request)
 
     def send_delayed_reads(self) -> None:
         """Send the reads that were delayed, and delay no more."""
         self.delays_reads = False
         for read in self.delayed_reads:
-            self._carry_out(*read)
+            self._execute_request(*read)
 
     def count_reads(self, job: str) -> int:
         """How often a job's keys were read."""
@@ -51,7 +51,7 @@
             isinstance(request, Get) and request.key in job_keys for request in self.requests
         )
 
-    def count_outside(self) -> int:
+    def count_store_and_cloud_requests(self) -> int:
         """How many requests went to the store or the cloud."""
         return sum(
             not isinstance(request, (PeerRequest, InspectAgent)) for request in self.requests
--- a/tests/scenarios/failure_play.py
+++ b/tests/scenarios/failure_play.py
@@ -8,14 +8,14 @@
 
 from tests.fakes.agent import FakeAgent
 from tests.fakes.samples import job_spec
-from tests.helpers import started
+from tests.helpers import start_deployment
 
 
 class FailurePlay:
     """Failures under way: the deployment, its generator, and the jobs so far."""
 
     def __init__(self, seed: int) -> None:
-        self.deployment = started(seed)
+        self.deployment = start_deployment(seed)
         self.rng = random.Random(seed)
         self.jobs: list[str] = []
 
--- a/tests/scenarios/overlapping_failures.py
+++ b/tests/scenarios/overlapping_failures.py
@@ -110,7 +110,7 @@
     for _ in range(150):
         play.deployment.run(0.2)
         for job in jobs:
-            undone = play.deployment.tasks.undone(job)
+            undone = play.deployment.tasks.unfinished_tasks(job)
             if len(undone) <= 1 and play.rng.random() < 0.3:
                 request_near_the_end(play, job)
 
--- a/tests/scenarios/test_basic_operation.py
+++ b/tests/scenarios/test_basic_operation.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from tests.fakes.samples import job_spec
-from tests.helpers import leaders, started
+from tests.helpers import leaders, start_deployment
 
 
 def test_arrays_and_gangs_run_to_their_end() -> None:
-    deployment = started()
+    deployment = start_deployment()
     jobs = [
         deployment.users.submit(job_spec(number, kind="array" if number % 3 else "gang"))
         for number in range(1, 7)
@@ -19,7 +19,7 @@
 
 
 def test_a_job_is_called_done_only_after_its_last_task() -> None:
-    deployment = started(11)
+    deployment = start_deployment(11)
     job = deployment.users.submit(job_spec(1, task_count=7, estimated_run_s=10.0))
     states = set()
     for _ in range(300):
--- a/tests/scenarios/test_best_effort_scale.py
+++ b/tests/scenarios/test_best_effort_scale.py
@@ -12,7 +12,7 @@
 from marblestair.core.state import keys
 from tests.fakes.samples import job_spec
 from tests.fakes.simulated_deployment import SimulatedDeployment
-from tests.helpers import started
+from tests.helpers import start_deployment
 from tests.measurements import count_calls
 
 TEAMS = [
@@ -24,7 +24,7 @@
 
 def with_best_effort_array(tasks: int) -> SimulatedDeployment:
     """Three controllers with a best-effort array of a size, as wide as the fleet."""
-    deployment = started(470, teams=TEAMS)
+    deployment = start_deployment(470, teams=TEAMS)
     deployment.users.submit(
         job_spec(1, team="guest", priority="low", task_count=tasks, estimated_run_s=8.0)
     )
@@ -62,7 +62,7 @@
 
 @pytest.mark.parametrize("jobs_per_s", [2, 5])
 def test_many_one_task_jobs_are_done_at_a_bounded_number_of_changes(jobs_per_s: int) -> None:
-    deployment = started(471, teams=TEAMS)
+    deployment = start_deployment(471, teams=TEAMS)
     users, names, store = deployment.users, deployment.nodes.names, deployment.store
     long_job = users.submit(job_spec(1, task_count=4, estimated_run_s=120.0))
     deployment.run(20.0)
@@ -89,6 +89,6 @@
     assert all(users.wait_until_done(spec.id, 60.0) for spec in specs)
     # A record, its end (two keys) and at most a page of progress with its deletion, each.
     assert changes <= 5.5 * len(specs) + 60
-    assert len(store.keys_with(keys.FINAL_STATES)) == len(specs)
+    assert len(store.keys_with_prefix(keys.FINAL_STATES)) == len(specs)
     assert users.state_of(long_job) in ("running", "done")
     assert not deployment.rules.violations
--- a/tests/scenarios/test_cost_of_a_job.py
+++ b/tests/scenarios/test_cost_of_a_job.py
@@ -63,9 +63,9 @@
     def __init__(self, deployment: SimulatedDeployment) -> None:
         self._job = ""
         self._cost = Cost()
-        self._carry_out = deployment.nodes.carry_out
+        self._carry_out = deployment.nodes.execute_request
         self._deliver = deployment.peer_link.deliver
-        deployment.nodes.carry_out = self._count_request
+        deployment.nodes.execute_request = self._count_request
         deployment.peer_link.deliver = self._count_message
 
     def begin(self, job: str) -> Cost:
--- a/tests/scenarios/test_drawn_failures.py
+++ b/tests/scenarios/test_drawn_failures.py
@@ -11,7 +11,7 @@
 from tests.fakes.network import STORE, USERS
 from tests.fakes.samples import job_spec
 from tests.fakes.simulated_deployment import SimulatedDeployment
-from tests.helpers import isolate_controllers, started
+from tests.helpers import isolate_controllers, start_deployment
 
 
 def draw_job(deployment: SimulatedDeployment, number: int) -> JobSpec:
@@ -91,7 +91,7 @@
 
 @pytest.mark.parametrize("seed", range(100, 108))
 def test_single_failures_drawn_at_random_break_no_rule(seed: int) -> None:
-    deployment = started(seed)
+    deployment = start_deployment(seed)
     users, rules = deployment.users, deployment.rules
     deployment.store_link.lost_response_ratio = 0.02
     deployment.store_link.late_commit_ratio = 0.02
@@ -179,7 +179,7 @@
 
 @pytest.mark.parametrize("seed", range(300, 310))
 def test_many_failures_drawn_at_random_break_no_rule_and_leave_every_job_known(seed: int) -> None:
-    deployment = started(seed)
+    deployment = start_deployment(seed)
     rng, users, rules = deployment.rng, deployment.users, deployment.rules
     deployment.store_link.lost_response_ratio = 0.02
     deployment.store_link.late_commit_ratio = 0.02
--- a/tests/scenarios/test_fleet_costs.py
+++ b/tests/scenarios/test_fleet_costs.py
@@ -16,8 +16,8 @@
 from marblestair.settings import Workers
 from tests.fakes.samples import job_spec
 from tests.fakes.simulated_deployment import SimulatedDeployment
-from tests.helpers import led_shards, started
-from tests.measurements import EventCost, measure_events
+from tests.helpers import led_shards, start_deployment
+from tests.measurements import EventCost, measure_event_costs
 from tests.scenarios.fleets import (
     FLEET_AGENTS,
     FLEET_STORE,
@@ -33,7 +33,7 @@
     """Measure events for some seconds; no rule is broken, and the store refuses nothing."""
     store = deployment.store
     changes_before, begun = store.change_count, deployment.now
-    events = measure_events(deployment, seconds)
+    events = measure_event_costs(deployment, seconds)
     changes_per_s = (store.change_count - changes_before) / (deployment.now - begun)
     assert not deployment.rules.violations
     assert not store.oversized_commits
@@ -103,7 +103,7 @@
     assert all(failures.machine_backoff_s(name) > 0 for name in MACHINES)
     # One node leads all of them, each in each list of the summary, and promises all cancels.
     assert len(msgspec.msgpack.encode(largest_summary())) < MAX_FRAME_BYTES
-    cancels = started(1).nodes.controller("n0").job_services.cancels
+    cancels = start_deployment(1).nodes.controller("n0").job_services.cancels
     for number in range(4000):
         cancels.record(f"job-{number:06d}", 1_000_000)
     entries = cancels.entries_after(0)
--- a/tests/scenarios/test_fleet_failures.py
+++ b/tests/scenarios/test_fleet_failures.py
@@ -6,7 +6,7 @@
 
 from tests.fakes.samples import job_spec
 from tests.fakes.simulated_deployment import SimulatedDeployment
-from tests.helpers import agents_running, incarnations
+from tests.helpers import agents_running, agent_incarnations
 from tests.scenarios.fleets import (
     FLEET_AGENTS,
     TEAM_NAMES,
@@ -44,7 +44,7 @@
         for agent in deployment.busy_agents
         if deployment.now - agent.lease_renewed_at > max_age_s
     ]
-    assert incarnations(deployment) == {1}
+    assert agent_incarnations(deployment) == {1}
     after = running_tasks(deployment)
     unmoved = sum(after.get(task) == machine for task, machine in before.items())
     assert unmoved > 0.7 * len(before)
@@ -148,7 +148,7 @@
         )
         jobs.append(deployment.users.submit(spec))
         deployment.run(0.6)
-    assert incarnations(deployment) == {1}
+    assert agent_incarnations(deployment) == {1}
     assert_all_done(deployment, jobs, 300.0)
 
 
--- a/tests/scenarios/test_large_machines.py
+++ b/tests/scenarios/test_large_machines.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from tests.fakes.samples import STORE_LIMITS_NOW, wait_objective
-from tests.helpers import incarnations
-from tests.measurements import measure_events
+from tests.helpers import agent_incarnations
+from tests.measurements import measure_event_costs
 from tests.scenarios.fleets import medium_fleet, submit_mixed_load
 
 
@@ -12,7 +12,7 @@
     objectives = [wait_objective(8.0)]
     small = medium_fleet(7, 5, 40, 300.0, objectives=objectives)
     submit_mixed_load(small, 20, (20, 60), 1.0)
-    small_cost = measure_events(small, 6.0)
+    small_cost = measure_event_costs(small, 6.0)
 
     deployment = medium_fleet(7, 5, 170, 1300.0, objectives=objectives, state=STORE_LIMITS_NOW)
     users, store = deployment.users, deployment.store
@@ -21,7 +21,7 @@
     assert len(agents) >= 120
     assert sum(len(agent.live_tasks) for agent in agents) >= 1500
     changes_before, begun = store.change_count, deployment.now
-    large_cost = measure_events(deployment, 6.0)
+    large_cost = measure_event_costs(deployment, 6.0)
     # Four times the machines and five times the tasks. A heartbeat costs what it lists, a tick what
     # its shard has; neither what the whole fleet and all jobs together are.
     assert large_cost.heartbeat < 2.5 * small_cost.heartbeat
@@ -40,7 +40,7 @@
     assert not store.oversized_commits
     assert store.largest_value_bytes <= 4096
     # Heartbeats got their responses in time all the while.
-    assert incarnations(deployment) <= {1}
+    assert agent_incarnations(deployment) <= {1}
 
 
 def test_deployments_of_other_sizes_work() -> None:
--- a/tests/scenarios/test_overlapping_failures.py
+++ b/tests/scenarios/test_overlapping_failures.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.fakes.samples import job_spec
-from tests.helpers import all_lead, started
+from tests.helpers import all_controllers_lead, start_deployment
 from tests.scenarios.failure_play import FailurePlay
 from tests.scenarios.overlapping_failures import SCENARIOS
 
@@ -30,7 +30,7 @@
         else:
             assert users.wait_until_done(job, 400.0), job
     deployment.run(deployment.cancel_s)
-    assert not rules.unserved()
+    assert not rules.unstarted_and_starved()
     assert not rules.violations
     assert not any(
         agent.live_tasks for agent in deployment.agents.values() if not agent.is_released
@@ -38,7 +38,7 @@
 
 
 def test_a_zone_is_isolated_the_store_slow_and_all_controllers_crash() -> None:
-    deployment = started(91)
+    deployment = start_deployment(91)
     users = deployment.users
     jobs = users.submit_many(range(1, 5), task_count=9, estimated_run_s=15.0)
     deployment.run(10.0)
@@ -52,7 +52,7 @@
         deployment.nodes.kill(name, restart_after_s=deployment.rng.uniform(0.1, 3.0))
     deployment.run(12.0)
     # Slow as it is, shards have leaders, and users are served.
-    assert all_lead(deployment)
+    assert all_controllers_lead(deployment)
     jobs.append(users.submit(job_spec(6, task_count=6, estimated_run_s=5.0)))
     assert not deployment.rules.violations
     deployment.network.heal()
--- a/tests/scenarios/test_pipelines.py
+++ b/tests/scenarios/test_pipelines.py
@@ -9,13 +9,13 @@
 
 from marblestair.core.domain.jobs import JobSpec
 from tests.core.jobs.pipelines import submit_pipeline
-from tests.helpers import started
+from tests.helpers import start_deployment
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_pipelines_under_failures_drawn_at_random_break_no_rule(seed: int) -> None:
     rng = random.Random(seed)
-    deployment = started(seed, nodes=rng.choice([3, 5]))
+    deployment = start_deployment(seed, nodes=rng.choice([3, 5]))
     users, store, names = deployment.users, deployment.store, deployment.nodes.names
     deployment.store_link.lost_response_ratio = rng.choice([0.0, 0.1])
     deployment.store_link.late_commit_ratio = rng.choice([0.0, 0.05])
--- a/tests/scenarios/test_rolling_upgrade.py
+++ b/tests/scenarios/test_rolling_upgrade.py
@@ -20,13 +20,13 @@
 )
 from tests.fakes.samples import STORE_LIMITS_LATER, STORE_LIMITS_NOW, job_spec
 from tests.fakes.simulated_deployment import SimulatedDeployment
-from tests.helpers import leader_of, leaders, manager_of, started
+from tests.helpers import leader_of, leaders, manager_of, start_deployment
 
 
 def started_in_production(seed: int = 1, nodes: int = 3) -> SimulatedDeployment:
     """A deployment of the version in production."""
     limits = {**STORE_LIMITS_NOW, "next": STORE_LIMITS_LATER}
-    return started(seed, nodes, in_production=True, state=limits)
+    return start_deployment(seed, nodes, in_production=True, state=limits)
 
 
 def started_mixed(seed: int = 1) -> SimulatedDeployment:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -62,7 +62,7 @@
     tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     settings = tmp_path / "s.toml"
-    settings.write_text(to_toml(msgspec.to_builtins(node_settings(0))))
+    settings.write_text(encode_toml(msgspec.to_builtins(node_settings(0))))
     script = tmp_path / "p.star"
     script.write_text("tune(haste = 0.5)")
     assert cli.main(["--policy", str(script), "--check", str(settings)]) == 0
@@ -74,7 +74,7 @@
     assert "p.star:1:1" in error
 
 
-def to_toml(data: dict[str, Any], prefix: str = "") -> str:
+def encode_toml(data: dict[str, Any], prefix: str = "") -> str:
     """Just enough TOML for settings."""
     plain, tables = [], []
     for key, value in data.items():
