--- a/tests/test_compare_versions.py
+++ b/tests/test_compare_versions.py
@@ -153,7 +153,7 @@
             lambda error: None,
         ),
     )
-    loop.call_later(2.5, lambda: network.kill(process, is_silent=False))
+    loop.call_later(2.5, lambda: network.kill(process, is_power_loss=False))
     loop.run_until(loop.time() + 10.0)
     assert not program.done()
     # It never ends: without this, its destruction is logged in whichever test runs at that time.
--- a/tests/tools/agents.py
+++ b/tests/tools/agents.py
@@ -1,4 +1,4 @@
-"""Agents: one per machine, each reports to a controller and runs tasks."""
+"""Simulated agents: one per machine; each sends heartbeats to a controller and runs tasks."""
 
 from __future__ import annotations
 
@@ -13,38 +13,38 @@
 from tests.tools.tasks import STEP_S, Cause, Gangs, State, Task
 from tests.tools.workload import Workload
 
-#: time for an answer to a report
+#: timeout of a heartbeat
 REPORT_TIMEOUT_S = 4.0
-#: pause before the next controller is tried
+#: delay before an agent reports to the next controller after a failed heartbeat
 NEXT_CONTROLLER_DELAY_S = 1.0
-#: least time between two reports
+#: minimum time between two heartbeats
 MIN_REPORT_GAP_S = 0.5
-#: reports come this share earlier or later than their interval
+#: maximum random deviation of the heartbeat interval, as a share of it
 REPORT_JITTER_SHARE = 0.25
-#: bounds of the time after which a machine that restarts reports
+#: bounds of the time from a machine's restart to its first heartbeat
 RESTART_BOUNDS_S = (0.05, 0.5)
-#: images that a machine keeps
+#: maximum number of images in a machine's cache
 MAX_CACHED_IMAGES = 3
 REPORT_PATH, COMMAND_PATH, INSPECT_PATH = "/v1/report", "/do", "/inspect"
 MALFORMED_BODY = b"\xc1"
-#: a faulty machine runs this much slower
+#: speed of tasks on a slow machine, relative to the nominal speed
 SLOW_SPEED_FACTOR = 0.15
 
 
 @dataclass(frozen=True)
 class AgentSettings:
-    """What all agents know."""
+    """Settings that all agents share."""
 
     report_s: float
     lease_s: float
     gang_wait_s: float
     gang_peer_s: float
-    #: controllers by name
+    #: addresses of the controllers by name
     controllers: dict[str, Address]
 
 
 class Agent:
-    """The agent of one machine."""
+    """The agent of one machine: sends heartbeats, executes orders and runs tasks."""
 
     def __init__(
         self, machine: Machine, settings: AgentSettings, shared: SharedState, seed: str
@@ -70,53 +70,54 @@
         self.speed = self._random.uniform(0.9, 1.1)
         self.is_terminated = False
         self.is_hung = False
-        #: answers and commands have no effect on it; it stays with its controller
+        #: the agent applies no answers to its heartbeats (only redirects) and drops all direct
+        #: commands and inspections
         self.ignores_controllers = False
-        #: its reports do not leave
+        #: the agent sends no heartbeats
         self.suppresses_reports = False
-        #: every task that starts on it fails
+        #: every task that is launched on the machine fails
         self.fails_tasks = False
-        #: what it answers to commands and questions is malformed
+        #: the agent answers commands and inspections with malformed bodies
         self.sends_malformed_answers = False
-        #: share of the reports of which a copy arrives late, at any controller
+        #: share of the heartbeats of which a delayed duplicate is sent to a random controller
         self.late_copy_share = 0.0
         self._network.listen(
             (machine.host.address, AGENT_PORT), lambda: ServiceConnection(self._serve)
         )
 
-    # troubles
+    # faults
 
     def hang(self) -> None:
-        """Stop executing anything until :meth:`resume`."""
+        """Suspend the agent and the traffic of its host until :meth:`resume`."""
         self.is_hung = True
         self._network.freeze(self.machine.host)
 
     def resume(self) -> None:
-        """Go on, with all that has arrived meanwhile."""
+        """End a hang; the messages held back meanwhile are delivered."""
         if self.is_hung and not self.is_terminated:
             self.is_hung = False
             self._network.unfreeze(self.machine.host)
-            self._expire_lease()
+            self._expire_lease_if_due()
             self._schedule(0.0)
 
     def restart(self) -> None:
-        """Lose everything and be back within a fraction of a second."""
+        """Restart the machine: all tasks are lost, and the agent reports a new incarnation."""
         self._begin_incarnation()
         self._schedule(self._random.uniform(*RESTART_BOUNDS_S))
 
     def announce_reclaim(self, notice_s: float) -> None:
-        """The cloud is about to take the machine."""
+        """Let the agent report that the cloud will reclaim the machine after a notice period."""
         self._reclaim_at_s = self._loop.time() + notice_s
         self._report_soon()
 
     def terminate(self) -> None:
-        """The machine is gone, with everything on it."""
+        """Remove the machine with all its tasks."""
         self.is_terminated = True
         self._timer.cancel()
         self._tasks.clear()
         self._network.remove_host(self.machine.host)
 
-    # reports
+    # heartbeats
 
     def _build_report(self) -> dict[str, Any]:
         self._sequence += 1
@@ -138,7 +139,7 @@
         }
 
     def _schedule(self, pause_s: float) -> None:
-        """Report after a pause, or earlier if that is planned already."""
+        """Schedule a heartbeat after a pause; one that is scheduled earlier stays."""
         when_s = self._loop.time() + pause_s
         if self._timer.cancelled() or self._timer.when() > when_s or self._is_timer_past:
             self._timer.cancel()
@@ -149,10 +150,10 @@
         return self._timer.when() <= self._loop.time()
 
     def _report_soon(self) -> None:
-        """Something that is reported has changed."""
+        """Send a heartbeat as soon as the minimum gap allows, since reported state has changed."""
         if not self._caller.is_busy:
-            since_s = self._loop.time() - self._last_report_s
-            self._schedule(max(0.0, MIN_REPORT_GAP_S - since_s))
+            elapsed_s = self._loop.time() - self._last_report_s
+            self._schedule(max(0.0, MIN_REPORT_GAP_S - elapsed_s))
 
     def _report(self) -> None:
         if self.is_terminated or self.is_hung or self._caller.is_busy:
@@ -201,7 +202,7 @@
         self._schedule(self._settings.report_s * factor)
 
     def _switch_controller(self, name: str | None) -> None:
-        """Report to another controller: the one that was named, or the next."""
+        """Report to another controller: the named one, or else the next in the list."""
         if name in self._settings.controllers and name != self._controller:
             self._controller = str(name)
             self._schedule(self._random.uniform(0.0, MIN_REPORT_GAP_S))
@@ -211,7 +212,7 @@
         self._schedule(NEXT_CONTROLLER_DELAY_S)
 
     def _apply_answer(self, body: dict[str, Any], sent_s: float) -> None:
-        """Follow an answer to a report, unless its token is too low."""
+        """Renew the lease and execute the orders of an answer; ignore one with a stale token."""
         token = body.get("baton")
         if not isinstance(token, int) or token < self._token:
             return
@@ -230,10 +231,10 @@
     # commands
 
     def _serve(self, request: HttpMessage, responder: Responder) -> None:
-        """A direct command or question of a controller."""
+        """Handle a direct command or an inspection from a controller."""
         if self.ignores_controllers or self.is_terminated:
             return
-        self._expire_lease()
+        self._expire_lease_if_due()
         if self.sends_malformed_answers:
             responder.answer_bytes(200, MALFORMED_BODY)
             return
@@ -299,23 +300,23 @@
             return 0.0
         return float(description["size_gb"] / self.machine.machine_type["fetch_gb_per_s"])
 
-    # the passing of time
+    # simulated time
 
     def _begin_incarnation(self) -> None:
         self._incarnation += 1
         self._tasks.clear()
         self._lease_start_s = self._loop.time()
 
-    def _expire_lease(self) -> None:
+    def _expire_lease_if_due(self) -> None:
         if self._loop.time() - self._lease_start_s > self._settings.lease_s:
             self._begin_incarnation()
             self._report_soon()
 
     def step(self) -> None:
-        """Let a step of time pass for all tasks."""
+        """Advance all tasks by one time step."""
         if self.is_hung or self.is_terminated:
             return
-        self._expire_lease()
+        self._expire_lease_if_due()
         for task in list(self._tasks.values()):
             before = task.state
             self._step_task(task)
@@ -370,7 +371,7 @@
 
 
 class SharedState:
-    """What all agents of a scenario share."""
+    """Network, workload and gangs that all agents of a scenario share."""
 
     def __init__(self, network: Network, workload: Workload) -> None:
         self.network = network
@@ -392,17 +393,17 @@
         self._step()
 
     def start(self, machine: Machine) -> None:
-        """A machine is up."""
+        """Start the agent of a machine that has booted."""
         self._agents[machine.name] = Agent(machine, self._settings, self._shared, self._seed)
 
     def stop(self, machine: Machine) -> None:
-        """A machine is gone."""
+        """Terminate the agent of a machine that has stopped; no effect if it has none."""
         if machine.name in self._agents:
             self._agents[machine.name].terminate()
 
     @property
     def live(self) -> list[Agent]:
-        """The agents whose machines are there."""
+        """The agents whose machines have not been terminated."""
         return [agent for agent in self._agents.values() if not agent.is_terminated]
 
     def _step(self) -> None:
--- a/tests/tools/bad_input.py
+++ b/tests/tools/bad_input.py
@@ -1,4 +1,4 @@
-"""What careless and hostile clients send: malformed requests and frames, crowds, floods."""
+"""Invalid input from clients: malformed requests, reports and frames, and impossible jobs."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from tests.tools.processes import Host
 from tests.tools.workload import job_submission
 
-#: how long a careless client keeps its connection
+#: time after which a client closes its connection
 HOLD_S = 4.0
-#: pause between two pieces of a request that is sent in pieces
+#: pause between two chunks of a request that is sent in chunks
 CHUNK_PAUSE_S = 0.05
 OVERSIZED_BODY = b"\x00" * (70 * 1024)
 OVERSIZED_HEAD = b"X-Long: " + b"a" * (20 * 1024)
@@ -23,16 +23,16 @@
 
 
 class RawClients:
-    """Clients that send bytes as they like, each on a connection of its own."""
+    """Sends arbitrary bytes, each time from a new client on a new connection."""
 
     def __init__(self, network: Network) -> None:
         self._network = network
-        self._clients = 0
+        self._client_count = 0
 
     def send(self, address: Address, *chunks: bytes, hold_s: float = HOLD_S) -> None:
-        """Connect, send pieces one after another, and close after a time."""
-        self._clients += 1
-        name = f"client-{self._clients}"
+        """Connect, send the chunks one by one, and close the connection after ``hold_s``."""
+        self._client_count += 1
+        name = f"client-{self._client_count}"
         self._network.connect(
             Host("mischief", name, name),
             address,
@@ -48,7 +48,7 @@
 
 
 def malformed_submissions() -> list[bytes]:
-    """Submissions that are refused as malformed."""
+    """Return requests to submit jobs that a controller must reject as malformed."""
     bodies = [b"", b"\xc1", pack([1, 2]), pack("job"), pack({"ref": "job-000001"})]
     wrong: list[dict[str, Any]] = [
         {"ref": 7},
@@ -82,7 +82,7 @@
 
 
 def impossible_jobs(first_number: int) -> list[dict[str, Any]]:
-    """Jobs that can never run."""
+    """Return submissions of jobs that can never run: unknown team, too large, no such machines."""
     changes: list[dict[str, Any]] = [
         {"owner": "nobody"},
         {"cpus": 500.0},
@@ -97,7 +97,7 @@
 
 
 def unusual_requests() -> list[tuple[bytes, ...]]:
-    """Requests with unknown paths, wrong methods or broken HTTP, some of them in pieces."""
+    """Return the chunks of requests: unknown paths, wrong methods, malformed or pipelined HTTP."""
     query = get(f"{JOBS_PATH}/job-000001")
     submission = post(JOBS_PATH, job_submission(9100))
     return [
@@ -130,7 +130,7 @@
 
 
 def malformed_reports() -> list[bytes]:
-    """Agents' reports that are malformed, or come from machines that nobody rented."""
+    """Return agents' reports that are malformed or come from machines that were never rented."""
     report: dict[str, Any] = {
         "bench": "host-999999",
         "endpoint": "10.1.200.1:9000",
@@ -163,7 +163,7 @@
 
 
 def malformed_frames() -> list[bytes]:
-    """Frames between controllers that are malformed, or questions that make no sense."""
+    """Return frames between controllers that are malformed or carry invalid arguments."""
     notes: list[tuple[str, list[Any]]] = [
         ("summaries", []),
         ("summaries", [1, [[1, 2]], True, []]),
@@ -216,9 +216,9 @@
     return frames
 
 
-def spread(
+def schedule_actions(
     at: Callable[..., None], begin_s: float, pause_s: float, actions: list[Callable[[], None]]
 ) -> None:
-    """Do things one after another."""
+    """Schedule actions at regular intervals, through ``at(time, action)``."""
     for number, action in enumerate(actions):
         at(begin_s + number * pause_s, action)
--- a/tests/tools/cloud.py
+++ b/tests/tools/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud: machine types, rentals, releases, a list that lags, and troubles."""
+"""Simulated cloud: machine types, rentals, releases, a delayed list, and injected faults."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 from tests.tools.processes import Host
 from tests.tools.rates import TokenBucket
 
-#: most machines of one rental, in one release, and in one page of the list
+#: maximum number of machines in one rental, in one release, and in one page of the list
 MAX_RENTAL_MACHINES, MAX_RELEASE_MACHINES, MAX_LIST_MACHINES = 50, 100, 500
-#: requests that may come at once, in seconds' worth
+#: size of a burst that the request limit allows, in seconds of its rate
 BURST_S = 2.0
-#: bounds of the time that the cloud takes for a request
+#: bounds of the processing time of a request
 MIN_PROCESSING_S, MAX_PROCESSING_S = 0.01, 0.2
-#: bounds of the delay of a request that is carried out late
+#: bounds of the delay of a request that is executed late
 MIN_LATENESS_S, MAX_LATENESS_S = 2.0, 25.0
-#: bounds of a boot and of a late boot, as multiples of the type's boot time
+#: bounds of the duration of a normal and of a late boot, as multiples of the type's boot time
 BOOT_FACTORS, LATE_BOOT_FACTORS = (0.6, 1.5), (3.0, 8.0)
-#: a machine that died is listed as running for this long
+#: a failed machine is listed as running for this long
 FAILURE_LIST_DELAY_S = 30.0
-#: bounds of the current spot price, as multiples of the nominal one
+#: bounds of the current spot price, as multiples of the nominal price
 SPOT_PRICE_FACTORS = (2 / 3, 4 / 3)
-#: bounds of a boot that takes next to no time
+#: bounds of the duration of a fast boot
 INSTANT_BOOT_BOUNDS_S = (0.05, 2.0)
 AGENT_PORT = 9000
-#: addresses in one part of the machines' network
+#: number of addresses in one subnet of the machines' network
 ADDRESSES_PER_SUBNET = 250
 MALFORMED_BODIES = [b"\xc1", b"", pack([]), pack({"benches": 3, "builds": None})]
 
@@ -51,18 +51,18 @@
 
     @property
     def name(self) -> str:
-        """The machine's name."""
+        """Name of the machine."""
         return self.host.name
 
     @property
     def kind(self) -> tuple[str, str, bool]:
-        """What the cloud's capacity depends on: type, zone, and whether it is a spot machine."""
+        """Type, zone, and whether it is a spot machine: capacity is limited per kind."""
         return self.machine_type["sku"], self.zone, self.is_spot
 
 
 @dataclass
 class CloudFaults:
-    """What may go wrong at present; shares are of the requests, or of the boots."""
+    """Faults injected at present; the numbers are shares of the requests or of the boots."""
 
     is_down: bool = False
     lost_answers: float = 0.0
@@ -74,7 +74,7 @@
 
 
 class Cloud:
-    """The outside service that rents machines."""
+    """The cloud's HTTP service, which rents machines and boots them."""
 
     def __init__(
         self,
@@ -93,30 +93,30 @@
         self._rentals: dict[str, list[str]] = {}
         self.machines: dict[str, Machine] = {}
         self.faults = CloudFaults()
-        #: most machines by kind; what is not named has no limit
+        #: maximum number of machines by kind; a kind that is not listed is not limited
         self.capacity: dict[tuple[str, str, bool], int] = {}
         self.max_list_machines = MAX_LIST_MACHINES
-        #: called when a machine is up, and when it is gone
+        #: called when a machine has booted, and when it is terminated or fails
         self.on_up: Callable[[Machine], None] = lambda machine: None
         self.on_down: Callable[[Machine], None] = lambda machine: None
         network.listen(address, lambda: ServiceConnection(self._receive))
 
-    # what happens to machines
+    # events of machines
 
     def terminate(self, machine: Machine) -> None:
-        """End a machine that is not released by its user."""
+        """Terminate a machine, because it was released or because the cloud reclaims it."""
         if machine.terminated_at_s is None:
             machine.terminated_at_s = self._loop.time()
             self.on_down(machine)
 
     def fail(self, machine: Machine) -> None:
-        """Let a machine stop by itself; it remains listed."""
+        """Let a machine fail; it remains listed."""
         if machine.terminated_at_s is None and machine.failed_at_s is None:
             machine.failed_at_s = self._loop.time()
             self.on_down(machine)
 
     def create_unrequested(self, sku: str, zone: str) -> Machine:
-        """Create a machine that nobody asked for."""
+        """Create a machine without a rental request."""
         return self._create(sku, zone, is_spot=False)
 
     # requests
@@ -217,18 +217,21 @@
     # the list
 
     def _list(self, query: dict[str, str]) -> tuple[int, Any]:
-        at_s = self._loop.time() - self._list_lag_s * self._random.uniform(0.5, 1.5)
+        as_of_s = self._loop.time() - self._list_lag_s * self._random.uniform(0.5, 1.5)
         after = query.get("from", "")
         limit = min(int(query.get("limit", MAX_LIST_MACHINES)), self.max_list_machines)
-        listed = [x for x in self.machines.values() if x.name > after and _is_listed(x, at_s)]
-        page = [self._entry(x, at_s) for x in listed[:limit]]
+        listed = [x for x in self.machines.values() if x.name > after and _is_listed(x, as_of_s)]
+        page = [self._entry(x, as_of_s) for x in listed[:limit]]
         return 200, {"benches": page, "more": len(listed) > limit}
 
-    def _entry(self, machine: Machine, at_s: float) -> dict[str, Any]:
+    def _entry(self, machine: Machine, as_of_s: float) -> dict[str, Any]:
         status = "booting"
-        if machine.up_at_s is not None and machine.up_at_s <= at_s:
+        if machine.up_at_s is not None and machine.up_at_s <= as_of_s:
             status = "running"
-        if machine.failed_at_s is not None and machine.failed_at_s + FAILURE_LIST_DELAY_S <= at_s:
+        if (
+            machine.failed_at_s is not None
+            and machine.failed_at_s + FAILURE_LIST_DELAY_S <= as_of_s
+        ):
             status = "failed"
         return {
             "ref": machine.name,
@@ -237,10 +240,10 @@
             "room": machine.zone,
             "loaners": machine.is_spot,
             "status": status,
-            "age_s": at_s - machine.rented_at_s,
+            "age_s": as_of_s - machine.rented_at_s,
         }
 
 
-def _is_listed(machine: Machine, at_s: float) -> bool:
-    is_there = machine.terminated_at_s is None or machine.terminated_at_s > at_s
-    return machine.rented_at_s <= at_s and is_there
+def _is_listed(machine: Machine, as_of_s: float) -> bool:
+    is_there = machine.terminated_at_s is None or machine.terminated_at_s > as_of_s
+    return machine.rented_at_s <= as_of_s and is_there
--- a/tests/tools/compare_versions.py
+++ b/tests/tools/compare_versions.py
@@ -1,10 +1,10 @@
-"""Checks that the working tree's package behaves like that of a commit.
+"""Checks that the package in the working tree behaves like the package of a commit.
 
     python -m tests.tools.compare_versions COMMIT [--seeds 1 2 3] [--scenario NAME ...] [--jobs N]
 
-The same seeded scenarios are played on both, and everything that leaves the controllers is
-compared: every message with its time, its sender, its destination and its bytes. The exit code is
-1 if anything differs, 2 if a version can not be had, and 0 otherwise.
+Runs the same seeded scenarios on both and compares everything that the controllers send: the time,
+sender, destination and bytes of every message. The exit code is 1 if anything differs, 2 if the
+package of the commit cannot be extracted, and 0 otherwise.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 def compare(
     first: pathlib.Path, second: pathlib.Path, scenario: str, seed: int, records: pathlib.Path
 ) -> Comparison:
-    """Play a scenario on the packages in two directories and compare what leaves them."""
+    """Run a scenario on the packages in two directories and compare what the controllers send."""
     paths = []
     for name, version in (("first", first), ("second", second)):
         paths.append(records / f"{scenario}-{seed}-{name}.record")
@@ -47,7 +47,7 @@
 
 
 def _compare_all(commit: str, scenarios: list[str], seeds: list[int], jobs: int) -> bool:
-    """Compare the working tree with a commit; whether all is the same."""
+    """Compare the working tree with a commit; return whether no scenario differs."""
     with tempfile.TemporaryDirectory(prefix="compare-versions-") as name:
         directory = pathlib.Path(name)
         first, second, records = (directory / x for x in ("first", "second", "records"))
@@ -79,7 +79,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Entry point; the result is the exit code."""
+    """Run the command; return its exit code."""
     parser = _parser()
     chosen = parser.parse_args(arguments)
     if chosen.list:
--- a/tests/tools/comparison.py
+++ b/tests/tools/comparison.py
@@ -1,4 +1,4 @@
-"""Compares two records and tells the first difference readably."""
+"""Compares two records and describes the first difference."""
 
 from __future__ import annotations
 
@@ -11,37 +11,37 @@
 from tests.tools.messages import FRAME_LENGTH_BYTES, HEAD_END, unpack
 from tests.tools.recording import Entry, Event, read_record
 
-#: entries shown before and after the first difference
+#: number of entries shown before and after the first difference
 ENTRIES_BEFORE, ENTRIES_AFTER = 5, 3
-#: characters of one message, and differing fields, that are shown
+#: maximum number of characters shown of a differing message, and of differing fields
 MAX_MESSAGE_CHARACTERS, MAX_FIELDS = 2000, 10
-#: characters of a message that is shown only for its place
+#: maximum number of characters shown of a message before or after the difference
 MAX_CONTEXT_CHARACTERS = 200
 
 
 @dataclass
 class Comparison:
-    """Two records compared."""
+    """Result of the comparison of two records."""
 
-    #: messages that are the same in both, by the kind of their destination
+    #: number of messages that are the same in both, by the kind of their destination
     messages: Counter[str] = field(default_factory=Counter)
-    #: lines about the first difference; none if there is none
+    #: lines that describe the first difference; empty if the records are equal
     difference: list[str] = field(default_factory=list)
 
     @property
     def is_same(self) -> bool:
-        """Whether the records do not differ."""
+        """Whether the records are equal."""
         return not self.difference
 
     def summary(self) -> str:
-        """One line about the whole."""
+        """Return the result and the numbers of messages in one line."""
         kinds = ", ".join(f"{kind} {count}" for kind, count in sorted(self.messages.items()))
         result = "same" if self.is_same else "DIFFERENT"
         return f"{result}, {self.messages.total()} messages compared ({kinds})"
 
 
 def compare_records(first: pathlib.Path, second: pathlib.Path) -> Comparison:
-    """Compare two records entry by entry, up to the first difference."""
+    """Compare two records entry by entry; stop at the first difference."""
     comparison = Comparison()
     before: deque[Entry] = deque(maxlen=ENTRIES_BEFORE)
     left, right = read_record(first), read_record(second)
@@ -76,7 +76,7 @@
 
 
 def describe_entry(entry: Entry, max_characters: int) -> str:
-    """One line about an entry, with at most so many characters of its message."""
+    """Describe an entry in one line; its message is truncated to ``max_characters``."""
     text = describe_message(entry) if entry.event == Event.MESSAGE else entry.event
     if entry.event == Event.ENDED:
         text += f" by itself: {entry.data.decode()}"
@@ -87,13 +87,13 @@
 
 
 def describe_message(entry: Entry) -> str:
-    """A message with its decoded body."""
+    """Return a message's head and decoded body as text."""
     head, body = _decode(entry)
     return f"{head} {body!r}".strip()
 
 
 def _decode(entry: Entry) -> tuple[str, Any]:
-    """Head and body of a message; a body that is not MessagePack stays as it is."""
+    """Return head and body of a message; a body that is not MessagePack is not decoded."""
     data = entry.data
     if not data.startswith((b"HTTP/", b"GET ", b"POST ", b"DELETE ")):
         return "frame", unpack(data[FRAME_LENGTH_BYTES:])
@@ -103,7 +103,7 @@
 
 
 def _differing_fields(one: Entry, other: Entry) -> Any:
-    """Texts about the fields that differ."""
+    """Yield one text for each field that differs."""
     for name in Entry.__struct_fields__:
         values = getattr(one, name), getattr(other, name)
         if name != "data" and values[0] != values[1]:
--- a/tests/tools/controllers.py
+++ b/tests/tools/controllers.py
@@ -1,4 +1,4 @@
-"""The controllers of a scenario: started, killed and started again."""
+"""Starts, kills and restarts the controllers of a scenario."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from tests.tools.recording import Recorder
 
 PUBLIC_PORT, FRAME_PORT = 8080, 8081
-#: how long an operator waits for the answer to a question
+#: time after which an operator closes the connection of a status request
 STATUS_TIMEOUT_S = 3.0
 
 
 def controller_host(number: int) -> Host:
-    """The host of a controller."""
+    """Return the host of a controller."""
     return Host("controller", f"node-{number}", f"10.0.0.{number + 1}")
 
 
 class Controllers:
-    """All controllers of a scenario."""
+    """The controller processes of a scenario."""
 
     def __init__(
         self,
@@ -38,19 +38,19 @@
         self._policy_script = policy_script
         self.hosts = [controller_host(number) for number in range(len(settings))]
         self._processes: dict[int, Process] = {}
-        #: the programs of all processes, also of those killed: nothing of them is torn down
-        #: while the scenario goes on
+        #: the tasks of all processes; those of killed processes are kept too, so that no task is
+        #: garbage-collected, and its cleanup code run, before the scenario ends
         self._programs: list[asyncio.Task[None]] = []
         for host in self.hosts:
             network.add_host(host)
 
     @property
     def addresses(self) -> dict[str, Address]:
-        """Where users and agents reach the controllers, by name."""
+        """Addresses by node name at which the controllers serve users and agents."""
         return {host.name: (host.address, PUBLIC_PORT) for host in self.hosts}
 
     def start(self, number: int) -> None:
-        """Start a controller, unless it runs."""
+        """Start a controller, unless it is running."""
         previous = self._processes.get(number)
         if previous is not None and previous.is_alive:
             return
@@ -63,24 +63,24 @@
         program.add_done_callback(lambda task: self._record_exit(process, task))
         self._programs.append(program)
 
-    def kill(self, number: int, is_silent: bool = False) -> None:
-        """End a controller at once; if silent, its host loses power."""
+    def kill(self, number: int, is_power_loss: bool = False) -> None:
+        """Kill a controller; after a power loss, its host does not reset its connections."""
         process = self._processes[number]
         if process.is_alive:
-            self._network.kill(process, is_silent)
+            self._network.kill(process, is_power_loss)
 
-    def kill_and_restart(self, number: int, pause_s: float, is_silent: bool = False) -> None:
-        """End a controller and start it again after a pause."""
-        self.kill(number, is_silent)
+    def kill_and_restart(self, number: int, pause_s: float, is_power_loss: bool = False) -> None:
+        """Kill a controller and restart it after a pause."""
+        self.kill(number, is_power_loss)
         self._network.loop.call_later(pause_s, self.start, number)
 
     def kill_all(self) -> None:
-        """End all controllers."""
+        """Kill all controllers."""
         for number in range(len(self.hosts)):
             self.kill(number)
 
-    def ask_status(self, number: int) -> None:
-        """Ask a controller as the operators' command line does."""
+    def request_status(self, number: int) -> None:
+        """Request a controller's status, as ``marblestair --status`` does."""
         operator = Host("operator", "operator", "operator")
         self._network.connect(
             operator,
@@ -95,7 +95,7 @@
         self._network.loop.call_later(STATUS_TIMEOUT_S, endpoint.close)
 
     def _record_exit(self, process: Process, program: asyncio.Task[None]) -> None:
-        """A program ended by itself, which none should."""
+        """Record that a controller's program ended on its own, which is an error."""
         error = None if program.cancelled() else program.exception()
         self._recorder.on_exit(process, type(error).__name__)
-        self._network.kill(process, is_silent=False)
+        self._network.kill(process, is_power_loss=False)
--- a/tests/tools/deployment.py
+++ b/tests/tools/deployment.py
@@ -1,4 +1,4 @@
-"""A simulated deployment: controllers, and all that they talk to."""
+"""Simulated deployment: controllers, agents, users, the store and the cloud."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 STORE_HOST, CLOUD_HOST = Host("store", "store", "10.2.0.1"), Host("cloud", "cloud", "10.2.0.2")
 STORE_PORT, CLOUD_PORT = 2379, 8443
 ZONES = ["a", "b", "c"]
-#: controllers are started within this time of each other
+#: controllers start at random times within this period
 START_SPREAD_S = 0.2
 
 MACHINE_TYPES: list[dict[str, Any]] = [
@@ -96,16 +96,16 @@
 
 @dataclass(frozen=True)
 class DeploymentConfig:
-    """How large a deployment is, and what its settings hold beside the usual."""
+    """Number of controllers and changes to the default settings."""
 
     controllers: int = 3
-    #: replaces whole fields of the cluster's settings
+    #: fields that replace those of CLUSTER_SETTINGS
     cluster: dict[str, Any] = field(default_factory=dict)
     policy_script: pathlib.Path | None = None
 
 
 class Deployment:
-    """Everything that takes part in one scenario."""
+    """All simulated parts of one scenario."""
 
     def __init__(self, config: DeploymentConfig, seed: str, file: BinaryIO) -> None:
         self.loop = SimulatedLoop()
@@ -124,50 +124,50 @@
         self.controllers = Controllers(self.network, self.recorder, settings, config.policy_script)
         self.workload = Workload(seed)
         addresses = self.controllers.addresses
-        timing = {x: cluster["workers"][x] for x in cluster["workers"] if x != "cancel_s"}
+        agent_timing = {x: cluster["workers"][x] for x in cluster["workers"] if x != "cancel_s"}
         self._agents = Agents(
-            self.network, self.workload, AgentSettings(**timing, controllers=addresses), seed
+            self.network, self.workload, AgentSettings(**agent_timing, controllers=addresses), seed
         )
         self.cloud.on_up = self._agents.start
         self.cloud.on_down = self._agents.stop
         self.users = Users(self.network, self.workload, list(addresses.values()), seed)
-        self._began_at_s = self.loop.time()
+        self._start_s = self.loop.time()
         for number in range(config.controllers):
             self.at(START_SPREAD_S * self.random.random(), self.controllers.start, number)
 
     def at(self, after_s: float, action: Callable[..., object], *args: Any, **named: Any) -> None:
-        """Do something at a time counted from the begin of the scenario."""
-        self.loop.call_at(self._began_at_s + after_s, partial(action, *args, **named))
+        """Schedule an action ``after_s`` seconds after the start of the scenario."""
+        self.loop.call_at(self._start_s + after_s, partial(action, *args, **named))
 
     @property
     def agents(self) -> list[Agent]:
-        """Agents of the machines that are there."""
+        """Agents of the machines that have not been terminated."""
         return self._agents.live
 
     def random_agents(self, count: int) -> list[Agent]:
-        """Some agents, chosen at random."""
+        """Return up to ``count`` agents, chosen at random."""
         live_agents = self.agents
         return self.random.sample(live_agents, min(count, len(live_agents)))
 
     def run(self, duration_s: float) -> None:
-        """Let time pass, then end everything."""
-        self.loop.run_until(self._began_at_s + duration_s)
+        """Run the scenario for a simulated time, then kill all controllers and end the record."""
+        self.loop.run_until(self._start_s + duration_s)
         self.controllers.kill_all()
         self.recorder.finish()
 
 
 def raw_settings(number: int, controllers: int, cluster: dict[str, Any]) -> dict[str, Any]:
-    """The settings of one controller, as its file holds them."""
-    me = controller_host(number)
-    hosts = [controller_host(x) for x in range(controllers) if x != number]
+    """Return the settings of one controller in the form of its settings file."""
+    own_host = controller_host(number)
+    other_hosts = [controller_host(x) for x in range(controllers) if x != number]
     return {
-        "node": me.name,
+        "node": own_host.name,
         "domain": ZONES[number % len(ZONES)],
-        "public_addr": f"{me.address}:{PUBLIC_PORT}",
-        "cluster_listen": f"{me.address}:{FRAME_PORT}",
+        "public_addr": f"{own_host.address}:{PUBLIC_PORT}",
+        "cluster_listen": f"{own_host.address}:{FRAME_PORT}",
         "others": [
             {"node": x.name, "address": f"{x.address}:{FRAME_PORT}", "domain": ZONES[0]}
-            for x in hosts
+            for x in other_hosts
         ],
         "external": {
             "cloud": f"{CLOUD_HOST.address}:{CLOUD_PORT}",
--- a/tests/tools/http_service.py
+++ b/tests/tools/http_service.py
@@ -1,4 +1,4 @@
-"""HTTP servers and callers for the outside systems, driven by callbacks."""
+"""HTTP servers and clients of the simulated outside systems, driven by callbacks."""
 
 from __future__ import annotations
 
@@ -14,37 +14,37 @@
     build_request,
     build_response,
     pack,
-    read_http,
+    parse_http,
 )
 from tests.tools.network import Address, ConnectAttempt, Endpoint, Network
 from tests.tools.processes import Host
 
 MALFORMED_HTTP = b"nonsense\r\n\r\n"
-#: status told to a caller when no response came
+#: status passed to a caller when no response arrived
 NO_RESPONSE = 0
 
 
 class Responder:
-    """Answers one request; once the caller has closed the connection, this has no effect."""
+    """Answers one request; has no effect once the connection is closed."""
 
     def __init__(self, endpoint: Endpoint) -> None:
         self._endpoint = endpoint
 
     @property
     def caller(self) -> Host:
-        """The host that the request came from."""
+        """Host that sent the request."""
         return self._endpoint.remote
 
     def answer(self, status: int, value: Any) -> None:
-        """Answer with a value as MessagePack."""
+        """Send a response with a value encoded as MessagePack."""
         self.answer_bytes(status, pack(value))
 
     def answer_bytes(self, status: int, body: bytes) -> None:
-        """Answer with a body as it is."""
+        """Send a response with a given body."""
         self._endpoint.write(build_response(status, body))
 
     def answer_malformed(self, rng: random.Random, status: int, bodies: list[bytes]) -> None:
-        """Answer with one of the bodies, or with what is no proper HTTP."""
+        """Send one of the bodies, as one response, as two, or replaced by malformed HTTP."""
         response = build_response(status, rng.choice(bodies))
         closing = response.replace(HEAD_END, b"\r\nConnection: close" + HEAD_END, 1)
         self._endpoint.write(
@@ -52,12 +52,12 @@
         )
 
 
-#: handles a request of a service
+#: handles a request that a service received
 Handler: TypeAlias = Callable[[HttpMessage, Responder], None]
 
 
 class ServiceConnection(asyncio.Protocol):
-    """A connection to a service; requests are handled in order."""
+    """Server end of a connection; passes requests to the handler in order."""
 
     def __init__(self, handler: Handler) -> None:
         self._handler = handler
@@ -65,19 +65,19 @@
         self._endpoint: Endpoint | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep this end of the connection."""
+        """Store the endpoint, on which responses are written."""
         assert isinstance(transport, Endpoint)
         self._endpoint = transport
 
     def data_received(self, data: bytes) -> None:
-        """Handle the requests that are complete."""
+        """Handle the requests that are now complete."""
         assert self._endpoint is not None
         for message in self._splitter.feed(data):
-            self._handler(read_http(message), Responder(self._endpoint))
+            self._handler(parse_http(message), Responder(self._endpoint))
 
 
 class _CallerConnection(asyncio.Protocol):
-    """A caller's connection to a server, with at most one request under way."""
+    """Client end of a connection, with at most one request in flight."""
 
     def __init__(
         self, on_response: Callable[[HttpMessage], None], on_lost: Callable[[], None]
@@ -87,17 +87,17 @@
         self._splitter = HttpSplitter()
 
     def data_received(self, data: bytes) -> None:
-        """Hand over the responses that are complete."""
+        """Pass the responses that are now complete to the caller."""
         for message in self._splitter.feed(data):
-            self._on_response(read_http(message))
+            self._on_response(parse_http(message))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell that no response will come."""
+        """Notify the caller that no response will arrive."""
         self._on_lost()
 
 
 class HttpCaller:
-    """Sends one request at a time, over a connection that is kept while the address is the same."""
+    """Sends one request at a time; reuses its connection while the address stays the same."""
 
     def __init__(self, network: Network, host: Host) -> None:
         self._network = network
@@ -110,7 +110,7 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether a request is under way."""
+        """Whether a request is in flight."""
         return self._on_answer is not None
 
     def request(
@@ -120,7 +120,7 @@
         timeout_s: float,
         on_answer: Callable[[int, HttpMessage | None], None],
     ) -> None:
-        """Send a request; its callback gets the status, NO_RESPONSE when none came in time."""
+        """Send a request; ``on_answer`` receives its status, or NO_RESPONSE after the timeout."""
         assert not self.is_busy
         self._on_answer = on_answer
         self._timeout = self._network.loop.call_later(timeout_s, self._fail)
@@ -138,7 +138,7 @@
         )
 
     def close(self) -> None:
-        """Close the connection that is kept, if there is one."""
+        """Close the connection, or cancel the attempt to open one."""
         endpoint, self._endpoint = self._endpoint, None
         if self._attempt is not None:
             self._attempt.cancel()
@@ -155,7 +155,7 @@
         self._finish(response.status, response)
 
     def _handle_lost(self) -> None:
-        """A connection is lost; one that was closed here is not the one that is kept."""
+        """Fail the request, unless the lost connection was closed by this caller."""
         if self._endpoint is not None and self._endpoint.is_closing():
             self._endpoint = None
             self._fail()
@@ -173,10 +173,10 @@
 
 
 def get(path: str, closes_connection: bool = False) -> bytes:
-    """A GET request."""
+    """Return a GET request."""
     return build_request("GET", path, b"", closes_connection)
 
 
 def post(path: str, value: Any, closes_connection: bool = False) -> bytes:
-    """A POST request with a value as MessagePack."""
+    """Return a POST request with a value encoded as MessagePack."""
     return build_request("POST", path, pack(value), closes_connection)
--- a/tests/tools/job_mix.py
+++ b/tests/tools/job_mix.py
@@ -1,4 +1,4 @@
-"""Jobs of all kinds, drawn at random."""
+"""Random submissions of jobs of all kinds."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 TEAMS = ["vision", "speech", "tight", "guests"]
 URGENCIES = ["prod", "high", "normal", "low"]
 IMAGES = [f"img-{number:02d}" for number in range(6)]
-#: the shares of the kinds of jobs in a mix
-SHARES = {"small": 8, "large": 2, "gang": 4, "gpu_gang": 1, "picky": 3, "due": 3, "saving": 3}
+#: relative frequency of each kind of job
+KIND_WEIGHTS = {"small": 8, "large": 2, "gang": 4, "gpu_gang": 1, "picky": 3, "due": 3, "saving": 3}
 
 
 def random_job(rng: random.Random, number: int) -> dict[str, Any]:
-    """A job of any kind."""
-    kind = rng.choices(list(SHARES), list(SHARES.values()))[0]
+    """Return the submission of a job of a random kind."""
+    kind = rng.choices(list(KIND_WEIGHTS), list(KIND_WEIGHTS.values()))[0]
     common = {
         "owner": rng.choices(TEAMS, [6, 4, 2, 2])[0],
         "urgency": rng.choices(URGENCIES, [1, 2, 5, 2])[0],
@@ -29,12 +29,12 @@
 
 
 def small_array(rng: random.Random) -> dict[str, Any]:
-    """A few independent tasks."""
+    """Return the fields of a job with a few independent tasks."""
     return {"pieces": rng.randint(1, 6), "cpus": rng.choice([0.5, 1.0, 2.0, 3.0])}
 
 
 def large_array(rng: random.Random) -> dict[str, Any]:
-    """Many short tasks, more than one shard has room for."""
+    """Return the fields of a job with many short tasks, more than fit into one shard."""
     return {
         "owner": rng.choice(["vision", "speech"]),
         "pieces": rng.randint(40, 160),
@@ -43,7 +43,7 @@
 
 
 def random_gang(rng: random.Random) -> dict[str, Any]:
-    """Tasks that run all at once, perhaps in one zone or spread over zones."""
+    """Return the fields of a gang, which may have to run in one zone or be spread over zones."""
     return {
         "shape": GANG,
         "owner": rng.choice(["vision", "speech", "guests"]),
@@ -57,7 +57,7 @@
 
 
 def gpu_gang(rng: random.Random) -> dict[str, Any]:
-    """A gang that needs the large machines."""
+    """Return the fields of a gang that needs GPU machines."""
     return {
         "shape": GANG,
         "owner": "vision",
@@ -72,7 +72,7 @@
 
 
 def constrained(rng: random.Random) -> dict[str, Any]:
-    """Tasks that may run only on some machines."""
+    """Return the fields of a job whose tasks may run only on some machines."""
     return {
         "pieces": rng.randint(1, 8),
         "room": rng.choice([None, "a", "b", "c"]),
@@ -83,7 +83,7 @@
 
 
 def with_deadline(rng: random.Random) -> dict[str, Any]:
-    """Tasks with a deadline, sometimes one that can not be kept."""
+    """Return the fields of a job with a deadline, which in some cases cannot be met."""
     return {
         "jobclass": "nightly",
         "pieces": rng.randint(2, 12),
@@ -92,7 +92,7 @@
 
 
 def checkpointed(rng: random.Random) -> dict[str, Any]:
-    """Long tasks that save checkpoints, on spot machines too."""
+    """Return the fields of a job with long tasks that save checkpoints; may use spot machines."""
     return {
         "pieces": rng.randint(1, 4),
         "cpus": 2.0,
@@ -104,14 +104,14 @@
 
 
 def service_job(number: int, **changes: Any) -> dict[str, Any]:
-    """A job that runs until it is withdrawn."""
+    """Return the submission of a service, which runs until it is withdrawn."""
     return job_submission(
         number, **{"shape": SERVICE, "pieces": 2, "jobclass": "serving", **changes}
     )
 
 
 def failing_job(number: int, **changes: Any) -> dict[str, Any]:
-    """A job that fails on every machine."""
+    """Return the submission of a job whose tasks fail on every machine."""
     return job_submission(number, **{"jobclass": FAILING_CLASS, "pieces": 3, **changes})
 
 
--- a/tests/tools/messages.py
+++ b/tests/tools/messages.py
@@ -1,4 +1,4 @@
-"""Messages on a connection: splitting a stream into them, building and reading them."""
+"""Splits streams into HTTP messages or controllers' frames; builds and parses these messages."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import msgspec
 
 HEAD_END = b"\r\n\r\n"
-#: bytes of the length in front of a frame between controllers
+#: size in bytes of the length prefix of a frame between controllers
 FRAME_LENGTH_BYTES = 4
 
 
@@ -16,17 +16,17 @@
     """Splits a stream of bytes into messages."""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take more of the stream; the messages that are complete now."""
+        """Append data to the buffer; return the messages that are now complete."""
 
 
 class HttpSplitter:
-    """Splits a stream of HTTP/1.1 messages whose bodies have a Content-Length, or none."""
+    """Splits a stream of HTTP/1.1 messages, which have a Content-Length or no body."""
 
     def __init__(self) -> None:
         self._buffer = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take more of the stream; the messages that are complete now."""
+        """Append data to the buffer; return the messages that are now complete."""
         self._buffer += data
         complete = []
         while (size := self._size_of_first()) is not None:
@@ -35,11 +35,11 @@
         return complete
 
     def _size_of_first(self) -> int | None:
-        """Size of the first message; None if it is not complete."""
+        """Return the size of the first message in bytes; None if it is not complete."""
         head, end, body = self._buffer.partition(HEAD_END)
         if not end:
             return None
-        length = int(read_headers(head).get("content-length", "0"))
+        length = int(parse_headers(head).get("content-length", "0"))
         return len(head) + len(end) + length if len(body) >= length else None
 
 
@@ -50,7 +50,7 @@
         self._buffer = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take more of the stream; the messages that are complete now."""
+        """Append data to the buffer; return the messages that are now complete."""
         self._buffer += data
         complete = []
         while len(self._buffer) >= FRAME_LENGTH_BYTES:
@@ -62,8 +62,8 @@
         return complete
 
 
-def read_headers(head: bytes) -> dict[str, str]:
-    """Headers of a message's head, by their names in small letters."""
+def parse_headers(head: bytes) -> dict[str, str]:
+    """Return the headers of a message by their names in lower case."""
     headers = {}
     for line in head.decode("latin-1").split("\r\n")[1:]:
         name, _, value = line.partition(":")
@@ -81,7 +81,7 @@
 
     @property
     def status(self) -> int:
-        """Status of a response."""
+        """Status code of a response."""
         return int(self.start_line.split(" ")[1])
 
     @property
@@ -96,19 +96,19 @@
 
     @property
     def closes_connection(self) -> bool:
-        """Whether the connection ends after this message."""
+        """Whether the message has the header ``Connection: close``."""
         return self.headers.get("connection", "").lower() == "close"
 
 
-def read_http(data: bytes) -> HttpMessage:
-    """Read one complete message."""
+def parse_http(data: bytes) -> HttpMessage:
+    """Parse one complete message."""
     head, _, body = data.partition(HEAD_END)
     start_line = head.decode("latin-1").split("\r\n")[0]
-    return HttpMessage(start_line, read_headers(head), body)
+    return HttpMessage(start_line, parse_headers(head), body)
 
 
 def build_request(method: str, path: str, body: bytes, closes_connection: bool) -> bytes:
-    """A request as the outside systems send it."""
+    """Return an HTTP request as the outside systems send it."""
     head = f"{method} {path} HTTP/1.1\r\nHost: marblestair\r\nContent-Length: {len(body)}\r\n"
     if closes_connection:
         head += "Connection: close\r\n"
@@ -116,24 +116,24 @@
 
 
 def build_response(status: int, body: bytes) -> bytes:
-    """A response as the outside systems send it."""
+    """Return an HTTP response as the outside systems send it."""
     head = f"HTTP/1.1 {status} Status\r\nContent-Length: {len(body)}\r\n\r\n"
     return head.encode("ascii") + body
 
 
 def build_frame(message: Any) -> bytes:
-    """A frame as controllers send it to each other."""
+    """Return a frame as controllers send it to each other."""
     data = pack(message)
     return len(data).to_bytes(FRAME_LENGTH_BYTES, "big") + data
 
 
 def pack(value: Any) -> bytes:
-    """Encode a value as MessagePack."""
+    """Return a value encoded as MessagePack."""
     return msgspec.msgpack.encode(value)
 
 
 def unpack(data: bytes) -> Any:
-    """Decode MessagePack; None if it is malformed."""
+    """Return a value decoded from MessagePack; None if the data is malformed."""
     try:
         return msgspec.msgpack.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError):
--- a/tests/tools/network.py
+++ b/tests/tools/network.py
@@ -1,8 +1,7 @@
-"""In-memory connections between simulated hosts, with delays, cuts and hosts that fall silent.
+"""In-memory connections between simulated hosts, with delays, partitions, freezes and power loss.
 
-Each direction of a connection delivers in order, every piece after a small random delay. The
-delays of a connection come from a generator of its own, so that what happens on one connection
-never changes the delays of another.
+Each direction of a connection delivers data in order, after small random delays. Each connection
+has its own random generator, so that traffic on one connection never changes the delays of another.
 """
 
 from __future__ import annotations
@@ -20,27 +19,27 @@
 
 Address: TypeAlias = tuple[str, int]
 
-#: bounds of the time that a packet is under way
+#: bounds of the one-way delay of a packet
 MIN_DELAY_S, MAX_DELAY_S = 0.0002, 0.002
-#: the least time between two arrivals on one direction of a connection
+#: minimum time between two arrivals in one direction of a connection
 MIN_ARRIVAL_GAP_S = 1e-6
 
 
 class ConnectionEnd(enum.Enum):
-    """How a direction of a connection ends."""
+    """How one direction of a connection ends."""
 
     ORDERLY = "orderly"
     RESET = "reset"
 
 
 class Observer(Protocol):
-    """Sees what simulated processes do with their connections."""
+    """Is notified when a simulated process writes to a connection or closes it."""
 
     def on_write(self, endpoint: Endpoint, data: bytes) -> None:
-        """A process wrote to a connection."""
+        """Handle a write of a process to a connection."""
 
     def on_close(self, endpoint: Endpoint) -> None:
-        """A process closed a connection."""
+        """Handle the closing of a connection by a process."""
 
 
 class Pipe:
@@ -51,11 +50,11 @@
         self._receiver = receiver
         self._delays = delays
         self._in_flight: deque[tuple[float, bytes | ConnectionEnd]] = deque()
-        #: nothing arrives before this time
+        #: arrival time of the last item sent; later items arrive after it
         self.last_arrival_s = 0.0
 
     def send(self, item: bytes | ConnectionEnd) -> None:
-        """Take a piece of data, or the end, and deliver it later."""
+        """Queue data, or the end of the connection, for delivery after a delay."""
         delay_s = self._delays.uniform(MIN_DELAY_S, MAX_DELAY_S)
         earliest_s = self.last_arrival_s + MIN_ARRIVAL_GAP_S
         self.last_arrival_s = max(earliest_s, self._network.loop.time() + delay_s)
@@ -64,7 +63,7 @@
             self.schedule()
 
     def schedule(self) -> None:
-        """Wait for the arrival of what is next."""
+        """Schedule the delivery of the next item in flight."""
         arrival_s, _ = self._in_flight[0]
         self._network.loop.call_at(arrival_s, self._deliver, context=self._network.context)
 
@@ -88,7 +87,7 @@
         self._network = network
         self.local = local
         self.remote = remote
-        #: the port of the side that was connected to
+        #: port of the listening side
         self.port = port
         self.context = context
         self.process: Process | None = context.get(CURRENT_PROCESS)
@@ -99,36 +98,36 @@
         self._unread: deque[bytes | ConnectionEnd] = deque()
 
     def set_outgoing(self, outgoing: Pipe) -> None:
-        """Set the direction on which this end writes."""
+        """Set the direction in which this end sends."""
         self._outgoing = outgoing
 
     def open(self, protocol_factory: Callable[[], asyncio.Protocol]) -> None:
-        """Create this end's protocol and tell it that the connection stands."""
+        """Create this end's protocol and notify it that the connection is established."""
         self.protocol = protocol_factory()
         self.protocol.connection_made(self)
 
     def receive(self, item: bytes | ConnectionEnd) -> None:
-        """Something has arrived at this end's host."""
-        if self._is_process_dead:
+        """Handle the arrival of data, or of the connection's end, at this end's host."""
+        if self._is_process_killed:
             if isinstance(item, bytes):
-                self._network.reset_for_dead_process(self)
+                self._network.reset_for_killed_process(self)
         elif not self._is_closing:
             self._network.loop.call_soon(self._dispatch, item, context=self.context)
 
-    def terminate(self, is_silent: bool) -> None:
-        """End with the process or the host; unless silent, the other end sees a reset."""
+    def terminate(self, without_reset: bool) -> None:
+        """Close this end because its process or host ended, with or without a reset of the other."""
         self._is_closing = True
-        if not is_silent:
+        if not without_reset:
             self.send_end(ConnectionEnd.RESET)
         self._network.remove_endpoint(self)
 
-    def send_end(self, ending: ConnectionEnd) -> None:
-        """Let the other end see that the connection is over."""
+    def send_end(self, end: ConnectionEnd) -> None:
+        """Send the end of the connection to the other end."""
         if self._outgoing is not None:
-            self._outgoing.send(ending)
+            self._outgoing.send(end)
 
     @property
-    def _is_process_dead(self) -> bool:
+    def _is_process_killed(self) -> bool:
         return self.process is not None and not self.process.is_alive
 
     def _dispatch(self, item: bytes | ConnectionEnd) -> None:
@@ -151,16 +150,16 @@
     # asyncio.Transport
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        """Send data."""
-        if self._is_closing or self._is_process_dead or self._outgoing is None:
+        """Send data to the other end."""
+        if self._is_closing or self._is_process_killed or self._outgoing is None:
             return
         if self.process is not None and self._network.observer is not None:
             self._network.observer.on_write(self, bytes(data))
         self._outgoing.send(bytes(data))
 
     def close(self) -> None:
-        """Close once what was written has been sent."""
-        if self._is_closing or self._is_process_dead:
+        """Close after the data already written."""
+        if self._is_closing or self._is_process_killed:
             return
         self._is_closing = True
         if self.process is not None and self._network.observer is not None:
@@ -169,26 +168,26 @@
         self._network.loop.call_soon(self._notify_lost, None, context=self.context)
 
     def abort(self) -> None:
-        """Close at once; what was written is on its way already."""
+        """Close like :meth:`close`: the data already written is in flight and cannot be dropped."""
         self.close()
 
     def is_closing(self) -> bool:
-        """Whether this end is closed, or about to be."""
+        """Return whether this end is closed or closing."""
         return self._is_closing
 
     def pause_reading(self) -> None:
-        """Keep back what arrives."""
+        """Buffer arriving data instead of passing it to the protocol."""
         self._is_paused = True
 
     def resume_reading(self) -> None:
-        """Deliver what was kept back."""
+        """Pass the buffered data to the protocol."""
         self._is_paused = False
         unread, self._unread = self._unread, deque()
         for item in unread:
             self._network.loop.call_soon(self._dispatch, item, context=self.context)
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """The addresses of both ends; nothing else is known."""
+        """Return the address of the peer or of this end; the default for any other name."""
         known = {
             "peername": (self.remote.address, self.port),
             "sockname": (self.local.address, self.port),
@@ -197,7 +196,7 @@
 
 
 class Listener:
-    """Accepts connections to an address."""
+    """Accepts connections to an address until it is closed."""
 
     def __init__(
         self,
@@ -213,13 +212,13 @@
         self.process: Process | None = context.get(CURRENT_PROCESS)
 
     def close(self) -> None:
-        """Stop to accept."""
+        """Stop accepting connections."""
         if self.process is None or self.process.is_alive:
             self._network.stop_listening(self)
 
 
 class ConnectAttempt:
-    """An attempt to connect, until it succeeded, failed or was given up."""
+    """An attempt to connect, until it succeeds, fails or is cancelled."""
 
     def __init__(
         self,
@@ -240,16 +239,16 @@
         self._was_cancelled = False
 
     def cancel(self) -> None:
-        """Let the attempt come to nothing, if it has not succeeded yet."""
+        """Cancel the attempt; no effect if it has succeeded."""
         self._was_cancelled = True
 
     @property
     def is_cancelled(self) -> bool:
-        """Whether nobody waits for the connection any more."""
+        """Whether the attempt was cancelled or its process was killed."""
         return self._was_cancelled or (self.process is not None and not self.process.is_alive)
 
     def succeed(self, endpoint: Endpoint) -> None:
-        """Hand over this side's end of the connection."""
+        """Open the client end, or close it if the attempt has been cancelled."""
         if self.is_cancelled:
             endpoint.close()
             return
@@ -258,15 +257,15 @@
 
 
 class Network:
-    """All hosts, listeners and connections, and the troubles between them."""
+    """All hosts, listeners and connections, and the faults injected between them."""
 
     def __init__(self, loop: SimulatedLoop, seed: str) -> None:
         self.loop = loop
         loop.network = self
-        #: the context of what belongs to no process
+        #: context of callbacks that belong to no process
         self.context = contextvars.copy_context()
         self.observer: Observer | None = None
-        #: directions that wait for a cut to end
+        #: pipes whose delivery waits for a cut or a freeze to end
         self.blocked_pipes: list[Pipe] = []
         self._seed = seed
         self._hosts: dict[str, Host] = {}
@@ -274,19 +273,20 @@
         self._endpoints: dict[Endpoint, None] = {}
         self._connection_counts: dict[tuple[str, Address], int] = {}
         self._pending_attempts: list[ConnectAttempt] = []
-        #: names of hosts that neither send nor receive, and of hosts without power
+        #: names of frozen hosts, which neither send nor receive, and of hosts without power
         self._frozen: set[str] = set()
         self._powered_off: set[str] = set()
-        #: pairs of names (from, to) between which nothing passes, or connections are refused
+        #: pairs of host names (from, to) between which no data passes
         self._cut_pairs: set[tuple[str, str]] = set()
+        #: pairs of host names between which connections are refused, in both orders
         self._refused_pairs: set[tuple[str, str]] = set()
-        #: names of hosts that nothing passes to or from a kind of hosts, with that kind
+        #: pairs (host name, kind of host) between which no data passes in either direction
         self._cut_kinds: set[tuple[str, str]] = set()
 
     # hosts and listeners
 
     def add_host(self, host: Host) -> None:
-        """Add a host to which others can connect."""
+        """Add a host to which other hosts can connect."""
         self._hosts[host.address] = host
 
     def listen(
@@ -295,47 +295,53 @@
         protocol_factory: Callable[[], asyncio.Protocol],
         context: contextvars.Context | None = None,
     ) -> Listener:
-        """Accept connections to an address."""
+        """Accept connections to an address.
+
+        Raises
+        ------
+        OSError
+            If the address has a listener already.
+        """
         if address in self._listeners:
-            raise OSError(f"address in use: {address}")
+            raise OSError(f"address already in use: {address}")
         listener = Listener(self, address, protocol_factory, context or self.context)
         self._listeners[address] = listener
         return listener
 
     def stop_listening(self, listener: Listener) -> None:
-        """Refuse connections to a listener's address from now on."""
+        """Remove a listener; connections to its address are refused from now on."""
         if self._listeners.get(listener.address) is listener:
             del self._listeners[listener.address]
 
-    def kill(self, process: Process, is_silent: bool) -> None:
-        """End a process; if silent, its host loses power, and the other ends see nothing."""
+    def kill(self, process: Process, is_power_loss: bool) -> None:
+        """Kill a process and reset its connections; on a power loss, do not reset them."""
         process.is_alive = False
-        if is_silent:
+        if is_power_loss:
             self._powered_off.add(process.host.name)
         for listener in [x for x in self._listeners.values() if x.process is process]:
             self.stop_listening(listener)
         for endpoint in [x for x in self._endpoints if x.process is process]:
-            endpoint.terminate(is_silent)
+            endpoint.terminate(is_power_loss)
 
     def power_on(self, host: Host) -> None:
-        """Let a host answer again, if only by refusing connections."""
+        """Restore a host's power: it refuses connections to ports without a listener."""
         self._powered_off.discard(host.name)
         self._retry_blocked()
 
     def remove_host(self, host: Host) -> None:
-        """Remove a host; whoever is connected to it sees nothing."""
+        """Remove a host without resetting its connections."""
         self._powered_off.add(host.name)
         for listener in [x for x in self._listeners.values() if x.address[0] == host.address]:
             self.stop_listening(listener)
         for endpoint in [x for x in self._endpoints if x.local is host]:
-            endpoint.terminate(is_silent=True)
+            endpoint.terminate(without_reset=True)
 
     def remove_endpoint(self, endpoint: Endpoint) -> None:
-        """An end of a connection is closed."""
+        """Remove the closed end of a connection."""
         self._endpoints.pop(endpoint, None)
 
-    def reset_for_dead_process(self, endpoint: Endpoint) -> None:
-        """Data arrived for a process that is dead: its host resets the connection."""
+    def reset_for_killed_process(self, endpoint: Endpoint) -> None:
+        """Reset a connection on which data arrived for a killed process, if its host has power."""
         if endpoint.local.name not in self._powered_off:
             endpoint.send_end(ConnectionEnd.RESET)
 
@@ -350,7 +356,7 @@
         on_failed: Callable[[OSError], object],
         context: contextvars.Context | None = None,
     ) -> ConnectAttempt:
-        """Connect a host to an address; exactly one of the callbacks is called, or none."""
+        """Connect a host to an address; at most one of the callbacks is called."""
         attempt = ConnectAttempt(
             source, address, protocol_factory, on_open, on_failed, context or self.context
         )
@@ -371,14 +377,14 @@
         return random.Random(f"{self._seed}/{attempt.source.name}/{host}:{port}/{number}")
 
     def _handle_connect_request(self, attempt: ConnectAttempt, delays: random.Random) -> None:
-        """The request to connect has reached the other host, unless something is in its way."""
+        """Handle a request to connect; hold it back while its host is unreachable."""
         target = self._hosts.get(attempt.address[0])
         if attempt.is_cancelled:
             return
         if (
             target is None
             or target.name in self._powered_off
-            or self._is_cut(attempt.source, target)
+            or self._is_blocked_either_way(attempt.source, target)
         ):
             self._pending_attempts.append(attempt)
             return
@@ -399,7 +405,7 @@
         answered_s: float,
         delays: random.Random,
     ) -> Endpoint:
-        """Create both ends of a connection and open that of the listener."""
+        """Create both ends of a connection and open the listener's end."""
         source, port = attempt.source, attempt.address[1]
         server_end = Endpoint(self, target, source, port, listener.context.copy())
         client_end = Endpoint(self, source, target, port, attempt.context.copy())
@@ -412,10 +418,10 @@
         self.loop.call_soon(server_end.open, listener.protocol_factory, context=server_end.context)
         return client_end
 
-    # troubles
+    # faults
 
     def is_blocked(self, source: Host, target: Host) -> bool:
-        """Whether nothing passes from one host to another at present."""
+        """Return whether data from one host to another is held back at present."""
         if source.name in self._frozen or target.name in self._frozen:
             return True
         if (source.name, target.kind) in self._cut_kinds:
@@ -424,20 +430,20 @@
             return True
         return (source.name, target.name) in self._cut_pairs
 
-    def _is_cut(self, first: Host, second: Host) -> bool:
+    def _is_blocked_either_way(self, first: Host, second: Host) -> bool:
         return self.is_blocked(first, second) or self.is_blocked(second, first)
 
     def cut(self, source: str, target: str) -> None:
-        """Hold back all that goes from one host to another, until the cut ends."""
+        """Hold back all data from one host to another, until :meth:`end_partitions`."""
         self._cut_pairs.add((source, target))
 
     def cut_both_ways(self, first: str, second: str) -> None:
-        """Hold back all that goes between two hosts, until the cut ends."""
+        """Hold back all data between two hosts, until :meth:`end_partitions`."""
         self.cut(first, second)
         self.cut(second, first)
 
     def cut_from_kind(self, name: str, kind: str) -> None:
-        """Hold back all between a host and all hosts of a kind, also those that are yet to come."""
+        """Hold back all data between a host and all present and future hosts of a kind."""
         self._cut_kinds.add((name, kind))
 
     def refuse(self, first: str, second: str) -> None:
@@ -449,18 +455,18 @@
                 endpoint.receive(ConnectionEnd.RESET)
 
     def end_partitions(self) -> None:
-        """End all cuts and refusals; what was held back is delivered in order."""
+        """End all cuts and refusals; data held back is delivered in order."""
         self._cut_pairs.clear()
         self._cut_kinds.clear()
         self._refused_pairs.clear()
         self._retry_blocked()
 
     def freeze(self, host: Host) -> None:
-        """Let a host neither send nor receive until it is thawed."""
+        """Suspend all traffic of a host until :meth:`unfreeze`."""
         self._frozen.add(host.name)
 
     def unfreeze(self, host: Host) -> None:
-        """Let a frozen host go on; what was held back is delivered in order."""
+        """Resume the traffic of a frozen host; data held back is delivered in order."""
         self._frozen.discard(host.name)
         self._retry_blocked()
 
--- a/tests/tools/package_under_test.py
+++ b/tests/tools/package_under_test.py
@@ -1,4 +1,7 @@
-"""The only place that names parts of the package whose versions are compared."""
+"""Access to the package under test; no other module of the tools imports it.
+
+Both versions that are compared must have the names that are used here.
+"""
 
 from __future__ import annotations
 
@@ -7,9 +10,9 @@
 
 
 async def run_controller(raw_settings: dict[str, Any], policy_script: pathlib.Path | None) -> None:
-    """Run one controller for good, as the command line does it.
+    """Run one controller forever, as the command line does.
 
-    The package is imported only here, after the clock and the source of randomness are in place.
+    Imports the package on the call, after the clock and the random sources have been replaced.
     """
     from marblestair import node, policy, settings
 
@@ -19,7 +22,7 @@
 
 
 def package_directory() -> pathlib.Path:
-    """Where the package under test is."""
+    """Return the directory of the package under test."""
     import marblestair
 
     return pathlib.Path(str(marblestair.__file__)).resolve().parent
--- a/tests/tools/play.py
+++ b/tests/tools/play.py
@@ -1,7 +1,7 @@
-"""Plays one scenario on the package that this process imports, and writes the record.
+"""Runs one scenario on the package that this process imports, and writes its record.
 
-Run by ``compare_versions`` in a process of its own: the package, the clock and the source of
-randomness belong to the whole process.
+``compare_versions`` runs this in a process of its own, because the imported package and the
+replaced clock and random sources are global to the process.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 from tests.tools.scenarios import find_scenario
 from tests.tools.simulated_loop import SimulatedLoop
 
-#: the time of day at simulated time 0
+#: wall-clock time at simulated time 0
 EPOCH_S = 1_800_000_000.0
 LOG_FORMAT = "%(simulated_s).4f %(levelname)s %(message)s"
 
 
 def replace_clock_and_randomness(loop: SimulatedLoop, seed: str) -> None:
-    """Let the package see simulated time and seeded random bytes."""
+    """Replace the process's clocks by simulated time and its random sources by seeded ones."""
     source = random.Random(f"{seed}/urandom")
     time.monotonic = loop.time
     time.time = lambda: EPOCH_S + loop.time()
@@ -34,7 +34,7 @@
 
 
 def write_log(loop: SimulatedLoop, path: pathlib.Path) -> None:
-    """Write what the controllers log to a file, with the simulated time."""
+    """Write the controllers' log lines to a file, with the simulated time."""
     handler = logging.FileHandler(path, mode="w")
     handler.setFormatter(logging.Formatter(LOG_FORMAT))
 
@@ -47,7 +47,7 @@
 
 
 def run_scenario(name: str, seed: str, record: pathlib.Path) -> None:
-    """Play a scenario and write its record, and the log beside it."""
+    """Run a scenario; write its record, and its log to a file with the suffix ``.log``."""
     scenario = find_scenario(name)
     seed = f"{name}/{seed}"
     with record.open("wb") as file:
@@ -59,16 +59,16 @@
 
 
 def main() -> int:
-    """Entry point; the result is the exit code."""
+    """Run the command; return its exit code."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else None)
     parser.add_argument("scenario")
     parser.add_argument("seed")
     parser.add_argument("record", type=pathlib.Path)
-    parser.add_argument("package", type=pathlib.Path, help="where the package must come from")
+    parser.add_argument("package", type=pathlib.Path, help="directory of the package to test")
     arguments = parser.parse_args()
     found = package_directory()
     if found != arguments.package.resolve():
-        print(f"the package comes from {found}, not from {arguments.package}", file=sys.stderr)
+        print(f"imported package is {found}, expected {arguments.package}", file=sys.stderr)
         return 2
     run_scenario(arguments.scenario, arguments.seed, arguments.record)
     return 0
--- a/tests/tools/processes.py
+++ b/tests/tools/processes.py
@@ -1,4 +1,4 @@
-"""Simulated processes, and the process to which a callback belongs."""
+"""Simulated hosts and processes, and the process to which the running callback belongs."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True)
 class Host:
-    """A machine of the simulated network; its kind and its name say what runs there."""
+    """A host of the simulated network; its kind and name tell which program runs on it."""
 
     kind: str
     name: str
@@ -24,13 +24,13 @@
         self.is_alive = True
 
     def context(self) -> contextvars.Context:
-        """A context whose callbacks and tasks belong to this process."""
+        """Return a context; callbacks and tasks that run in it belong to this process."""
         context = contextvars.copy_context()
         context.run(CURRENT_PROCESS.set, self)
         return context
 
 
-#: the process to which the running callback belongs; None: the outside systems and the network
+#: process to which the running callback belongs; None for outside systems and the network
 CURRENT_PROCESS: contextvars.ContextVar[Process | None] = contextvars.ContextVar(
     "current_process", default=None
 )
--- a/tests/tools/rates.py
+++ b/tests/tools/rates.py
@@ -1,4 +1,4 @@
-"""Limits of requests per second."""
+"""Rate limits."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class TokenBucket:
-    """Lets through so many per second, with bursts of some seconds' worth."""
+    """Token bucket that refills at ``per_s`` and holds up to ``burst_s`` seconds of refill."""
 
     def __init__(self, per_s: float, clock: Callable[[], float], burst_s: float = 1.0) -> None:
         self._per_s = per_s
@@ -16,7 +16,7 @@
         self._filled_at_s = clock()
 
     def take(self, count: int) -> bool:
-        """Whether so many may pass now."""
+        """Take tokens if the bucket holds enough; return whether it did."""
         now_s = self._clock()
         self._tokens = min(self._capacity, self._tokens + (now_s - self._filled_at_s) * self._per_s)
         self._filled_at_s = now_s
--- a/tests/tools/recording.py
+++ b/tests/tools/recording.py
@@ -1,4 +1,4 @@
-"""The record of everything that leaves the controllers, kept in a file."""
+"""Records everything that the controllers send in a file, and reads such a record."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 from tests.tools.processes import Process
 from tests.tools.simulated_loop import SimulatedLoop
 
-#: bytes of the length in front of each entry of the file
+#: size in bytes of the length prefix of each entry in the file
 LENGTH_BYTES = 4
-#: whose answers count, but not by their content: texts for people may change
+#: kinds of receivers of messages for people, whose content may change: only time and number of
+#: these messages are compared
 KINDS_WITHOUT_CONTENT = ("operator",)
 
 
 class Event:
-    """What an entry of a record tells."""
+    """Kinds of events that a record contains."""
 
     MESSAGE = "message"
     CLOSED = "closed"
@@ -28,21 +29,21 @@
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """Something that left a controller, or that a controller did with a connection."""
+    """A message sent by a controller, a connection closed by it, or the end of its program."""
 
     time_s: float
-    #: the controller and the number of its run
+    #: name of the controller, and which of its runs this is
     node: str
     run: int
     event: str
-    #: kind and name of the host at the other end
+    #: kind and name of the remote host
     kind: str
     destination: str
     data: bytes
 
 
 class Recorder:
-    """Writes a record while a scenario is played."""
+    """Writes the record of a scenario while the scenario runs."""
 
     def __init__(self, loop: SimulatedLoop, frame_port: int, file: BinaryIO) -> None:
         self._loop = loop
@@ -52,7 +53,7 @@
         self._pending_closes: list[Entry] = []
 
     def on_write(self, endpoint: Endpoint, data: bytes) -> None:
-        """Note the messages that are complete now."""
+        """Record the messages that are now complete."""
         splitter = self._splitters.get(endpoint)
         if splitter is None:
             is_frames = endpoint.port == self._frame_port
@@ -62,18 +63,18 @@
             self._write(self._entry(endpoint, Event.MESSAGE, message if is_compared else b""))
 
     def on_close(self, endpoint: Endpoint) -> None:
-        """Note that a controller closed a connection."""
+        """Record that a controller closed a connection."""
         self._splitters.pop(endpoint, None)
         self._pending_closes.append(self._entry(endpoint, Event.CLOSED, b""))
 
     def on_exit(self, process: Process, reason: str) -> None:
-        """Note that a controller's program ended by itself."""
+        """Record that a controller's program ended on its own."""
         host = process.host
         data = reason.encode()
         self._write(Entry(self._loop.time(), host.name, process.run, Event.ENDED, "none", "", data))
 
     def finish(self) -> None:
-        """Write what is left."""
+        """Write the entries that are still pending."""
         self._flush_closes()
 
     def _entry(self, endpoint: Endpoint, event: str, data: bytes) -> Entry:
@@ -93,9 +94,9 @@
         self._append(entry)
 
     def _flush_closes(self) -> None:
-        """Write the connections closed since the last message.
+        """Write the entries of the connections that were closed since the last message.
 
-        Those closed at one moment are put in order by their other ends: a controller may keep its
+        Entries of the same time are sorted by the remote host: a controller may keep its
         connections in a set, whose order differs from run to run.
         """
         pending, self._pending_closes = self._pending_closes, []
@@ -108,7 +109,7 @@
 
 
 def read_record(path: pathlib.Path) -> Iterator[Entry]:
-    """Entries of a record, one after another."""
+    """Yield the entries of a record."""
     decoder = msgspec.msgpack.Decoder(Entry)
     with path.open("rb") as file:
         while length := file.read(LENGTH_BYTES):
--- a/tests/tools/scenarios.py
+++ b/tests/tools/scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios that are played on two versions."""
+"""The scenarios that ``compare_versions`` runs on two versions."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """A scenario: a deployment, what happens in it, and for how long."""
+    """A deployment, the events scheduled in it by ``arrange``, and the simulated duration."""
 
     name: str
     config: DeploymentConfig
@@ -33,7 +33,7 @@
 
     @property
     def description(self) -> str:
-        """What happens in it, in one line."""
+        """Summary line of the scenario, for ``compare_versions --list``."""
         return (self.arrange.__doc__ or "").splitlines()[0]
 
 
@@ -46,12 +46,12 @@
     ]
 
 
-#: the store's limits become smaller later
+#: settings in which the store's next limits are lower than its present ones
 STATE_WITH_LOWER_NEXT_LIMITS = {
     **CLUSTER_SETTINGS["state"],
     "next": {"value_kb": 3.0, "txn_ops": 8, "write_rps": 30.0},
 }
-#: half of the time for a cancel is over before the lease of an agent that hangs
+#: half of the cancel deadline passes before the lease of a hung agent expires
 WORKERS_WITH_SHORT_CANCEL = {**CLUSTER_SETTINGS["workers"], "cancel_s": 12.0}
 LIMITS_WITH_150_SOCKETS = {**CLUSTER_SETTINGS["machine_limits"], "sockets": 150.0}
 LIMITS_WITH_90_SOCKETS = {**CLUSTER_SETTINGS["machine_limits"], "sockets": 90.0}
@@ -86,5 +86,5 @@
 
 
 def find_scenario(name: str) -> Scenario:
-    """The scenario of a name."""
+    """Return the scenario with a name."""
     return next(scenario for scenario in SCENARIOS if scenario.name == name)
--- a/tests/tools/scenarios_cancels.py
+++ b/tests/tools/scenarios_cancels.py
@@ -1,4 +1,4 @@
-"""Scenarios of jobs that are withdrawn, and of jobs that wait for others."""
+"""Scenarios with withdrawn jobs and with jobs that depend on other jobs."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def cancels(deployment: Deployment) -> None:
-    """Jobs withdrawn at any time: at once, while they run, as they end, and again."""
+    """Jobs withdrawn at different times: at once, while running, near their end, and repeatedly."""
     rng, users = deployment.random, deployment.users
     plans = [
         UserPlan(withdraw_after_s=0.001),
@@ -39,7 +39,7 @@
 
 
 def _withdraw_from_hung_machines(deployment: Deployment) -> None:
-    """Machines hang while the jobs on them are withdrawn."""
+    """Let machines hang while the jobs on them are withdrawn."""
     long = job_submission(710, pieces=12, cpus=2.0, expected_s=60.0)
     deployment.at(20.0, deployment.users.submit, long, UserPlan(withdraw_after_s=20.0))
 
@@ -52,7 +52,7 @@
 
 
 def pipelines(deployment: Deployment) -> None:
-    """Chains, diamonds and fans of jobs, with parents withdrawn, unknown or done long ago."""
+    """Dependency chains, diamonds and fans, with parents withdrawn, unknown or done long before."""
     submit_mix(deployment, 8, 40.0, first_number=300)
     chains = [_chain(deployment, 10 * number, 3 + number % 3) for number in range(8)]
     for number, chain in enumerate(chains):
@@ -73,7 +73,7 @@
     _submit_in_sequence(deployment, 22.0, fan, [UserPlan(withdraw_after_s=2.5)] + [UserPlan()] * 24)
     duplicate_parents = job_submission(156, awaits=[job_id(0), job_id(100), job_id(0)])
     deployment.at(10.1, deployment.users.submit, duplicate_parents)
-    deployment.at(24.0, deployment.controllers.ask_status, 0)
+    deployment.at(24.0, deployment.controllers.request_status, 0)
     late = [
         job_submission(150, awaits=[job_id(0)]),
         job_submission(151, awaits=[job_id(10)]),
@@ -87,7 +87,7 @@
 
 
 def _chain(deployment: Deployment, first: int, length: int) -> list[dict[str, Any]]:
-    """Jobs that await each other one by one, the last with a deadline."""
+    """Return submissions of jobs that each await the one before; the last has a deadline."""
     chain = [job_submission(first, **_size(deployment))]
     for number in range(first + 1, first + length):
         chain.append(job_submission(number, awaits=[job_id(number - 1)], **_size(deployment)))
@@ -96,7 +96,7 @@
 
 
 def _diamond(deployment: Deployment, first: int) -> list[dict[str, Any]]:
-    """A job, two that await it, and one that awaits both."""
+    """Return submissions of a job, two jobs that await it, and one that awaits these two."""
     middle = [job_submission(first + x, awaits=[job_id(first)], pieces=2) for x in (1, 2)]
     last = job_submission(first + 3, awaits=[job_id(first + 1), job_id(first + 2)], shape="group")
     return [job_submission(first, **_size(deployment)), *middle, last]
@@ -110,6 +110,6 @@
 def _submit_in_sequence(
     deployment: Deployment, at_s: float, descriptions: list[dict[str, Any]], plans: list[UserPlan]
 ) -> None:
-    """Submit jobs in quick succession, each after those that it awaits."""
+    """Submit jobs in the given order, 0.3 s apart."""
     for number, (description, plan) in enumerate(zip(descriptions, plans, strict=True)):
         deployment.at(at_s + 0.3 * number, deployment.users.submit, description, plan)
--- a/tests/tools/scenarios_failures.py
+++ b/tests/tools/scenarios_failures.py
@@ -1,4 +1,4 @@
-"""Scenarios of controllers that die or can not reach each other."""
+"""Scenarios with controllers that crash, and with network partitions."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def controller_crashes(deployment: Deployment) -> None:
-    """Controllers die one by one, for long, for a moment, and without a sign."""
+    """Controllers crash one by one, for a long or a short time, one of them by power loss."""
     submit_mix(deployment, 20, 90.0, first_number=200)
     cancels(deployment)
     controllers = deployment.controllers
@@ -22,7 +22,7 @@
 
 
 def simultaneous_crashes(deployment: Deployment) -> None:
-    """All controllers end at once, and come back soon, or after the agents' leases."""
+    """All controllers crash at once and restart soon, or after the agents' leases expired."""
     submit_mix(deployment, 12, 80.0, first_number=200)
     pipelines(deployment)
     controllers = deployment.controllers
@@ -34,7 +34,7 @@
 
 
 def partitions(deployment: Deployment) -> None:
-    """Controllers are cut from each other, from the store, from agents, and from everything."""
+    """Controllers are cut off from each other, the store, the agents, and from all of these."""
     submit_mix(deployment, 36, 140.0, first_number=200)
     cancels(deployment)
     network = deployment.network
@@ -71,7 +71,7 @@
 
 
 def partitioned_pipelines(deployment: Deployment) -> None:
-    """Controllers are cut off or die while jobs wait for others."""
+    """Controllers are cut off or crash while jobs wait for other jobs."""
     pipelines(deployment)
     network, controllers = deployment.network, deployment.controllers
     names = [host.name for host in controllers.hosts]
--- a/tests/tools/scenarios_jobs.py
+++ b/tests/tools/scenarios_jobs.py
@@ -1,4 +1,4 @@
-"""Scenarios without troubles: jobs of all kinds, and more of them than there is room for."""
+"""Scenarios without faults: jobs of all kinds, with enough and with too little capacity."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from tests.tools.users import UserPlan
 from tests.tools.workload import job_submission
 
-#: jobs are submitted from this time on, when the controllers have begun to act
+#: time of the earliest submission, by which the controllers have started to act
 FIRST_SUBMISSION_S = 2.0
 
 
 def submit_mix(deployment: Deployment, count: int, until_s: float, first_number: int = 0) -> None:
-    """Submit jobs of all kinds, spread over time."""
+    """Submit random jobs of all kinds at random times; every fifth on average twice."""
     rng = deployment.random
     for number in range(first_number, first_number + count):
         at_s = rng.uniform(FIRST_SUBMISSION_S, until_s)
@@ -22,7 +22,7 @@
 
 
 def submissions(deployment: Deployment) -> None:
-    """A few small arrays."""
+    """A few small array jobs."""
     for number in range(12):
         at_s = deployment.random.uniform(FIRST_SUBMISSION_S, 24.0)
         deployment.at(at_s, deployment.users.submit, job_submission(number, pieces=1 + number))
@@ -36,11 +36,11 @@
         plan = UserPlan(withdraw_after_s=deployment.random.uniform(15.0, 60.0))
         deployment.at(5.0 + number % 4 * 9.0, deployment.users.submit, description, plan)
     for number in range(len(deployment.controllers.hosts)):
-        deployment.at(45.0 + number, deployment.controllers.ask_status, number)
+        deployment.at(45.0 + number, deployment.controllers.request_status, number)
 
 
 def contention(deployment: Deployment) -> None:
-    """Few machines, so that work is preempted, waits in order, and shares of quota move."""
+    """Few machines: jobs are queued and preempted, and quota shares move between shards."""
     limit_capacity(deployment, {"c4": 2, "c16": 2, "g8": 1})
     users, rng = deployment.users, deployment.random
     for number in range(600, 612):
@@ -72,7 +72,7 @@
 
 
 def starved(deployment: Deployment) -> None:
-    """So few machines that most jobs wait for minutes, and the oldest are helped."""
+    """So few machines that most jobs wait for minutes, and the oldest jobs are favoured."""
     limit_capacity(deployment, {"c4": 1, "c16": 1, "g8": 0})
     users, rng = deployment.users, deployment.random
     for number in range(50):
@@ -90,7 +90,7 @@
 
 
 def limit_capacity(deployment: Deployment, machines: dict[str, int]) -> None:
-    """Let the cloud have only so many ordinary machines of a type in each zone, and no spot."""
+    """Limit the on-demand machines of each type per zone, and offer no spot machines."""
     for sku, count in machines.items():
         for zone in ZONES:
             deployment.cloud.capacity[(sku, zone, False)] = count
--- a/tests/tools/scenarios_machines.py
+++ b/tests/tools/scenarios_machines.py
@@ -1,4 +1,4 @@
-"""Scenarios of machines and agents that fail, and of troubles with the cloud."""
+"""Scenarios with faults of machines, agents and the cloud."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def machines(deployment: Deployment) -> None:
-    """Machines that hang, restart, fail, are slow, deaf or mute, with late copies of reports."""
+    """Machines hang, restart, fail or are slow; agents drop commands or send late heartbeats."""
     submit_mix(deployment, 50, 120.0, first_number=200)
     cancels(deployment)
     deployment.at(
@@ -40,7 +40,7 @@
 
 
 def cloud_faults(deployment: Deployment) -> None:
-    """No capacity, outages, machines that never boot or that nobody rented, lost answers."""
+    """Missing capacity, outages, failed boots, machines without a rental, and lost answers."""
     submit_mix(deployment, 60, 120.0, first_number=200)
     cloud = deployment.cloud
     for zone in ("a", "b"):
@@ -60,11 +60,11 @@
     deployment.at(65.0, set_faults, lost_answers=0.0, late_requests=0.3)
     deployment.at(80.0, set_faults, late_requests=0.0)
     deployment.at(45.0, cloud.create_unrequested, "c4", "a")
-    deployment.at(46.0, _create_useless_machines, deployment)
+    deployment.at(46.0, _create_unrequested_machines, deployment)
 
 
 def spot(deployment: Deployment) -> None:
-    """Only spot machines are to be had, and the cloud takes them back, some with no notice."""
+    """Only spot machines are available; the cloud reclaims some with and some without notice."""
     for sku in ("c4", "c16", "g8"):
         for zone in ZONES:
             deployment.cloud.capacity[(sku, zone, False)] = 0
@@ -83,8 +83,8 @@
     _apply_to_some(deployment, 60.0, 1.0, 2, lambda agent: _reclaim(deployment, agent, 0.0), None)
 
 
-def _create_useless_machines(deployment: Deployment) -> None:
-    """Machines that nobody asked for: one is up but silent, one fails at once."""
+def _create_unrequested_machines(deployment: Deployment) -> None:
+    """Create two machines without a rental: one whose agent is silent, one that fails at once."""
     silent = deployment.cloud.create_unrequested("c4", "b")
     deployment.network.freeze(silent.host)
     deployment.cloud.fail(deployment.cloud.create_unrequested("c4", "c"))
@@ -93,24 +93,24 @@
 def _apply_to_some(
     deployment: Deployment,
     at_s: float,
-    for_s: float,
+    duration_s: float,
     count: int,
     begin: Callable[[Agent], Any],
     end: Callable[[Agent], Any] | None,
 ) -> None:
-    """Let something happen to some agents for a time."""
+    """Apply ``begin`` to some random agents at a time, and ``end`` to them after the duration."""
 
     def apply() -> None:
         for agent in deployment.random_agents(count):
             begin(agent)
             if end is not None:
-                deployment.loop.call_later(for_s, end, agent)
+                deployment.loop.call_later(duration_s, end, agent)
 
     deployment.at(at_s, apply)
 
 
 def _reclaim(deployment: Deployment, agent: Agent, notice_s: float) -> None:
-    """The cloud takes a spot machine back, with a notice or without."""
+    """Let the cloud reclaim a spot machine, after a notice period or at once."""
     if not agent.machine.is_spot:
         return
     if notice_s:
--- a/tests/tools/scenarios_random_faults.py
+++ b/tests/tools/scenarios_random_faults.py
@@ -1,4 +1,4 @@
-"""A scenario of all troubles at random times: each seed is another one."""
+"""A scenario with faults of all kinds at random times, which differ from seed to seed."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from tests.tools.scenarios_jobs import FIRST_SUBMISSION_S
 from tests.tools.users import UserPlan
 
-#: begins a trouble; the result ends it
+#: injects a fault and returns a function that ends it
 Fault: TypeAlias = Callable[[Deployment], Callable[[], Any]]
 
-#: troubles begin within this time, and each lasts for a time within these bounds
+#: bounds of the time at which a fault begins, and of its duration
 FIRST_FAULT_S, LAST_FAULT_S = 8.0, 130.0
 MIN_FAULT_S, MAX_FAULT_S = 0.3, 14.0
-#: from here on all is well again
+#: time at which the store, the network and all controllers are restored
 ALL_FAULTS_END_S = 145.0
 FAULT_COUNT = 24
 
 
 def random_faults(deployment: Deployment) -> None:
-    """Troubles of all kinds at random times, while jobs come, wait for others, are withdrawn."""
+    """Random faults of all kinds while jobs are submitted, wait for other jobs or are withdrawn."""
     rng = deployment.random
     pipelines(deployment)
     for number in range(200, 240):
@@ -61,27 +61,27 @@
 
 
 def _crash(deployment: Deployment) -> Callable[[], Any]:
-    """A controller dies, perhaps with its host."""
+    """Kill a controller, with a probability of one half by power loss."""
     number = _random_controller(deployment)
-    deployment.controllers.kill(number, is_silent=deployment.random.random() < 0.5)
+    deployment.controllers.kill(number, is_power_loss=deployment.random.random() < 0.5)
     return lambda: deployment.controllers.start(number)
 
 
 def _store_outage(deployment: Deployment) -> Callable[[], Any]:
-    """The store is out for all."""
+    """Begin an outage of the store for all clients."""
     deployment.store.begin_outage()
     return deployment.store.end_outage
 
 
 def _store_refusal(deployment: Deployment) -> Callable[[], Any]:
-    """The store refuses one controller."""
+    """Let the store refuse the requests of one controller."""
     name = deployment.controllers.hosts[_random_controller(deployment)].name
     deployment.store.refused_hosts.add(name)
     return lambda: deployment.store.refused_hosts.discard(name)
 
 
 def _store_faults(deployment: Deployment) -> Callable[[], Any]:
-    """The store's answers are slow, lost or late."""
+    """Let the store answer slowly, lose answers, or delay transactions or watches."""
     faults = deployment.store.faults
     name, value = deployment.random.choice(
         [
@@ -96,7 +96,7 @@
 
 
 def _partition(deployment: Deployment) -> Callable[[], Any]:
-    """A controller is cut from some other hosts, in one direction or both."""
+    """Cut a controller off from some other hosts, in one direction or both, or refuse it."""
     rng, network = deployment.random, deployment.network
     names = [host.name for host in deployment.controllers.hosts]
     agents = [agent.machine.name for agent in deployment.agents]
@@ -112,7 +112,7 @@
 
 
 def _hung_machines(deployment: Deployment) -> Callable[[], Any]:
-    """Some machines hang."""
+    """Let some machines hang."""
     agents = deployment.random_agents(3)
     for agent in agents:
         agent.hang()
@@ -125,14 +125,14 @@
 
 
 def _restarted_machines(deployment: Deployment) -> Callable[[], Any]:
-    """Some machines restart."""
+    """Restart some machines; ending this fault does nothing."""
     for agent in deployment.random_agents(2):
         agent.restart()
     return lambda: None
 
 
 def _cloud_outage(deployment: Deployment) -> Callable[[], Any]:
-    """The cloud is out."""
+    """Begin an outage of the cloud."""
     deployment.cloud.faults.is_down = True
 
     def end() -> None:
--- a/tests/tools/scenarios_store.py
+++ b/tests/tools/scenarios_store.py
@@ -1,4 +1,4 @@
-"""Scenarios of troubles with the store."""
+"""Scenarios with faults of the store."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def outages(deployment: Deployment) -> None:
-    """Outages shorter and longer than a lease, also for one controller alone, and with deaths."""
+    """Outages shorter and longer than a lease, for all or one controller, one during a crash."""
     submit_mix(deployment, 25, 110.0, first_number=200)
     cancels(deployment)
     store, controllers = deployment.store, deployment.controllers
@@ -37,7 +37,7 @@
 
 
 def faulty_answers(deployment: Deployment) -> None:
-    """Slow and lost answers, late transactions, watches that must begin anew, small pages."""
+    """Slow and lost answers, late transactions, watches that have to be reopened, small pages."""
     submit_mix(deployment, 25, 110.0, first_number=200)
     pipelines(deployment)
     store, controllers = deployment.store, deployment.controllers
--- a/tests/tools/simulated_loop.py
+++ b/tests/tools/simulated_loop.py
@@ -1,8 +1,8 @@
-"""An asyncio event loop on simulated time, whose connections go through a simulated network.
+"""An asyncio event loop on simulated time, whose connections use a simulated network.
 
-Nothing waits: once every callback that is due has run, the clock jumps to the next timer. Each
-callback belongs to the process in whose context it was scheduled, and the callbacks of a killed
-process do nothing.
+The loop never sleeps: when all due callbacks have run, it advances the clock to the next timer.
+Each callback belongs to the process in whose context it was scheduled; callbacks of a killed
+process are skipped.
 """
 
 from __future__ import annotations
@@ -20,50 +20,56 @@
 
 Arguments = TypeVarTuple("Arguments")
 
-#: the simulated time at which a loop begins
+#: simulated time at which a loop starts
 START_S = 1000.0
-#: times of timers that are kept before those that are past are dropped
+#: number of stored timer times above which the past ones are dropped
 MAX_TIMER_TIMES = 50_000
 
 
 class _ClockSelector:
-    """Stands in for the selector of a loop: instead of waiting, it moves the clock."""
+    """Replaces the selector of a loop: advances the simulated clock instead of waiting."""
 
     def __init__(self) -> None:
         self.now_s = START_S
 
     def select(self, timeout: float | None) -> list[Any]:
-        """Let time pass until the next timer; no events come from here."""
+        """Advance the clock by the timeout; return no events.
+
+        Raises
+        ------
+        RuntimeError
+            If there is no timer to advance to.
+        """
         if timeout is None:
-            raise RuntimeError("no timer is left: the simulation can not go on")
+            raise RuntimeError("simulation is stuck: no timer is scheduled")
         self.now_s += timeout
         return []
 
 
 class SimulatedLoop(asyncio.BaseEventLoop):
-    """Runs simulated processes and outside systems on one clock."""
+    """Event loop that runs simulated processes and outside systems on one simulated clock."""
 
     def __init__(self) -> None:
         super().__init__()
         self._selector = _ClockSelector()
-        #: the times of timers, each of them different
+        #: times of the scheduled timers, all different; the values are unused
         self._timer_times: dict[float, None] = {}
         self.network: Network | None = None
-        #: an error in a callback of the outside systems: a fault of the simulation itself
+        #: first error raised by a callback of an outside system, which is a bug of the simulation
         self.first_error: BaseException | None = None
 
     def time(self) -> float:
-        """The simulated time in seconds."""
+        """Return the simulated time in seconds."""
         return self._selector.now_s
 
     def _process_events(self, event_list: list[Any]) -> None:
-        """No events come from outside."""
+        """Do nothing: the selector returns no events."""
 
     def _write_to_self(self) -> None:
-        """No other thread has to wake the loop."""
+        """Do nothing: no other thread wakes the loop."""
 
     def run_until(self, when_s: float) -> None:
-        """Run until a simulated time; raise the first error of an outside system."""
+        """Run until a simulated time; raise the first error of an outside system, if any."""
         self.call_at(when_s, self.stop)
         self.run_forever()
         if self.first_error is not None:
@@ -75,7 +81,7 @@
         *args: *Arguments,
         context: contextvars.Context | None = None,
     ) -> asyncio.Handle:
-        """Run a callback in the next pass, if its process is alive then."""
+        """Run a callback in the next iteration, if its process is alive then."""
         context = contextvars.copy_context() if context is None else context
         process = context.get(CURRENT_PROCESS)
         return super().call_soon(self._run_if_alive, process, callback, args, context=context)
@@ -87,17 +93,18 @@
         *args: *Arguments,
         context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:
-        """Run a callback at a time, if its process is alive then."""
+        """Run a callback at a simulated time, if its process is alive then."""
         context = contextvars.copy_context() if context is None else context
         process = context.get(CURRENT_PROCESS)
         when = self._unique_time(when)
         return super().call_at(when, self._run_if_alive, process, callback, args, context=context)
 
     def _unique_time(self, when: float) -> float:
-        """A time at which no other timer is due, as good as the same.
+        """Return the next representable time at which no other timer is due.
 
-        The order of timers that are due at one time would depend on all others. Then the order in
-        which a controller closes connections that it keeps in a set could change the rest.
+        The heap's order of timers that are due at the same time depends on all other timers. The
+        order in which a controller closes the connections of a set, which is not deterministic,
+        could then change the rest of the scenario.
         """
         while when in self._timer_times:
             when = math.nextafter(when, math.inf)
@@ -122,7 +129,7 @@
     async def create_server(  # type: ignore[override]
         self, protocol_factory: Callable[[], asyncio.Protocol], host: str, port: int, **_: Any
     ) -> Listener:
-        """Accept connections to an address for the current process."""
+        """Accept connections to an address in the current process."""
         assert self.network is not None
         return self.network.listen((host, port), protocol_factory, contextvars.copy_context())
 
@@ -150,7 +157,7 @@
 
 
 def _resolve(opened: asyncio.Future[Endpoint], result: Endpoint | OSError) -> None:
-    """Tell the result of an attempt to connect, unless nobody waits for it any more."""
+    """Resolve the future of an attempt to connect, unless it was cancelled."""
     if opened.done():
         return
     if isinstance(result, OSError):
--- a/tests/tools/store.py
+++ b/tests/tools/store.py
@@ -1,4 +1,4 @@
-"""The store: keys with versions, guarded transactions, leases, watches, limits and troubles."""
+"""Simulated store: versioned keys, guarded transactions, leases, watches, limits and faults."""
 
 from __future__ import annotations
 
@@ -13,20 +13,21 @@
 from tests.tools.network import Address, Network
 from tests.tools.rates import TokenBucket
 
-#: most items and bytes in one page of a listing
+#: maximum number of items and of bytes in one page of a listing
 MAX_PAGE_ITEMS, MAX_PAGE_BYTES = 1000, 512 * 1024
-#: changes that watches can go back to
+#: number of past changes from which watches can resume
 MAX_LOG_CHANGES = 10_000
-#: most bytes of one transaction
+#: maximum size of one transaction in bytes
 MAX_TRANSACTION_BYTES = 64 * 1024
 MAX_GUARDS_PER_OPERATION = 4
-#: a lease may end this much late
+#: maximum delay from the expiry of a lease to its end: half of it is the delay after which the
+#: store ends the lease, the other half is one SCAN_INTERVAL_S
 LEASE_GRACE_S = 0.1
-#: pause between two looks at leases and watches
+#: interval between two checks of leases and watches
 SCAN_INTERVAL_S = 0.05
-#: bounds of the time that the store takes for a request
+#: bounds of the processing time of a request
 MIN_PROCESSING_S, MAX_PROCESSING_S = 0.001, 0.008
-#: bounds of the delay of a transaction that is carried out late
+#: bounds of the delay of a transaction that is executed late
 MIN_LATENESS_S, MAX_LATENESS_S = 0.5, 20.0
 MALFORMED_BODIES = [
     b"\xc1",
@@ -39,7 +40,7 @@
 
 @dataclass
 class StoredValue:
-    """The value of a key."""
+    """Value of a key, with its version and the lease to which it is attached."""
 
     value: Any
     version: int
@@ -48,7 +49,7 @@
 
 @dataclass
 class Lease:
-    """A lease and the keys' end with it."""
+    """A lease; the keys attached to it are deleted when it expires."""
 
     ttl_s: float
     expires_at_s: float
@@ -56,7 +57,7 @@
 
 @dataclass
 class Watch:
-    """A request that waits for changes."""
+    """A request that waits for changes of keys with a prefix."""
 
     prefix: str
     version: int
@@ -66,7 +67,7 @@
 
 @dataclass
 class StoreFaults:
-    """What may go wrong at present; shares are of the requests."""
+    """Faults injected at present; the numbers without a unit are shares of the requests."""
 
     is_down: bool = False
     slowness_s: float = 0.0
@@ -77,7 +78,7 @@
 
 
 class Store:
-    """The outside key-value store."""
+    """The HTTP service of the key-value store."""
 
     def __init__(
         self, network: Network, address: Address, limits: dict[str, Any], seed: str
@@ -102,20 +103,20 @@
         network.listen(address, lambda: ServiceConnection(self._receive))
         self._scan()
 
-    # troubles
+    # faults
 
     def begin_outage(self) -> None:
-        """Refuse all requests; open watches wait."""
+        """Refuse all requests; open watches stay unanswered."""
         self.faults.is_down = True
 
     def end_outage(self) -> None:
-        """End an outage; all leases have their full time again."""
+        """End an outage and renew all leases."""
         self.faults.is_down = False
         for lease in self._leases.values():
             lease.expires_at_s = self._loop.time() + lease.ttl_s
 
     def end_faults(self) -> None:
-        """End all troubles."""
+        """End all injected faults."""
         if self.faults.is_down:
             self.end_outage()
         self.faults = StoreFaults()
@@ -159,7 +160,7 @@
         return self.faults.is_down or responder.caller.name in self.refused_hosts
 
     def _execute(self, request: HttpMessage) -> tuple[int, Any]:
-        """Carry out a request: its status and the value of its answer."""
+        """Execute a request; return the status and the value of the answer."""
         self._expire_leases()
         url = urlsplit(request.target)
         query = {name: values[0] for name, values in parse_qs(url.query).items()}
@@ -215,7 +216,7 @@
         leases = [x["tenancy"] for x in changes if x.get("tenancy") is not None]
         if any(lease not in self._leases for lease in leases):
             return 400, {"error": "no such lease"}
-        failed = [x["path"] for x in guards if self._version(x["path"]) != x["stamp"]]
+        failed = [x["path"] for x in guards if self._current_version(x["path"]) != x["stamp"]]
         if failed:
             return 409, {"failed": failed, "ledger_rev": self._revision}
         if changes:
@@ -229,7 +230,7 @@
         max_value_bytes = self._limits["value_kb"] * 1024
         return all(len(pack(x.get("value"))) <= max_value_bytes for x in changes)
 
-    def _version(self, key: str) -> int:
+    def _current_version(self, key: str) -> int:
         stored = self._keys.get(key)
         return stored.version if stored is not None else 0
 
@@ -282,7 +283,7 @@
             self._watches.append(watch)
 
     def _answer_watch(self, watch: Watch) -> bool:
-        """Answer a watch if there is something to tell."""
+        """Answer a watch if it has changes, timed out or is too old; return whether it did."""
         if self._is_refused(watch.responder):
             return False
         if watch.version < self._compacted_revision:
@@ -307,7 +308,7 @@
         return changes[::-1]
 
     def _scan(self) -> None:
-        """End leases that ran out, and answer watches that have something to tell."""
+        """Delete expired leases and answer watches, at regular intervals."""
         self._expire_leases()
         self._watches = [watch for watch in self._watches if not self._answer_watch(watch)]
         self._loop.call_later(SCAN_INTERVAL_S, self._scan)
--- a/tests/tools/tasks.py
+++ b/tests/tools/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks on an agent's machine: fetching, waiting for the gang, running, saving, ended."""
+"""Simulated tasks on an agent's machine, and the gangs that they form."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 from tests.tools.workload import Job
 
-#: time that passes in one step of all tasks
+#: simulated time between two steps of all tasks
 STEP_S = 0.25
-#: a task whose result is known already needs this long
+#: run time of a new attempt of a task that completed before
 COMPLETED_RERUN_S = 0.2
 
 
@@ -43,7 +43,7 @@
 
     task_id: str
     attempt: int
-    #: None: the job is not known
+    #: the task's job; None if it is unknown
     job: Job | None
     index: int
     state: str = State.FETCHING
@@ -67,15 +67,15 @@
 
     @property
     def gang_key(self) -> tuple[str, int]:
-        """What the tasks of one gang have in common."""
+        """Job id and attempt, which identify the gang to which the task belongs."""
         return self.task_id.rpartition("/")[0], self.attempt
 
     def end(self, cause: str) -> None:
-        """Exit."""
+        """End the task with a cause."""
         self.state, self.cause = State.EXITED, cause
 
     def report(self) -> dict[str, Any]:
-        """The task as it appears in a report."""
+        """Return the task's entry of a heartbeat."""
         entry: dict[str, Any] = {"piece": self.task_id, "try": self.attempt, "status": self.state}
         if self.cause is not None:
             entry["cause"] = self.cause
@@ -86,13 +86,13 @@
     # progress
 
     def start(self) -> None:
-        """Go on from the saved progress."""
+        """Run from the last checkpoint."""
         assert self.job is not None
         self.state = State.RUNNING
         self.progress_s = self.job.saved_s.get(self.job.progress_key(self.index), 0.0)
 
     def run(self, passed_s: float) -> bool:
-        """Make progress; whether the task is complete."""
+        """Advance the task by ``passed_s`` seconds; return whether it is complete."""
         job = self.job
         assert job is not None
         self.progress_s += passed_s
@@ -105,13 +105,13 @@
         return self.progress_s >= needed_s
 
     def complete(self) -> None:
-        """Exit with a result, which is kept."""
+        """End the task as done, and record that it completed."""
         assert self.job is not None
         self.job.completed[self.index] = True
         self.end(Cause.DONE)
 
     def stop(self, grace_s: float) -> None:
-        """Save if there is time for it, and exit."""
+        """Stop the task; save a checkpoint first if the grace period is long enough."""
         job = self.job
         if self.state == State.RUNNING and job is not None and job.checkpoint_s > 0:
             cost_s = job.description["bookmark_cost_s"]
@@ -122,7 +122,7 @@
             self.end(Cause.STOPPED)
 
     def save(self, passed_s: float) -> None:
-        """Go on saving; exit once that is done."""
+        """Continue to save the checkpoint; end the task when the checkpoint is complete."""
         self.save_left_s -= passed_s
         if self.save_left_s <= 0:
             self._save(self.progress_s)
@@ -136,23 +136,23 @@
 
 
 class Gangs:
-    """Which tasks of gangs are there, over all machines."""
+    """Tracks the members of all gangs across machines."""
 
     def __init__(self) -> None:
         self._members: dict[tuple[str, int], list[tuple[Task, Callable[[], bool]]]] = {}
 
     def join(self, task: Task, is_reachable: Callable[[], bool]) -> None:
-        """A task of a gang has begun on a machine."""
+        """Add a task to its gang."""
         self._members.setdefault(task.gang_key, []).append((task, is_reachable))
 
     def members(self, task: Task) -> list[Task]:
-        """The live tasks of a task's gang whose machines can be reached."""
+        """Return the members of a task's gang that have their images and reachable machines."""
         members = self._members.get(task.gang_key, [])
         members = [(x, is_reachable) for x, is_reachable in members if x.has_image]
         self._members[task.gang_key] = members
         return [x for x, is_reachable in members if is_reachable()]
 
     def is_complete(self, task: Task) -> bool:
-        """Whether all tasks of a task's gang are there."""
+        """Return whether all members of a task's gang have their images and are reachable."""
         assert task.job is not None
         return len(self.members(task)) >= int(task.job.description["pieces"])
--- a/tests/tools/users.py
+++ b/tests/tools/users.py
@@ -1,4 +1,4 @@
-"""Users: they submit jobs through a load balancer, poll them, and withdraw some."""
+"""Simulated users, who submit, poll and withdraw jobs through a load balancer."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 SUBMIT_TIMEOUT_S, POLL_TIMEOUT_S, PROBE_TIMEOUT_S = 5.0, 2.0, 1.0
 POLL_INTERVAL_S, PROBE_INTERVAL_S = 5.0, 1.0
-#: least pause before a request is repeated, and for how long it is
+#: minimum delay before a request is retried, and the period within which it is retried
 MIN_RETRY_DELAY_S, MAX_RETRY_PERIOD_S = 1.0, 60.0
-#: probes in a row that fail before a controller counts as unhealthy
+#: number of consecutive failed probes after which a controller is considered unhealthy
 UNHEALTHY_AFTER_PROBES = 2
-#: after the end of its job a user asks again, after these times
+#: delays after which a user polls again once the job has ended
 QUERIES_AFTER_END_S = (1.0, 9.0, 40.0)
-#: share of the requests after which the connection is closed
+#: share of the requests that ask the controller to close the connection
 CONNECTION_CLOSE_SHARE = 0.3
 FINAL_STATES = ("done", "aborted")
 NOT_RETRIED_STATUSES = (400, 422)
 
 
 class LoadBalancer:
-    """Probes the controllers and chooses a healthy one for each connection."""
+    """Probes the controllers and chooses a healthy one for each request."""
 
     def __init__(self, network: Network, controllers: list[Address], seed: str) -> None:
         self._network = network
@@ -39,7 +39,7 @@
             network.loop.call_later(self._random.random(), self._probe, address)
 
     def choose(self) -> Address:
-        """A healthy controller, or any while none is healthy."""
+        """Return a random healthy controller, or any controller if none is healthy."""
         healthy = [x for x, failures in self._failures.items() if failures < UNHEALTHY_AFTER_PROBES]
         return self._random.choice(healthy or list(self._failures))
 
@@ -59,16 +59,16 @@
 
 @dataclass(frozen=True)
 class UserPlan:
-    """What a user does besides waiting for the end of the job; times are from the submission."""
+    """A user's actions besides submitting and polling; times are from the first submission."""
 
     withdraw_after_s: float | None = None
-    #: withdraws as soon as a poll tells that the job runs, or that so many tasks are done
+    #: withdraw the job when a poll reports it as running with at least so many tasks done
     withdraw_at_done: int | None = None
     submit_again_after_s: float | None = None
 
 
 class User:
-    """The user of one job."""
+    """A user who submits one job and polls it until it ends."""
 
     def __init__(
         self, network: Network, balancer: LoadBalancer, job: Job, plan: UserPlan, seed: str
@@ -82,9 +82,9 @@
         self._host = Host("user", job.name, f"user of {job.name}")
         self._path = f"/v1/jobs/{job.name}"
         self._poll_caller = HttpCaller(network, self._host)
-        self._began_at_s = self._loop.time()
+        self._start_s = self._loop.time()
         self._is_withdrawing = False
-        #: the last status that was told, '' before the job was accepted
+        #: last reported status; '' before the job was accepted
         self.status = ""
         self._submit(self._loop.time())
         if plan.withdraw_after_s is not None:
@@ -104,28 +104,31 @@
 
         caller.request(self._balancer.choose(), request, timeout_s, close_and_forward)
 
-    def _closes_connection(self) -> bool:
+    def _random_connection_close(self) -> bool:
         return self._random.random() < CONNECTION_CLOSE_SHARE
 
-    def _submit(self, since_s: float) -> None:
-        request = post("/v1/jobs", self._job.description, self._closes_connection())
+    def _submit(self, first_sent_s: float) -> None:
+        request = post("/v1/jobs", self._job.description, self._random_connection_close())
         self._send(
             request,
             SUBMIT_TIMEOUT_S,
-            lambda status, answer: self._handle_submission(status, answer, since_s),
+            lambda status, answer: self._handle_submission(status, answer, first_sent_s),
         )
 
-    def _handle_submission(self, status: int, answer: HttpMessage | None, since_s: float) -> None:
+    def _handle_submission(
+        self, status: int, answer: HttpMessage | None, first_sent_s: float
+    ) -> None:
         if status in (200, 201):
             self._record_status(answer)
             self._loop.call_later(self._random.uniform(0.1, POLL_INTERVAL_S), self._poll)
         elif (
-            status not in NOT_RETRIED_STATUSES and self._loop.time() - since_s < MAX_RETRY_PERIOD_S
+            status not in NOT_RETRIED_STATUSES
+            and self._loop.time() - first_sent_s < MAX_RETRY_PERIOD_S
         ):
-            self._loop.call_later(self._retry_delay_s(answer), self._submit, since_s)
+            self._loop.call_later(self._retry_delay_s(answer), self._submit, first_sent_s)
 
     def _retry_delay_s(self, answer: HttpMessage | None) -> float:
-        """The pause before a request is repeated."""
+        """Return the delay before a retry, at least that of the answer's Retry-After header."""
         retry_after_s = answer.headers.get("retry-after", "0") if answer is not None else "0"
         return max(MIN_RETRY_DELAY_S, float(retry_after_s)) + self._random.random()
 
@@ -141,39 +144,41 @@
             return
         self._poll_caller.request(
             self._balancer.choose(),
-            get(self._path, self._closes_connection()),
+            get(self._path, self._random_connection_close()),
             POLL_TIMEOUT_S,
             self._handle_poll,
         )
 
     def _handle_poll(self, status: int, answer: HttpMessage | None) -> None:
-        was_over = self.status in FINAL_STATES
+        had_ended = self.status in FINAL_STATES
         if status == 200:
             self._record_status(answer)
         if self.status not in FINAL_STATES:
             self._loop.call_later(POLL_INTERVAL_S * self._random.uniform(0.9, 1.1), self._poll)
-        elif not was_over:
+        elif not had_ended:
             for pause_s in QUERIES_AFTER_END_S:
                 self._loop.call_later(pause_s, self._poll)
             self._loop.call_later(QUERIES_AFTER_END_S[0], self._submit_again)
 
-    def _withdraw(self, since_s: float | None) -> None:
-        since_s = self._loop.time() if since_s is None else since_s
+    def _withdraw(self, first_sent_s: float | None) -> None:
+        first_sent_s = self._loop.time() if first_sent_s is None else first_sent_s
         self._is_withdrawing = True
         self._send(
             post(f"{self._path}/withdraw", {}),
             SUBMIT_TIMEOUT_S,
-            lambda status, answer: self._handle_withdrawal(status, answer, since_s),
+            lambda status, answer: self._handle_withdrawal(status, answer, first_sent_s),
         )
 
-    def _handle_withdrawal(self, status: int, answer: HttpMessage | None, since_s: float) -> None:
+    def _handle_withdrawal(
+        self, status: int, answer: HttpMessage | None, first_sent_s: float
+    ) -> None:
         if status == 200:
             self._record_status(answer)
-        elif status not in (400, 404) and self._loop.time() - since_s < MAX_RETRY_PERIOD_S:
-            self._loop.call_later(self._retry_delay_s(answer), self._withdraw, since_s)
+        elif status not in (400, 404) and self._loop.time() - first_sent_s < MAX_RETRY_PERIOD_S:
+            self._loop.call_later(self._retry_delay_s(answer), self._withdraw, first_sent_s)
 
     def _record_status(self, answer: HttpMessage | None) -> None:
-        """Remember what was told, and withdraw the job at the moment that was planned."""
+        """Store the reported status; withdraw the job if ``withdraw_at_done`` is reached."""
         body = unpack(answer.body) if answer is not None else None
         if not isinstance(body, dict):
             return
@@ -186,7 +191,7 @@
 
 
 class Users:
-    """All users of a scenario."""
+    """All users of a scenario and their load balancer."""
 
     def __init__(
         self, network: Network, workload: Workload, controllers: list[Address], seed: str
@@ -198,14 +203,14 @@
         self.users: dict[str, User] = {}
 
     def submit(self, description: dict[str, Any], plan: UserPlan | None = None) -> None:
-        """Submit a job now, and see to it until its end."""
+        """Submit a job now, and poll it until it ends."""
         job = self._workload.add(description)
         self.users[job.name] = User(
             self._network, self.balancer, job, plan or UserPlan(), self._seed
         )
 
-    def ask(self, path: str) -> None:
-        """Ask once, with no user of a job behind it."""
+    def send_get(self, path: str) -> None:
+        """Send one GET request that belongs to no user's job."""
         caller = HttpCaller(self._network, Host("user", "stranger", "stranger"))
         caller.request(
             self.balancer.choose(),
--- a/tests/tools/versions.py
+++ b/tests/tools/versions.py
@@ -1,4 +1,4 @@
-"""Copies of the package as of a commit or of the working tree, and plays on them."""
+"""Copies the package of a commit or of the working tree, and runs scenarios on such a copy."""
 
 from __future__ import annotations
 
@@ -10,23 +10,29 @@
 import sys
 import tarfile
 
-#: root of the repository whose scenarios are played
+#: root of the repository
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
 PACKAGE = "marblestair"
-#: a play that takes longer hangs
+#: timeout of one run of a scenario
 RUN_TIMEOUT_S = 300
 
 
 class VersionError(Exception):
-    """A version that can not be had."""
+    """The package of a commit cannot be extracted."""
 
 
 class ScenarioError(Exception):
-    """A play that did not come to its end."""
+    """A run of a scenario failed."""
 
 
 def extract_commit(commit: str, directory: pathlib.Path) -> None:
-    """Put the package as of a commit into a directory."""
+    """Extract the package of a commit into a directory.
+
+    Raises
+    ------
+    VersionError
+        If git cannot archive the commit.
+    """
     archive = subprocess.run(
         ["git", "archive", commit, PACKAGE], cwd=ROOT, capture_output=True, check=False
     )
@@ -37,13 +43,21 @@
 
 
 def copy_working_tree(directory: pathlib.Path) -> None:
-    """Put the working tree's package into a directory."""
+    """Copy the package of the working tree into a directory."""
     ignored = shutil.ignore_patterns("__pycache__")
     shutil.copytree(ROOT / PACKAGE, directory / PACKAGE, ignore=ignored)
 
 
 def run_scenario(version: pathlib.Path, scenario: str, seed: int, record: pathlib.Path) -> None:
-    """Play a scenario on the package in a directory, in a process of its own."""
+    """Run a scenario on the package in a directory, in a process of its own.
+
+    Raises
+    ------
+    ScenarioError
+        If the process exits with an error.
+    subprocess.TimeoutExpired
+        If the process takes longer than RUN_TIMEOUT_S.
+    """
     path = [str(version), str(ROOT), os.environ.get("PYTHONPATH", "")]
     environment = {
         **os.environ,
@@ -51,8 +65,9 @@
         "PYTHONPATH": os.pathsep.join(x for x in path if x),
     }
     arguments = [scenario, str(seed), str(record), str(version / PACKAGE)]
-    # -P: the working tree's package must not be found by way of the current directory.
-    played = subprocess.run(
+    # -P: the current directory must not be on the import path, or the package of the working tree
+    # would be imported instead of the given one.
+    result = subprocess.run(
         [sys.executable, "-P", "-m", "tests.tools.play", *arguments],
         cwd=ROOT,
         env=environment,
@@ -60,5 +75,5 @@
         check=False,
         timeout=RUN_TIMEOUT_S,
     )
-    if played.returncode:
-        raise ScenarioError(played.stderr.decode(errors="replace").strip())
+    if result.returncode:
+        raise ScenarioError(result.stderr.decode(errors="replace").strip())
--- a/tests/tools/workload.py
+++ b/tests/tools/workload.py
@@ -1,4 +1,4 @@
-"""The jobs of a scenario: what users submit, how long tasks truly take, and what was saved."""
+"""The jobs of a scenario: submissions, true run times of tasks, and saved progress."""
 
 from __future__ import annotations
 
@@ -6,65 +6,65 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-#: true run times lie between these multiples of the owner's estimate
+#: bounds of the true run time of a task, as multiples of the estimate in the submission
 RUN_TIME_FACTORS = (0.5, 1.5)
-#: the class of jobs that fail on every machine
+#: class of the jobs whose tasks fail on every machine
 FAILING_CLASS = "flawed"
 GANG, SERVICE = "group", "daemon"
-#: under which the progress of a whole gang is kept
+#: key of the progress of a whole gang, in place of a task's index
 GANG_PROGRESS_KEY = -1
 
 
 @dataclass
 class Job:
-    """A job, and what became of its tasks so far."""
+    """A job, with the saved progress and the results of its tasks."""
 
     description: dict[str, Any]
     run_s: dict[int, float]
-    #: saved progress by task, of a gang under GANG_PROGRESS
+    #: saved progress by task index; for a gang, under GANG_PROGRESS_KEY
     saved_s: dict[int, float] = field(default_factory=dict)
-    #: tasks that completed; started again, they exit as soon as they have their image
+    #: indexes of the completed tasks; a new attempt of such a task ends soon after its start
     completed: dict[int, bool] = field(default_factory=dict)
 
     @property
     def name(self) -> str:
-        """The job's id."""
+        """Id of the job."""
         return str(self.description["ref"])
 
     @property
     def is_gang(self) -> bool:
-        """Whether its tasks run all at once or not at all."""
+        """Whether the job is a gang, whose tasks run all at once or not at all."""
         return bool(self.description["shape"] == GANG)
 
     @property
     def is_service(self) -> bool:
-        """Whether it runs until it is withdrawn."""
+        """Whether the job is a service, which runs until it is withdrawn."""
         return bool(self.description["shape"] == SERVICE)
 
     @property
     def always_fails(self) -> bool:
-        """Whether its tasks fail on every machine."""
+        """Whether the job's tasks fail on every machine."""
         return bool(self.description["jobclass"] == FAILING_CLASS)
 
     @property
     def checkpoint_s(self) -> float:
-        """Progress between two checkpoints; 0: it never saves."""
+        """Progress between two checkpoints in seconds; 0 if the job saves no checkpoints."""
         return float(self.description["bookmark_s"])
 
     def progress_key(self, index: int) -> int:
-        """Under which a task's progress is kept."""
+        """Return the key of ``saved_s`` under which a task's progress is stored."""
         return GANG_PROGRESS_KEY if self.is_gang else index
 
 
 class Workload:
-    """All jobs by their ids."""
+    """All jobs of a scenario by their ids."""
 
     def __init__(self, seed: str) -> None:
         self._random = random.Random(f"{seed}/workload")
         self.jobs: dict[str, Job] = {}
 
     def add(self, description: dict[str, Any]) -> Job:
-        """Add a job whose true run times are drawn at random."""
+        """Add a job with random true run times."""
         estimate_s = description["expected_s"]
         is_gang = description["shape"] == GANG
         common_s = estimate_s * self._random.uniform(*RUN_TIME_FACTORS)
@@ -77,12 +77,12 @@
 
 
 def job_id(number: int) -> str:
-    """The id of a job."""
+    """Return the id of a job."""
     return f"job-{number:06d}"
 
 
 def job_submission(number: int, **overrides: Any) -> dict[str, Any]:
-    """The submission of a small job, with changes."""
+    """Return the submission of a small array job, with some fields replaced."""
     description: dict[str, Any] = {
         "ref": job_id(number),
         "jobclass": "train",
