--- a/tests/tools/network.py
+++ b/tests/tools/network.py
@@ -115,7 +115,7 @@
             self._network.loop.call_soon(self._dispatch, item, context=self.context)
 
     def terminate(self, without_reset: bool) -> None:
-        """Close this end because its process or host ended, with or without a reset of the other."""
+        """Close this end because its process or host ended; may reset the other end."""
         self._is_closing = True
         if not without_reset:
             self.send_end(ConnectionEnd.RESET)
