--- a/tests/core/jobs/test_cancellations_without_store.py
+++ b/tests/core/jobs/test_cancellations_without_store.py
@@ -19,10 +19,10 @@
 from tests.fakes.simulated_deployment import SimulatedDeployment
 from tests.helpers import (
     agents_running,
-    poll_job,
-    leaders_running,
     leader_of_most_machines,
+    leaders_running,
     manager_of,
+    poll_job,
     start_deployment,
 )
 
--- a/tests/core/leadership/test_promises.py
+++ b/tests/core/leadership/test_promises.py
@@ -4,7 +4,7 @@
 
 from tests.fakes.samples import job_spec
 from tests.fakes.simulated_deployment import SimulatedDeployment
-from tests.helpers import all_controllers_lead, agent_incarnations, leader_of, start_deployment
+from tests.helpers import agent_incarnations, all_controllers_lead, leader_of, start_deployment
 
 
 def test_an_outage_longer_than_a_lease_loses_no_task_while_controllers_reach_each_other() -> None:
--- a/tests/scenarios/test_fleet_failures.py
+++ b/tests/scenarios/test_fleet_failures.py
@@ -6,7 +6,7 @@
 
 from tests.fakes.samples import job_spec
 from tests.fakes.simulated_deployment import SimulatedDeployment
-from tests.helpers import agents_running, agent_incarnations
+from tests.helpers import agent_incarnations, agents_running
 from tests.scenarios.fleets import (
     FLEET_AGENTS,
     TEAM_NAMES,
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -79,9 +79,11 @@
     plain, tables = [], []
     for key, value in data.items():
         if isinstance(value, dict):
-            tables.append(f"[{prefix}{key}]\n{to_toml(value, f'{prefix}{key}.')}")
+            tables.append(f"[{prefix}{key}]\n{encode_toml(value, f'{prefix}{key}.')}")
         elif isinstance(value, list) and value and isinstance(value[0], dict):
-            tables += [f"[[{prefix}{key}]]\n{to_toml(item, f'{prefix}{key}.')}" for item in value]
+            tables += [
+                f"[[{prefix}{key}]]\n{encode_toml(item, f'{prefix}{key}.')}" for item in value
+            ]
         else:
             plain.append(f"{key} = {msgspec.json.encode(value).decode()}")
     return "\n".join([*plain, *tables]) + "\n"
