--- a/tests/tools/scenarios_input.py
+++ b/tests/tools/scenarios_input.py
@@ -76,7 +76,7 @@
     public_addresses = list(deployment.controllers.addresses.values())
     for number in range(250):
         at_s = 10.0 + 0.004 * number
-        description = job_submission(1000 + number, chunks=1, expected_s=1.0)
+        description = job_submission(1000 + number, pieces=1, expected_s=1.0)
         deployment.at(at_s, deployment.users.submit, description)
     for number in range(300):
         query = get(f"/v1/jobs/{job_id(5000 + number % 90)}")
@@ -87,5 +87,5 @@
         open_idle = partial(raw_clients.send, address, get("/healthz"), hold_s=20.0)
         deployment.at(35.0 + 0.003 * number, open_idle)
     for number in range(20):
-        submission = post("/v1/jobs", job_submission(2000 + number, chunks=1))
+        submission = post("/v1/jobs", job_submission(2000 + number, pieces=1))
         deployment.at(38.0 + 0.1 * number, raw_clients.send, public_addresses[0], submission)
