--- a/tests/scenarios/failure_play.py
+++ b/tests/scenarios/scenario_driver.py
@@ -11,7 +11,7 @@
 from tests.helpers import start_deployment
 
 
-class FailurePlay:
+class ScenarioDriver:
     """Failures under way: the deployment, its generator, and the jobs so far."""
 
     def __init__(self, seed: int) -> None:
--- a/tests/scenarios/test_overlapping_failures.py
+++ b/tests/scenarios/test_overlapping_failures.py
@@ -6,25 +6,25 @@
 
 from tests.fakes.samples import job_spec
 from tests.helpers import all_controllers_lead, start_deployment
-from tests.scenarios.failure_play import FailurePlay
 from tests.scenarios.overlapping_failures import SCENARIOS
+from tests.scenarios.scenario_driver import ScenarioDriver
 
 
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("name", sorted(SCENARIOS))
 def test_overlapping_failures_break_no_rule(name: str, seed: int) -> None:
     scenario = SCENARIOS[name]
-    play = FailurePlay(scenario.first_seed + seed)
-    deployment, rules, users = play.deployment, play.deployment.rules, play.deployment.users
+    driver = ScenarioDriver(scenario.first_seed + seed)
+    deployment, rules, users = driver.deployment, driver.deployment.rules, driver.deployment.users
     if name != "odd_requests":
-        play.submit(5)
-        play.wait(6.0, 14.0)
-    scenario.play(play)
+        driver.submit(5)
+        driver.wait(6.0, 14.0)
+    scenario.run(driver)
     assert not rules.violations
     deployment.end_failures()
     deployment.run(20.0)
     assert not users.unanswered_jobs(), "forgotten"
-    for job in play.jobs:
+    for job in driver.jobs:
         if job in rules.cancel_requested:
             assert users.cancel(job) in ("cancelled", "done")
         else:
