--- a/tests/tools/scenarios_failures.py
+++ b/tests/tools/scenarios_failures.py
@@ -1,4 +1,4 @@
-"""Scenarios of controllers that die or can not reach each other."""
+"""Scenarios with controllers that crash, and with network partitions."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from tests.tools.scenarios_jobs import submit_mix
 
 
-def deaths(deployment: Deployment) -> None:
-    """Controllers die one by one, for long, for a moment, and without a sign."""
+def controller_crashes(deployment: Deployment) -> None:
+    """Controllers crash one by one, for a long or a short time, one of them by power loss."""
     submit_mix(deployment, 20, 90.0, first_number=200)
     cancels(deployment)
     controllers = deployment.controllers
-    deployment.at(12.0, controllers.kill_for, 0, 25.0)
-    deployment.at(30.0, controllers.kill_for, 1, 0.2)
-    deployment.at(31.0, controllers.kill_for, 1, 0.4)
-    deployment.at(50.0, controllers.kill_for, 2, 15.0, True)
-    deployment.at(75.0, controllers.kill_for, 0, 5.0)
-    deployment.at(76.0, controllers.kill_for, 1, 12.0)
-    deployment.at(100.0, controllers.kill_for, 2, 0.1)
+    deployment.at(12.0, controllers.kill_and_restart, 0, 25.0)
+    deployment.at(30.0, controllers.kill_and_restart, 1, 0.2)
+    deployment.at(31.0, controllers.kill_and_restart, 1, 0.4)
+    deployment.at(50.0, controllers.kill_and_restart, 2, 15.0, True)
+    deployment.at(75.0, controllers.kill_and_restart, 0, 5.0)
+    deployment.at(76.0, controllers.kill_and_restart, 1, 12.0)
+    deployment.at(100.0, controllers.kill_and_restart, 2, 0.1)
 
 
-def all_at_once(deployment: Deployment) -> None:
-    """All controllers end at once, and come back soon, or after the agents' leases."""
+def simultaneous_crashes(deployment: Deployment) -> None:
+    """All controllers crash at once and restart soon, or after the agents' leases expired."""
     submit_mix(deployment, 12, 80.0, first_number=200)
     pipelines(deployment)
     controllers = deployment.controllers
@@ -33,8 +33,8 @@
         deployment.at(66.0 + 3.0 * number, controllers.start, number)
 
 
-def cuts(deployment: Deployment) -> None:
-    """Controllers are cut from each other, from the store, from agents, and from everything."""
+def partitions(deployment: Deployment) -> None:
+    """Controllers are cut off from each other, the store, the agents, and from all of these."""
     submit_mix(deployment, 36, 140.0, first_number=200)
     cancels(deployment)
     network = deployment.network
@@ -53,7 +53,7 @@
         for name in names[1:]:
             network.refuse(names[0], name)
 
-    def cut_off(name: str) -> None:
+    def isolate(name: str) -> None:
         cut_from(name, [*names, STORE_HOST.name, CLOUD_HOST.name])
 
     deployment.at(14.0, cut_from, names[0], names)
@@ -64,14 +64,14 @@
     deployment.at(62.0, network.end_partitions)
     deployment.at(66.0, network.cut_from_kind, names[1], "agent")
     deployment.at(120.0, network.end_partitions)
-    deployment.at(126.0, cut_off, names[2])
+    deployment.at(126.0, isolate, names[2])
     deployment.at(150.0, network.end_partitions)
     deployment.at(154.0, cut_from, names[1], [STORE_HOST.name])
     deployment.at(164.0, network.end_partitions)
 
 
-def cut_pipelines(deployment: Deployment) -> None:
-    """Controllers are cut off or die while jobs wait for others."""
+def partitioned_pipelines(deployment: Deployment) -> None:
+    """Controllers are cut off or crash while jobs wait for other jobs."""
     pipelines(deployment)
     network, controllers = deployment.network, deployment.controllers
     names = [host.name for host in controllers.hosts]
@@ -86,7 +86,7 @@
     deployment.at(34.0, network.cut_both_ways, names[0], names[1])
     deployment.at(35.0, network.cut_both_ways, names[0], STORE_HOST.name)
     deployment.at(55.0, network.end_partitions)
-    deployment.at(58.0, controllers.kill_for, 1, 14.0, True)
+    deployment.at(58.0, controllers.kill_and_restart, 1, 14.0, True)
     deployment.at(78.0, refuse_all)
-    deployment.at(84.0, controllers.kill_for, 0, 3.0)
+    deployment.at(84.0, controllers.kill_and_restart, 0, 3.0)
     deployment.at(100.0, network.end_partitions)
