--- a/tests/scenarios/answer_search.py
+++ b/tests/scenarios/answer_search.py
@@ -1,6 +1,7 @@
-"""A seeded search for answers that go back: many jobs and users under failures drawn at random.
+"""Searches with random failures for replies that contradict earlier replies to users.
 
-By hand it also runs at other sizes, which take minutes:
+An example is a job that a reply reports as done and a later reply as running. The command line
+runs the search at other sizes, which takes minutes:
 
     python -m tests.scenarios.answer_search MACHINES NODES JOBS SEED [SEED ...]
 """
@@ -19,16 +20,16 @@
 from tests.fakes.simulated_deployment import SimulatedDeployment
 from tests.helpers import START_UP_S
 
-#: time over which jobs are submitted, and after which the failures end
-BUSY_S = 60.0
-#: pause between two rounds of users who poll at every node
-POLL_PAUSE_S = 0.1
-#: longer than a controller waits for a response
-NEVER_IN_TIME_S = 60.0
+#: period over which jobs are submitted; failures are injected until shortly after it
+SUBMISSION_PERIOD_S = 60.0
+#: interval between the rounds in which users poll every node
+POLL_INTERVAL_S = 0.1
+#: response delay beyond the controllers' request timeout
+DELAY_PAST_TIMEOUT_S = 60.0
 
 
 class AnswerSearch:
-    """One deployment, its users and its failures, drawn from a seed."""
+    """Runs one deployment with users' requests and failures that a seed determines."""
 
     def __init__(self, seed: int, machines: int, nodes: int, jobs: int) -> None:
         self.rng = random.Random(f"answers {seed}")
@@ -38,33 +39,33 @@
             seed, nodes, teams=[team], state=self._store_limits(jobs)
         )
         self.deployment.cloud.capacity = machines
-        self.specs = [self._draw_job(number) for number in range(1, jobs + 1)]
+        self.specs = [self._random_job(number) for number in range(1, jobs + 1)]
 
     def _store_limits(self, jobs: int) -> dict[str, Any]:
-        rate = max(40.0, 8.0 * jobs / BUSY_S)
+        rate = max(40.0, 8.0 * jobs / SUBMISSION_PERIOD_S)
         return dict(rps=3 * rate, write_rps=rate, value_kb=16.0, txn_ops=16)
 
-    def _draw_job(self, number: int) -> JobSpec:
+    def _random_job(self, number: int) -> JobSpec:
         task_count = self.rng.choice([1, 1, 2, 3, 6])
         return job_spec(number, task_count=task_count, estimated_run_s=self.rng.uniform(0.5, 6.0))
 
     def run(self) -> list[str]:
-        """Play it all; the violations, and what is not answered in the end."""
+        """Run the search; return the rule violations and the accepted jobs left unanswered."""
         deployment = self.deployment
         deployment.run(START_UP_S)
         for spec in self.specs:
             deployment.schedule(
-                self.rng.uniform(0.0, BUSY_S), lambda spec=spec: self._submit(spec, 20)
+                self.rng.uniform(0.0, SUBMISSION_PERIOD_S), lambda spec=spec: self._submit(spec, 20)
             )
         self._poll()
         self.schedule_failures()
-        deployment.run(BUSY_S + 30.0)
+        deployment.run(SUBMISSION_PERIOD_S + 30.0)
         self._end_failures()
         deployment.run(40.0)
         return self._findings()
 
     def _end_failures(self) -> None:
-        """End all failures, also those of single requests."""
+        """End all failures, including delays of single requests."""
         store_link = self.deployment.store_link
         store_link.response_delay_s = lambda node, request: None
         store_link.commit_delay_s = lambda node, commit: None
@@ -75,32 +76,32 @@
         unanswered = self.deployment.users.unanswered_jobs()
         return self.deployment.rules.violations + [f"unanswered: {job}" for job in unanswered]
 
-    def draw_node(self) -> str:
-        """Any node."""
+    def random_node(self) -> str:
+        """Return the name of a random node."""
         return self.rng.choice(self.deployment.nodes.names)
 
-    def _submit(self, spec: JobSpec, tries: int) -> None:
-        """Submit a job until it is accepted, and cancel one of four later."""
+    def _submit(self, spec: JobSpec, attempts: int) -> None:
+        """Submit a job, repeatedly until it is accepted, and later cancel a quarter of the jobs."""
         deployment = self.deployment
-        if spec.id not in deployment.rules.accepted_at and tries:
-            deployment.users.request(self.draw_node(), "submit", spec)
-            deployment.schedule(1.5, lambda: self._submit(spec, tries - 1))
+        if spec.id not in deployment.rules.accepted_at and attempts:
+            deployment.users.request(self.random_node(), "submit", spec)
+            deployment.schedule(1.5, lambda: self._submit(spec, attempts - 1))
             return
         if self.rng.random() < 0.25:
             deployment.schedule(self.rng.uniform(0.0, 8.0), lambda: self.cancel(spec.id, 20))
 
-    def cancel(self, job: str, tries: int) -> None:
-        """Cancel a job until its final state is answered."""
+    def cancel(self, job: str, attempts: int) -> None:
+        """Request the cancel of a job, repeatedly until a reply reports its final state."""
         deployment = self.deployment
         deployment.rules.cancel_requested.add(job)
-        if job not in deployment.rules.final_answers and tries:
-            deployment.users.request(self.draw_node(), "cancel", job)
-            deployment.schedule(1.2, lambda: self.cancel(job, tries - 1))
+        if job not in deployment.rules.final_answers and attempts:
+            deployment.users.request(self.random_node(), "cancel", job)
+            deployment.schedule(1.2, lambda: self.cancel(job, attempts - 1))
 
     def _poll(self) -> None:
-        """Poll some jobs at every node, also long after they ended."""
+        """Poll some jobs at every node, including jobs that ended long ago."""
         deployment = self.deployment
-        deployment.schedule(POLL_PAUSE_S, self._poll)
+        deployment.schedule(POLL_INTERVAL_S, self._poll)
         known = list(deployment.rules.accepted_at)
         for job in self.rng.sample(known, min(len(known), 4)) + known[-4:]:
             for name in deployment.nodes.names:
@@ -110,13 +111,13 @@
                     deployment.users.request(name, "query", job)
 
     def schedule_failures(self) -> None:
-        """Draw what fails, and when."""
+        """Schedule random failures at random times."""
         deployment, rng = self.deployment, self.rng
         deployment.store.watch_history_limit = rng.choice([20, 200, 10_000])
         deployment.store.page_limit = rng.choice([3, 20, 1000])
         late_ratio = rng.choice([0.0, 0.1, 0.4])
-        deployment.store_link.response_delay_s = lambda node, request: self._draw_response_delay_s(
-            request, late_ratio
+        deployment.store_link.response_delay_s = lambda node, request: (
+            self._random_response_delay_s(request, late_ratio)
         )
         self._change_watch_lags()
         deployment.store_link.late_commit_ratio = rng.choice([0.0, 0.0, 0.1])
@@ -124,21 +125,21 @@
         failures = [
             self._kill_controller,
             self._freeze_controller,
-            self._refuse_node,
+            self._refuse_requests_of_node,
             self._store_outage,
             self._isolate_controller,
             self._drop_peer_requests,
             self._hang_agents,
         ]
         delay_s = 15.0
-        while delay_s < BUSY_S + 20.0:
+        while delay_s < SUBMISSION_PERIOD_S + 20.0:
             deployment.schedule(delay_s, rng.choice(failures))
             delay_s += rng.uniform(4.0, 15.0)
 
-    def _draw_response_delay_s(self, request: StoreRequest, late_ratio: float) -> float | None:
-        """How late a response is; some never come in time."""
+    def _random_response_delay_s(self, request: StoreRequest, late_ratio: float) -> float | None:
+        """Return how late a response arrives: None for no extra delay, or beyond the timeout."""
         if isinstance(request, (Get, CompareAndSwap)) and self.rng.random() < late_ratio:
-            return self.rng.choice([self.rng.uniform(0.1, 1.1), NEVER_IN_TIME_S])
+            return self.rng.choice([self.rng.uniform(0.1, 1.1), DELAY_PAST_TIMEOUT_S])
         return None
 
     def _change_watch_lags(self) -> None:
@@ -152,16 +153,16 @@
             self.deployment.nodes.kill(self.rng.choice(names), self.rng.choice([0.2, 3.0, 12.0]))
 
     def _freeze_controller(self) -> None:
-        self.deployment.nodes.freeze(self.draw_node(), self.rng.uniform(0.5, 8.0))
+        self.deployment.nodes.freeze(self.random_node(), self.rng.uniform(0.5, 8.0))
 
-    def _refuse_node(self) -> None:
-        refused, name = self.deployment.store.refused_nodes, self.draw_node()
+    def _refuse_requests_of_node(self) -> None:
+        refused, name = self.deployment.store.refused_nodes, self.random_node()
         refused.add(name)
         self.deployment.schedule(self.rng.uniform(1.0, 8.0), lambda: refused.discard(name))
 
     def _isolate_controller(self) -> None:
-        """Cut a node from the store, or also from its peers; packets may be delayed."""
-        deployment, name = self.deployment, self.draw_node()
+        """Isolate a node from the store and perhaps its peers; packets are dropped or delayed."""
+        deployment, name = self.deployment, self.random_node()
         peers: list[str] = []
         if self.rng.random() < 0.5:
             peers = [other for other in deployment.nodes.names if other != name]
@@ -174,11 +175,11 @@
         self.deployment.schedule(self.rng.uniform(1.0, 10.0), dropped_tags.clear)
 
     def _hang_agents(self) -> None:
-        for agent in self.draw_agents():
+        for agent in self.random_agents():
             agent.hang(self.rng.uniform(1.0, 14.0))
 
-    def draw_agents(self) -> list[FakeAgent]:
-        """Up to three agents that serve."""
+    def random_agents(self) -> list[FakeAgent]:
+        """Return up to three random serving agents."""
         agents = self.deployment.serving_agents
         return self.rng.sample(agents, min(len(agents), 3))
 
@@ -189,7 +190,7 @@
 
 
 def main() -> None:
-    """Search at a size and with seeds from the command line."""
+    """Run searches with the size and the seeds that the command line gives."""
     machines, nodes, jobs, *seeds = (int(argument) for argument in sys.argv[1:])
     for seed in seeds:
         findings = AnswerSearch(seed, machines, nodes, jobs).run()
--- a/tests/scenarios/overlapping_failures.py
+++ b/tests/scenarios/overlapping_failures.py
@@ -1,7 +1,7 @@
-"""Overlapping failures, at moments drawn at random; docs/overlapping_troubles.md lists them.
+"""Scenarios of overlapping failures at random times; docs/overlapping_troubles.md lists them.
 
-Each begins with a mix of jobs under way, and plays its failures while users poll and cancel. The
-order of all draws belongs to the seeds.
+A scenario starts while a mix of jobs runs, and injects its failures while users poll and cancel.
+A seed reproduces a run only as long as the order of the random choices stays the same.
 """
 
 from __future__ import annotations
@@ -14,61 +14,61 @@
 from tests.fakes.agent import FakeAgent
 from tests.fakes.network import STORE
 from tests.fakes.samples import job_spec
-from tests.scenarios.failure_play import FailurePlay
+from tests.scenarios.scenario_driver import ScenarioDriver
 
 
-def single_zone_jobs(play: FailurePlay) -> None:
-    """Jobs bound to one zone lose machines."""
-    play.submit(3, single_zone=True, kind="array", task_count=6, estimated_run_s=25.0)
-    play.submit(1, single_zone=True, kind="gang", task_count=4)
-    play.wait(8.0, 14.0)
+def single_zone_jobs(driver: ScenarioDriver) -> None:
+    """Jobs that must run in a single zone lose machines."""
+    driver.submit(3, single_zone=True, kind="array", task_count=6, estimated_run_s=25.0)
+    driver.submit(1, single_zone=True, kind="gang", task_count=4)
+    driver.wait(8.0, 14.0)
     for _ in range(2):
-        for agent in play.draw_agents(0.5):
+        for agent in driver.random_busy_agents(0.5):
             agent.is_unresponsive = True
-        play.wait(2.0, 14.0)
+        driver.wait(2.0, 14.0)
 
 
-def isolated_leader_that_users_reach(play: FailurePlay) -> None:
-    """A leader is cut from store and peers, not from agents and users."""
-    node = play.draw_node()
-    others = [name for name in play.deployment.nodes.names if name != node]
-    play.deployment.network.isolate(node, STORE, *others)
-    play.wait(0.0, 5.0)
-    play.cancel_some(3)
-    play.wait_leases(1.2, 2.5)
+def isolated_leader_that_users_reach(driver: ScenarioDriver) -> None:
+    """A leader is isolated from the store and its peers, but not from agents and users."""
+    node = driver.random_node()
+    others = [name for name in driver.deployment.nodes.names if name != node]
+    driver.deployment.network.isolate(node, STORE, *others)
+    driver.wait(0.0, 5.0)
+    driver.cancel_some(3)
+    driver.wait_leases(1.2, 2.5)
 
 
-def delayed_heartbeats(play: FailurePlay) -> None:
-    """Heartbeats are delayed until a new leader leads."""
-    network = play.deployment.network
-    play.deployment.agent_link.duplicate_ratio = 0.5
+def delayed_heartbeats(driver: ScenarioDriver) -> None:
+    """Heartbeats to a leader are delayed until another controller has taken over."""
+    network = driver.deployment.network
+    driver.deployment.agent_link.duplicate_ratio = 0.5
     for _ in range(2):
-        node = play.draw_node()
-        for agent in play.draw_agents():
+        node = driver.random_node()
+        for agent in driver.random_busy_agents():
             network.isolate(agent.name, node, delay=True)
-        play.wait(0.5, 4.0)
-        play.kill(node, 0.2, 8.0)
-        play.wait(4.0, 1.5 * play.deployment.lease_s)
+        driver.wait(0.5, 4.0)
+        driver.kill(node, 0.2, 8.0)
+        driver.wait(4.0, 1.5 * driver.deployment.lease_s)
         network.heal()
-        play.wait(1.0, 3.0)
+        driver.wait(1.0, 3.0)
 
 
-def more_work_than_capacity(play: FailurePlay) -> None:
-    """More work than the fleet can run, of all priorities, with slow image fetches."""
-    cloud = play.deployment.cloud
-    cloud.capacity, play.deployment.tasks.fetch_s = 3, 4.0
+def more_work_than_capacity(driver: ScenarioDriver) -> None:
+    """Jobs of all priorities exceed the fleet's capacity, and image fetches are slow."""
+    cloud = driver.deployment.cloud
+    cloud.capacity, driver.deployment.tasks.fetch_s = 3, 4.0
     for priority in ("low", "normal", "production", "high"):
-        play.submit(2, priority=priority, kind="array", task_count=10, estimated_run_s=10.0)
-        play.wait(0.5, 3.0)
-    play.kill(play.draw_node(), 0.2, 6.0)
-    play.cancel_some(2)
-    play.wait(10.0, 20.0)
+        driver.submit(2, priority=priority, kind="array", task_count=10, estimated_run_s=10.0)
+        driver.wait(0.5, 3.0)
+    driver.kill(driver.random_node(), 0.2, 6.0)
+    driver.cancel_some(2)
+    driver.wait(10.0, 20.0)
     cloud.capacity = 12
 
 
-def fail_one_way(play: FailurePlay, agent: FakeAgent) -> None:
-    """Have an agent be unresponsive, or cut off in one or both directions."""
-    failure = play.rng.choice(["inbound", "outbound", "unresponsive", "isolated"])
+def inject_agent_failure(driver: ScenarioDriver, agent: FakeAgent) -> None:
+    """Make an agent unresponsive, or partition it in one or both directions."""
+    failure = driver.rng.choice(["inbound", "outbound", "unresponsive", "isolated"])
     if failure == "inbound":
         agent.inbound_partitioned = True
     elif failure == "outbound":
@@ -76,189 +76,189 @@
     elif failure == "unresponsive":
         agent.is_unresponsive = True
     else:
-        play.deployment.network.isolate(agent.name, *play.deployment.nodes.names)
+        driver.deployment.network.isolate(agent.name, *driver.deployment.nodes.names)
 
 
-def team_at_its_limit(play: FailurePlay) -> None:
-    """A team at its limit, a failover, agents that cannot be reached, a cancel."""
-    long = play.submit(1, team="blue", kind="array", task_count=16, estimated_run_s=80.0)[0]
-    play.submit(2, team="blue", kind="array", task_count=14, estimated_run_s=12.0)
-    play.wait(8.0, 14.0)
-    for agent in play.draw_agents():
-        fail_one_way(play, agent)
-    play.kill(play.draw_node(), 0.2, 8.0, 20.0)
-    play.wait(0.0, 4.0)
-    play.cancel(long, times=40, pause_s=1.5)
-    play.wait(5.0, 2.0 * play.deployment.lease_s)
+def team_at_its_limit(driver: ScenarioDriver) -> None:
+    """Agents fail, a controller is killed and a job is cancelled while a team is at its limit."""
+    long = driver.submit(1, team="blue", kind="array", task_count=16, estimated_run_s=80.0)[0]
+    driver.submit(2, team="blue", kind="array", task_count=14, estimated_run_s=12.0)
+    driver.wait(8.0, 14.0)
+    for agent in driver.random_busy_agents():
+        inject_agent_failure(driver, agent)
+    driver.kill(driver.random_node(), 0.2, 8.0, 20.0)
+    driver.wait(0.0, 4.0)
+    driver.cancel(long, times=40, pause_s=1.5)
+    driver.wait(5.0, 2.0 * driver.deployment.lease_s)
 
 
-def request_near_the_end(play: FailurePlay, job: str) -> None:
+def request_near_completion(driver: ScenarioDriver, job: str) -> None:
     """Poll a job, submit it again, or cancel it."""
     kinds: list[Literal["submit", "query", "cancel"]] = ["query", "submit", "cancel", "query"]
-    kind = play.rng.choice(kinds)
+    kind = driver.rng.choice(kinds)
     if kind == "cancel":
-        if play.rng.random() < 0.3:
-            play.cancel(job, times=20, pause_s=1.0)
+        if driver.rng.random() < 0.3:
+            driver.cancel(job, times=20, pause_s=1.0)
         return
-    argument = play.deployment.tasks.specs[job] if kind == "submit" else job
-    play.deployment.users.request(play.draw_node(), kind, argument)
+    argument = driver.deployment.tasks.specs[job] if kind == "submit" else job
+    driver.deployment.users.request(driver.random_node(), kind, argument)
 
 
-def requests_at_the_last_task(play: FailurePlay) -> None:
-    """Polls, cancels and repeated submissions at the last task of jobs."""
-    jobs = play.submit(6, kind="array", task_count=2, estimated_run_s=4.0)
+def requests_at_the_last_task(driver: ScenarioDriver) -> None:
+    """Users poll, cancel and resubmit jobs that have at most one unfinished task."""
+    jobs = driver.submit(6, kind="array", task_count=2, estimated_run_s=4.0)
     for _ in range(150):
-        play.deployment.run(0.2)
+        driver.deployment.run(0.2)
         for job in jobs:
-            undone = play.deployment.tasks.unfinished_tasks(job)
-            if len(undone) <= 1 and play.rng.random() < 0.3:
-                request_near_the_end(play, job)
+            unfinished = driver.deployment.tasks.unfinished_tasks(job)
+            if len(unfinished) <= 1 and driver.rng.random() < 0.3:
+                request_near_completion(driver, job)
 
 
-def isolated_zone(play: FailurePlay) -> None:
-    """Half of the machines and a controller are cut off for longer than a lease."""
-    node = play.draw_node()
-    agents = [name for name in play.deployment.agents if play.rng.random() < 0.5]
-    play.deployment.network.isolate_group([node, *agents])
-    play.wait(0.0, 6.0)
-    play.cancel_some(2)
-    play.wait_leases(1.2, 2.5)
+def isolated_zone(driver: ScenarioDriver) -> None:
+    """Half of the machines and a controller are isolated together for longer than a lease."""
+    node = driver.random_node()
+    agents = [name for name in driver.deployment.agents if driver.rng.random() < 0.5]
+    driver.deployment.network.isolate_group([node, *agents])
+    driver.wait(0.0, 6.0)
+    driver.cancel_some(2)
+    driver.wait_leases(1.2, 2.5)
 
 
-def late_commits(play: FailurePlay) -> None:
-    """Commits are carried out late, after newer ones of the same controller."""
-    play.deployment.store_link.late_commit_ratio = 0.25
+def late_commits(driver: ScenarioDriver) -> None:
+    """The store applies commits late, after newer ones of the same controller."""
+    driver.deployment.store_link.late_commit_ratio = 0.25
     for _ in range(3):
-        play.submit(1)
-        play.wait(1.0, 6.0)
-        play.cancel_some(1)
-        if play.rng.random() < 0.6:
-            play.kill(play.draw_node(), 0.1, 0.3, 5.0)
-        play.wait(1.0, 8.0)
+        driver.submit(1)
+        driver.wait(1.0, 6.0)
+        driver.cancel_some(1)
+        if driver.rng.random() < 0.6:
+            driver.kill(driver.random_node(), 0.1, 0.3, 5.0)
+        driver.wait(1.0, 8.0)
 
 
-def tasks_that_end_far_apart(play: FailurePlay) -> None:
-    """Jobs of a few tasks that end far apart, over failovers."""
+def tasks_that_end_far_apart(driver: ScenarioDriver) -> None:
+    """Failovers occur between the ends of a job's tasks, which are many seconds apart."""
     for task_count in (2, 3, 2, 3):
-        job = play.submit(1, kind="array", task_count=task_count)[0]
+        job = driver.submit(1, kind="array", task_count=task_count)[0]
         for index in range(task_count):
-            play.deployment.tasks.run_times_s[(job, index)] = 3.0 + 14.0 * index
+            driver.deployment.tasks.run_times_s[(job, index)] = 3.0 + 14.0 * index
     for _ in range(3):
-        play.wait(4.0, 9.0)
-        play.kill(play.draw_node(), 0.2, 6.0)
-
-
-def slow_store_then_outage(play: FailurePlay) -> None:
-    """The store is slow, refuses one node, and then is out."""
-    deployment = play.deployment
-    deployment.store_link.latency_s = play.rng.uniform(0.2, 1.0)
-    play.wait(1.0, 4.0)
-    deployment.store.refused_nodes.add(play.draw_node())
-    play.cancel_some(3)
-    play.wait(0.5, 3.5)
+        driver.wait(4.0, 9.0)
+        driver.kill(driver.random_node(), 0.2, 6.0)
+
+
+def slow_store_then_outage(driver: ScenarioDriver) -> None:
+    """The store is slow, then refuses one node, then has an outage."""
+    deployment = driver.deployment
+    deployment.store_link.latency_s = driver.rng.uniform(0.2, 1.0)
+    driver.wait(1.0, 4.0)
+    deployment.store.refused_nodes.add(driver.random_node())
+    driver.cancel_some(3)
+    driver.wait(0.5, 3.5)
     deployment.store.start_outage()
-    play.cancel_some(2)
-    play.wait(deployment.cancel_s, 1.4 * deployment.cancel_s)
+    driver.cancel_some(2)
+    driver.wait(deployment.cancel_s, 1.4 * deployment.cancel_s)
 
 
-def all_controllers_away(play: FailurePlay) -> None:
-    """All controllers are away for longer than a lease."""
-    deployment = play.deployment
-    play.cancel_some(2)
-    play.wait(0.0, 2.0)
+def all_controllers_away(driver: ScenarioDriver) -> None:
+    """All controllers are down for longer than a lease."""
+    deployment = driver.deployment
+    driver.cancel_some(2)
+    driver.wait(0.0, 2.0)
     for name in deployment.nodes.names:
-        deployment.nodes.kill(name, play.draw_leases_s(1.1, 2.0))
+        deployment.nodes.kill(name, driver.random_leases_s(1.1, 2.0))
     deployment.run(1.1 * deployment.lease_s)
-    play.wait_leases(1.0, 2.0)
+    driver.wait_leases(1.0, 2.0)
 
 
-def outbound_partitioned_agents(play: FailurePlay) -> None:
-    """Agents cannot send heartbeats, while direct commands reach them."""
-    for agent in play.draw_agents(0.6):
-        agent.partition_outbound(play.draw_leases_s(0.3, 3.0))
-    play.wait(0.5, 6.0)
-    play.cancel_some(2)
-    if play.rng.random() < 0.5:
-        play.kill(play.draw_node(), 0.2, 6.0)
-    play.wait(1.0, 2.0 * play.deployment.lease_s)
+def outbound_partitioned_agents(driver: ScenarioDriver) -> None:
+    """Heartbeats of some agents are lost, while direct commands reach these agents."""
+    for agent in driver.random_busy_agents(0.6):
+        agent.partition_outbound(driver.random_leases_s(0.3, 3.0))
+    driver.wait(0.5, 6.0)
+    driver.cancel_some(2)
+    if driver.rng.random() < 0.5:
+        driver.kill(driver.random_node(), 0.2, 6.0)
+    driver.wait(1.0, 2.0 * driver.deployment.lease_s)
 
 
-def old_heartbeats(play: FailurePlay) -> None:
-    """Old heartbeats arrive, also of earlier incarnations."""
-    play.deployment.agent_link.duplicate_ratio = 0.7
+def old_heartbeats(driver: ScenarioDriver) -> None:
+    """Duplicates of old heartbeats arrive late, some of earlier agent incarnations."""
+    driver.deployment.agent_link.duplicate_ratio = 0.7
     for _ in range(4):
-        for agent in play.draw_agents(0.3):
+        for agent in driver.random_busy_agents(0.3):
             agent.restart()
-        play.wait(1.0, 6.0)
-        play.kill(play.draw_node(), 0.1, 3.0)
-        play.cancel_some(1)
+        driver.wait(1.0, 6.0)
+        driver.kill(driver.random_node(), 0.1, 3.0)
+        driver.cancel_some(1)
 
 
-def delayed_commands(play: FailurePlay) -> None:
-    """Commands and responses are delayed while their machines go on."""
-    deployment = play.deployment
+def delayed_commands(driver: ScenarioDriver) -> None:
+    """Commands to agents and their responses are delayed while the tasks keep running."""
+    deployment = driver.deployment
     for _ in range(2):
-        for agent in play.draw_agents():
+        for agent in driver.random_busy_agents():
             deployment.network.isolate(agent.name, *deployment.nodes.names, delay=True)
-            if play.rng.random() < 0.5:
-                agent.hang(play.draw_leases_s(0.2, 0.9))
-        play.cancel_some(2)
-        play.wait(1.0, 9.0)
+            if driver.rng.random() < 0.5:
+                agent.hang(driver.random_leases_s(0.2, 0.9))
+        driver.cancel_some(2)
+        driver.wait(1.0, 9.0)
         deployment.network.heal()
-        play.wait(1.0, 5.0)
+        driver.wait(1.0, 5.0)
 
 
-def failovers_in_a_row(play: FailurePlay) -> None:
-    """Ten failovers in two minutes, also in an outage of the store."""
-    deployment = play.deployment
+def failovers_in_a_row(driver: ScenarioDriver) -> None:
+    """Ten failovers within about two minutes, some during a store outage."""
+    deployment = driver.deployment
     for number in range(10):
         if number == 4:
             deployment.store.start_outage()
         if number == 6:
             deployment.store.end_outage()
         if number % 4 == 2:
-            play.cancel_some(1)
-        play.kill(deployment.nodes.names[number % 3], 0.1, 0.4, 4.0)
-        play.wait(3.0, 14.0)
-
-
-def failover_while_agents_are_away(play: FailurePlay) -> None:
-    """A leader ends while agents with long tasks cannot be reached."""
-    deployment = play.deployment
-    play.submit(2, kind="array", task_count=8, estimated_run_s=60.0)
-    play.wait(8.0, 12.0)
-    for agent in play.draw_agents(0.5):
-        if play.rng.random() < 0.5:
-            delay = play.rng.random() < 0.5
+            driver.cancel_some(1)
+        driver.kill(deployment.nodes.names[number % 3], 0.1, 0.4, 4.0)
+        driver.wait(3.0, 14.0)
+
+
+def failover_while_agents_are_away(driver: ScenarioDriver) -> None:
+    """A controller is killed while agents with long tasks are unreachable."""
+    deployment = driver.deployment
+    driver.submit(2, kind="array", task_count=8, estimated_run_s=60.0)
+    driver.wait(8.0, 12.0)
+    for agent in driver.random_busy_agents(0.5):
+        if driver.rng.random() < 0.5:
+            delay = driver.rng.random() < 0.5
             deployment.network.isolate(agent.name, *deployment.nodes.names, delay=delay)
         else:
-            agent.partition_inbound(play.draw_leases_s(0.5, 2.5))
-    play.kill(play.draw_node(), 0.2, 25.0)
-    play.cancel_some(1)
-    play.wait_leases(0.5, 2.0)
+            agent.partition_inbound(driver.random_leases_s(0.5, 2.5))
+    driver.kill(driver.random_node(), 0.2, 25.0)
+    driver.cancel_some(1)
+    driver.wait_leases(0.5, 2.0)
     deployment.network.heal()
-    play.wait(1.0, 5.0)
+    driver.wait(1.0, 5.0)
 
 
-def transfers_there_and_back(play: FailurePlay) -> None:
-    """Shards are transferred there and back, all controllers end, one returns."""
-    nodes = play.deployment.nodes
-    first = play.draw_node()
+def transfers_there_and_back(driver: ScenarioDriver) -> None:
+    """Shards move away from a controller and back; then all are killed and one restarts first."""
+    nodes = driver.deployment.nodes
+    first = driver.random_node()
     nodes.kill(first, 0.3)
-    play.wait(0.5, 2.0)
-    play.kill(first, 0.1, 9.0)
-    play.wait(2.0, 9.0)
+    driver.wait(0.5, 2.0)
+    driver.kill(first, 0.1, 9.0)
+    driver.wait(2.0, 9.0)
     for name in nodes.names:
-        nodes.kill(name, 0.3 if name == first else play.rng.uniform(5.0, 15.0))
-    play.cancel_some(1)
-    play.wait(1.0, 9.0)
-    if play.rng.random() < 0.5 and nodes.controllers[first] is not None:
+        nodes.kill(name, 0.3 if name == first else driver.rng.uniform(5.0, 15.0))
+    driver.cancel_some(1)
+    driver.wait(1.0, 9.0)
+    if driver.rng.random() < 0.5 and nodes.controllers[first] is not None:
         nodes.kill(first, 0.5)
-    play.wait(15.0, 18.0)
+    driver.wait(15.0, 18.0)
 
 
 def infeasible_specs() -> list[Any]:
-    """Descriptions that can never be run."""
+    """Return specs of jobs that the deployment can never run."""
     return [
         job_spec(90, machine_types=["none"]),
         job_spec(91, cpus=9.0),
@@ -270,26 +270,26 @@
     ]
 
 
-def odd_requests(play: FailurePlay) -> None:
-    """Infeasible and changed descriptions and a late cancel, again and again, over an outage."""
-    deployment, users = play.deployment, play.deployment.users
-    done = play.submit(1, kind="array", task_count=1, estimated_run_s=1.0)[0]
+def odd_requests(driver: ScenarioDriver) -> None:
+    """Repeated requests, also during an outage: infeasible or changed specs, a late cancel."""
+    deployment, users = driver.deployment, driver.deployment.users
+    done = driver.submit(1, kind="array", task_count=1, estimated_run_s=1.0)[0]
     assert users.wait_until_done(done, 60.0)
-    # Longer than anything here goes on, so that its state is "queued" or "running".
-    live = play.submit(1, kind="array", team="red", task_count=3, estimated_run_s=200.0)[0]
+    # It runs longer than this scenario, so its state stays "queued" or "running".
+    live = driver.submit(1, kind="array", team="red", task_count=3, estimated_run_s=200.0)[0]
     changed = msgspec.structs.replace(deployment.tasks.specs[live], task_count=5)
     infeasible = infeasible_specs()
-    outage_in_s = play.rng.uniform(0.5, 3.0)
+    outage_in_s = driver.rng.uniform(0.5, 3.0)
     deployment.schedule(outage_in_s, deployment.store.start_outage)
     deployment.schedule(outage_in_s + 8.0, deployment.store.end_outage)
     statuses: dict[str, set[int]] = {}
     for _ in range(14):
         for name in deployment.nodes.names:
-            asked = [(spec.id, users.request(name, "submit", spec)) for spec in infeasible]
-            asked.append((live, users.request(name, "submit", changed)))
-            asked.append((done, users.request(name, "cancel", done)))
+            replies_by_job = [(spec.id, users.request(name, "submit", spec)) for spec in infeasible]
+            replies_by_job.append((live, users.request(name, "submit", changed)))
+            replies_by_job.append((done, users.request(name, "cancel", done)))
             deployment.run(0.3)
-            for job, replies in asked:
+            for job, replies in replies_by_job:
                 for reply in replies:
                     statuses.setdefault(job, set()).add(reply.status)
                     assert reply.status != 503 or reply.retry_after_s
@@ -300,20 +300,20 @@
     for job in (live, done):
         assert 200 in statuses[job]
         assert statuses[job] <= {200, 503}
-    # It was done before: the requests for its cancel change nothing.
+    # The job was done before the first cancel request, so its state stays done.
     deployment.rules.cancel_requested.discard(done)
-    play.cancel(live, times=40, pause_s=1.5)
+    driver.cancel(live, times=40, pause_s=1.5)
 
 
 class Scenario(NamedTuple):
-    """Failures to play, and the first of the seeds that draw their moments."""
+    """A function that injects failures, and the first of the seeds that it runs with."""
 
-    play: Callable[[FailurePlay], None]
+    run: Callable[[ScenarioDriver], None]
     first_seed: int
 
 
 SCENARIOS = {
-    scenario.play.__name__: scenario
+    scenario.run.__name__: scenario
     for scenario in (
         Scenario(all_controllers_away, 5000),
         Scenario(team_at_its_limit, 5100),
--- a/tests/scenarios/failure_play.py
+++ b/tests/scenarios/scenario_driver.py
@@ -1,4 +1,4 @@
-"""A play of failures on a deployment, at moments drawn at random."""
+"""Steps of scenarios on a simulated deployment, with random choices from a seed."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from tests.helpers import start_deployment
 
 
-class FailurePlay:
-    """Failures under way: the deployment, its generator, and the jobs so far."""
+class ScenarioDriver:
+    """Submits and cancels jobs, polls them and kills controllers in a simulated deployment."""
 
     def __init__(self, seed: int) -> None:
         self.deployment = start_deployment(seed)
@@ -20,7 +20,7 @@
         self.jobs: list[str] = []
 
     def submit(self, count: int = 1, **changes: Any) -> list[str]:
-        """Submit jobs, a mix by default; their ids."""
+        """Submit random arrays and gangs, with some fields given; return their ids."""
         ids = []
         for _ in range(count):
             kind = self.rng.choice(["array", "array", "gang"])
@@ -37,47 +37,47 @@
         return ids
 
     def wait(self, low_s: float, high_s: float) -> None:
-        """Let a while pass, in which users poll."""
+        """Run for a random time between two bounds, while users poll some jobs each second."""
         deployment = self.deployment
         end = deployment.now + self.rng.uniform(low_s, high_s)
         while deployment.now < end:
             for job in self.rng.sample(self.jobs, min(3, len(self.jobs))):
-                deployment.users.request(self.draw_node(), "query", job)
+                deployment.users.request(self.random_node(), "query", job)
             deployment.run(min(1.0, max(0.01, end - deployment.now)))
 
     def wait_leases(self, low: float, high: float) -> None:
-        """Let some leases pass, in which users poll."""
+        """Do the same as ``wait``, with the bounds in lease durations."""
         self.wait(low * self.deployment.lease_s, high * self.deployment.lease_s)
 
     def cancel(self, job: str, times: int, pause_s: float) -> None:
-        """Cancel a job, with repeats."""
+        """Schedule repeated requests to cancel a job, each to a random node."""
         self.deployment.rules.cancel_requested.add(job)
         for number in range(times):
-            self.deployment.schedule(number * pause_s, self._cancel_at(self.draw_node(), job))
+            self.deployment.schedule(number * pause_s, self._cancel_at(self.random_node(), job))
 
     def _cancel_at(self, node: str, job: str) -> Callable[[], object]:
         return lambda: self.deployment.users.request(node, "cancel", job)
 
     def cancel_some(self, count: int) -> None:
-        """Cancel that many jobs at once, with repeats for a minute."""
+        """Cancel some random jobs at once, with repeated requests for a minute."""
         cancelled = self.deployment.rules.cancel_requested
         live = [job for job in self.jobs if job not in cancelled]
         for job in self.rng.sample(live, min(count, len(live))):
             self.cancel(job, times=40, pause_s=1.5)
 
-    def draw_agents(self, ratio: float = 0.4) -> list[FakeAgent]:
-        """Some of the agents with tasks."""
+    def random_busy_agents(self, ratio: float = 0.4) -> list[FakeAgent]:
+        """Return a random share of the agents with tasks, at least one if there is any."""
         agents = self.deployment.busy_agents
         return self.rng.sample(agents, max(1, int(ratio * len(agents)))) if agents else []
 
-    def draw_node(self) -> str:
-        """Any node."""
+    def random_node(self) -> str:
+        """Return the name of a random node."""
         return self.rng.choice(self.deployment.nodes.names)
 
     def kill(self, node: str, *restart_after_s: float) -> None:
-        """Kill a controller, which restarts after one of some times."""
+        """Kill a controller, which restarts after a random one of the given delays."""
         self.deployment.nodes.kill(node, self.rng.choice(restart_after_s))
 
-    def draw_leases_s(self, low: float, high: float) -> float:
-        """A time, between two numbers of leases."""
+    def random_leases_s(self, low: float, high: float) -> float:
+        """Return a random time in seconds, with the bounds in lease durations."""
         return self.rng.uniform(low, high) * self.deployment.lease_s
--- a/tests/scenarios/test_basic_operation.py
+++ b/tests/scenarios/test_basic_operation.py
@@ -1,4 +1,4 @@
-"""Jobs run to their end on a healthy deployment."""
+"""Jobs finish on a deployment without failures."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     ]
     assert all(deployment.users.wait_until_done(job, 120.0) for job in jobs)
     assert not deployment.rules.violations
-    # Every shard had a leader of its own.
+    # Each shard has a different leader.
     assert sorted(leaders(deployment)) == ["n0", "n1", "n2"]
 
 
--- a/tests/scenarios/test_best_effort_scale.py
+++ b/tests/scenarios/test_best_effort_scale.py
@@ -1,4 +1,4 @@
-"""One huge array and many one-task jobs: cost follows what runs."""
+"""The cost of a huge array follows its running tasks; many one-task jobs cost few changes."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 ARRAY = "job-000001"
 
 
-def with_best_effort_array(tasks: int) -> SimulatedDeployment:
-    """Three controllers with a best-effort array of a size, as wide as the fleet."""
+def start_with_best_effort_array(tasks: int) -> SimulatedDeployment:
+    """Start three controllers with a best-effort array that fills the fleet."""
     deployment = start_deployment(470, teams=TEAMS)
     deployment.users.submit(
         job_spec(1, team="guest", priority="low", task_count=tasks, estimated_run_s=8.0)
@@ -33,8 +33,8 @@
 
 
 def calls_per_start(tasks: int) -> float:
-    """Calls for each started task of an array of a size."""
-    deployment = with_best_effort_array(tasks)
+    """Return the function calls per started task of an array with a number of tasks."""
+    deployment = start_with_best_effort_array(tasks)
     assert len(deployment.agents) == deployment.cloud.capacity
     starts_before = len(deployment.tasks.starts)
     calls = count_calls(functools.partial(deployment.run, 20.0))
@@ -51,7 +51,7 @@
 
 
 def test_a_huge_array_is_cancelled_like_any_other() -> None:
-    deployment = with_best_effort_array(100_000)
+    deployment = start_with_best_effort_array(100_000)
     assert deployment.users.cancel(ARRAY) == "cancelled"
     deployment.run(deployment.cancel_s)
     assert not any(
@@ -81,13 +81,14 @@
         job_spec(100 + number, team="guest", task_count=1, estimated_run_s=3.0)
         for number in range(20 * jobs_per_s)
     ]
-    asked = []
-    for place, spec in enumerate(specs):
-        asked.append(users.request(names[place % 3], "submit", spec))
+    replies_per_job = []
+    for position, spec in enumerate(specs):
+        replies_per_job.append(users.request(names[position % 3], "submit", spec))
         deployment.run(1.0 / jobs_per_s)
-    assert all(replies and replies[0].status == 201 for replies in asked)
+    assert all(replies and replies[0].status == 201 for replies in replies_per_job)
     assert all(users.wait_until_done(spec.id, 60.0) for spec in specs)
-    # A record, its end (two keys) and at most a page of progress with its deletion, each.
+    # Per job: the record, its final state with the record's deletion, and at most one progress
+    # page with its deletion.
     assert changes <= 5.5 * len(specs) + 60
     assert len(store.keys_with_prefix(keys.FINAL_STATES)) == len(specs)
     assert users.state_of(long_job) in ("running", "done")
--- a/tests/scenarios/test_cost_of_a_job.py
+++ b/tests/scenarios/test_cost_of_a_job.py
@@ -1,4 +1,4 @@
-"""What one job costs from its acceptance to its end, on 300 machines and on 900."""
+"""Requests, messages and calls that one job costs, on fleets of 300 and of 900 machines."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from tests.measurements import count_calls
 from tests.scenarios.fleets import large_fleet, submit_arrays
 
-#: jobs that are measured, each by itself
+#: number of jobs that are measured, one after another
 MEASURED_JOBS = 8
 
 
 class Cost(msgspec.Struct):
-    """What was sent because of one job, and the calls that its requests made."""
+    """Requests, messages and bytes sent because of one job, and calls made by its requests."""
 
     reads: int = 0
     commits: int = 0
@@ -32,44 +32,44 @@
     bytes: int = 0
     calls: int = 0
 
-    def added(self, other: Cost) -> Cost:
-        """The sum of both."""
+    def plus(self, other: Cost) -> Cost:
+        """Return the sum of both costs."""
         pairs = zip(msgspec.structs.astuple(self), msgspec.structs.astuple(other), strict=True)
-        return Cost(*(mine + theirs for mine, theirs in pairs))
+        return Cost(*(own + others for own, others in pairs))
 
 
-#: the most that one job may cost on the average of all that are measured; half of them are
-#: cancelled, the others finish. Calls are those of the program: with the environment's own the
-#: bounds were 200, 80, 80 and 80, which left the program 154, 52, 41 and 57.
+#: maximum mean cost of a measured job; half of the jobs are cancelled, the others finish. Calls
+#: exclude those of the simulated environment; including them, the limits of 154, 52, 41 and 57
+#: calls correspond to 200, 80, 80 and 80.
 MAX_COSTS = {
-    # Its record, stored and sent to the two other nodes (some 200 bytes each, which were not sent
-    # when this was 3 messages and 250 bytes), and the first progress of its slices.
+    # The record, stored and sent to the two other nodes (some 200 bytes each; without these two
+    # messages the limits would be 3 messages and 250 bytes), and the first progress of the slices.
     "accepted": Cost(reads=0, commits=1, changes=1, messages=5, bytes=650, calls=154),
-    # From memory, but for the progress of its slices.
+    # The reply comes from memory; only the progress of the slices is sent meanwhile.
     "polled": Cost(reads=0, commits=0, changes=0, messages=2, bytes=60, calls=52),
-    # One request to the manager.
+    # One request to the manager of the job.
     "polled elsewhere": Cost(reads=0, commits=0, changes=0, messages=3, bytes=60, calls=41),
-    # The entry, and the final state together with the deletion of the record; a request to each
-    # other leader with a slice.
+    # The commit of the cancel entry, the commit of the final state with the deletion of the record,
+    # and a request to each other leader that has a slice of the job.
     "cancelled": Cost(reads=0, commits=1, changes=2, messages=8, bytes=400, calls=57),
-    # Pages of progress of three shards, the final state, the deletions.
+    # Progress pages of three shards, the final state, and the deletions of pages and record.
     "finished": Cost(reads=1, commits=5, changes=6, messages=20, bytes=800, calls=0),
 }
 
 
 class CostMeter:
-    """Counts what the nodes send to the store and to one another about a job."""
+    """Counts the store requests and peer messages that concern one job."""
 
     def __init__(self, deployment: SimulatedDeployment) -> None:
         self._job = ""
         self._cost = Cost()
-        self._carry_out = deployment.nodes.execute_request
+        self._execute_request = deployment.nodes.execute_request
         self._deliver = deployment.peer_link.deliver
         deployment.nodes.execute_request = self._count_request
         deployment.peer_link.deliver = self._count_message
 
-    def begin(self, job: str) -> Cost:
-        """Begin to count for a job; what is returned grows."""
+    def start(self, job: str) -> Cost:
+        """Start counting for a job; return the cost object that later counts are added to."""
         self._job, self._cost = job, Cost()
         return self._cost
 
@@ -81,7 +81,7 @@
         elif isinstance(request, PeerRequest):
             if self._job in msgspec.structs.astuple(request.message):
                 self._count_sent(request.message)
-        self._carry_out(controller, number, request)
+        self._execute_request(controller, number, request)
 
     def _count_commit(self, commit: CompareAndSwap) -> None:
         changed = [*(put.key for put in commit.puts), *commit.deletes]
@@ -107,7 +107,7 @@
 
 
 class CostMeasurement:
-    """Costs of accepted, polled, cancelled and finished jobs on a fleet, summed over some."""
+    """Measures the costs of accepting, polling, cancelling and finishing jobs on a fleet."""
 
     def __init__(self, machines: int) -> None:
         self._deployment = large_fleet(61, machines)
@@ -119,7 +119,7 @@
         self.total = {name: Cost() for name in MAX_COSTS}
 
     def run(self) -> dict[str, Cost]:
-        """Measure each job by itself; the sums."""
+        """Measure the jobs one after another; return the sum of the costs for each step."""
         for number in range(5000, 5000 + MEASURED_JOBS):
             self._measure_job(number)
         assert not self._deployment.rules.violations
@@ -133,7 +133,7 @@
         )
         job = spec.id
         self._measure_request("accepted", "n0", "submit", spec, 0.1)
-        self._meter.begin("none")
+        self._meter.start("none")
         deployment.run(1.0)
         manager = manager_of(deployment, job)
         other = next(name for name in deployment.nodes.names if name != manager)
@@ -142,22 +142,22 @@
         if is_cancelled:
             self._measure_request("cancelled", manager, "cancel", job, 8.0)
         else:
-            cost = self._meter.begin(job)
+            cost = self._meter.start(job)
             deployment.run(30.0)
-            self.total["finished"] = self.total["finished"].added(cost)
+            self.total["finished"] = self.total["finished"].plus(cost)
         assert deployment.run_until(lambda: bool(users.state_of(job)), 5.0)
         assert deployment.rules.last_state[job] == ("cancelled" if is_cancelled else "done")
 
     def _measure_request(
         self, name: str, node: str, kind: Any, argument: Any, seconds: float
     ) -> None:
-        """Count what one request costs, and what follows from it within some seconds."""
+        """Add the cost of one request and of its consequences within some seconds."""
         job = argument if isinstance(argument, str) else argument.id
-        cost = self._meter.begin(job)
+        cost = self._meter.start(job)
         request = functools.partial(self._deployment.users.request, node, kind, argument)
         cost.calls += count_calls(request)
         self._deployment.run(seconds)
-        self.total[name] = self.total[name].added(cost)
+        self.total[name] = self.total[name].plus(cost)
 
 
 @pytest.fixture(scope="module")
@@ -176,6 +176,6 @@
 ) -> None:
     small, large = small_fleet_costs[name], large_fleet_costs[name]
     for total in (small, large):
-        for field, most in msgspec.structs.asdict(MAX_COSTS[name]).items():
-            assert getattr(total, field) <= most * MEASURED_JOBS, (field, total)
+        for field, maximum in msgspec.structs.asdict(MAX_COSTS[name]).items():
+            assert getattr(total, field) <= maximum * MEASURED_JOBS, (field, total)
     assert large.calls <= 1.1 * small.calls
--- a/tests/scenarios/test_drawn_failures.py
+++ b/tests/scenarios/test_drawn_failures.py
@@ -1,4 +1,4 @@
-"""Failures drawn at random break no rule."""
+"""Random failures cause no violation of a rule."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from tests.helpers import isolate_controllers, start_deployment
 
 
-def draw_job(deployment: SimulatedDeployment, number: int) -> JobSpec:
-    """An array or a gang of one of the teams."""
+def random_job(deployment: SimulatedDeployment, number: int) -> JobSpec:
+    """Return a random array or gang of one of the teams."""
     rng = deployment.rng
     kind = rng.choice(["array", "array", "gang"])
     return job_spec(
@@ -29,7 +29,10 @@
 
 
 class SingleFailures:
-    """Failures of which one is drawn at a time; the order of the draws belongs to the seeds."""
+    """Injects one random failure at a time.
+
+    The order of random choices must stay, so that seeds reproduce the same failures.
+    """
 
     def __init__(self, deployment: SimulatedDeployment, jobs: list[str]) -> None:
         self._deployment = deployment
@@ -47,8 +50,8 @@
             lambda: None,
         ]
 
-    def draw(self) -> None:
-        """Have one thing fail for a while."""
+    def inject(self) -> None:
+        """Inject a random failure and run for a while; an outage of the store ends in this time."""
         deployment, rng = self._deployment, self._rng
         failure = self._failures[rng.randrange(len(self._failures))]
         failure()
@@ -59,11 +62,11 @@
         if rng.random() < 0.3:
             deployment.network.heal()
 
-    def _draw_node(self) -> str:
+    def _random_node(self) -> str:
         return self._rng.choice(self._deployment.nodes.names)
 
     def _kill_controller(self) -> None:
-        node = self._draw_node()
+        node = self._random_node()
         self._deployment.nodes.kill(node, restart_after_s=self._rng.choice([0.2, 3.0, 8.0]))
 
     def _kill_all_controllers(self) -> None:
@@ -72,12 +75,12 @@
 
     def _isolate_controller(self) -> None:
         self._deployment.network.heal()
-        node = self._draw_node()
+        node = self._random_node()
         self._deployment.network.isolate(node, delay=self._rng.random() < 0.5)
 
     def _isolate_controller_from_store(self) -> None:
         self._deployment.network.heal()
-        self._deployment.network.isolate(self._draw_node(), STORE)
+        self._deployment.network.isolate(self._random_node(), STORE)
 
     def _hang_agent(self) -> None:
         agents = self._deployment.serving_agents
@@ -86,7 +89,7 @@
 
     def _cancel(self) -> None:
         job = self._rng.choice(self._jobs)
-        self._deployment.users.request(self._draw_node(), "cancel", job)
+        self._deployment.users.request(self._random_node(), "cancel", job)
 
 
 @pytest.mark.parametrize("seed", range(100, 108))
@@ -98,10 +101,10 @@
     jobs: list[str] = []
     failures = SingleFailures(deployment, jobs)
     for number in range(1, 13):
-        spec = draw_job(deployment, number)
+        spec = random_job(deployment, number)
         single_zone = deployment.rng.random() < 0.2
         jobs.append(users.submit(msgspec.structs.replace(spec, single_zone=single_zone)))
-        failures.draw()
+        failures.inject()
         assert not rules.violations
     deployment.network.heal()
     deployment.store.end_outage()
@@ -114,7 +117,10 @@
 
 
 class ManyFailures:
-    """Failures of which some are drawn at a time; the order of the list belongs to the seeds."""
+    """Injects several random failures at a time.
+
+    The order of the list must stay, so that seeds reproduce the same failures.
+    """
 
     def __init__(self, deployment: SimulatedDeployment, jobs: list[str]) -> None:
         self._deployment = deployment
@@ -124,7 +130,7 @@
             self._partition_agents,
             self._hang_agent,
             self._restart_agent,
-            self._leave_controller_with_its_agents,
+            self._isolate_controller_from_store_users_and_peers,
             self._store_outage,
             self._cancel,
             self._restart_controllers,
@@ -132,12 +138,12 @@
             self._delay_packets,
         ]
 
-    def draw(self) -> None:
-        """Have one to three things fail."""
+    def inject(self) -> None:
+        """Inject one to three random failures."""
         for failure in self._rng.sample(self._failures, self._rng.randint(1, 3)):
             failure()
 
-    def _draw_node(self) -> str:
+    def _random_node(self) -> str:
         return self._rng.choice(self._deployment.nodes.names)
 
     def _partition_agents(self) -> None:
@@ -154,8 +160,8 @@
         if agents:
             self._rng.choice(agents).restart()
 
-    def _leave_controller_with_its_agents(self) -> None:
-        node = self._draw_node()
+    def _isolate_controller_from_store_users_and_peers(self) -> None:
+        node = self._random_node()
         others = [name for name in self._deployment.nodes.names if name != node]
         self._deployment.network.isolate(node, STORE, USERS, *others)
 
@@ -166,7 +172,7 @@
 
     def _cancel(self) -> None:
         job = self._rng.choice(self._jobs)
-        self._deployment.users.request(self._draw_node(), "cancel", job)
+        self._deployment.users.request(self._random_node(), "cancel", job)
 
     def _restart_controllers(self) -> None:
         names = self._deployment.nodes.names
@@ -174,7 +180,7 @@
             self._deployment.nodes.kill(name, self._rng.choice([0.05, 0.3, 5.0]))
 
     def _delay_packets(self) -> None:
-        self._deployment.network.isolate(self._draw_node(), delay=True)
+        self._deployment.network.isolate(self._random_node(), delay=True)
 
 
 @pytest.mark.parametrize("seed", range(300, 310))
@@ -187,10 +193,10 @@
     jobs: list[str] = []
     failures = ManyFailures(deployment, jobs)
     for number in range(1, 13):
-        spec = draw_job(deployment, number)
+        spec = random_job(deployment, number)
         users.request(rng.choice(deployment.nodes.names), "submit", spec)
         jobs.append(spec.id)
-        failures.draw()
+        failures.inject()
         deployment.run(rng.uniform(0.5, 8.0))
         if rng.random() < 0.4:
             deployment.network.heal()
--- a/tests/scenarios/test_fleet_costs.py
+++ b/tests/scenarios/test_fleet_costs.py
@@ -1,4 +1,4 @@
-"""Fleets of hundreds and thousands of machines: the cost of an event does not grow with them."""
+"""The cost of an event does not grow with fleets of hundreds to thousands of machines."""
 
 from __future__ import annotations
 
@@ -30,21 +30,21 @@
 
 
 def measure_fleet(deployment: SimulatedDeployment, seconds: float) -> EventCost:
-    """Measure events for some seconds; no rule is broken, and the store refuses nothing."""
+    """Measure events for some seconds; assert no violation and the limits of the store."""
     store = deployment.store
-    changes_before, begun = store.change_count, deployment.now
+    changes_before, started_at = store.change_count, deployment.now
     events = measure_event_costs(deployment, seconds)
-    changes_per_s = (store.change_count - changes_before) / (deployment.now - begun)
+    changes_per_s = (store.change_count - changes_before) / (deployment.now - started_at)
     assert not deployment.rules.violations
     assert not store.oversized_commits
     assert store.largest_value_bytes <= 4096
-    # Changes of the store stay within its rate, whatever runs.
+    # Changes in the store stay within its write rate under any load.
     assert changes_per_s < FLEET_STORE["write_rps"]
     return events
 
 
 def measure_busy_fleet(machines: int, jobs: int) -> EventCost:
-    """What events cost on a fleet that arrays fill."""
+    """Return the cost of events on a fleet that is busy with arrays."""
     deployment = large_fleet(7, machines)
     submit_arrays(deployment, 1, jobs, 160, estimated_run_s=15.0, deadline_s=40.0)
     deployment.run(22.0)
@@ -53,23 +53,24 @@
 
 
 def test_an_event_costs_the_same_on_nine_hundred_machines() -> None:
-    """Found on simulated fleet days that were not over in time.
+    """Guards against heartbeats whose cost grows with the fleet.
 
-    Each heartbeat that brought up free capacity went through all machines and slices of its shard.
+    If each heartbeat that reports free capacity scans all machines and slices of its shard, a
+    simulation of a fleet's day does not finish in time.
     """
     small = measure_busy_fleet(300, 60)
     large = measure_busy_fleet(900, 180)
     busy = measure_busy_fleet(300, 180)
-    # A heartbeat and what it starts or ends: neither the machines nor the jobs beside it count.
+    # A heartbeat costs what it starts or ends; other machines and jobs don't matter.
     assert large.heartbeat < 1.5 * small.heartbeat
     assert busy.heartbeat < 1.5 * small.heartbeat
-    # What is done twice a second may go once through the shard, which is three times as large.
+    # A tick, twice a second, may scan its shard once; the shard is three times as large.
     assert large.tick < 3.5 * small.tick
     assert large.message < 3.5 * small.message
 
 
 def measure_fleet_of_wide_tasks(machines: int, jobs: int) -> EventCost:
-    """What events cost on a fleet on nearly every machine of which a task runs."""
+    """Return the cost of events on a fleet where nearly every machine runs a task."""
     workers = {**FLEET_AGENTS, "report_s": 10.0, "lease_s": 61.0, "cancel_s": 130.0}
     cloud = dict(rps=16.0, list_lag_s=5.0)
     deployment = large_fleet(7, machines, workers=workers, cloud=cloud)
@@ -81,11 +82,11 @@
 
 
 def test_four_thousand_machines_cost_each_event_no_more_than_nine_hundred() -> None:
-    """Calls of a heartbeat and a tick, bytes of a message, and changes of the store."""
+    """Guards the calls per heartbeat and tick, bytes per message, and changes in the store."""
     small = measure_fleet_of_wide_tasks(900, 45)
     large = measure_fleet_of_wide_tasks(4000, 200)
     assert large.heartbeat < 1.2 * small.heartbeat
-    # What is done twice a second goes through the shard, which is 4.4 times as large.
+    # A tick, twice a second, scans its shard, which is 4.4 times as large.
     assert large.tick < 1.2 * 4.5 * small.tick
     assert large.message < 1.2 * 4.5 * small.message
 
@@ -101,7 +102,8 @@
     for number, name in enumerate(MACHINES):
         failures.record_failure(f"job-{number % 50}", name, True, 0.0)
     assert all(failures.machine_backoff_s(name) > 0 for name in MACHINES)
-    # One node leads all of them, each in each list of the summary, and promises all cancels.
+    # One node leads all machines, each of them is in each list of the summary, and the node
+    # promises all cancels.
     assert len(msgspec.msgpack.encode(largest_summary())) < MAX_FRAME_BYTES
     cancels = start_deployment(1).nodes.controller("n0").job_services.cancels
     for number in range(4000):
@@ -113,7 +115,7 @@
 
 
 def largest_summary() -> ShardSummary:
-    """A summary with 4,000 machines and jobs in each of its lists."""
+    """Return a shard summary with 4,000 entries in each of its lists."""
     capacity = ("a-long-name-of-a-type", "a-long-name-of-a-zone", False, 1 << 40, 1 << 40, 1 << 40)
     jobs = [f"job-{number:06d}" for number in range(4000)]
     return ShardSummary(
@@ -155,11 +157,11 @@
     store.execute = record_listing  # type: ignore[method-assign]
     deployment.nodes.kill_all(restart_after_s=1.0)
     deployment.run(4.0)
-    # Ready in a bounded time, from what is live only.
+    # Controllers are ready within the time above, having read only records of live jobs.
     assert {shard.shard_id for _, shard in led_shards(deployment)} == {0, 1, 2}
     assert len(page_sizes) < 40
     assert sum(page_sizes) < 1500
-    # What is over is read when somebody asks for it.
+    # The final state of an ended job is read when a user queries it.
     if finished:
         deployment.tasks.specs["job-500007"] = job_spec(500_007, task_count=0)
         assert deployment.users.state_of("job-500007") == "done"
@@ -167,7 +169,7 @@
 
 
 def changes_per_job(machines: int) -> float:
-    """Changes of the store that one job makes on a fleet, beside those of the machines."""
+    """Return the changes in the store per job, without the changes for machines."""
     deployment = large_fleet(28, machines)
     store, agents = deployment.store, deployment.agents
     submit_arrays(deployment, 900, 4, 100, estimated_run_s=6.0)
@@ -176,7 +178,7 @@
     jobs = submit_arrays(deployment, 1, 30, 60, estimated_run_s=6.0, deadline_s=60.0)
     assert all(deployment.users.wait_until_done(job, 200.0) for job in jobs)
     deployment.run(10.0)
-    # Two changes of a machine's own key, and of a rental's.
+    # A rented machine changes its own key and its rental's key twice each; a release adds one.
     released = sum(agent.is_released for agent in agents.values())
     machine_changes = 4 * (len(agents) - rented_before) + released
     assert not deployment.rules.violations
@@ -186,6 +188,7 @@
 
 def test_the_store_sees_a_bounded_number_of_changes_a_job() -> None:
     small, large = changes_per_job(60), changes_per_job(240)
-    # Accepted once, ended in two; what each of three shards has done, a few times, and its removal.
+    # Three changes for acceptance (1) and end (2); for each of three shards a few changes of its
+    # progress, and the deletion.
     assert max(small, large) < 3 + 3 * 6
     assert large < 1.3 * max(small, 6.0)
--- a/tests/scenarios/test_fleet_failures.py
+++ b/tests/scenarios/test_fleet_failures.py
@@ -1,4 +1,4 @@
-"""Fleets of hundreds of machines on which many fail at once."""
+"""Many machines or controllers of a large fleet fail at once."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
     FLEET_AGENTS,
     TEAM_NAMES,
     assert_all_done,
-    assert_jobs_start_again,
+    assert_new_jobs_start,
     large_fleet,
     running_tasks,
     submit_arrays,
 )
 
 
-def with_arrays(seed: int, jobs: int = 24) -> tuple[SimulatedDeployment, list[str]]:
-    """A fleet of 150 machines that arrays of both teams fill; the arrays' ids."""
+def fleet_with_arrays(seed: int, jobs: int = 24) -> tuple[SimulatedDeployment, list[str]]:
+    """Start a fleet of 150 machines, busy with arrays of both teams; return the arrays' ids too."""
     deployment = large_fleet(seed, 150)
     arrays = submit_arrays(deployment, 1, jobs, 60, estimated_run_s=40.0, deadline_s=60.0)
     return deployment, arrays
@@ -29,7 +29,7 @@
 def test_all_controllers_crash_at_once_and_no_agent_loses_its_lease(
     restart_after_s: float,
 ) -> None:
-    deployment, jobs = with_arrays(20)
+    deployment, jobs = fleet_with_arrays(20)
     deployment.run(20.0)
     before = running_tasks(deployment)
     assert len(before) > 600
@@ -37,7 +37,7 @@
         deployment.nodes.kill(name, restart_after_s * deployment.rng.uniform(0.8, 1.0))
     crashed_at = deployment.now
     deployment.run(restart_after_s + 6.0)
-    # What ran goes on: the first responses came well inside each lease.
+    # Tasks keep running: each agent's lease was renewed well before it expired.
     max_age_s = 0.9 * deployment.lease_s
     assert not [
         agent.name
@@ -48,14 +48,14 @@
     after = running_tasks(deployment)
     unmoved = sum(after.get(task) == machine for task, machine in before.items())
     assert unmoved > 0.7 * len(before)
-    assert_jobs_start_again(deployment, 10.0)
+    assert_new_jobs_start(deployment, 10.0)
     assert deployment.now - crashed_at < restart_after_s + 20.0
     assert_all_done(deployment, jobs, 300.0)
 
 
 @pytest.mark.parametrize("failure", ["die", "hang", "cut"])
 def test_a_fifth_of_the_machines_fails_and_the_rest_goes_on(failure: str) -> None:
-    deployment, jobs = with_arrays(21)
+    deployment, jobs = fleet_with_arrays(21)
     deployment.run(20.0)
     agents = deployment.serving_agents
     failed = deployment.rng.sample(agents, len(agents) // 5)
@@ -71,14 +71,14 @@
         else:
             agent.is_unresponsive = True
     rented = len(deployment.agents)
-    # Longer than a lease: what they ran starts elsewhere, and late packets follow.
+    # Longer than a lease: the failed machines' tasks start elsewhere, and delayed packets follow.
     deployment.run(1.2 * deployment.lease_s)
     after = running_tasks(deployment)
     stopped = [task for task in before if task not in after and task not in deployment.tasks.done]
-    assert not stopped, "work on other machines was stopped"
+    assert not stopped, "tasks on machines that did not fail were stopped"
     deployment.run(0.8 * deployment.lease_s)
     if failure == "die":
-        # Not waited for beyond a bound.
+        # Machines that stay unresponsive are released within a bounded time.
         assert deployment.run_until(
             lambda: all(agent.is_released for agent in failed), 2.5 * deployment.lease_s
         )
@@ -88,15 +88,15 @@
         deployment.network.heal()
     deployment.run(3.0)
     if failure != "die":
-        # They are back: no second fleet was rented, and they serve.
+        # The machines recovered: most were kept, and few replacements were rented.
         assert sum(agent.is_released for agent in failed) <= len(failed) // 4
         assert len(deployment.agents) - rented <= len(failed) // 4
-    assert_jobs_start_again(deployment, 10.0)
+    assert_new_jobs_start(deployment, 10.0)
     assert_all_done(deployment, jobs, 300.0)
 
 
 def test_many_reclaim_notices_and_a_zone_isolated_from_everything() -> None:
-    deployment, jobs = with_arrays(22, jobs=20)
+    deployment, jobs = fleet_with_arrays(22, jobs=20)
     gangs = submit_arrays(
         deployment,
         50,
@@ -126,7 +126,7 @@
         deployment.users.state_of(job) == "done" for job in jobs
     )
     deployment.network.heal()
-    assert_jobs_start_again(deployment, 20.0)
+    assert_new_jobs_start(deployment, 20.0)
     assert_all_done(deployment, [*jobs, *gangs], 400.0)
 
 
@@ -135,8 +135,8 @@
     nodes = deployment.nodes
     jobs = submit_arrays(deployment, 1, 10, 40, estimated_run_s=20.0, deadline_s=60.0)
     deployment.run(15.0)
-    for place, name in enumerate(nodes.names):
-        deployment.schedule(12.0 * place, lambda name=name: nodes.kill(name, 3.0))
+    for position, name in enumerate(nodes.names):
+        deployment.schedule(12.0 * position, lambda name=name: nodes.kill(name, 3.0))
     for number in range(100, 130):
         spec = job_spec(
             number,
--- a/tests/scenarios/test_large_machines.py
+++ b/tests/scenarios/test_large_machines.py
@@ -1,4 +1,4 @@
-"""Fleets of larger machines and other sizes: cost of an event, failures."""
+"""Cost of an event and failures on fleets of larger machines and of other sizes."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
     agents = deployment.serving_agents
     assert len(agents) >= 120
     assert sum(len(agent.live_tasks) for agent in agents) >= 1500
-    changes_before, begun = store.change_count, deployment.now
+    changes_before, started_at = store.change_count, deployment.now
     large_cost = measure_event_costs(deployment, 6.0)
-    # Four times the machines and five times the tasks. A heartbeat costs what it lists, a tick what
-    # its shard has; neither what the whole fleet and all jobs together are.
+    # The fleet has four times the machines and five times the tasks. A heartbeat's cost follows the
+    # tasks it lists, a tick's cost follows its shard; neither follows the whole fleet or all jobs.
     assert large_cost.heartbeat < 2.5 * small_cost.heartbeat
     assert large_cost.tick < 3.0 * small_cost.tick
     assert large_cost.message < 3.0 * small_cost.message
-    # Changes of the store stay within its rate, whatever runs.
+    # Changes in the store stay within its write rate under any load.
     changes = store.change_count - changes_before
-    assert changes / (deployment.now - begun) < STORE_LIMITS_NOW["write_rps"]
-    # A controller ends and restarts at once, and another is away for longer.
+    assert changes / (deployment.now - started_at) < STORE_LIMITS_NOW["write_rps"]
+    # One controller is killed and restarts at once, another is down for longer.
     deployment.nodes.kill("n1", restart_after_s=0.2)
     deployment.nodes.kill("n3", restart_after_s=12.0)
     deployment.run(20.0)
@@ -39,7 +39,7 @@
     assert not deployment.rules.violations
     assert not store.oversized_commits
     assert store.largest_value_bytes <= 4096
-    # Heartbeats got their responses in time all the while.
+    # No agent lost its lease: heartbeats got their responses in time throughout.
     assert agent_incarnations(deployment) <= {1}
 
 
--- a/tests/scenarios/test_pipeline_search.py
+++ b/tests/scenarios/test_pipeline_search.py
@@ -1,4 +1,4 @@
-"""Seeded searches for what cancelled pipelines leave behind find nothing."""
+"""Under random failures cancelled pipelines cause no violation (fixed seeds)."""
 
 from __future__ import annotations
 
--- a/tests/scenarios/test_pipelines.py
+++ b/tests/scenarios/test_pipelines.py
@@ -1,4 +1,4 @@
-"""Pipelines under failures drawn at random."""
+"""Pipelines under random failures."""
 
 from __future__ import annotations
 
--- a/tests/scenarios/test_rolling_upgrade.py
+++ b/tests/scenarios/test_rolling_upgrade.py
@@ -1,4 +1,4 @@
-"""The version in production and the present one side by side, on each other's data."""
+"""Controllers of the production version and the present version share a deployment and data."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 from tests.helpers import leader_of, leaders, manager_of, start_deployment
 
 
-def started_in_production(seed: int = 1, nodes: int = 3) -> SimulatedDeployment:
-    """A deployment of the version in production."""
+def start_in_production(seed: int = 1, nodes: int = 3) -> SimulatedDeployment:
+    """Start a deployment whose nodes all run the production version."""
     limits = {**STORE_LIMITS_NOW, "next": STORE_LIMITS_LATER}
     return start_deployment(seed, nodes, in_production=True, state=limits)
 
 
-def started_mixed(seed: int = 1) -> SimulatedDeployment:
-    """A deployment of which one node of three is upgraded."""
-    deployment = started_in_production(seed)
+def start_mixed_versions(seed: int = 1) -> SimulatedDeployment:
+    """Start a deployment in which one of three nodes is upgraded to the present version."""
+    deployment = start_in_production(seed)
     deployment.nodes.upgrade("n1", 0.5)
     deployment.run(12.0)
     assert set(leaders(deployment)) == {"n0", "n1", "n2"}
@@ -39,14 +39,14 @@
 
 
 def upgrade_all(deployment: SimulatedDeployment) -> None:
-    """Upgrade one node after the other."""
+    """Upgrade the nodes to the present version, one after another."""
     for name in deployment.nodes.names:
         deployment.nodes.upgrade(name, 1.0)
         deployment.run(6.0)
 
 
 def submit_mixed_jobs(deployment: SimulatedDeployment, first: int) -> list[JobSpec]:
-    """Submit an array over all shards, a gang, and some small jobs."""
+    """Submit an array that spans all shards, a gang, and some small jobs."""
     specs = [
         job_spec(first, task_count=30, estimated_run_s=4.0),
         job_spec(first + 1, kind="gang", task_count=3, estimated_run_s=8.0, team="blue"),
@@ -64,13 +64,13 @@
 
 
 def assert_no_violation(deployment: SimulatedDeployment) -> None:
-    """No rule was broken, and the store refused nothing as too large."""
+    """Assert that no rule was violated and that the store refused no commit as too large."""
     assert not deployment.store.oversized_commits
     assert not deployment.rules.violations
 
 
 def test_production_ignores_new_messages() -> None:
-    deployment = started_in_production()
+    deployment = start_in_production()
     deployment.run(1.0)
     controller: Any = deployment.nodes.controller("n0")
     jobs = dict(controller.view.jobs)
@@ -82,15 +82,15 @@
 
 @pytest.mark.parametrize("order", list(itertools.permutations(["n0", "n1", "n2"])))
 def test_nodes_are_upgraded_one_after_the_other_in_each_order(order: tuple[str, ...]) -> None:
-    seed = sum(int(name[1]) * 10**place for place, name in enumerate(order))
-    deployment = started_in_production(seed)
+    seed = sum(int(name[1]) * 10**position for position, name in enumerate(order))
+    deployment = start_in_production(seed)
     specs = submit_mixed_jobs(deployment, 1)
-    for place, name in enumerate(order, 1):
+    for position, name in enumerate(order, 1):
         deployment.nodes.upgrade(name, 1.0)
         deployment.run(2.0)
-        specs += submit_mixed_jobs(deployment, 10 * place)
+        specs += submit_mixed_jobs(deployment, 10 * position)
         deployment.run(6.0)
-    # All are upgraded: only now are pipelines submitted, and the store lowers its limits.
+    # Pipelines and the store's lower limits come only after all nodes are upgraded.
     specs += submit_pipeline(deployment, 100)
     deployment.store.set_limits(STORE_LIMITS_LATER)
     assert wait_until_all_done(deployment, specs, 150.0)
@@ -100,14 +100,14 @@
 def upgrade_amid_failures(
     deployment: SimulatedDeployment, rng: random.Random, specs: list[JobSpec]
 ) -> None:
-    """Upgrade the nodes, one or two at a time, while other things fail and jobs are submitted."""
+    """Upgrade the nodes, one or two at a time, amid other failures and new jobs."""
     users, store = deployment.users, deployment.store
     names = list(deployment.nodes.names)
     rng.shuffle(names)
     first = 10
     while names:
         if len(names) > 1 and rng.random() < 0.4:
-            # It restarts as what it was.
+            # The killed node restarts with the version that it had.
             deployment.nodes.kill(names[-1], rng.choice([0.2, 4.0]))
         if rng.random() < 0.3:
             store.start_outage()
@@ -126,9 +126,9 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_an_upgrade_amid_drawn_failures(seed: int) -> None:
-    """A few nodes at a time; what ends before its turn restarts with the production version."""
+    """A node that is killed before its upgrade restarts with the production version."""
     rng = random.Random(seed)
-    deployment = started_in_production(seed, rng.choice([3, 5]))
+    deployment = start_in_production(seed, rng.choice([3, 5]))
     users, rules = deployment.users, deployment.rules
     deployment.store_link.lost_response_ratio = rng.choice([0.0, 0.05])
     deployment.store_link.late_commit_ratio = rng.choice([0.0, 0.03])
@@ -149,11 +149,11 @@
 
 @pytest.mark.parametrize(("killed", "also_killed"), [("n0", "n2"), ("n1", "n2")])
 def test_a_failover_to_the_other_version(killed: str, also_killed: str) -> None:
-    deployment = started_mixed()
+    deployment = start_mixed_versions()
     nodes = deployment.nodes
     specs = submit_mixed_jobs(deployment, 1)
     deployment.run(4.0)
-    # The only node left is of the other version.
+    # The only remaining node runs the other version than the first killed one.
     nodes.kill(killed)
     nodes.kill(also_killed)
     deployment.run(20.0)
@@ -168,7 +168,7 @@
 
 @pytest.mark.parametrize("asked", ["n0", "n1"])
 def test_a_cancel_confirmed_by_one_version_for_tasks_of_the_other(asked: str) -> None:
-    deployment = started_mixed()
+    deployment = start_mixed_versions()
     users = deployment.users
     job = users.submit(job_spec(1, task_count=24, estimated_run_s=60.0))
     deployment.run(12.0)
@@ -185,14 +185,14 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_promises_between_versions_carry_tasks_through_an_outage(seed: int) -> None:
-    deployment = started_mixed(seed)
+    deployment = start_mixed_versions(seed)
     specs = [job_spec(number, task_count=6, estimated_run_s=40.0) for number in (1, 2)]
     submit_all(deployment, *specs)
     deployment.run(12.0)
     starts = list(deployment.tasks.starts)
     deployment.store.start_outage()
     deployment.run(1.5 * deployment.lease_s)
-    # The lease of an agent is over by now, had nobody led under promises.
+    # Agents' leases would have expired by now if no controller led its shard under promises.
     for name in deployment.nodes.names:
         assert deployment.nodes.controller(name).leadership.led_shards()
     deployment.store.end_outage()
@@ -203,7 +203,7 @@
 
 
 def test_slices_migrate_between_versions() -> None:
-    deployment = started_mixed()
+    deployment = start_mixed_versions()
     job = deployment.users.submit(job_spec(1, task_count=60, estimated_run_s=6.0))
 
     def migrations() -> int:
@@ -219,8 +219,8 @@
 
 
 def test_a_cancel_of_a_record_that_production_wrote_reaches_its_dependents() -> None:
-    """The parent is accepted by production, the child by the present version."""
-    deployment = started_in_production()
+    """The production version accepts the parent, the present version accepts the child."""
+    deployment = start_in_production()
     parent = deployment.users.submit(job_spec(1, task_count=2, estimated_run_s=120.0))
     upgrade_all(deployment)
     child = job_spec(2, depends_on=[parent])
@@ -232,7 +232,7 @@
 
 
 def test_records_stored_under_larger_limits_are_read_and_rewritten_smaller() -> None:
-    deployment = started_in_production()
+    deployment = start_in_production()
     types = ["t4", "t8", *(f"type-{number}-{'x' * 30}" for number in range(52))]
     cancelled, finished = (
         job_spec(number, task_count=3, estimated_run_s=25.0, machine_types=types)
