--- a/tests/scenarios/test_cost_of_a_job.py
+++ b/tests/scenarios/test_cost_of_a_job.py
@@ -38,7 +38,7 @@
         return Cost(*(own + others for own, others in pairs))
 
 
-#: maximum mean cost of a measured job; half of the jobs are cancelled, the others finish. Calls
+#: maximum mean cost over all measured jobs, of which half are cancelled and half finish. Calls
 #: exclude those of the simulated environment; including them, the limits of 154, 52, 41 and 57
 #: calls correspond to 200, 80, 80 and 80.
 MAX_COSTS = {
