--- a/tests/scenarios/overlapping_failures.py
+++ b/tests/scenarios/overlapping_failures.py
@@ -1,7 +1,7 @@
-"""Overlapping failures, at moments drawn at random; docs/overlapping_troubles.md lists them.
+"""Scenarios of overlapping failures at random times; docs/overlapping_troubles.md lists them.
 
-Each begins with a mix of jobs under way, and plays its failures while users poll and cancel. The
-order of all draws belongs to the seeds.
+A scenario starts while a mix of jobs runs, and injects its failures while users poll and cancel.
+A seed reproduces a run only as long as the order of the random choices stays the same.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 
 
 def single_zone_jobs(driver: ScenarioDriver) -> None:
-    """Jobs bound to one zone lose machines."""
+    """Jobs that must run in a single zone lose machines."""
     driver.submit(3, single_zone=True, kind="array", task_count=6, estimated_run_s=25.0)
     driver.submit(1, single_zone=True, kind="gang", task_count=4)
     driver.wait(8.0, 14.0)
     for _ in range(2):
-        for agent in driver.draw_agents(0.5):
+        for agent in driver.random_busy_agents(0.5):
             agent.is_unresponsive = True
         driver.wait(2.0, 14.0)
 
 
 def isolated_leader_that_users_reach(driver: ScenarioDriver) -> None:
-    """A leader is cut from store and peers, not from agents and users."""
-    node = driver.draw_node()
+    """A leader is isolated from the store and its peers, but not from agents and users."""
+    node = driver.random_node()
     others = [name for name in driver.deployment.nodes.names if name != node]
     driver.deployment.network.isolate(node, STORE, *others)
     driver.wait(0.0, 5.0)
@@ -39,12 +39,12 @@
 
 
 def delayed_heartbeats(driver: ScenarioDriver) -> None:
-    """Heartbeats are delayed until a new leader leads."""
+    """Heartbeats to a leader are delayed until another controller has taken over."""
     network = driver.deployment.network
     driver.deployment.agent_link.duplicate_ratio = 0.5
     for _ in range(2):
-        node = driver.draw_node()
-        for agent in driver.draw_agents():
+        node = driver.random_node()
+        for agent in driver.random_busy_agents():
             network.isolate(agent.name, node, delay=True)
         driver.wait(0.5, 4.0)
         driver.kill(node, 0.2, 8.0)
@@ -54,20 +54,20 @@
 
 
 def more_work_than_capacity(driver: ScenarioDriver) -> None:
-    """More work than the fleet can run, of all priorities, with slow image fetches."""
+    """Jobs of all priorities exceed the fleet's capacity, and image fetches are slow."""
     cloud = driver.deployment.cloud
     cloud.capacity, driver.deployment.tasks.fetch_s = 3, 4.0
     for priority in ("low", "normal", "production", "high"):
         driver.submit(2, priority=priority, kind="array", task_count=10, estimated_run_s=10.0)
         driver.wait(0.5, 3.0)
-    driver.kill(driver.draw_node(), 0.2, 6.0)
+    driver.kill(driver.random_node(), 0.2, 6.0)
     driver.cancel_some(2)
     driver.wait(10.0, 20.0)
     cloud.capacity = 12
 
 
-def fail_one_way(driver: ScenarioDriver, agent: FakeAgent) -> None:
-    """Have an agent be unresponsive, or cut off in one or both directions."""
+def inject_agent_failure(driver: ScenarioDriver, agent: FakeAgent) -> None:
+    """Make an agent unresponsive, or partition it in one or both directions."""
     failure = driver.rng.choice(["inbound", "outbound", "unresponsive", "isolated"])
     if failure == "inbound":
         agent.inbound_partitioned = True
@@ -80,19 +80,19 @@
 
 
 def team_at_its_limit(driver: ScenarioDriver) -> None:
-    """A team at its limit, a failover, agents that cannot be reached, a cancel."""
+    """Agents fail, a controller is killed and a job is cancelled while a team is at its limit."""
     long = driver.submit(1, team="blue", kind="array", task_count=16, estimated_run_s=80.0)[0]
     driver.submit(2, team="blue", kind="array", task_count=14, estimated_run_s=12.0)
     driver.wait(8.0, 14.0)
-    for agent in driver.draw_agents():
-        fail_one_way(driver, agent)
-    driver.kill(driver.draw_node(), 0.2, 8.0, 20.0)
+    for agent in driver.random_busy_agents():
+        inject_agent_failure(driver, agent)
+    driver.kill(driver.random_node(), 0.2, 8.0, 20.0)
     driver.wait(0.0, 4.0)
     driver.cancel(long, times=40, pause_s=1.5)
     driver.wait(5.0, 2.0 * driver.deployment.lease_s)
 
 
-def request_near_the_end(driver: ScenarioDriver, job: str) -> None:
+def request_near_completion(driver: ScenarioDriver, job: str) -> None:
     """Poll a job, submit it again, or cancel it."""
     kinds: list[Literal["submit", "query", "cancel"]] = ["query", "submit", "cancel", "query"]
     kind = driver.rng.choice(kinds)
@@ -101,23 +101,23 @@
             driver.cancel(job, times=20, pause_s=1.0)
         return
     argument = driver.deployment.tasks.specs[job] if kind == "submit" else job
-    driver.deployment.users.request(driver.draw_node(), kind, argument)
+    driver.deployment.users.request(driver.random_node(), kind, argument)
 
 
 def requests_at_the_last_task(driver: ScenarioDriver) -> None:
-    """Polls, cancels and repeated submissions at the last task of jobs."""
+    """Users poll, cancel and resubmit jobs that have at most one unfinished task."""
     jobs = driver.submit(6, kind="array", task_count=2, estimated_run_s=4.0)
     for _ in range(150):
         driver.deployment.run(0.2)
         for job in jobs:
-            undone = driver.deployment.tasks.unfinished_tasks(job)
-            if len(undone) <= 1 and driver.rng.random() < 0.3:
-                request_near_the_end(driver, job)
+            unfinished = driver.deployment.tasks.unfinished_tasks(job)
+            if len(unfinished) <= 1 and driver.rng.random() < 0.3:
+                request_near_completion(driver, job)
 
 
 def isolated_zone(driver: ScenarioDriver) -> None:
-    """Half of the machines and a controller are cut off for longer than a lease."""
-    node = driver.draw_node()
+    """Half of the machines and a controller are isolated together for longer than a lease."""
+    node = driver.random_node()
     agents = [name for name in driver.deployment.agents if driver.rng.random() < 0.5]
     driver.deployment.network.isolate_group([node, *agents])
     driver.wait(0.0, 6.0)
@@ -126,34 +126,34 @@
 
 
 def late_commits(driver: ScenarioDriver) -> None:
-    """Commits are carried out late, after newer ones of the same controller."""
+    """The store applies commits late, after newer ones of the same controller."""
     driver.deployment.store_link.late_commit_ratio = 0.25
     for _ in range(3):
         driver.submit(1)
         driver.wait(1.0, 6.0)
         driver.cancel_some(1)
         if driver.rng.random() < 0.6:
-            driver.kill(driver.draw_node(), 0.1, 0.3, 5.0)
+            driver.kill(driver.random_node(), 0.1, 0.3, 5.0)
         driver.wait(1.0, 8.0)
 
 
 def tasks_that_end_far_apart(driver: ScenarioDriver) -> None:
-    """Jobs of a few tasks that end far apart, over failovers."""
+    """Failovers occur between the ends of a job's tasks, which are many seconds apart."""
     for task_count in (2, 3, 2, 3):
         job = driver.submit(1, kind="array", task_count=task_count)[0]
         for index in range(task_count):
             driver.deployment.tasks.run_times_s[(job, index)] = 3.0 + 14.0 * index
     for _ in range(3):
         driver.wait(4.0, 9.0)
-        driver.kill(driver.draw_node(), 0.2, 6.0)
+        driver.kill(driver.random_node(), 0.2, 6.0)
 
 
 def slow_store_then_outage(driver: ScenarioDriver) -> None:
-    """The store is slow, refuses one node, and then is out."""
+    """The store is slow, then refuses one node, then has an outage."""
     deployment = driver.deployment
     deployment.store_link.latency_s = driver.rng.uniform(0.2, 1.0)
     driver.wait(1.0, 4.0)
-    deployment.store.refused_nodes.add(driver.draw_node())
+    deployment.store.refused_nodes.add(driver.random_node())
     driver.cancel_some(3)
     driver.wait(0.5, 3.5)
     deployment.store.start_outage()
@@ -162,46 +162,46 @@
 
 
 def all_controllers_away(driver: ScenarioDriver) -> None:
-    """All controllers are away for longer than a lease."""
+    """All controllers are down for longer than a lease."""
     deployment = driver.deployment
     driver.cancel_some(2)
     driver.wait(0.0, 2.0)
     for name in deployment.nodes.names:
-        deployment.nodes.kill(name, driver.draw_leases_s(1.1, 2.0))
+        deployment.nodes.kill(name, driver.random_leases_s(1.1, 2.0))
     deployment.run(1.1 * deployment.lease_s)
     driver.wait_leases(1.0, 2.0)
 
 
 def outbound_partitioned_agents(driver: ScenarioDriver) -> None:
-    """Agents cannot send heartbeats, while direct commands reach them."""
-    for agent in driver.draw_agents(0.6):
-        agent.partition_outbound(driver.draw_leases_s(0.3, 3.0))
+    """Heartbeats of some agents are lost, while direct commands reach these agents."""
+    for agent in driver.random_busy_agents(0.6):
+        agent.partition_outbound(driver.random_leases_s(0.3, 3.0))
     driver.wait(0.5, 6.0)
     driver.cancel_some(2)
     if driver.rng.random() < 0.5:
-        driver.kill(driver.draw_node(), 0.2, 6.0)
+        driver.kill(driver.random_node(), 0.2, 6.0)
     driver.wait(1.0, 2.0 * driver.deployment.lease_s)
 
 
 def old_heartbeats(driver: ScenarioDriver) -> None:
-    """Old heartbeats arrive, also of earlier incarnations."""
+    """Duplicates of old heartbeats arrive late, some of earlier agent incarnations."""
     driver.deployment.agent_link.duplicate_ratio = 0.7
     for _ in range(4):
-        for agent in driver.draw_agents(0.3):
+        for agent in driver.random_busy_agents(0.3):
             agent.restart()
         driver.wait(1.0, 6.0)
-        driver.kill(driver.draw_node(), 0.1, 3.0)
+        driver.kill(driver.random_node(), 0.1, 3.0)
         driver.cancel_some(1)
 
 
 def delayed_commands(driver: ScenarioDriver) -> None:
-    """Commands and responses are delayed while their machines go on."""
+    """Commands to agents and their responses are delayed while the tasks keep running."""
     deployment = driver.deployment
     for _ in range(2):
-        for agent in driver.draw_agents():
+        for agent in driver.random_busy_agents():
             deployment.network.isolate(agent.name, *deployment.nodes.names, delay=True)
             if driver.rng.random() < 0.5:
-                agent.hang(driver.draw_leases_s(0.2, 0.9))
+                agent.hang(driver.random_leases_s(0.2, 0.9))
         driver.cancel_some(2)
         driver.wait(1.0, 9.0)
         deployment.network.heal()
@@ -209,7 +209,7 @@
 
 
 def failovers_in_a_row(driver: ScenarioDriver) -> None:
-    """Ten failovers in two minutes, also in an outage of the store."""
+    """Ten failovers within about two minutes, some during a store outage."""
     deployment = driver.deployment
     for number in range(10):
         if number == 4:
@@ -223,17 +223,17 @@
 
 
 def failover_while_agents_are_away(driver: ScenarioDriver) -> None:
-    """A leader ends while agents with long tasks cannot be reached."""
+    """A controller is killed while agents with long tasks are unreachable."""
     deployment = driver.deployment
     driver.submit(2, kind="array", task_count=8, estimated_run_s=60.0)
     driver.wait(8.0, 12.0)
-    for agent in driver.draw_agents(0.5):
+    for agent in driver.random_busy_agents(0.5):
         if driver.rng.random() < 0.5:
             delay = driver.rng.random() < 0.5
             deployment.network.isolate(agent.name, *deployment.nodes.names, delay=delay)
         else:
-            agent.partition_inbound(driver.draw_leases_s(0.5, 2.5))
-    driver.kill(driver.draw_node(), 0.2, 25.0)
+            agent.partition_inbound(driver.random_leases_s(0.5, 2.5))
+    driver.kill(driver.random_node(), 0.2, 25.0)
     driver.cancel_some(1)
     driver.wait_leases(0.5, 2.0)
     deployment.network.heal()
@@ -241,9 +241,9 @@
 
 
 def transfers_there_and_back(driver: ScenarioDriver) -> None:
-    """Shards are transferred there and back, all controllers end, one returns."""
+    """Shards move away from a controller and back; then all are killed and one restarts first."""
     nodes = driver.deployment.nodes
-    first = driver.draw_node()
+    first = driver.random_node()
     nodes.kill(first, 0.3)
     driver.wait(0.5, 2.0)
     driver.kill(first, 0.1, 9.0)
@@ -258,7 +258,7 @@
 
 
 def infeasible_specs() -> list[Any]:
-    """Descriptions that can never be run."""
+    """Return specs of jobs that the deployment can never run."""
     return [
         job_spec(90, machine_types=["none"]),
         job_spec(91, cpus=9.0),
@@ -271,11 +271,11 @@
 
 
 def odd_requests(driver: ScenarioDriver) -> None:
-    """Infeasible and changed descriptions and a late cancel, again and again, over an outage."""
+    """Repeated requests, also during an outage: infeasible or changed specs, a late cancel."""
     deployment, users = driver.deployment, driver.deployment.users
     done = driver.submit(1, kind="array", task_count=1, estimated_run_s=1.0)[0]
     assert users.wait_until_done(done, 60.0)
-    # Longer than anything here goes on, so that its state is "queued" or "running".
+    # It runs longer than this scenario, so its state stays "queued" or "running".
     live = driver.submit(1, kind="array", team="red", task_count=3, estimated_run_s=200.0)[0]
     changed = msgspec.structs.replace(deployment.tasks.specs[live], task_count=5)
     infeasible = infeasible_specs()
@@ -285,11 +285,11 @@
     statuses: dict[str, set[int]] = {}
     for _ in range(14):
         for name in deployment.nodes.names:
-            asked = [(spec.id, users.request(name, "submit", spec)) for spec in infeasible]
-            asked.append((live, users.request(name, "submit", changed)))
-            asked.append((done, users.request(name, "cancel", done)))
+            replies_by_job = [(spec.id, users.request(name, "submit", spec)) for spec in infeasible]
+            replies_by_job.append((live, users.request(name, "submit", changed)))
+            replies_by_job.append((done, users.request(name, "cancel", done)))
             deployment.run(0.3)
-            for job, replies in asked:
+            for job, replies in replies_by_job:
                 for reply in replies:
                     statuses.setdefault(job, set()).add(reply.status)
                     assert reply.status != 503 or reply.retry_after_s
@@ -300,15 +300,15 @@
     for job in (live, done):
         assert 200 in statuses[job]
         assert statuses[job] <= {200, 503}
-    # It was done before: the requests for its cancel change nothing.
+    # The job was done before the first cancel request, so its state stays done.
     deployment.rules.cancel_requested.discard(done)
     driver.cancel(live, times=40, pause_s=1.5)
 
 
 class Scenario(NamedTuple):
-    """Failures to play, and the first of the seeds that draw their moments."""
+    """A function that injects failures, and the first of the seeds that it runs with."""
 
-    driver: Callable[[ScenarioDriver], None]
+    run: Callable[[ScenarioDriver], None]
     first_seed: int
 
 
