--- a/marblestair/wire/users.py
+++ b/marblestair/wire/users.py
@@ -83,7 +83,9 @@
         When the body is malformed, or a value is out of the accepted range.
     """
     if len(body) > MAX_REQUEST_BODY_BYTES:
-        raise BadRequestError("body too large")
+        raise BadRequestError(
+            f"body: must be at most {MAX_REQUEST_BODY_BYTES} bytes, got {len(body)}"
+        )
     try:
         submission = _submission_decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, ValueError) as error:
@@ -96,49 +98,70 @@
 
 def _check_id_and_enumerations(submission: _Submission) -> None:
     if not is_valid_job_id(submission.ref):
-        raise BadRequestError("ref: not of the form job-NUMBER")
+        raise BadRequestError(
+            f"ref: must be job-NUMBER with 1 to 20 digits, got {submission.ref!r:.40}"
+        )
     if submission.shape not in _KINDS:
-        raise BadRequestError("shape: unknown")
+        raise BadRequestError(
+            f"shape: must be one of {', '.join(_KINDS)}, got {submission.shape!r:.40}"
+        )
     if submission.urgency not in _PRIORITIES:
-        raise BadRequestError("urgency: unknown")
+        raise BadRequestError(
+            f"urgency: must be one of {', '.join(_PRIORITIES)}, got {submission.urgency!r:.40}"
+        )
 
 
 def _check_amounts(submission: _Submission) -> None:
     if not 1 <= submission.pieces <= MAX_TASKS_PER_JOB:
-        raise BadRequestError(f"pieces: must be from 1 to {MAX_TASKS_PER_JOB}")
-    amounts = [
-        submission.cpus,
-        submission.gpus,
-        submission.mem_gb,
-        submission.size_gb,
-        submission.expected_s,
-        submission.bookmark_s,
-        submission.bookmark_cost_s,
-        submission.due_s or 0.0,
-    ]
-    if not are_valid_amounts(*amounts):
-        raise BadRequestError("an amount is negative, infinite or not a number")
-    if max(amounts) > MAX_AMOUNT:
-        raise BadRequestError("an amount is out of range")
+        raise BadRequestError(
+            f"pieces: must be from 1 to {MAX_TASKS_PER_JOB}, got {submission.pieces}"
+        )
+    amounts = {
+        "cpus": submission.cpus,
+        "gpus": submission.gpus,
+        "mem_gb": submission.mem_gb,
+        "size_gb": submission.size_gb,
+        "expected_s": submission.expected_s,
+        "bookmark_s": submission.bookmark_s,
+        "bookmark_cost_s": submission.bookmark_cost_s,
+        "due_s": submission.due_s or 0.0,
+    }
+    for field, amount in amounts.items():
+        if not are_valid_amounts(amount) or amount > MAX_AMOUNT:
+            raise BadRequestError(
+                f"{field}: must be a number from 0 to {MAX_AMOUNT:g}, got {amount!r:.40}"
+            )
 
 
 def _check_names(submission: _Submission) -> None:
     names = [
-        submission.jobclass,
-        submission.owner,
-        submission.bundle,
-        submission.room or "",
-        *(submission.builds or []),
+        ("jobclass", submission.jobclass),
+        ("owner", submission.owner),
+        ("bundle", submission.bundle),
+        ("room", submission.room or ""),
+        *(("builds", name) for name in submission.builds or []),
     ]
-    if len(names) > MAX_NAMES_PER_SUBMISSION or any(len(name) > MAX_NAME_CHARS for name in names):
-        raise BadRequestError("a name is too long")
+    if len(names) > MAX_NAMES_PER_SUBMISSION:
+        raise BadRequestError(
+            "builds: jobclass, owner, bundle, room and builds must have at most"
+            f" {MAX_NAMES_PER_SUBMISSION} names together, got {len(names)}"
+        )
+    for field, name in names:
+        if len(name) > MAX_NAME_CHARS:
+            raise BadRequestError(
+                f"{field}: must have at most {MAX_NAME_CHARS} characters, got {len(name)}:"
+                f" {name!r:.40}"
+            )
 
 
 def _distinct_dependencies(submission: _Submission) -> list[str]:
     """Return the ids of the jobs that a submission depends on, without duplicates."""
     jobs = list(dict.fromkeys(submission.awaits or []))
-    if not all(is_valid_job_id(job) for job in jobs):
-        raise BadRequestError("awaits: not a list of ids of the form job-NUMBER")
+    for job in jobs:
+        if not is_valid_job_id(job):
+            raise BadRequestError(
+                f"awaits: ids must be job-NUMBER with 1 to 20 digits, got {job!r:.40}"
+            )
     return jobs
 
 
