--- a/marblestair/core/capacity/array_capacity.py
+++ b/marblestair/core/capacity/array_capacity.py
@@ -1,7 +1,7 @@
 """Planning of the capacity for arrays: the cpus they should have, and the rentals to get there.
 
-Renting cannot help work whose deadline a machine rented now would miss, so a later completion time
-is planned for that work.
+Work that would miss its deadline even on a machine rented now is planned with a later completion
+time, because renting cannot help it.
 """
 
 from __future__ import annotations
@@ -14,16 +14,17 @@
 from marblestair.core.domain.jobs import JobSpec
 from marblestair.core.domain.machine_kinds import MachineKind, tasks_per_machine
 
-#: work that may run on spot machines is urgent, and worth on-demand ones, when fewer than this many
-#: run times are left until it is due
+#: number of run times before it is due at which pending work becomes urgent; for urgent work,
+#: on-demand machines are rented although it may run on spot machines
 URGENT_RUN_TIMES = 1.5
 #: shortfall, as a share of the capacity, from which on-demand machines are rented for work that may
 #: run on spot ones
 MIN_ON_DEMAND_SHORTFALL_SHARE = 0.03
-#: ratio of the price of a spot cpu to that of an on-demand machine's cpu below which the on-demand
-#: machine is replaced
+#: price per cpu of spot machines, as a ratio to that of an on-demand machine, below which spot
+#: machines should replace the on-demand machine
 REPLACEMENT_PRICE_RATIO = 0.7
-#: maximum ratio of an on-demand machine's cpus to the shortfall; a larger one would be mostly empty
+#: maximum ratio of an on-demand machine's cpus to the shortfall; a larger machine would be mostly
+#: empty
 MAX_MACHINE_SIZE_RATIO = 2
 #: work that is due in less than this share of its run time is considered infeasible
 INFEASIBLE_RUN_SHARE = 0.3
@@ -62,7 +63,7 @@
 
 
 class ArrayCapacity:
-    """Plans the capacity for arrays, without the machines that run or are allocated to gangs."""
+    """Plans the capacity for arrays, excluding machines that run gangs or are allocated to them."""
 
     def __init__(
         self,
@@ -79,12 +80,12 @@
         self._tuning = tuning
         self._boot_s = boot_s
         self._machines = draft.array_machines()
-        #: share of the target that urgent work demands, for which on-demand machines are rented
-        #: though it may run on spot ones
+        #: share of the target that urgent work demands; on-demand machines are rented for this
+        #: share although the work may run on spot machines
         self._urgent_share = 1.0
 
     def set_target(self, average_array_cpus: float, smooth: Callable[[float], float]) -> None:
-        """Set the plan's target for the arrays' cpus, and the cpus that they have now."""
+        """Set the plan's target and its current capacity for arrays, in cpus."""
         target = demanded_cpus(self._arrays, self._boot_s, self._tuning)
         if target > 0:
             urgent = demanded_cpus(self._arrays, self._boot_s, self._tuning, URGENT_RUN_TIMES)
@@ -97,7 +98,7 @@
     def request_shortfall(self) -> None:
         """Request machines of the cheapest kind for the shortfall of the capacity to the target.
 
-        On-demand machines that spot ones should replace do not count as capacity.
+        On-demand machines that spot machines should replace do not count as capacity.
         """
         if not self._arrays:
             return
@@ -110,8 +111,8 @@
         if kind is None:
             return
         if not kind.spot and spec.allows_spot and self._plan.capacity_cpus > 0:
-            # Neither work that is not urgent nor noise in the demand of a large fleet justifies an
-            # on-demand machine.
+            # On-demand machines are rented only for urgent work, and not for small fluctuations of
+            # the demand of a large fleet.
             shortfall = self._urgent_share * target - capacity
             if shortfall < MIN_ON_DEMAND_SHORTFALL_SHARE * self._plan.capacity_cpus:
                 return
@@ -136,7 +137,7 @@
         )
 
     def request_in_required_zones(self) -> None:
-        """Request machines for work that must run in one zone, by the capacity of that zone."""
+        """Request machines for work that requires a zone, up to its demand in that zone."""
         by_zone: dict[str, list[JobLoad]] = {}
         for load in self._arrays:
             if load.spec.zone is not None and load.pending:
@@ -156,7 +157,10 @@
             self._draft.request(kinds[0], count)
 
     def request_for_unserved(self) -> None:
-        """Request a machine for each array that may run on no machine of the fleet."""
+        """Request a machine for each array with pending tasks that no machine of the fleet can run.
+
+        None is requested if the plan already requests a machine that can run the array.
+        """
         for load in self._arrays:
             if not load.pending or self._is_served(load.spec):
                 continue
--- a/marblestair/core/capacity/capacity_refusals.py
+++ b/marblestair/core/capacity/capacity_refusals.py
@@ -17,7 +17,7 @@
 
 
 class CapacityRefusals:
-    """The refusals that one node received from the cloud, and those that other nodes reported."""
+    """Stores when refusals expire that this node received or that other nodes reported."""
 
     def __init__(self, context: NodeContext) -> None:
         self._context = context
@@ -25,7 +25,7 @@
         self._refused_until: dict[KindKey, float] = {}
 
     def record_refusal(self, kind: KindKey, seconds: float) -> None:
-        """Record that the cloud refused a kind, which is not requested for this many seconds."""
+        """Record that the cloud refused a kind, so that it is not requested for ``seconds``."""
         self._refused_until[kind] = self._context.now + seconds
 
     def is_refused(self, kind: MachineKind) -> bool:
@@ -36,7 +36,7 @@
     def current(self) -> list[CapacityRefusal]:
         """Return the refusals that are still valid.
 
-        They are sent to the other nodes, so that these need no refused request of their own.
+        They are sent to the other nodes, so that those do not request the same kinds in vain.
         """
         now = self._context.now
         return [
@@ -46,7 +46,7 @@
         ]
 
     def receive(self, refusals: Iterable[CapacityRefusal]) -> None:
-        """Record the refusals that another controller reports; a later expiry is kept."""
+        """Record the refusals that another node reports; of two expiry times the later is kept."""
         for refusal in refusals:
             kind = (refusal.machine_type, refusal.zone, refusal.spot)
             until = self._context.now + min(refusal.remaining_s, MAX_REPORTED_REFUSAL_S)
--- a/marblestair/core/capacity/catalog_updates.py
+++ b/marblestair/core/capacity/catalog_updates.py
@@ -27,9 +27,9 @@
 
 #: maximum number of keys in one page of a listing
 MAX_LISTED_KEYS = 1000
-#: pause between two requests to the cloud: its minimum, and the bound of its random part
+#: pause between two requests to the cloud: its minimum, and the maximum of its random part
 MIN_REFRESH_PAUSE_S, REFRESH_JITTER_S = 60.0, 30.0
-#: mean pause after a failed request to the cloud: with types known, and without
+#: mean pause after a failed request to the cloud: while types are known, and while none is known
 RETRY_WITH_TYPES_S, RETRY_WITHOUT_TYPES_S = 5.0, 0.8
 #: pause after an attempt to write new types to the store
 STORE_PAUSE_S = 1.0
@@ -48,7 +48,7 @@
         self._stored: dict[str, Any] = {}
 
     def maintain(self) -> Coroutine[None]:
-        """Read the types from the store, then keep refreshing them from the cloud, with prices."""
+        """Read the types from the store, then refresh them from the cloud periodically."""
         yield from self._load_stored()
         while True:
             response: CloudResponse = yield ListMachineTypes()
@@ -57,7 +57,11 @@
                 yield Sleep(retry_s * (0.8 + 0.4 * self._context.rng.random()))
                 continue
             self.update(response.machine_types)
-            new = [kind for kind in response.machine_types if kind.name not in self._stored]
+            new = [
+                machine_type
+                for machine_type in response.machine_types
+                if machine_type.name not in self._stored
+            ]
             if new:
                 yield from self._store(new)
                 yield Sleep(STORE_PAUSE_S)
@@ -65,7 +69,7 @@
                 yield Sleep(MIN_REFRESH_PAUSE_S + REFRESH_JITTER_S * self._context.rng.random())
 
     def update(self, machine_types: list[MachineType]) -> None:
-        """Replace the types in the catalog, and set them on machines that have none yet."""
+        """Update the types in the catalog, and set the type of machines that have none yet."""
         self._catalog.update(machine_types)
         for shard in self._leadership.shards.values():
             for machine in shard.machines.values():
@@ -76,7 +80,7 @@
         while not (yield from self._read_stored()):
             yield Sleep(0.3 + 0.3 * self._context.rng.random())
         if self._stored:
-            self.update([msgspec.convert(kind, MachineType) for kind in self._stored.values()])
+            self.update([msgspec.convert(stored, MachineType) for stored in self._stored.values()])
 
     def _read_stored(self) -> Coroutine[bool]:
         response: StoreResponse = yield ListKeys(keys.MACHINE_TYPES, "", MAX_LISTED_KEYS)
@@ -88,7 +92,7 @@
     def _store(self, new: list[MachineType]) -> Coroutine[None]:
         """Write types that are not in the store yet; only the first node to write one succeeds."""
         batch = new[: self._context.settings.cluster.state.txn_ops]
-        puts = [Put(keys.MACHINE_TYPES + kind.name, kind) for kind in batch]
+        puts = [Put(keys.MACHINE_TYPES + machine_type.name, machine_type) for machine_type in batch]
         preconditions = [(put.key, 0) for put in puts]
         response: StoreResponse = yield CompareAndSwap(
             preconditions, puts, [], RequestPriority.SHARD_MAP
@@ -96,4 +100,4 @@
         if response.status == 409:
             yield from self._read_stored()
         if response.status == 200:
-            self._stored.update((kind.name, kind) for kind in batch)
+            self._stored.update((machine_type.name, machine_type) for machine_type in batch)
--- a/marblestair/core/capacity/decommissioning.py
+++ b/marblestair/core/capacity/decommissioning.py
@@ -1,4 +1,4 @@
-"""Choice of the machines to empty and of the machines to release because they are unusable."""
+"""Selection of the machines to empty, and of unusable machines to release."""
 
 from __future__ import annotations
 
@@ -14,13 +14,14 @@
 #: maximum ratio of the work lost by emptying a machine to the capacity that would otherwise stay
 #: idle on it until its tasks end
 MAX_LOST_WORK_RATIO = 0.5
-#: heartbeat intervals until a stopped task with a checkpoint resumes on another machine
+#: expected number of heartbeat intervals until a stopped task with a checkpoint resumes on another
+#: machine
 RESTART_HEARTBEATS = 3.0
-#: minimum of a task's expected remaining run time, as a share of the time that it has run
+#: minimum of a task's expected remaining run time, as a share of the time it has already run
 MIN_REMAINING_RUN_SHARE = 0.5
 #: boot timeout of a machine of unknown type, in agent leases
-UNKNOWN_TYPE_BOOT_LEASES = 9.0
-#: agent leases after which a silent or unresponsive machine is released
+UNKNOWN_TYPE_BOOT_TIMEOUT_LEASES = 9.0
+#: time after which a silent or unresponsive machine is released, in agent leases
 RELEASE_DELAY_LEASES = 1.5
 #: time after the announced reclaim, in seconds, and the time without a heartbeat, in agent leases,
 #: after which a reclaimed machine counts as gone
@@ -28,7 +29,7 @@
 
 
 class EmptyingCandidate(NamedTuple):
-    """A machine that is worth emptying, and the work that emptying it loses."""
+    """A machine that is worth emptying, and the work that is lost by emptying it."""
 
     #: work that has to be repeated, in fixed-point cpus times seconds
     lost_work: float
@@ -38,8 +39,8 @@
 def machines_to_empty(shard: Shard, names: set[str], now: float) -> list[Machine]:
     """Return the nearly empty machines among ``names`` that are worth emptying.
 
-    ``names`` are machines beyond the demand. One of them is worth emptying if repeating its tasks
-    elsewhere wastes less capacity than waiting for them to end. The tasks of all chosen machines
+    ``names`` are surplus machines. A machine is worth emptying if repeating its tasks on other
+    machines wastes less capacity than waiting for them to end. The tasks of all returned machines
     fit on the free cpus of the machines that are not in ``names``.
     """
     candidates = []
@@ -79,7 +80,7 @@
 
 
 def _lost_work(shard: Shard, machine: Machine, now: float) -> float | None:
-    """Return the work that emptying a machine loses; None if it is too much or not possible."""
+    """Return the work that emptying a machine loses; None if it must not be emptied."""
     lost_work = remaining_s = 0.0
     for task in machine.tasks.values():
         job_slice = shard.slices.get(task.job)
@@ -94,7 +95,7 @@
             restart_s = RESTART_HEARTBEATS * shard.cluster.workers.report_s
             lost_s = min(ran_s, spec.checkpoint_save_s + restart_s)
         lost_work += task.resources[0] * lost_s
-        # A task that has exceeded its estimate is likely to run on for a while.
+        # A task that has exceeded its estimated run time is assumed to run for some more time.
         remaining_s = max(
             remaining_s, spec.estimated_run_s - ran_s, MIN_REMAINING_RUN_SHARE * ran_s
         )
@@ -111,9 +112,9 @@
     """
     partitioned = partitioned_machines(shard, agent_lease_s, now)
     known = [machine for machine in shard.machines.values() if machine.agent_incarnation]
-    # When most machines seem unresponsive, the likely cause is that responses of this controller
-    # do not arrive anywhere.
-    may_be_unresponsive = 2 * sum(machine.is_unresponsive for machine in known) <= len(known)
+    # If most machines seem unresponsive, the likely cause is that the responses of this controller
+    # reach no agent. No machine is then released for being unresponsive.
+    may_release_unresponsive = 2 * sum(machine.is_unresponsive for machine in known) <= len(known)
     return [
         machine.name
         for machine in shard.machines.values()
@@ -122,7 +123,7 @@
             _is_out_of_service(shard, machine)
             or _has_boot_timed_out(shard, machine, agent_lease_s, now)
             or _is_lost(shard, machine, machine.name in partitioned, agent_lease_s, now)
-            or (may_be_unresponsive and _is_unresponsive(machine, agent_lease_s, now))
+            or (may_release_unresponsive and _is_unresponsive(machine, agent_lease_s, now))
             or _is_reclaimed(machine, agent_lease_s, now)
         )
     ]
@@ -140,10 +141,10 @@
 
 
 def _has_boot_timed_out(shard: Shard, machine: Machine, agent_lease_s: float, now: float) -> bool:
-    """Whether a machine has sent no heartbeat within its boot timeout plus one agent lease."""
+    """Whether a machine sent no heartbeat within its boot timeout plus one agent lease."""
     if machine.agent_incarnation:
         return False
-    boot_s = UNKNOWN_TYPE_BOOT_LEASES * agent_lease_s
+    boot_s = UNKNOWN_TYPE_BOOT_TIMEOUT_LEASES * agent_lease_s
     if machine.machine_type is not None:
         boot_s = shard.boot_times.boot_timeout_s(machine.machine_type, now)
     return now - machine.added_at > boot_s + agent_lease_s
@@ -169,8 +170,8 @@
 def _is_reclaimed(machine: Machine, agent_lease_s: float, now: float) -> bool:
     """Whether a machine that the cloud reclaims is gone.
 
-    Its release is requested because the cloud's confirmation ends its tasks sooner than the
-    expiry of the agent's lease.
+    The release of a machine that is gone is requested nevertheless, because the cloud confirms it
+    before the agent's lease expires, and its tasks count as ended then.
     """
     if machine.reclaim_at is None or now <= machine.reclaim_at + RECLAIM_DELAY_S:
         return False
--- a/marblestair/core/capacity/fleet.py
+++ b/marblestair/core/capacity/fleet.py
@@ -28,8 +28,8 @@
 MAX_RENTED_MACHINES = 50
 #: pause between two scaling cycles: normally, and after a refusal during an urgent shortfall
 CYCLE_PAUSE_S, SHORTFALL_PAUSE_S = 1.0, 0.1
-#: boot times for which a machine must have been surplus before it is emptied, because demand that
-#: returns sooner would have to wait for a new machine to boot
+#: time for which a machine must have been surplus before it is emptied, in boot times; if demand
+#: returned sooner, it would have to wait for a new machine to boot
 MIN_SURPLUS_BOOT_TIMES = 2.0
 #: shortfall, as a share of the capacity, from which the next best kind is requested soon after a
 #: refusal, without the normal pause
@@ -119,8 +119,9 @@
     def _rent(self, shard: Shard, plan: Plan) -> Coroutine[float]:
         """Rent this shard's portion of the plan; return the pause until the next cycle in seconds.
 
-        The portion is requested in one cycle, with one request for each kind. The pause is short if
-        the cloud refused a kind during an urgent shortfall, so that the next best is tried soon.
+        All kinds of the portion are requested in this cycle, with one request for each kind. The
+        pause is short if the cloud refused a kind during an urgent shortfall, so that the next best
+        kind is requested soon.
         """
         is_shortfall_urgent = plan.target_cpus > plan.capacity_cpus * (1 + URGENT_SHORTFALL_SHARE)
         was_refused = False
@@ -135,8 +136,9 @@
     def _portion(self, shard: Shard, rental: RentalRequest) -> int:
         """Return how many machines of a rental this shard rents.
 
-        A rental for a pending gang is done by one shard alone. Others are divided evenly among the
-        shards with a recent summary, and the remainder goes to those with the fewest machines.
+        A rental for a pending gang is carried out by one shard. Any other rental is divided evenly
+        among the shards with a recent summary, and the remainder goes to the shards with the fewest
+        machines.
         """
         if rental.shard_id is not None:
             return rental.count if rental.shard_id == shard.shard_id else 0
--- a/marblestair/core/capacity/fleet_planner.py
+++ b/marblestair/core/capacity/fleet_planner.py
@@ -17,10 +17,11 @@
 from marblestair.core.state.store_view import StoreView
 
 #: minimum interval between two log lines of the plan, in seconds
-LOG_INTERVAL_S = 10.0
-#: share of a team's cpu limit, less other work, that is planned for work with deadlines
+PLAN_LOG_INTERVAL_S = 10.0
+#: share of a team's cpu limit, after deducting the cpus of its other running work, that is planned
+#: for work with deadlines
 DEADLINE_LIMIT_SHARE = 0.9
-#: average share of a running task's work that remains
+#: average remaining share of a running task's work
 RUNNING_REMAINING_SHARE = 0.5
 #: minimum time constant of the smoothing, in seconds; avoids a division by zero
 MIN_SMOOTHING_S = 1e-6
@@ -82,7 +83,7 @@
         """Return the arrays' target in cpus, averaged exponentially over some boot times."""
         now = self._context.now
         types = self._catalog.types.values()
-        boot_s = min((kind.boot_s for kind in types), default=UNKNOWN_BOOT_S)
+        boot_s = min((machine_type.boot_s for machine_type in types), default=UNKNOWN_BOOT_S)
         if self._average_cpus is None:
             average = target
         else:
@@ -93,14 +94,14 @@
         return average
 
     def _find_infeasible(self, loads: list[JobLoad]) -> set[str]:
-        """Return the jobs to defer so that as many others as possible meet their deadlines."""
+        """Return the jobs to defer so that as many other jobs as possible meet their deadlines."""
         #: team -> its work with deadlines
         due_work: dict[str, list[DueWork]] = {}
         used_cpus: dict[str, float] = {}
         for load in loads:
             spec = load.spec
             if spec.deadline_s is None or spec.kind == JobKind.GANG:
-                # Running gangs and work without a deadline reduce what the limit leaves.
+                # Running gangs and jobs without a deadline use part of the team's limit.
                 running_cpus = load.running * spec.cpus
                 used_cpus[spec.team] = used_cpus.get(spec.team, 0.0) + running_cpus
             else:
@@ -115,7 +116,7 @@
 
     def _log(self, computed: Plan, loads: list[JobLoad]) -> None:
         now = self._context.now
-        if self._logged_at is not None and now - self._logged_at <= LOG_INTERVAL_S:
+        if self._logged_at is not None and now - self._logged_at <= PLAN_LOG_INTERVAL_S:
             return
         self._logged_at = now
         running_cpus = sum(load.running * load.spec.cpus for load in loads)
--- a/marblestair/core/capacity/gang_reservations.py
+++ b/marblestair/core/capacity/gang_reservations.py
@@ -17,15 +17,16 @@
 from marblestair.core.domain.machines import MachineType
 from marblestair.core.scheduling.arrivals import ExpectedGangs
 
-#: lower bound of the divisor where the time to fetch an image is estimated
+#: lower bound of the fetch rate in estimates of the time to fetch an image; avoids a division by
+#: zero
 MIN_FETCH_GB_PER_S = 1e-6
 
 
 def standby_gang_count(gangs: ExpectedGangs, types: dict[str, MachineType], min_gangs: int) -> int:
-    """Return the number of gangs of a class for which machines should stand by.
+    """Return the number of gangs of a class for which machines are kept on standby.
 
     These are the gangs expected to arrive within the time to boot a machine and fetch the image,
-    plus one standard deviation, and at least ``min_gangs``.
+    plus one standard deviation of their number (for Poisson arrivals), and at least ``min_gangs``.
     """
     lead_times_s = [
         SLOW_BOOT_RATIO * machine_type.boot_s
@@ -71,7 +72,7 @@
         self._draft = draft
         self._kinds = kinds
         self._boot_s = boot_s
-        #: shard of the gang -> all machines in the order in which they are allocated
+        #: shard of the gang (None for any) -> all machines in the order in which they are allocated
         self._soonest_empty: dict[int | None, list[AvailableMachine]] = {}
 
     def reserve_for_pending(self, gangs: list[JobLoad]) -> None:
@@ -84,9 +85,9 @@
     def reserve_for_expected(
         self, expected_gangs: dict[str, ExpectedGangs], arrays: list[JobLoad], min_gangs: int
     ) -> None:
-        """Keep machines on standby for classes whose gangs must start before one could boot.
+        """Keep machines on standby for classes whose gangs cannot wait for a machine to boot.
 
-        At least ``min_gangs`` gangs of each class are provided for.
+        The machines suffice for at least ``min_gangs`` gangs of each class; 0 disables standby.
         """
         if not min_gangs:
             return
@@ -96,8 +97,8 @@
             spec = gangs.spec
             rank = PRIORITY_RANKS[spec.priority]
             if all(PRIORITY_RANKS[load.spec.priority] < rank for load in arrays):
-                # A gang of the class can preempt every array, so arrays may use its machines as
-                # long as there is no other free capacity.
+                # A gang of the class can preempt every array, so arrays may use the standby
+                # machines while there is no other free capacity.
                 count = standby_gang_count(gangs, self._kinds.types, min_gangs)
                 machines = self._allocate(spec, count * spec.task_count, None)
                 self._draft.plan.draining_machines.update(machines)
@@ -108,8 +109,8 @@
     def _allocate(self, spec: JobSpec, task_count: int, shard_id: int | None) -> list[str]:
         """Allocate machines to a gang's tasks, and request the missing ones.
 
-        Machines that are empty soonest are allocated first, those of the gang's shard before others
-        that are empty as soon. Returns the names of the allocated machines.
+        Machines that will be empty soonest are allocated first; among equal ones, those of the
+        gang's shard come first. Returns the names of the allocated machines.
         """
         kinds = self._kinds.available(spec)
         candidates, tasks_by_zone = self._candidates(spec, shard_id)
@@ -134,7 +135,7 @@
     def _candidates(
         self, spec: JobSpec, shard_id: int | None
     ) -> tuple[list[tuple[AvailableMachine, int]], dict[str, int]]:
-        """Return the machines with the number of tasks that fit on each, and its sum by zone."""
+        """Return the machines with the number of tasks that fit on each, and the sums by zone."""
         #: type, zone and whether spot -> number of tasks that fit on such a machine
         fitting_by_kind: dict[tuple[str, str, bool], int] = {}
         candidates: list[tuple[AvailableMachine, int]] = []
@@ -155,7 +156,7 @@
         return candidates, tasks_by_zone
 
     def _soonest_empty_first(self, shard_id: int | None) -> list[AvailableMachine]:
-        """Return all machines, those that are empty soonest first; sorted once for each shard."""
+        """Return all machines, those empty soonest first; sorted once for each shard."""
         ordered = self._soonest_empty.get(shard_id)
         if ordered is None:
             ordered = self._soonest_empty[shard_id] = sorted(
--- a/marblestair/core/capacity/machine_kinds_by_price.py
+++ b/marblestair/core/capacity/machine_kinds_by_price.py
@@ -1,4 +1,4 @@
-"""Choice of the kinds of machines to rent for a job, by availability and price."""
+"""Selection of the kinds of machines to rent for a job, by availability and price."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from marblestair.core.domain.machines import MachineType
 from marblestair.core.scheduling.arrivals import ExpectedGangs
 
-#: factor on the price of a scarce type for work that could run on other types
+#: factor on the price of a scarce type in comparisons for arrays
 SCARCE_PRICE_RATIO = 1.5
-#: lower bound of the divisor in prices per cpu
+#: lower bound of the number of cpus by which a price is divided; avoids a division by zero
 MIN_DIVISOR_CPUS = 1.0
 
 
@@ -31,9 +31,9 @@
 def scarce_types(
     expected_gangs: dict[str, ExpectedGangs], types: dict[str, MachineType]
 ) -> set[str]:
-    """Return the types that some class of expected gangs needs because not every type fits it.
+    """Return the types that fit some class of expected gangs which not every type fits.
 
-    Other work avoids them if it has a choice, so that they stay available for those gangs.
+    Arrays avoid these types if they have a choice, so that the cloud still has some for the gangs.
     """
     scarce: set[str] = set()
     for gangs in expected_gangs.values():
@@ -44,7 +44,7 @@
 
 
 class KindsByPrice:
-    """The kinds of machines that can be rented, ordered by the weighted prices of one plan."""
+    """Finds and orders, for one plan, the kinds of machines that can be rented for a job."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
         self._kinds: dict[KindFilter, list[MachineKind]] = {}
 
     def available(self, spec: JobSpec) -> list[MachineKind]:
-        """Return the kinds that a job may run on and that are not refused by the cloud now."""
+        """Return the kinds that a job may run on, without those that the cloud refuses now."""
         return [kind for kind in self._kinds_for(spec) if not self._is_refused(kind)]
 
     def cheapest_first(self, spec: JobSpec) -> list[MachineKind]:
@@ -74,12 +74,12 @@
         )
 
     def cheapest(self, kinds: list[MachineKind], spec: JobSpec) -> MachineKind:
-        """Return the cheapest of some kinds for a gang; scarce types are weighted like others."""
+        """Return the cheapest of some kinds for a gang; scarce types get no extra weight."""
         no_scarce: set[str] = set()
         return min(kinds, key=lambda kind: (self._price_per_task(kind, spec, no_scarce), kind.zone))
 
     def spot_price_per_cpu(self, loads: list[JobLoad]) -> float | None:
-        """Return the lowest price per cpu on spot machines available to some jobs; None if none is.
+        """Return the lowest price per cpu of the available spot kinds for some jobs; None without.
 
         The price includes the risk premium on spot machines.
         """
--- a/marblestair/core/capacity/machine_registry.py
+++ b/marblestair/core/capacity/machine_registry.py
@@ -31,16 +31,16 @@
 
 #: shard whose leader registers machines from the cloud's list, on behalf of all shards
 LISTING_SHARD = 0
-#: pause between two listings: its minimum, and as a multiple of the list's lag
+#: pause between two listings: its minimum in seconds, and its length in lags of the list
 MIN_LISTING_PAUSE_S, LISTING_PAUSE_LAGS = 2.0, 1.2
-#: minimum age of a listed machine before it is registered: seconds, plus a multiple of the list's
-#: lag; the leader that rented a younger one may still be recording it in a shard
+#: minimum age of a listed machine before it is registered: seconds, plus lags of the list; the
+#: leader that rented a younger machine may still be recording it in a shard
 MIN_LISTED_AGE_S, LISTED_AGE_LAGS = 15.0, 2
 #: lags of the list for which a machine must have been listed before it is registered, because the
 #: list still shows machines for a while after their release
 MIN_LISTED_LAGS = 2
-#: pause after a failed inspection or release of a machine before it can be repeated
-RETRY_PAUSE_S = 1.0
+#: minimum time between a failed inspection or release of a machine and the next attempt
+REGISTRY_RETRY_PAUSE_S = 1.0
 #: state in the cloud's list of a machine that stopped without being released
 FAILED_STATE = "failed"
 
@@ -61,8 +61,9 @@
     def receive_unregistered(self, heartbeat: Heartbeat) -> HeartbeatResponse:
         """Handle a heartbeat of a machine that belongs to no shard, and return the response.
 
-        The machine is registered in a shard that this node leads, unless another shard has at
-        least two machines fewer; then status 421 names the leader of the shard with the fewest.
+        The machine is registered in a shard that this node leads, and the status is 503 until
+        then. If another shard has at least two machines fewer, the status is 421 instead, with the
+        leader of the shard that has the fewest machines.
         """
         name = heartbeat.machine
         if name in self._view.removed_machines or name in self._releasing:
@@ -99,7 +100,7 @@
         """
         inspected: Heartbeat | None = yield InspectAgent(heartbeat.address)
         if inspected is None or inspected.machine != heartbeat.machine:
-            yield Sleep(RETRY_PAUSE_S)
+            yield Sleep(REGISTRY_RETRY_PAUSE_S)
             self._registering.discard(heartbeat.machine)
             return
         record = self._record(shard, heartbeat.machine_type, heartbeat.zone, heartbeat.spot)
@@ -110,6 +111,7 @@
         return MachineRecord(shard.shard_id, machine_type, zone, spot, added_at)
 
     def _register(self, name: str, record: MachineRecord) -> Coroutine[None]:
+        """Write the record of a machine that has none yet."""
         key = keys.MACHINES + name
         fence = self._leadership.fence_precondition(record.shard_id)
         swap = CompareAndSwap([(key, 0), fence], [Put(key, record)], [], RequestPriority.SHARD_MAP)
@@ -122,7 +124,7 @@
     def _release(self, names: list[str]) -> Coroutine[None]:
         response: CloudResponse = yield ReleaseMachines(names)
         if response.status != 200:
-            yield Sleep(RETRY_PAUSE_S)
+            yield Sleep(REGISTRY_RETRY_PAUSE_S)
         self._releasing.difference_update(names)
 
     # --- found in the cloud's list ---------------------------------------------------------
@@ -167,6 +169,7 @@
         return machine.age_s >= MIN_LISTED_AGE_S + LISTED_AGE_LAGS * lag_s
 
     def _register_listed(self, machine: ListedMachine) -> None:
+        """Register a listed machine in the listing shard, or release it if it has failed."""
         if machine.state == FAILED_STATE:
             self._context.spawn(self._release([machine.name]))
         elif machine.name not in self._registering:
@@ -182,7 +185,7 @@
             return
         for shard in self._leadership.led_shards():
             for machine in shard.machines.values():
-                # Heartbeats are more recent evidence than the list, which lags.
+                # The list lags, so a machine that still sends heartbeats is not marked.
                 if machine.is_lease_expired and machine.name in failed:
                     machine.has_failed = True
 
--- a/marblestair/core/capacity/plan_draft.py
+++ b/marblestair/core/capacity/plan_draft.py
@@ -20,7 +20,7 @@
 
 
 class PlanDraft:
-    """A plan in progress, the machines that it is computed for, and the requested rentals."""
+    """An unfinished plan, the machines that it is computed for, and the requested rentals."""
 
     def __init__(self, machines: list[AvailableMachine]) -> None:
         self.plan = Plan()
@@ -35,7 +35,10 @@
         return [machine for machine in self.machines if machine.name not in self.gang_machines]
 
     def request(self, kind: MachineKind, count: int, shard_id: int | None = None) -> None:
-        """Request ``count`` machines, to be rented by one shard or any; none if not positive."""
+        """Request ``count`` machines of a kind; does nothing if it is not positive.
+
+        The shard ``shard_id`` should rent them; None if any shard may.
+        """
         if count > 0:
             requested = RequestedKind(kind.machine_type.name, kind.zone, kind.spot, shard_id)
             self._requested[requested] = self._requested.get(requested, 0) + count
--- a/marblestair/core/capacity/plan_inputs.py
+++ b/marblestair/core/capacity/plan_inputs.py
@@ -62,7 +62,7 @@
             pending, placed = reported.tasks.get(spec.id, (0, 0))
             if record.is_cancelled or not pending + placed:
                 continue
-            # Tasks beyond the team's limit cannot run however many machines are rented.
+            # Tasks beyond the team's limit cannot run, so no machines are planned for them.
             allowed = headroom.reserve(record, pending)
             if spec.kind == JobKind.GANG:
                 pending = 0 if allowed < spec.task_count and not placed else allowed
@@ -82,7 +82,7 @@
         headroom: TeamHeadroom,
         default_deadline_run_times: float,
     ) -> list[JobLoad]:
-        """Return the loads of blocked arrays that may start about when a rented machine is booted.
+        """Return the loads of blocked arrays that may start by the time a rented machine boots.
 
         These are the arrays whose parents all run and end soon. Gangs are left out, because the
         machines reserved for a gang would be idle until it starts.
--- a/marblestair/core/capacity/planning.py
+++ b/marblestair/core/capacity/planning.py
@@ -41,7 +41,7 @@
     tuning: Tuning,
     smooth: Callable[[float], float] = lambda target_cpus: target_cpus,
 ) -> Plan:
-    """Return the fleet plan, which depends on nothing but the arguments.
+    """Return the fleet plan, which depends only on the arguments.
 
     Parameters
     ----------
--- a/marblestair/core/capacity/provisioning.py
+++ b/marblestair/core/capacity/provisioning.py
@@ -1,4 +1,4 @@
-"""The inputs and the results of the fleet plan, and constants of its parts."""
+"""Data types and shared constants of the fleet plan: its inputs, tuning and results."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 MIN_RENTAL_S = 58.0
 #: boot time that is assumed while no machine type is known, in seconds
 UNKNOWN_BOOT_S = 30.0
-#: planned boot time as a multiple of the nominal one; most boots take no longer
+#: planned boot time as a multiple of the type's nominal boot time; most boots take no longer
 SLOW_BOOT_RATIO = 1.2
 #: minimum remaining time that is assumed for a machine that is booting, in seconds
 MIN_BOOT_LEFT_S = 1.0
@@ -26,7 +26,7 @@
     capacity_margin: float = 0.0
     #: time constant of the average of the arrays' target, in boot times
     smoothing_boot_times: float = 1.0
-    #: minimum surplus for the release of an idle machine, as a ratio to the cpus of that machine
+    #: minimum surplus at which an idle machine is released, as a ratio to the machine's cpus
     release_surplus: float = 0.6
     #: share of the time until its deadline in which work should be completed
     deadline_share: float = 0.4
@@ -35,12 +35,12 @@
     #: minimum number of gangs of each latency-sensitive class for which machines stand by; 0
     #: disables standby machines
     standby_gangs: int = 1
-    #: surcharge on the price of spot machines in comparisons, as a ratio to it
+    #: surcharge on the price of spot machines in comparisons, as a ratio to that price
     spot_risk_premium: float = 0.2
     #: minimum idle time of a machine before it is released, in its boot times
     min_idle_boot_times: float = 0.5
-    #: time in which a job without a deadline should be completed after it became startable, in its
-    #: run times
+    #: time after which a startable job without a deadline should be completed, in run times of its
+    #: tasks
     default_deadline_run_times: float = 2.0
 
 
@@ -68,18 +68,18 @@
     zone: str
     spot: bool
     runs_gang: bool
-    #: seconds for which it has had no task; None while it has tasks or is not up
+    #: seconds for which the machine has had no task; None while it has tasks or is booting
     idle_s: float | None
     age_s: float
     shard_id: int
     #: cpus in use, in fixed point
     used_cpus: int = 0
-    #: presumed to be in a network partition: counts as capacity, since it will probably reconnect,
-    #: but is not reserved
+    #: whether the machine is presumed to be in a network partition; it then counts as capacity,
+    #: since it will probably reconnect, but is not reserved
     is_partitioned: bool = False
 
     def empty_in_s(self, busy_s: float) -> float:
-        """Return the seconds until the machine can be empty; ``busy_s`` if it runs tasks now."""
+        """Return the expected seconds until the machine is empty; ``busy_s`` if it has tasks."""
         if self.idle_s is not None:
             return 0.0
         if self.used_cpus:
@@ -94,7 +94,7 @@
     zone: str
     spot: bool
     count: int
-    #: shard whose leader should rent them because a gang is pending there; None if any may
+    #: shard whose leader should rent them because a gang is pending there; None if any leader may
     shard_id: int | None = None
 
 
@@ -104,12 +104,12 @@
     rentals: list[RentalRequest] = []
     #: names of idle machines to release
     releases: list[str] = []
-    #: cpus that arrays should have, and cpus that they have
+    #: target and current capacity for arrays, in cpus
     target_cpus: float = 0.0
     capacity_cpus: float = 0.0
     #: machines that get tasks only if there is no other free capacity, so that they become idle
     draining_machines: set[str] = set()
-    #: the draining machines that are beyond the demand
+    #: the draining machines that exceed the arrays' target
     surplus_machines: set[str] = set()
     #: machine reserved for a gang -> id of the pending job, or EXPECTED_GANG
     reserved_machines: dict[str, str] = {}
--- a/marblestair/core/capacity/releases.py
+++ b/marblestair/core/capacity/releases.py
@@ -15,7 +15,7 @@
 from marblestair.core.state.store_view import StoreView
 
 #: pause after a release request that the cloud did not confirm, in seconds
-RETRY_PAUSE_S = 0.5
+RELEASE_RETRY_PAUSE_S = 0.5
 #: time after which a machine that still has a task of a cancelled job is decommissioned, as a share
 #: of the setting ``cancel_s``
 CANCEL_TIMEOUT_SHARE = 0.5
@@ -37,7 +37,7 @@
         self._follower = follower
 
     def release(self, shard: Shard, machines: list[Machine]) -> Coroutine[None]:
-        """Request the release of machines; their tasks count as ended only once it is confirmed."""
+        """Request the release of machines; their tasks are removed when the cloud confirms it."""
         for machine in machines:
             machine.is_releasing = True
         names = [machine.name for machine in machines]
@@ -47,12 +47,12 @@
             self._context.spawn(self._remove_records(shard, names))
             return
         for machine in machines:
-            # A late duplicate of the request may still end a machine. The release can be requested
-            # again, except for a decommissioned machine, which stays marked.
+            # The cloud may still carry out the request. A decommissioned machine stays marked as
+            # releasing; the release of any other machine can be requested again.
             machine.is_releasing = machine.is_decommissioned
             if not machine.tasks:
                 machine.idle_since = self._context.now
-        yield Sleep(RETRY_PAUSE_S)
+        yield Sleep(RELEASE_RETRY_PAUSE_S)
 
     def _remove_records(self, shard: Shard, names: list[str]) -> Coroutine[None]:
         """Remove the tasks and delete the records of machines whose release is confirmed."""
@@ -83,8 +83,8 @@
     def enforce_cancel_deadline(self, shard: Shard) -> None:
         """Decommission machines that still have a task of a job cancelled too long ago.
 
-        Heartbeats of a decommissioned machine are not answered with status 200, so that the agent's
-        lease expires, and the machine is released: either of these ends the task.
+        The heartbeats of a decommissioned machine get no response with status 200, so that its
+        agent's lease expires, and the machine is released. Either of these ends the task.
         """
         now = self._context.now
         limit_s = CANCEL_TIMEOUT_SHARE * self._context.settings.cluster.workers.cancel_s
--- a/marblestair/core/capacity/rentals.py
+++ b/marblestair/core/capacity/rentals.py
@@ -31,13 +31,14 @@
 
 #: maximum age of an earlier leader's intent that a new leader carries out, in agent leases
 MAX_INTENT_AGE_LEASES = 2.0
-#: time for which a kind is not requested after a refusal: in its boot times, and the minimum if the
-#: cloud refused the whole request
+#: time for which a kind is not requested after a refusal, in the kind's boot times, and its minimum
+#: in seconds if the cloud refused the whole request
 REFUSED_BOOT_TIMES, MIN_REFUSED_S = 0.5, 5.0
-#: pause before a request without a response is repeated: the first, its growth factor, the maximum
+#: pause before a request without a response is repeated: the first pause, the factor by which each
+#: further one is longer, and the maximum
 FIRST_RETRY_PAUSE_S, RETRY_PAUSE_GROWTH, MAX_RETRY_PAUSE_S = 0.5, 1.6, 4.0
 #: maximum number of intents in one page of a listing, and the pause after a failed listing
-MAX_LISTED_INTENTS, LISTING_PAUSE_S = 200, 0.5
+MAX_LISTED_INTENTS, LISTING_RETRY_PAUSE_S = 200, 0.5
 
 
 class Rentals:
@@ -56,7 +57,7 @@
         self._leadership = leadership
         self._catalog = catalog
         self._refusals = refusals
-        #: number of rentals by this process, which makes their names unique
+        #: number of rentals of this process; part of their names, so that these are unique
         self._count = 0
 
     def _is_current(self, shard: Shard) -> bool:
@@ -65,7 +66,8 @@
     def rent(self, shard: Shard, rental: RentalRequest) -> Coroutine[int]:
         """Rent machines, and return how many the cloud granted.
 
-        Returns the requested number if the attempt to record the intent failed.
+        If the attempt to record the intent fails, nothing is rented and the requested number is
+        returned, because the cloud refused nothing.
         """
         self._count += 1
         name = f"r-{shard.term}-{self._count}"
@@ -104,9 +106,9 @@
     def _request(
         self, shard: Shard, name: str, rental: RentalRequest, intent_version: int
     ) -> Coroutine[list[str] | None]:
-        """Repeat a request until the cloud responds, and return the granted machines.
+        """Request the machines until the cloud grants or refuses them; return the granted machines.
 
-        Returns None if the cloud refuses, or if this node loses the shard meanwhile.
+        Returns None if the cloud refuses, or if this node no longer leads the shard.
         """
         pause_s = FIRST_RETRY_PAUSE_S
         while True:
@@ -129,8 +131,8 @@
 
         The kind is then not requested for some boot times, or ``min_s`` seconds if that is longer.
         """
-        kind = self._catalog.types.get(rental.machine_type)
-        boot_s = kind.boot_s if kind is not None else UNKNOWN_BOOT_S
+        machine_type = self._catalog.types.get(rental.machine_type)
+        boot_s = machine_type.boot_s if machine_type is not None else UNKNOWN_BOOT_S
         key = (rental.machine_type, rental.zone, rental.spot)
         self._refusals.record_refusal(key, max(min_s, REFUSED_BOOT_TIMES * boot_s))
 
@@ -152,8 +154,8 @@
                 Put(keys.MACHINES + machine, self._machine_record(shard, rental))
                 for machine in batch
             ]
-            # A delayed attempt may be committed after the machine was released. The record is then
-            # that of a machine that never sends a heartbeat: it is removed after the boot timeout.
+            # This write may be committed after the machine was released. The machine then never
+            # sends a heartbeat, and its record is removed after the boot timeout.
             preconditions = [(put.key, 0) for put in puts]
             preconditions.append(self._leadership.fence_precondition(shard.shard_id))
             preconditions.append((intent_key, intent_version))
@@ -186,6 +188,7 @@
         )
 
     def _is_unknown(self, machine: str) -> bool:
+        """Whether a machine has no record and is not known to have been removed."""
         return machine not in self._view.machines and machine not in self._view.removed_machines
 
     # --- intents of earlier leaders --------------------------------------------------------
@@ -193,17 +196,17 @@
     def finish_recorded(self, shard: Shard) -> Coroutine[None]:
         """Carry out the recent rentals that earlier leaders recorded but did not finish.
 
-        The cloud returns the same machines for the same name, so machines that it granted without
-        being recorded are not left unused. Older intents are marked obsolete: they were refused, or
-        their machines are recorded, listed or sending heartbeats by now, and repeating the request
-        could rent machines that are not needed any more.
+        The cloud returns the same machines for the same name, so machines that were granted but not
+        recorded are put to use. Older intents are marked obsolete: the cloud refused them, or their
+        machines are recorded, listed or sending heartbeats by now. Repeating their requests could
+        rent machines that are no longer needed.
         """
         prefix = f"{keys.RENTAL_INTENTS}{shard.shard_id}/"
         after_key = ""
         while self._is_current(shard):
             response: StoreResponse = yield ListKeys(prefix, after_key, MAX_LISTED_INTENTS)
             if response.status != 200:
-                yield Sleep(LISTING_PAUSE_S)
+                yield Sleep(LISTING_RETRY_PAUSE_S)
                 continue
             for item in response.items:
                 if not self._is_current(shard):
--- a/marblestair/core/capacity/reported_state.py
+++ b/marblestair/core/capacity/reported_state.py
@@ -1,4 +1,4 @@
-"""The merged summaries of all shards, an input of the fleet plan."""
+"""Merges the summaries of all shards into one input of the fleet plan."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 class ReportedState:
     """The latest summaries of all shards, merged.
 
-    The last summary of a shard is a good approximation during a failover, so it is used until it
-    exceeds the maximum age; after that the shard's work and machines are left out.
+    During a failover, the last summary of a shard is a good approximation of its state. It is used
+    up to the maximum age; after that, the shard's work and machines are left out.
     """
 
     def __init__(self, context: NodeContext, summaries: ReceivedSummaries) -> None:
--- a/marblestair/core/capacity/scale_in.py
+++ b/marblestair/core/capacity/scale_in.py
@@ -1,4 +1,4 @@
-"""Scale-in: the choice of surplus machines to drain and of idle machines to release."""
+"""Scale-in: selection of surplus machines to drain and of idle machines to release."""
 
 from __future__ import annotations
 
@@ -31,7 +31,10 @@
 
 
 def release_idle(draft: PlanDraft, has_arrays: bool, tuning: Tuning) -> None:
-    """Add the idle machines that are not needed to the releases, the most expensive first."""
+    """Add idle machines that are not needed to the releases.
+
+    On-demand machines come before spot ones, and those with the highest price per cpu first.
+    """
     plan = draft.plan
     surplus_cpus = plan.capacity_cpus - plan.target_cpus
     idle = [machine for machine in draft.array_machines() if machine.idle_s is not None]
--- a/marblestair/core/capacity/services.py
+++ b/marblestair/core/capacity/services.py
@@ -22,7 +22,11 @@
 
 
 class CapacityServices:
-    """The components of this package, for one node."""
+    """Constructs and connects the capacity components of one node.
+
+    These are the catalog updates, the machine registry, the fleet planner with its inputs and
+    refusals, the rentals, the releases and the fleet manager.
+    """
 
     def __init__(  # noqa: PLR0913 - dependencies of the whole package
         self,
--- a/marblestair/core/capacity/spending.py
+++ b/marblestair/core/capacity/spending.py
@@ -7,9 +7,9 @@
 from marblestair.core.shard.shard import Shard
 
 #: minimum interval between two log lines of a shard, in seconds
-LOG_INTERVAL_S = 60.0
-#: maximum time that one call accounts for, in seconds; more time may have passed since the last
-#: call if another node led the shard in between
+COST_LOG_INTERVAL_S = 60.0
+#: maximum time that one call of ``account`` accounts for, in seconds; more time may have passed
+#: since the last call if another node led the shard in between
 MAX_ACCOUNTED_S = 5.0
 SECONDS_PER_HOUR = 3600.0
 
@@ -21,6 +21,7 @@
         self._context = context
         #: shard -> use -> cost since the last log line
         self._spent: dict[int, dict[str, float]] = {}
+        #: shard -> monotonic time of the last call of ``account``, and of the last log line
         self._accounted_at: dict[int, float] = {}
         self._logged_at: dict[int, float] = {}
 
@@ -33,7 +34,7 @@
         for machine in shard.machines.values():
             _add(spent, machine, elapsed_s)
         if (
-            now - self._logged_at.setdefault(shard.shard_id, now) >= LOG_INTERVAL_S
+            now - self._logged_at.setdefault(shard.shard_id, now) >= COST_LOG_INTERVAL_S
             and sum(spent.values()) > 0
         ):
             self._logged_at[shard.shard_id] = now
@@ -52,7 +53,10 @@
 
 
 def _add(spent: dict[str, float], machine: Machine, elapsed_s: float) -> None:
-    """Add the cost of one machine, divided among the uses of its cpus."""
+    """Add the cost of one machine, divided among the uses of its cpus.
+
+    All of it counts as ``boot`` while the machine has an expired lease or sent no heartbeat yet.
+    """
     if machine.machine_type is None:
         return
     price = machine.machine_type.spot_price if machine.spot else machine.machine_type.price
--- a/marblestair/core/capacity/team_headroom.py
+++ b/marblestair/core/capacity/team_headroom.py
@@ -15,7 +15,8 @@
         self, teams: dict[str, Team], reported: ReportedState, live: list[JobRecord]
     ) -> None:
         self._cpus = {name: team.cpu_limit for name, team in teams.items()}
-        # Arrays are not subtracted, because they soon free their part of the limit for gangs.
+        # Arrays are not deducted from the gangs' headroom, because their tasks soon free their part
+        # of the limit.
         self._gang_cpus = dict(self._cpus)
         for record in live:
             spec = record.spec
--- a/marblestair/http_api.py
+++ b/marblestair/http_api.py
@@ -39,15 +39,14 @@
 class HttpApi:
     """Receives HTTP requests, passes them to the core and sends the responses.
 
-    It owns the HTTP server and refers to the connections whose requests the core has not answered
-    yet.
+    It owns the HTTP server, and keeps the connections whose requests the core has not answered yet.
 
     Parameters
     ----------
     core
         The controller core that handles the requests.
     max_sockets
-        Largest number of sockets that the process may use.
+        Maximum number of sockets that the process may use.
     request_ids
         Yields a unique id for each request.
     set_time
@@ -113,7 +112,7 @@
         try:
             self._dispatch(connection, method, path, body)
         except Exception:
-            # No request may end the process.
+            # An exception in the handling of one request must not end the process.
             log.exception("HTTP request failed: method=%s path=%.100s", method, path)
             connection.respond(
                 503, encode_error("internal"), _retry_after_header(ERROR_RETRY_AFTER_S)
--- a/marblestair/net/framing.py
+++ b/marblestair/net/framing.py
@@ -1,4 +1,4 @@
-"""Frames between controllers: MessagePack arrays, each with its length in front.
+"""Frames between controllers: MessagePack arrays, each preceded by its length.
 
 The first element of the array is the kind of the frame: ``["note", sender, tag, arguments]`` is a
 one-way message, ``["ask", number, sender, tag, arguments]`` a request,
@@ -13,9 +13,9 @@
 
 import msgspec
 
-#: largest accepted payload of a frame; a summary of thousands of machines is far smaller
+#: maximum payload of a frame; a summary of thousands of machines is far smaller
 MAX_FRAME_BYTES = 4 << 20
-#: size of the length in front of each payload, which is in network byte order
+#: size of the length that precedes each payload, in network byte order
 LENGTH_BYTES = 4
 
 #: elements of a received frame: decoded MessagePack values of any type
@@ -57,7 +57,7 @@
 
 
 def encode_frame(content: Frame) -> bytes:
-    """Encode a frame with its length in front."""
+    """Encode a frame, preceded by its length."""
     payload = _encode(content)
     return len(payload).to_bytes(LENGTH_BYTES, "big") + payload
 
@@ -130,7 +130,7 @@
 
 
 def _decode_array(payload: bytes) -> Elements | None:
-    """Return the elements of a payload; None when it is not an array or an empty one."""
+    """Return the elements of a payload; None when it is not a non-empty array."""
     try:
         elements = _decode(payload)
     except (msgspec.DecodeError, RecursionError):
--- a/marblestair/net/http_client.py
+++ b/marblestair/net/http_client.py
@@ -11,14 +11,14 @@
 from marblestair.core.runtime.store_requests import NOT_SENT
 from marblestair.net.media_types import CONTENT_TYPE
 
-#: largest accepted body of a response
+#: maximum size of the body of a response
 MAX_RESPONSE_BODY_BYTES = 8 * 1024 * 1024
 #: status of a request that got no response and may have been carried out
 NO_RESPONSE = 0
 
 
 class HttpResponse(NamedTuple):
-    """Status and body; the status may also be :data:`NO_RESPONSE` or ``NOT_SENT``."""
+    """Status and body of a response; ``NO_RESPONSE`` or ``NOT_SENT`` if there is none."""
 
     status: int
     body: bytes = b""
@@ -111,12 +111,12 @@
     Parameters
     ----------
     max_idle_per_address
-        Largest number of idle connections to one address.
+        Maximum number of idle connections to one address.
     max_in_flight
-        Largest number of requests in flight; further requests wait in order of arrival.
+        Maximum number of requests in flight; further requests wait in order of arrival.
     max_idle
-        Largest number of idle connections to all addresses; above it, the connection whose address
-        was used least recently is closed.
+        Maximum number of idle connections to all addresses; above it, an idle connection to the
+        least recently used address is closed.
     """
 
     def __init__(
@@ -135,7 +135,8 @@
     ) -> HttpResponse:
         """Send a request and wait for the response.
 
-        The wait for a slot of ``max_in_flight`` and the exchange take up to ``timeout_s`` each.
+        The wait until fewer than ``max_in_flight`` requests are in flight, and the exchange itself,
+        take up to ``timeout_s`` seconds each.
         """
         try:
             async with asyncio.timeout(timeout_s):
--- a/marblestair/net/http_server.py
+++ b/marblestair/net/http_server.py
@@ -11,15 +11,15 @@
 
 from marblestair.net.media_types import CONTENT_TYPE
 
-#: largest accepted head of a request: its request line and headers
+#: maximum size of the head of a request: its request line and headers
 MAX_HEAD_BYTES = 16 * 1024
-#: most requests that wait on one connection while an earlier one is answered. The interface uses no
-#: pipelining, but a few pipelined requests are answered in order.
+#: maximum number of requests that wait on one connection while an earlier one is handled; clients
+#: are not expected to pipeline requests, but a few pipelined ones are handled in order
 MAX_QUEUED_REQUESTS = 4
-#: share of the idle timeout after which agents' connections are closed when the limit of
+#: share of the idle timeout after which idle connections of agents are closed when the limit of
 #: connections is reached and no user's connection is idle
 AGENT_IDLE_TIMEOUT_SHARE = 0.125
-#: replaces a path that is not ASCII; no interface has this path
+#: substitute for a path that is not ASCII; no interface has this path
 NON_ASCII_PATH = "/?"
 
 REASON_PHRASES = {
@@ -72,17 +72,18 @@
         self._parser: Any = httptools.HttpRequestParser(self)
         self._url = b""
         self._body = bytearray()
-        #: bytes received since the end of the last request head or the last piece of a body
+        #: bytes received since the end of a request head or a piece of a body; they belong to the
+        #: next head
         self._head_bytes = 0
         self._is_too_large = False
-        #: whether the handler has a request that it has not answered yet
+        #: whether a request was passed to the handler and has no response yet
         self._is_busy = False
         self._keep_alive = True
-        #: requests that were received while another one was being answered
+        #: requests that were received while an earlier one was being handled
         self._queue: list[_Request] = []
         #: time of the server's clock at which data was last received
         self.last_active_at = 0.0
-        #: whether it has carried a heartbeat: at the limit, users' connections are closed first
+        #: whether a heartbeat arrived on it; at the limit, users' connections are closed first
         self.is_from_agent = False
 
     # asyncio.Protocol
@@ -112,7 +113,7 @@
             self._reject_and_close()
 
     def _reject_and_close(self) -> None:
-        """Respond with 400, if no other response is due, and close the connection."""
+        """Close the connection; respond with 400 first unless a request is being handled."""
         if self._transport is None:
             return
         if not self._is_busy:
@@ -151,7 +152,7 @@
             self._reject_and_close()
 
     def on_message_complete(self) -> None:
-        """Pass the complete request to the handler, or queue it behind the one being answered."""
+        """Pass the complete request to the handler, or queue it while another one is handled."""
         self._head_bytes = 0
         if self._is_too_large:
             return
@@ -235,10 +236,11 @@
     clock
         Monotonic clock, in seconds.
     max_connections
-        Largest number of open connections. At the limit, a new connection replaces the user's
-        connection that has been idle for longest.
+        Maximum number of open connections. At the limit, a new connection replaces the user's
+        connection that has been idle for longest; if none is idle, agents' connections that have
+        been idle for ``AGENT_IDLE_TIMEOUT_SHARE`` of the timeout.
     max_body
-        Largest accepted request body, in bytes.
+        Maximum size of a request body, in bytes.
     idle_timeout_s
         Time in seconds without received data after which an idle connection may be closed.
     refuse_users_above
@@ -292,7 +294,7 @@
 
     @property
     def must_refuse_users(self) -> bool:
-        """Whether so many connections are open that the remaining ones are reserved for agents."""
+        """Whether more than ``refuse_users_above`` connections are open."""
         return len(self.connections) > self._refuse_users_above
 
     def admit(self, connection: Connection) -> bool:
--- a/marblestair/net/peers.py
+++ b/marblestair/net/peers.py
@@ -15,13 +15,12 @@
     ResponseFrame,
 )
 
-#: a connection is replaced when the last frame was received longer ago than this, and frames were
-#: sent since
+#: time since the last received frame after which a connection is replaced if a frame was sent since
 STALE_AFTER_S = 2.5
 #: timeout of an attempt to connect, and delay after a failed attempt
 CONNECT_TIMEOUT_S = 1.0
 RECONNECT_DELAY_S = 0.5
-#: interval at which a waiting request checks whether the connection is open
+#: interval at which a request that waits for the connection checks whether it is open
 CONNECT_POLL_INTERVAL_S = 0.02
 
 #: sends the response to a request
--- a/marblestair/net/rate_limiter.py
+++ b/marblestair/net/rate_limiter.py
@@ -1,8 +1,8 @@
 """Rate limiter with priorities, built on token buckets.
 
 Requests and writes are limited by one rate each. When a request must wait for write tokens, later
-requests with writes wait behind it, but reads do not: lookups proceed while commits have used up
-the write rate.
+requests with writes wait behind it, but reads do not, so that reads proceed while commits have used
+up the write rate.
 """
 
 from __future__ import annotations
@@ -14,10 +14,11 @@
 
 #: default time after which a waiting request is rejected
 DEFAULT_MAX_WAIT_S = 2.0
-#: a batch of more writes than the bucket holds is granted once the bucket is full to this share
+#: share of its capacity to which the bucket must be filled before a request with more writes than
+#: this share is granted
 FULL_BUCKET_SHARE = 0.95
 #: interval at which waiting requests are granted, as a share of the time in which one request token
-#: is added; below MIN_GRANT_RATE_PER_S requests per second, as a share of a second
+#: is added; the rate in this interval is at least MIN_GRANT_RATE_PER_S requests per second
 GRANT_INTERVAL_SHARE = 0.5
 MIN_GRANT_RATE_PER_S = 1.0
 
@@ -30,6 +31,7 @@
     writes: int
     #: time of the event loop after which the request is rejected
     expires_at: float
+    #: resolved with True when the request is granted, with False when it is rejected
     granted: asyncio.Future[bool]
 
     def resolve(self, is_granted: bool) -> None:
@@ -104,8 +106,8 @@
         return True
 
     def _has_write_tokens(self, writes: int) -> bool:
-        # A batch larger than the bucket is granted when the bucket is almost full; the number of
-        # tokens then becomes negative.
+        # A request with more writes than the bucket holds is granted when the bucket is almost
+        # full; the number of tokens then becomes negative.
         return not writes or self._write_tokens >= min(writes, self.write_rps * FULL_BUCKET_SHARE)
 
     def _schedule_grant(self, loop: asyncio.AbstractEventLoop) -> None:
--- a/marblestair/node.py
+++ b/marblestair/node.py
@@ -1,4 +1,4 @@
-"""One controller process: connects the core, which does no I/O, to the network."""
+"""One controller process: connects the core, which does no I/O itself, to the network."""
 
 from __future__ import annotations
 
@@ -95,7 +95,7 @@
             try:
                 self.core.tick()
             except Exception:
-                # No input may end the process; the next tick tries again.
+                # An exception must not end the process; the next tick repeats the work.
                 log.exception("tick of the controller failed; the next tick retries")
             self._flush()
             if time.monotonic() - last_idle_check > IDLE_CHECK_INTERVAL_S:
@@ -108,7 +108,7 @@
     # --- outputs ---------------------------------------------------------------------------
 
     def _flush(self) -> None:
-        """Start the requests, send the output and write the log lines that the core has queued."""
+        """Start the requests, send the output and write the log lines that the core queued."""
         self._start_requests()
         self._send_replies_and_commands()
         self._send_to_peers()
@@ -147,7 +147,7 @@
                 respond(reply.value)
 
     def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
-        """Run a coroutine as a task, to which the node keeps a reference until it is done."""
+        """Run a coroutine as a task; keep a reference, so that it is not garbage-collected."""
         task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/marblestair/policy.py
+++ b/marblestair/policy.py
@@ -3,7 +3,8 @@
 The script can read ``cluster`` (``size``, ``zones``, ``teams``) and call
 
 - ``tune(NAME = NUMBER, ...)`` to set parameters of scaling (see docs/operations.md);
-- ``lead("CLASS", SECONDS)`` to schedule the jobs of a class as if they were due so much earlier.
+- ``lead("CLASS", SECONDS)`` to schedule the jobs of a class as if they were due that many seconds
+  earlier.
 
 If the script fails or uses an unknown name, the error states its file and line.
 """
@@ -43,13 +44,13 @@
 }
 
 
-#: largest absolute offset of a deadline
+#: maximum absolute offset of a deadline
 MAX_DEADLINE_OFFSET_S = 1e6
 
-#: prefixes of the lines with the location and the text of an interpreter's error
+#: prefixes of the lines of an interpreter's error that contain its location and its text
 _LOCATION_PREFIX = "-->"
 _ERROR_PREFIX = "error:"
-#: prefixes of lines to skip in such an error: the quoted script and the call stack
+#: prefixes of the lines of an interpreter's error to skip: the quoted script and the call stack
 _SKIPPED_PREFIXES = ("|", "Traceback", "*", "File")
 
 
--- a/marblestair/request_executor.py
+++ b/marblestair/request_executor.py
@@ -45,20 +45,22 @@
 
 log = logging.getLogger("marblestair")
 
-#: limit of outgoing connections of each kind, as a share of the sockets, and its minimum
+#: limit of idle connections to the store, and of connections to agents, each as a share of the
+#: process's sockets, and its minimum
 OUTGOING_LIMIT_SHARE = 0.04
 MIN_OUTGOING_LIMIT = 4
-#: limit of requests to the store in flight, as a multiple of the limit of its idle connections
+#: limit of in-flight requests to the store, as a multiple of the limit of idle connections to it
 STORE_IN_FLIGHT_FACTOR = 2
-#: limits of idle connections to the cloud and of requests to it in flight
+#: limits of idle connections and of in-flight requests to the cloud
 MAX_IDLE_CLOUD_CONNECTIONS = 2
 MAX_CLOUD_REQUESTS_IN_FLIGHT = 8
-#: used shares of the permitted rates; the rest allows for drift from the services' clocks
+#: shares of the permitted request rates that are used; the rest allows for clock drift between this
+#: node and the store or the cloud
 STORE_RATE_SHARE = 0.95
 CLOUD_RATE_SHARE = 0.9
-#: write rate of the cloud's limiter; unused, since the cloud limits requests only
+#: write rate of the cloud's rate limiter; without effect, since no cloud request counts as a write
 CLOUD_WRITES_PER_S = 1.0
-#: longest time that a request to the cloud waits for the rate limiter
+#: maximum time that a request to the cloud waits for the rate limiter
 MAX_CLOUD_WAIT_S = 10.0
 #: timeouts of one request to the store, to the cloud and to an agent
 STORE_TIMEOUT_S = 1.2
@@ -94,8 +96,8 @@
             max_idle_per_address=MAX_IDLE_CLOUD_CONNECTIONS,
             max_in_flight=MAX_CLOUD_REQUESTS_IN_FLIGHT,
         )
-        # Stop commands to hundreds of agents at once wait for free slots. With many agents, an idle
-        # connection is closed soon, since the total number of idle connections is limited.
+        # Stop commands to hundreds of agents at once wait until fewer requests are in flight. With
+        # many agents, an idle connection is soon closed by the limit on all idle connections.
         self._agents = HttpClient(
             max_idle_per_address=1, max_in_flight=max_outgoing, max_idle=max_outgoing
         )
@@ -119,9 +121,9 @@
             link.close()
 
     async def execute(self, request: CoroutineRequest) -> Any:
-        """Execute a request and return its response, or that of :func:`no_response`.
+        """Execute a request and return its response.
 
-        An unexpected exception is logged and ends only this request.
+        An unexpected exception is logged, and the result of :func:`no_response` is returned.
         """
         try:
             return await self._send(request)
@@ -200,7 +202,7 @@
 
 
 def no_response(request: CoroutineRequest) -> StoreResponse | CloudResponse | None:
-    """Return the value that stands for a missing response to a request."""
+    """Return the value that represents a missing response to a request."""
     if isinstance(request, (PeerRequest, InspectAgent)):
         return None
     if isinstance(request, CLOUD_REQUESTS):
--- a/marblestair/settings/addresses.py
+++ b/marblestair/settings/addresses.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-#: port numbers are lower than this
+#: exclusive upper bound of port numbers
 PORT_LIMIT = 65536
 
 
--- a/marblestair/settings/checks.py
+++ b/marblestair/settings/checks.py
@@ -1,4 +1,4 @@
-"""Checks of settings beyond their types; each error names the field and its value."""
+"""Checks of the values of settings; each error names the field and its value."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 #: smallest permitted limit of changes in one transaction; a failover and the end of a job each
 #: need two
 MIN_TRANSACTION_CHANGES = 3
-#: largest permitted number of shards; a larger one is taken for a mistake in the file
+#: maximum number of shards; a larger one is probably a mistake in the file
 MAX_SHARDS = 100
-#: an agent's lease must last at least this many heartbeat intervals
+#: minimum duration of an agent's lease, in heartbeat intervals
 MIN_LEASE_INTERVALS = 2
 
 BYTES_PER_KB = 1024
@@ -153,7 +153,7 @@
 
 
 def _check_shard_map_size(settings: Settings) -> None:
-    """Check that the shard map, stored as one value, cannot exceed the store's limit of values."""
+    """Check that the shard map, stored as one value, cannot exceed the store's value size limit."""
     cluster = settings.cluster
     if cluster.size > MAX_SHARDS:
         raise SettingsError(
--- a/marblestair/settings/loading.py
+++ b/marblestair/settings/loading.py
@@ -10,7 +10,7 @@
 from marblestair.core.domain.settings import Settings
 from marblestair.settings.checks import SettingsError, check_settings
 
-#: text of a msgspec error between the problem and the path of the field
+#: separates the problem from the path of the field in the text of a msgspec error
 _FIELD_PATH_SEPARATOR = " - at `$"
 
 
--- a/marblestair/wire/codec.py
+++ b/marblestair/wire/codec.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-#: largest accepted body of an HTTP request
+#: maximum size of the body of an HTTP request
 MAX_REQUEST_BODY_BYTES = 64 * 1024
 
 
--- a/marblestair/wire/peers.py
+++ b/marblestair/wire/peers.py
@@ -1,7 +1,7 @@
 """Wire format of messages between controllers: the tag and the arguments of each message.
 
 A message is sent as its tag and a list of arguments, which are its fields in order. Tags and the
-order of fields must not change, since the version in production uses them too.
+order of fields must not change, since controllers of the deployed version use them too.
 """
 
 from __future__ import annotations
--- a/marblestair/wire/store.py
+++ b/marblestair/wire/store.py
@@ -23,7 +23,7 @@
 )
 from marblestair.wire.codec import HttpRequest, pack
 
-#: a decoded map; only the fields that are read are checked
+#: a decoded map; its fields are checked only where they are read
 _Fields: TypeAlias = Mapping[str, Any]
 
 
@@ -105,8 +105,8 @@
             return _decode_success(request, _require_map(fields))
         return _decode_failure(request, status, _require_map(fields))
     except (msgspec.DecodeError, UnicodeDecodeError, ValueError, KeyError, TypeError):
-        # The statuses 429 and 5xx alone tell that the request was not carried out. After any other
-        # malformed response it may have been, which status 0 stands for.
+        # The statuses 429 and 5xx show without the body that the request was not carried out. After
+        # a malformed response with any other status it may have been, as status 0 says.
         return StoreResponse(status if status == 429 or status >= 500 else 0)
 
 
@@ -124,14 +124,15 @@
     if isinstance(request, GrantLease):
         return StoreResponse(200, lease_id=int(fields["tenancy"]))
     if isinstance(request, CompareAndSwap):
-        # The revision is required: it orders this commit against values read before and after.
+        # The revision is required: it orders this commit against reads of the same keys.
         return StoreResponse(200, revision=int(fields["ledger_rev"]))
     return _decode_status(200, fields)
 
 
 def _decode_failure(request: StoreRequest, status: int, fields: _Fields) -> StoreResponse:
     if isinstance(request, Get) and status == 404:
-        # The revision is required: it orders the absence against changes of the key.
+        # The revision is required: it orders this read, which found no value, against changes of
+        # the key.
         return StoreResponse(404, revision=int(fields["ledger_rev"]))
     return _decode_status(status, fields)
 
--- a/marblestair/wire/users.py
+++ b/marblestair/wire/users.py
@@ -11,13 +11,13 @@
 from marblestair.core.domain.jobs import JobKind, JobSpec, JobState, Priority
 from marblestair.wire.codec import MAX_REQUEST_BODY_BYTES, BadRequestError, pack
 
-#: most tasks in one job
+#: maximum number of tasks in one job
 MAX_TASKS_PER_JOB = 100_000
-#: largest accepted amount of a resource, a size or a time, in its unit
+#: maximum amount of a resource, a size or a time, in its unit
 MAX_AMOUNT = 1e12
-#: most characters in one name; names are stored in the job records
+#: maximum number of characters in one name; names are stored in the job records
 MAX_NAME_CHARS = 200
-#: most names in one submission: class, team, image, zone and machine types together
+#: maximum number of names in one submission: class, team, image, zone and machine types together
 MAX_NAMES_PER_SUBMISSION = 100
 
 HEALTH_PATH = "/healthz"
@@ -210,7 +210,7 @@
 
 
 class RequestKind(enum.Enum):
-    """Kinds of HTTP requests, told apart by method and path."""
+    """Kinds of HTTP requests, distinguished by method and path."""
 
     SUBMIT = enum.auto()
     QUERY = enum.auto()
