--- a/marblestair/core/capacity/fleet_planner.py
+++ b/marblestair/core/capacity/fleet_planner.py
@@ -1,4 +1,4 @@
-"""The fleet plan, which every node computes from the same records and summaries."""
+"""Periodic computation of the fleet plan on each node, from the records and summaries."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class FleetPlanner:
-    """Computes the fleet plan on one node."""
+    """Computes the fleet plan on one node, and passes the parts that placement uses to it."""
 
     def __init__(  # noqa: PLR0913 - injected components
         self,
--- a/marblestair/core/capacity/gang_reservations.py
+++ b/marblestair/core/capacity/gang_reservations.py
@@ -39,7 +39,7 @@
 
 
 class _Allocation:
-    """The allocation of a gang's tasks to machines, within the job's constraints on zones."""
+    """Allocates a gang's tasks to machines, within the job's constraints on zones."""
 
     def __init__(self, spec: JobSpec, task_count: int) -> None:
         self.spec = spec
--- a/marblestair/core/capacity/plan_draft.py
+++ b/marblestair/core/capacity/plan_draft.py
@@ -1,4 +1,4 @@
-"""The mutable draft that the planning steps extend one after the other."""
+"""Mutable draft of the fleet plan, which the planning steps extend in turn."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class PlanDraft:
-    """An unfinished plan, the machines that it is computed for, and the requested rentals."""
+    """Holds an unfinished plan, the machines of the fleet, and the requested rentals."""
 
     def __init__(self, machines: list[AvailableMachine]) -> None:
         self.plan = Plan()
--- a/marblestair/core/capacity/reported_state.py
+++ b/marblestair/core/capacity/reported_state.py
@@ -11,7 +11,7 @@
 
 
 class ReportedState:
-    """The latest summaries of all shards, merged.
+    """Holds the merged state from the latest summaries of all shards.
 
     During a failover, the last summary of a shard is a good approximation of its state. It is used
     up to the maximum age; after that, the shard's work and machines are left out.
--- a/marblestair/core/capacity/team_headroom.py
+++ b/marblestair/core/capacity/team_headroom.py
@@ -1,4 +1,4 @@
-"""The remaining headroom of the teams under their cpu limits."""
+"""Headroom of the teams under their cpu limits."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class TeamHeadroom:
-    """The cpus that the teams' limits leave for pending work, reserved job by job."""
+    """Tracks the cpus that the teams' limits leave for pending work, and reserves them by job."""
 
     def __init__(
         self, teams: dict[str, Team], reported: ReportedState, live: list[JobRecord]
--- a/marblestair/policy.py
+++ b/marblestair/policy.py
@@ -67,7 +67,7 @@
 
 
 class ScriptFunctions:
-    """The functions that a script may call, and the values that its calls have set."""
+    """Provides the functions that a script may call, and collects the values that they set."""
 
     def __init__(self) -> None:
         #: field of ``Tuning`` -> its value
