--- a/marblestair/core/controller.py
+++ b/marblestair/core/controller.py
@@ -37,7 +37,8 @@
 from marblestair.core.status import StatusReport
 from marblestair.core.view_synchronizer import ViewSynchronizer
 
-#: interval between summaries and transfers to other shards, and between quota rebalancings
+#: interval at which summaries are published and transfers to other shards begin, and interval at
+#: which quota is rebalanced and old cancels are removed
 SUMMARY_INTERVAL_S, REBALANCE_INTERVAL_S = 0.4, 1.0
 
 
@@ -215,7 +216,7 @@
         led_shards = self.leadership.led_shards()
         self.scheduling_services.preemption.expire_claims()
         for shard in led_shards:
-            self._tick_shard(shard, now)
+            self._update_shard(shard, now)
         self.job_services.job_managers.report_and_advance()
         self.job_services.migration_locks.release_expired()
         if now >= self._next_summary_at:
@@ -227,7 +228,8 @@
             self.job_services.cancels.prune()
             self.scheduling_services.quota_transfers.rebalance(led_shards)
 
-    def _tick_shard(self, shard: Shard, now: float) -> None:
+    def _update_shard(self, shard: Shard, now: float) -> None:
+        """Run the periodic work for a shard led by this node: time-outs, placement and stops."""
         evict_from_reclaimed_machines(shard, now)
         expire_agent_leases(shard, now)
         self.scheduling_services.dispatcher.place_all(shard)
--- a/marblestair/core/peer_service.py
+++ b/marblestair/core/peer_service.py
@@ -135,18 +135,18 @@
         """Handle a request from another node or an operator; the reply is put into the outbox."""
         if node in self._context.settings.nodes:
             self._connectivity.message_received(node)
-        self._context.spawn(self._reply(request_id, message))
+        self._context.spawn(self._handle_request(request_id, message))
 
     def reject_request(self, request_id: int, node: str, error: str) -> None:
         """Reply with None to a request that could not be decoded."""
         self.reject_message(node, error)
         self._context.outbox.peer_replies.append(PeerReply(request_id, None))
 
-    def _reply(self, request_id: int, message: PeerMessage | None) -> Coroutine[None]:
-        reply = yield from self._answer(message)
+    def _handle_request(self, request_id: int, message: PeerMessage | None) -> Coroutine[None]:
+        reply = yield from self._reply_to(message)
         self._context.outbox.peer_replies.append(PeerReply(request_id, reply))
 
-    def _answer(self, message: PeerMessage | None) -> Coroutine[Any]:
+    def _reply_to(self, message: PeerMessage | None) -> Coroutine[Any]:
         """Return the reply to a request; None if its kind is unknown or no reply can be given."""
         if isinstance(message, QueryJob):
             return msgspec.to_builtins(self._answers.status_from_memory(message.job))
--- a/marblestair/core/scheduling/__init__.py
+++ b/marblestair/core/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Scheduling of pending tasks: order, placement, preemption, quota, and transfers of machines."""
+"""Scheduling of pending tasks: order, placement, preemption, and transfers between shards."""
--- a/marblestair/core/scheduling/arrivals.py
+++ b/marblestair/core/scheduling/arrivals.py
@@ -16,20 +16,20 @@
 from marblestair.core.state.machine_catalog import MachineCatalog
 from marblestair.core.state.records import JobRecord
 
-#: the arrival rate of a class is measured over this time; over its latest jobs alone if more than
-#: this number arrived in that time
+#: time window for the arrival rate of a class, and maximum number of its latest jobs that are used;
+#: if more jobs arrive within the window, the rate is computed over these jobs alone
 RATE_WINDOW_S, RATE_WINDOW_JOBS = 90.0, 64
 #: limit on the ids of counted jobs that are kept so that no job is counted twice; the limit is
 #: twice the number of live jobs if that is larger
 MIN_TRACKED_JOBS = 2000
 #: a class expires, and nothing is reserved for it, when no job of it has arrived for this long
 CLASS_EXPIRY_S = 120.0
-#: weight of the latest array in the moving average of array sizes
+#: weight of the latest array in the exponential moving average of array sizes
 LATEST_ARRAY_WEIGHT = 0.1
 #: a class is latency-sensitive if its wait objective is below this multiple of the shortest boot
 #: time of any machine type that its jobs may run on
 LATENCY_SENSITIVE_BOOT_TIMES = 2.0
-#: key that stands for all arrays where gangs have their class
+#: key of all arrays in mappings by class, since arrays are counted together
 ALL_ARRAYS = ""
 
 
--- a/marblestair/core/scheduling/inherited_urgency.py
+++ b/marblestair/core/scheduling/inherited_urgency.py
@@ -19,7 +19,7 @@
 from marblestair.core.state.store_view import StoreView
 
 #: heartbeat intervals from the end of a job to the start of a job that depends on it
-DEPENDENT_START_HEARTBEATS = 2.0
+DEPENDENT_START_INTERVALS = 2.0
 
 
 class Urgency(msgspec.Struct, frozen=True):
@@ -110,6 +110,6 @@
         if spec.deadline_s is None:
             return Urgency(spec.priority, None)
         run_s = spec.estimated_run_s * self._run_times.ratio(spec.job_class)
-        start_s = DEPENDENT_START_HEARTBEATS * self._context.settings.cluster.workers.report_s
+        start_s = DEPENDENT_START_INTERVALS * self._context.settings.cluster.workers.report_s
         done_by = round(spec.accepted_at + spec.deadline_s - run_s - start_s, 1)
         return Urgency(spec.priority, done_by)
--- a/marblestair/core/scheduling/machine_transfers.py
+++ b/marblestair/core/scheduling/machine_transfers.py
@@ -38,10 +38,10 @@
 from marblestair.core.state.store_view import StoreView
 
 #: heartbeat intervals for which tasks must be pending before they count as lacking capacity
-MIN_PENDING_HEARTBEATS = 1.5
-#: summaries of other shards that are older than this are ignored
-MAX_SUMMARY_AGE_S = 2.0
-#: attempts to commit one transfer; not limited while the outcome of an attempt is uncertain
+MIN_PENDING_INTERVALS = 1.5
+#: age above which a shard's summary is ignored, so that its jobs receive no machines
+MAX_JOB_SUMMARY_AGE_S = 2.0
+#: maximum attempts to commit one transfer; unlimited while the outcome of an attempt is uncertain
 MAX_COMMIT_ATTEMPTS = 4
 
 
@@ -85,7 +85,7 @@
             return False
         if job_slice.is_unreconciled or job_slice.is_cancelled:
             return False
-        min_pending_s = MIN_PENDING_HEARTBEATS * self._context.settings.cluster.workers.report_s
+        min_pending_s = MIN_PENDING_INTERVALS * self._context.settings.cluster.workers.report_s
         if self._context.now - job_slice.pending_since <= min_pending_s:
             return False
         return not self._failures.is_quarantined(job_slice.spec.id)
@@ -135,7 +135,7 @@
             summary
             for shard_id, (received_at, summary) in sorted(self._summaries.items())
             if shard_id != shard.shard_id
-            and self._context.now - received_at <= MAX_SUMMARY_AGE_S
+            and self._context.now - received_at <= MAX_JOB_SUMMARY_AGE_S
             and summary.term == shard_map.shards[shard_id].term
         ]
 
--- a/marblestair/core/scheduling/migration_planner.py
+++ b/marblestair/core/scheduling/migration_planner.py
@@ -25,8 +25,8 @@
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state.store_view import StoreView
 
-#: summaries of other shards that are this old or older are ignored
-MAX_SUMMARY_AGE_S = 1.5
+#: age from which on a shard's summary is ignored, so that no tasks migrate to the shard
+MAX_TARGET_SUMMARY_AGE_S = 1.5
 #: time for which a slice must be pending in its shard before its tasks migrate
 MIN_PENDING_S = 0.3
 
@@ -120,7 +120,7 @@
             summary
             for shard_id, (received_at, summary) in sorted(self._summaries.items())
             if shard_id != shard.shard_id
-            and self._context.now - received_at < MAX_SUMMARY_AGE_S
+            and self._context.now - received_at < MAX_TARGET_SUMMARY_AGE_S
             and shard_id < len(shard_map.shards)
             and summary.term == shard_map.shards[shard_id].term
         ]
--- a/marblestair/core/scheduling/placement.py
+++ b/marblestair/core/scheduling/placement.py
@@ -25,7 +25,7 @@
 
 
 def may_run_on_machine(spec: JobSpec, machine: Machine) -> bool:
-    """Whether the job's constraints allow it to run on this machine, whatever is free there."""
+    """Whether the job's constraints allow it to run on a machine; free capacity is not checked."""
     return spec.may_run_on(machine.type_name, machine.zone, machine.spot)
 
 
--- a/marblestair/core/scheduling/preemption.py
+++ b/marblestair/core/scheduling/preemption.py
@@ -25,7 +25,7 @@
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state.store_view import StoreView
 
-#: heartbeat intervals after which a claim expires, as its gang still could not start
+#: heartbeat intervals after which a claim expires even if its gang has not started
 CLAIM_TTL_INTERVALS = 6.0
 
 
@@ -82,7 +82,7 @@
     # --- claims ----------------------------------------------------------------------------
 
     def is_claimed(self, machine: Machine, job: str = "") -> bool:
-        """Whether another job than ``job`` claims a machine, or has it reserved in the plan."""
+        """Whether a job other than ``job`` claims a machine or has it reserved by the plan."""
         claim = self.claims.get(machine.name)
         if claim is not None:
             return claim.job != job
--- a/marblestair/core/scheduling/quota_transfers.py
+++ b/marblestair/core/scheduling/quota_transfers.py
@@ -22,9 +22,9 @@
 from marblestair.core.state.records import ShardMap
 from marblestair.core.state.store_view import StoreView
 
-#: age up to which the demand in another shard's summary is used, in seconds
-MAX_SUMMARY_AGE_S = 3.0
-#: attempts to commit one transfer; more are made if the outcome of one is uncertain
+#: maximum age of a shard's summary for quota to be transferred to that shard
+MAX_DEMAND_AGE_S = 3.0
+#: maximum attempts to commit one transfer; unlimited while the outcome of an attempt is uncertain
 MAX_COMMIT_ATTEMPTS = 5
 
 
@@ -60,7 +60,7 @@
             for shard_id, (received_at, summary) in sorted(self._summaries.items()):
                 if shard_id == shard.shard_id:
                     continue
-                if self._context.now - received_at > MAX_SUMMARY_AGE_S:
+                if self._context.now - received_at > MAX_DEMAND_AGE_S:
                     continue
                 if summary.term != current.shards[shard_id].term:
                     continue
@@ -91,7 +91,8 @@
         used, quota = shard.usage(team), self._quotas.quota(shard, team)
         unused = [quota[i] - used[i] for i in range(2)]
         if team in other.required_quota:
-            # If both shards need more quota for one task or gang, the one with the higher id gives.
+            # If both shards need more quota for one task or gang, only the one with the higher id
+            # transfers quota to the other.
             gives_quota = team not in own.required_quota or shard.shard_id > other.shard_id
             return unused if gives_quota else None
         if own.quota_shortfall.get(team) is not None or team in own.required_quota:
@@ -140,7 +141,7 @@
     def _commit(
         self, shard: Shard, target_id: int, team: str, amounts: list[int]
     ) -> Coroutine[None]:
-        """Change both quotas; return once the change is committed or can no longer be."""
+        """Change both quotas; return once the change is, or can no longer be, committed."""
         uncertain_version: int | None = None
         attempts = 0
         while True:
--- a/marblestair/core/scheduling/scheduling_order.py
+++ b/marblestair/core/scheduling/scheduling_order.py
@@ -53,9 +53,9 @@
     Parameters
     ----------
     spec
-        The job, with the priority and the deadline by which it is scheduled.
+        The job, with its inherited priority and deadline applied.
     wall_time
-        Wall-clock time in seconds; a later time advances a class that the operators prefer.
+        Wall-clock time in seconds, plus the offset by which the policy advances the job's class.
     run_time_ratio
         Factor that corrects the estimated run time.
     startable_since
--- a/marblestair/core/scheduling/shard_summarizer.py
+++ b/marblestair/core/scheduling/shard_summarizer.py
@@ -29,7 +29,8 @@
     idle_machines: list[tuple[str, float]] = []
     #: machines with tasks of gangs
     gang_machines: list[str] = []
-    #: machines that do not count as capacity: unresponsive, overdue, or about to be taken away
+    #: machines that do not count as capacity: unresponsive, overdue, or about to be reclaimed
+    #: or released
     unavailable_machines: list[str] = []
 
 
--- a/marblestair/core/scheduling/slice_assignment.py
+++ b/marblestair/core/scheduling/slice_assignment.py
@@ -74,7 +74,8 @@
             candidates, key=lambda shard_id: (load[shard_id], shard_id != manager_shard, shard_id)
         )
         if best in summaries and spec.kind == JobKind.GANG:
-            # Otherwise gangs accepted before the next summary would all count on the same machines.
+            # Otherwise gangs accepted before the next summary would all be assigned to the same
+            # free capacity.
             reserve_capacity(summaries[best], spec, count)
         return best
 
--- a/marblestair/core/scheduling/slice_migration.py
+++ b/marblestair/core/scheduling/slice_migration.py
@@ -193,14 +193,14 @@
         is_released = False
         while True:
             is_released = (yield from self._send_to_manager(ReleaseSlices(job, holder))) is True
-            is_here = (
+            is_slice_current = (
                 self._leadership.shards.get(shard.shard_id) is shard
                 and shard.slices.get(job) is job_slice
             )
             # Once the outcome is known, the slice may already be in another migration, whose
             # tasks must not be restored here.
-            if not is_here or not _has_unconfirmed_tasks(migration):
-                if is_released or not is_here:
+            if not is_slice_current or not _has_unconfirmed_tasks(migration):
+                if is_released or not is_slice_current:
                     return
             elif is_released and (yield from self._reader.refresh(job)):
                 self._restore(shard, job_slice, holder)
--- a/marblestair/core/shard/boot_times.py
+++ b/marblestair/core/shard/boot_times.py
@@ -14,13 +14,13 @@
 from marblestair.core.domain.machines import MachineType
 
 #: age from which on a booting machine is overdue, in expected boot times
-OVERDUE_EXPECTED_BOOTS = 1.6
+OVERDUE_EXPECTED_BOOT_TIMES = 1.6
 #: boot timeout in expected boot times, and its minimum in nominal boot times
-TIMEOUT_EXPECTED_BOOTS, MIN_TIMEOUT_NOMINAL_BOOTS = 2.0, 3.0
+TIMEOUT_EXPECTED_BOOT_TIMES, MIN_TIMEOUT_NOMINAL_BOOT_TIMES = 2.0, 3.0
 #: bounds of the expected boot time, in nominal boot times
 MIN_BOOT_RATIO, MAX_BOOT_RATIO = 1.0, 4.0
 #: recorded boots of one type: their maximum number, and their retention in nominal boot times
-MAX_RETAINED_BOOTS, RETENTION_NOMINAL_BOOTS = 16, 8.0
+MAX_RETAINED_BOOTS, RETENTION_NOMINAL_BOOT_TIMES = 16, 8.0
 #: quantile of the retained boot times that is taken as the expected boot time
 EXPECTED_QUANTILE = 0.75
 #: lower bound of the divisor in boot time ratios, since a cloud may name a boot time of zero
@@ -50,7 +50,7 @@
 
     def expected_ratio(self, machine_type: MachineType, now: float) -> float:
         """Return the expected duration of a boot, in nominal boot times."""
-        retention_s = RETENTION_NOMINAL_BOOTS * machine_type.boot_s
+        retention_s = RETENTION_NOMINAL_BOOT_TIMES * machine_type.boot_s
         boots = self._boots.get(machine_type.name, ())
         ratios = sorted(boot.ratio for boot in boots if now - boot.ended_at < retention_s)
         if not ratios:
@@ -60,10 +60,10 @@
 
     def is_overdue(self, machine_type: MachineType, age_s: float, now: float) -> bool:
         """Whether a machine of this age should have sent its first heartbeat by now."""
-        limit = OVERDUE_EXPECTED_BOOTS * self.expected_ratio(machine_type, now)
+        limit = OVERDUE_EXPECTED_BOOT_TIMES * self.expected_ratio(machine_type, now)
         return age_s > limit * machine_type.boot_s
 
     def boot_timeout_s(self, machine_type: MachineType, now: float) -> float:
         """Return the age in seconds at which a machine that sent no heartbeat is released."""
-        limit = TIMEOUT_EXPECTED_BOOTS * self.expected_ratio(machine_type, now)
-        return max(MIN_TIMEOUT_NOMINAL_BOOTS, limit) * machine_type.boot_s
+        limit = TIMEOUT_EXPECTED_BOOT_TIMES * self.expected_ratio(machine_type, now)
+        return max(MIN_TIMEOUT_NOMINAL_BOOT_TIMES, limit) * machine_type.boot_s
--- a/marblestair/core/shard/commands.py
+++ b/marblestair/core/shard/commands.py
@@ -10,9 +10,10 @@
 from marblestair.core.shard.machine import Machine, PlacedTask
 from marblestair.core.shard.shard import Shard
 
-#: launches, or stops, in one message to an agent; keeps messages well below the size limit
+#: maximum number of launches in a heartbeat response, of stops in a direct command, and of stops in
+#: the response to an unreconciled machine; keeps messages well below the size limit
 MAX_COMMANDS_PER_MESSAGE = 400
-#: heartbeat intervals after which a stop without effect is sent again
+#: heartbeat intervals after which a stop is sent directly again if its task has not ended
 STOP_RETRY_INTERVALS = 2
 
 
--- a/marblestair/core/shard/failures.py
+++ b/marblestair/core/shard/failures.py
@@ -248,21 +248,25 @@
         return min(self._max_backoff_s, failure_count * self._backoff_per_failure_s)
 
     def _count_failures_against(self, machine: str) -> int:
-        """Count the failures that are attributed to a machine rather than to jobs."""
+        """Count the failures that are attributed to a machine rather than to jobs.
+
+        Each failed task of a job that has succeeded counts. Each other job that is not quarantined
+        counts once, but not if it is the only job that would count.
+        """
         machine_entry = self._machines.get(machine)
         if machine_entry is None:
             return 0
-        failures_of_proven_jobs = 0
-        unproven_jobs = 0
+        failures_of_succeeding_jobs = 0
+        jobs_without_success = 0
         for job, failure_count in machine_entry.failures.items():
             entry = self._jobs.get(job)
             if entry is not None and entry.has_succeeded:
-                failures_of_proven_jobs += failure_count
+                failures_of_succeeding_jobs += failure_count
             elif not self.is_quarantined(job):
-                unproven_jobs += 1
+                jobs_without_success += 1
         # A single job without any known success may itself be at fault.
-        return failures_of_proven_jobs + (
-            unproven_jobs if unproven_jobs > 1 or failures_of_proven_jobs else 0
+        return failures_of_succeeding_jobs + (
+            jobs_without_success if jobs_without_success > 1 or failures_of_succeeding_jobs else 0
         )
 
 
--- a/marblestair/core/shard/heartbeat_response.py
+++ b/marblestair/core/shard/heartbeat_response.py
@@ -12,7 +12,7 @@
     """The response to a heartbeat.
 
     With status 200 it carries the shard's fencing token and commands, with 421 the node that leads
-    the shard, if known.
+    the shard, if known, and with 503 nothing.
     """
 
     status: int
--- a/marblestair/core/shard/heartbeats.py
+++ b/marblestair/core/shard/heartbeats.py
@@ -32,7 +32,7 @@
     if heartbeat.fencing_token >= machine.join_term:
         machine.is_reconciled = True
     if not machine.is_reconciled:
-        return _answer_unreconciled(shard, machine, heartbeat, now)
+        return _commands_for_unreconciled(shard, machine, heartbeat, now)
     reconcile(shard, machine, heartbeat, now)
     if machine.name in shard.unreconciled_machines:
         shard.mark_reconciled(machine.name)
@@ -41,7 +41,7 @@
 
 
 def _is_acceptable(shard: Shard, machine: Machine, heartbeat: Heartbeat) -> bool:
-    """Whether a heartbeat is newer than all earlier ones and its machine remains in service."""
+    """Whether a heartbeat is newer than all accepted ones, and its machine remains in service."""
     if machine.is_decommissioned or machine.is_releasing or heartbeat.fencing_token > shard.term:
         return False
     # The agent no longer waits for the response to a late duplicate, and its task list is stale.
@@ -87,14 +87,14 @@
     machine.agent_incarnation = incarnation
 
 
-def _answer_unreconciled(
+def _commands_for_unreconciled(
     shard: Shard, machine: Machine, heartbeat: Heartbeat, now: float
 ) -> list[TaskCommand] | None:
     """Return the commands for a machine that has not sent this term's fencing token yet.
 
     The response renews the agent's lease and tells it the new fencing token. The agent's task list
-    is used only from the first heartbeat with that token on, because only such a heartbeat is known
-    to be newer than everything that the previous leader sent.
+    is used only from the first heartbeat with that token on, because only heartbeats with it are
+    known to be newer than everything that the previous leader sent.
 
     Returns None, so that the lease is not renewed, when the agent has ignored the token repeatedly.
     The lease, measured from the last response that the agent may have received, then expires. A new
--- a/marblestair/core/shard/job_slice.py
+++ b/marblestair/core/shard/job_slice.py
@@ -10,8 +10,8 @@
 class JobSlice:
     """The tasks of one job that belong to one shard.
 
-    Each task is pending, placed on a machine, or done; no task is pending while the job is blocked
-    or after it was cancelled.
+    Each task that is not done is pending, placed on a machine, or migrating to another shard, but
+    none is pending while the job is blocked. Pending tasks of a cancelled job are not launched.
     """
 
     def __init__(self, spec: JobSpec) -> None:
@@ -62,7 +62,7 @@
         return any(start <= index < end for start, end in self.ranges)
 
     def can_adopt(self, index: int) -> bool:
-        """Whether a listed task belongs to this slice and is placed on no machine."""
+        """Whether a task that a machine lists belongs to this slice and is placed on no machine."""
         return self.contains(index) and index not in self.placed_on
 
     def is_done(self, index: int) -> bool:
--- a/marblestair/core/shard/machine.py
+++ b/marblestair/core/shard/machine.py
@@ -114,7 +114,7 @@
         #: when a heartbeat was last answered with status 200, and last accepted; None before that
         self.last_answered_at: float | None = None
         self.last_heartbeat_at: float | None = None
-        #: time without a heartbeat after which no task is placed here; None for no limit
+        #: time in seconds without a heartbeat after which no task is placed here; None for no limit
         self.heartbeat_timeout_s: float | None = None
         #: when the cloud will reclaim the machine, if it has announced that
         self.reclaim_at: float | None = None
@@ -137,7 +137,7 @@
         #: no task is placed here before this time after one failed or was refused; None: no limit
         self.backoff_until: float | None = None
         self.idle_since: float | None = now
-        #: images that the agent has cached or fetches, with their size in GB, latest used last
+        #: images that the agent has cached or fetches, with sizes in GB; most recently used last
         self.cached_images: OrderedDict[str, float] = OrderedDict()
 
     # --- capacity --------------------------------------------------------------------------
@@ -225,7 +225,7 @@
         self.min_incarnation = self.agent_incarnation + 1 if self.agent_incarnation else 0
 
     def last_seen_at(self, acquired_at: float) -> float:
-        """Return the latest time at which the machine is known, or has to be assumed, to be up.
+        """Return the latest time at which the machine is known or assumed to have been up.
 
         This is the time of its last heartbeat, or of the shard's acquisition if that is later,
         since the previous leader may have received heartbeats until then.
--- a/marblestair/core/shard/partition_detection.py
+++ b/marblestair/core/shard/partition_detection.py
@@ -4,7 +4,8 @@
 
 from marblestair.core.shard.shard import Shard
 
-#: machines that must have lost contact at once: a number, and a share of the shard's machines
+#: minimum number of machines that are out of contact at the same time for a partition to be
+#: presumed, and their minimum share of the shard's machines; both must be reached
 MIN_PARTITIONED_MACHINES, MIN_PARTITIONED_SHARE = 3, 0.06
 #: agent leases without a heartbeat after which a machine is no longer presumed partitioned
 MAX_PARTITION_LEASES = 3.0
@@ -13,8 +14,8 @@
 def partitioned_machines(shard: Shard, agent_lease_s: float, now: float) -> set[str]:
     """Return the names of the machines that are presumed partitioned rather than failed.
 
-    When the leases of many agents have expired at the same time, the likely cause is the network,
-    and most of the machines can be expected to reconnect. ``agent_lease_s`` is the duration of an
+    When many machines are out of contact at the same time, the likely cause is the network, and
+    most of them can be expected to reconnect. ``agent_lease_s`` is the duration of an
     agent's lease.
     """
     lost_contact = [
--- a/marblestair/core/shard/reconciliation.py
+++ b/marblestair/core/shard/reconciliation.py
@@ -48,8 +48,9 @@
 ) -> dict[TaskKey, TaskStatus]:
     """Classify the tasks that a machine lists as expected, adopted, exited or unknown.
 
-    Returns the tasks to compare with the expected ones. Listed tasks of the shard's slices that are
-    placed on no machine are adopted; other unexpected tasks are unknown and will be stopped.
+    Returns the statuses to compare with the expected tasks, by task key. Listed tasks of the
+    shard's slices that are placed on no machine are adopted; other unexpected tasks are unknown and
+    will be stopped.
     """
     listed: dict[TaskKey, TaskStatus] = {}
     machine.exited_tasks = {}
--- a/marblestair/core/shard/responsiveness.py
+++ b/marblestair/core/shard/responsiveness.py
@@ -4,17 +4,19 @@
 
 import enum
 
-#: consecutive ignored commands, terms or leases after which an agent is unresponsive
+#: consecutive ignored commands from which on, and ignored terms above which, an agent counts as
+#: unresponsive
 MAX_IGNORED_MESSAGES = 2
 
 
 class Reachability(enum.Enum):
     """Whether an agent and its leader can reach each other.
 
-    An agent is responsive at first. It becomes unresponsive after several consecutive launches,
-    terms or leases without effect, and its state is ``LEASE_EXPIRED`` once its lease must have
-    expired. A heartbeat then makes it unresponsive; it is responsive again once its heartbeats
-    arrive as frequently as only an agent that receives responses sends them.
+    An agent is responsive at first. It becomes unresponsive when several consecutive responses had
+    no effect, or when its lease expired although its heartbeats arrived. Its state is
+    ``LEASE_EXPIRED`` once its lease must have expired, and unresponsive after the next heartbeat.
+    It becomes responsive again when its heartbeats arrive as frequently as those of an agent that
+    receives responses, and few enough commands have been ignored.
     """
 
     RESPONSIVE = "responsive"
@@ -38,11 +40,12 @@
 
     def __init__(self, now: float) -> None:
         self.state = Reachability.RESPONSIVE
-        #: start of the current period without responsiveness; not used while the agent responds
+        #: time since which the agent is not responsive; not used while it is responsive
         self.unresponsive_since = now
         #: the agent lost contact together with many others and is presumed partitioned
         self.is_partitioned = False
-        #: consecutive commands or leases without effect
+        #: consecutive responses whose launches had no effect, and leases that expired although
+        #: heartbeats arrived
         self.ignored_commands = 0
         #: consecutive responses to heartbeats that did not carry the shard's fencing token
         self.ignored_terms = 0
@@ -68,7 +71,8 @@
         Parameters
         ----------
         is_frequent
-            Whether it followed the last one as soon as from an agent that receives responses.
+            Whether it arrived as soon after the previous one as from an agent that receives
+            responses.
         is_new_incarnation
             Whether it is the first heartbeat of an agent incarnation.
         recovery_s
@@ -85,7 +89,7 @@
         if not is_frequent:
             self.frequent_since = now
         elif now - self.frequent_since > recovery_s:
-            # No launch is sent to an unresponsive agent, so none can show that it responds again.
+            # An unresponsive agent is sent no launches, so no confirmed launch can reset the count.
             self.ignored_commands = 0
         if self.is_partitioned:
             # The heartbeats that follow show whether responses reach the agent.
--- a/marblestair/core/shard/shard.py
+++ b/marblestair/core/shard/shard.py
@@ -4,8 +4,8 @@
 moment its launch is decided until it certainly no longer runs there: a newer heartbeat of the
 machine under this term does not list it (or lists it as exited), a new agent incarnation has begun,
 the cloud confirmed that the machine is released, or the agent's lease must have expired. Launches
-are sent only in heartbeat responses: an agent drops responses after a few seconds and has one
-heartbeat in flight, so its next heartbeat shows whether a launch was carried out.
+are sent only in heartbeat responses: an agent has one heartbeat in flight, and ignores a response
+that arrives after a few seconds, so its next heartbeat shows whether a launch was carried out.
 
 Heartbeats are handled in :mod:`marblestair.core.shard.heartbeats` and
 :mod:`marblestair.core.shard.reconciliation`, time-outs in
@@ -90,7 +90,7 @@
         self.unreconciled_machines: set[str] = set()
         #: machines that list tasks that this shard does not expect there
         self.machines_with_unknown_tasks: set[str] = set()
-        #: the view has caught up with the failover, and the progress pages are loaded
+        #: the view is as recent as the failover, and the progress pages have been loaded
         self.is_ready = False
         #: the shard is being transferred to another node
         self.is_being_transferred = False
@@ -176,7 +176,11 @@
         self._count_usage(task, 1)
 
     def remove_task(self, machine: Machine, task: PlacedTask, now: float) -> None:
-        """Remove a task that no longer runs on its machine; unless done, it becomes pending."""
+        """Remove a task that no longer runs on its machine.
+
+        It becomes pending if it is not done and still belongs to the slice. The remaining tasks of
+        a gang are stopped.
+        """
         machine.remove_task(task, now)
         self._count_usage(task, -1)
         job_slice = self.slices.get(task.job)
@@ -208,7 +212,10 @@
         self.machines_with_unknown_tasks.discard(machine.name)
 
     def stop_tasks(self, tasks: list[PlacedTask], reason: StopReason) -> None:
-        """Request stops of tasks; those that support checkpoints get time to save one."""
+        """Request stops of tasks that are not being stopped already.
+
+        Tasks that support checkpoints get time to save one.
+        """
         for task in tasks:
             if task.stop_grace_s is not None:
                 continue
@@ -250,7 +257,7 @@
             self.cancel(job, now)
 
     def cancel(self, job: str, now: float) -> None:
-        """Cancel a slice: no task starts any more, and launched tasks are stopped without grace."""
+        """Cancel a slice: no task starts any more, and launched tasks are stopped at once."""
         job_slice = self.slices.get(job)
         if job_slice is None or job_slice.is_cancelled:
             return
