--- a/marblestair/core/capacity/catalog_updates.py
+++ b/marblestair/core/capacity/catalog_updates.py
@@ -95,7 +95,7 @@
         puts = [Put(keys.MACHINE_TYPES + machine_type.name, machine_type) for machine_type in batch]
         preconditions = [(put.key, 0) for put in puts]
         response: StoreResponse = yield CompareAndSwap(
-            preconditions, puts, [], RequestPriority.SHARD_MAP
+            preconditions, puts, [], RequestPriority.CAPACITY
         )
         if response.status == 409:
             yield from self._read_stored()
