--- a/marblestair/core/controller.py
+++ b/marblestair/core/controller.py
@@ -211,13 +211,13 @@
         now = self.context.now
         self.context.coroutines.wake(now)
         self.synchronizer.synchronize()
-        self.coordinator.tick(now)
+        self.coordinator.begin_failover_or_transfer(now)
         led_shards = self.leadership.led_shards()
         self.scheduling_services.preemption.expire_claims()
         for shard in led_shards:
             self._tick_shard(shard, now)
-        self.job_services.job_managers.tick()
-        self.job_services.migration_locks.tick()
+        self.job_services.job_managers.report_and_advance()
+        self.job_services.migration_locks.release_expired()
         if now >= self._next_summary_at:
             self._next_summary_at = now + SUMMARY_INTERVAL_S
             self._publish_summaries(led_shards)
--- a/marblestair/core/jobs/completion_records.py
+++ b/marblestair/core/jobs/completion_records.py
@@ -52,7 +52,7 @@
         #: shards with a commit of complete slices in progress
         self._shards_being_written: set[int] = set()
 
-    def tick(self, led_shards: list[Shard]) -> None:
+    def start_due_commits(self, led_shards: list[Shard]) -> None:
         """Start recording the complete slices whose managers are unreachable."""
         for shard in led_shards:
             if shard.shard_id in self._shards_being_written:
--- a/marblestair/core/jobs/job_managers.py
+++ b/marblestair/core/jobs/job_managers.py
@@ -112,12 +112,12 @@
 
     # --- advancing jobs --------------------------------------------------------------------
 
-    def tick(self) -> None:
+    def report_and_advance(self) -> None:
         """Send progress reports, record complete slices and advance the managed jobs."""
         if self._view.shard_map is None:
             return
         led_shards = self._leadership.led_shards()
-        self._completion_records.tick(led_shards)
+        self._completion_records.start_due_commits(led_shards)
         self._reports.send(led_shards)
         for job in list(self._managed_jobs):
             self.advance(job)
--- a/marblestair/core/jobs/migration_locks.py
+++ b/marblestair/core/jobs/migration_locks.py
@@ -177,7 +177,7 @@
         )
         return [self._view.version(keys.JOBS + managed.job)]
 
-    def tick(self) -> None:
+    def release_expired(self) -> None:
         """Release the locks that their migrations have held for too long."""
         now = self._context.now
         limit_s = LOCK_TIMEOUT_LEASE_SHARE * self._context.settings.cluster.workers.lease_s
--- a/marblestair/core/leadership/coordinator.py
+++ b/marblestair/core/leadership/coordinator.py
@@ -43,7 +43,7 @@
         self._context.supervise(self._lease.maintain)
         self._context.supervise(self._promises.maintain)
 
-    def tick(self, now: float) -> None:
+    def begin_failover_or_transfer(self, now: float) -> None:
         """Begin a failover of orphaned shards, or else a transfer of a shard to another node.
 
         Called a few times a second.
