--- a/marblestair/core/domain/machine_kinds.py
+++ b/marblestair/core/domain/machine_kinds.py
@@ -8,7 +8,7 @@
 from marblestair.core.domain.jobs import JobSpec
 from marblestair.core.domain.machines import MachineType
 
-#: task count per machine for tasks that use no resources; more than any job has tasks
+#: task count per machine for tasks that use no resources; larger than any job's task count
 UNBOUNDED_TASKS = 1 << 20
 
 
--- a/marblestair/core/jobs/acceptance.py
+++ b/marblestair/core/jobs/acceptance.py
@@ -3,7 +3,7 @@
 A job that can never run is refused. Any other job is divided into slices and its record is
 committed to the store; that commit accepts the job. Its preconditions are that neither a record nor
 a final state exists for the job's id, so an id is accepted at most once, however often it is
-submitted and to whichever controllers.
+submitted and to however many controllers.
 """
 
 from __future__ import annotations
@@ -40,14 +40,15 @@
 SUBMISSION_WINDOW_S = 0.75
 #: lower bound of the limit on concurrent submissions
 MIN_IN_FLIGHT_SUBMISSIONS = 2
-#: share of a node's write rate that is available to submissions; other writes need the rest
+#: share of a node's write rate at which submissions are expected to finish; other writes use the
+#: rest
 SUBMISSION_WRITE_SHARE = 0.5
 #: attempts to commit the record of one submission
 MAX_COMMIT_TRIES = 3
 #: Retry-After values: by default, when no shard is available to manage the job, and when the store
 #: refuses the record or the record would be too large at present
 RETRY_AFTER_S, NO_SHARD_RETRY_AFTER_S, STORE_REFUSED_RETRY_AFTER_S = 1, 2, 5
-#: parents listed in a log line
+#: maximum number of parents listed in a log line
 MAX_LOGGED_PARENTS = 8
 
 
@@ -64,7 +65,7 @@
     """Assigns the tasks of a new job to shards."""
 
     def assign(self, spec: JobSpec, manager_shard: int) -> dict[str, list[list[int]]]:
-        """Return the ranges of task numbers that each shard gets, by shard."""
+        """Return the ranges of task indexes that each shard gets, by shard."""
 
 
 class Acceptance:
@@ -130,7 +131,7 @@
         if parents.state is ParentsState.CANCELLED:
             return (yield from self._accept_cancelled(dependent, parents.deciding_job))
         if self._is_too_large(dependent):
-            # A later submission may fit, because some of the parents will be done by then.
+            # A retry may fit, because some of the parents may be done by then.
             error = "it awaits more unfinished jobs than can be kept"
             return Outcome(503, UNKNOWN, error, STORE_REFUSED_RETRY_AFTER_S)
         return (yield from self._admit(dependent))
@@ -165,7 +166,7 @@
         return None
 
     def _is_too_large(self, spec: JobSpec) -> bool:
-        """Whether a job's description takes too large a share of one value in the store."""
+        """Whether a job's record without slices exceeds its share of the store's value limit."""
         value_kb = self._context.settings.cluster.state.value_kb
         return exceeds_value_limit(JobRecord(spec, 0, {}, []), value_kb, MAX_SPEC_SHARE)
 
--- a/marblestair/core/jobs/answers.py
+++ b/marblestair/core/jobs/answers.py
@@ -72,7 +72,7 @@
     # --- statuses from memory --------------------------------------------------------------
 
     def answerable_status(self, job: str, found: ProvenStatus | None) -> JobStatus | None:
-        """Return the status that users may get for a job, or None if there is none at present.
+        """Return the status that users may get for a job, or None if there is none now.
 
         Every status passes this check last, for every kind of request. Between the commit of a
         cancel and its confirmation neither "cancelled" nor the earlier state is returned: another
@@ -93,7 +93,7 @@
         if self._dependencies.has_cancelled_ancestor(job):
             if self._dependencies.may_answer_cancelled(job):
                 return JobStatus(JobState.CANCELLED)
-            # The found status, from this node or another one, comes from an older view than this.
+            # ``found``, from this node or another one, is based on an older view than this node's.
             found = None
         decisions = self._context.decisions
         if found is None:
@@ -146,7 +146,7 @@
             is_elsewhere = manager is not None and manager != self._context.node
             if is_elsewhere and manager is not None and not self._connectivity.is_disconnected():
                 reply = yield PeerRequest(manager, QueryJob(job), PEER_QUERY_TIMEOUT_S)
-                status = self._accept_peer_answer(job, reply)
+                status = self._accept_peer_reply(job, reply)
                 if status is not None:
                     return status
         return (
@@ -155,7 +155,7 @@
             )
         )
 
-    def _accept_peer_answer(self, job: str, reply: Any) -> JobStatus | None:
+    def _accept_peer_reply(self, job: str, reply: Any) -> JobStatus | None:
         """Return the status that users may get, given another node's reply to a query.
 
         A final state in the reply is cached. A malformed reply, or one with the state
@@ -184,8 +184,8 @@
         if job in self._final_states:
             return self.answerable_status(job, None)
         if found.state is JobState.CANCELLED and not self._cancels.is_known(job):
-            # The record was read before the job ended, and the view is already newer than the end:
-            # the cancel's entry has been dropped, and the final state has not been read yet.
+            # The record was read before the job ended, and the view already includes the end: the
+            # cancel has left the registry, and the final state has not been read yet.
             return self.answerable_status(job, None)
         record = self._view.jobs.get(job)
         if record is None:
--- a/marblestair/core/jobs/cancel_registry.py
+++ b/marblestair/core/jobs/cancel_registry.py
@@ -22,14 +22,14 @@
 
 
 class CancelEntry:
-    """What one node knows of the committed cancel of one job."""
+    """The committed cancel of one job, as known to one node."""
 
     __slots__ = ("applied_terms", "is_confirmed", "is_propagating", "known_since", "revision")
 
     def __init__(self, revision: int, now: float) -> None:
         #: a store revision at which the job's record contained the entry
         self.revision = revision
-        #: steady time at which this node learned of the entry
+        #: monotonic time at which this node learned of the entry
         self.known_since = now
         #: shard -> term in which its leader acknowledged that it applied the entry
         self.applied_terms: dict[int, int] = {}
--- a/marblestair/core/jobs/cancellations.py
+++ b/marblestair/core/jobs/cancellations.py
@@ -52,7 +52,7 @@
 #: a controller that has sent nothing for this long is skipped while a user waits; controllers send
 #: each other messages twice a second
 MAX_SILENCE_S = 2.0
-#: duration of a background propagation, in agent leases
+#: maximum duration of a background propagation, in agent leases
 MAX_BACKGROUND_LEASES = 2.5
 #: limit on concurrent background propagations
 MAX_BACKGROUND_PROPAGATIONS = 64
@@ -86,10 +86,10 @@
     # --- confirmation ----------------------------------------------------------------------
 
     def shards_without_entry(self, job: str) -> list[int] | None:
-        """List the shards whose leaders may still act without the entry.
+        """Return the shards whose leaders may still act without the entry.
 
-        None if this is not known: the cancel or the job's record is not known here, or the view is
-        older than the entry and may lack a change of leader that was committed before it.
+        Returns None if this is not known: the cancel or the job's record is not known here, or the
+        view is older than the entry and may lack a change of leader that was committed before it.
         """
         view = self._view
         entry = self._cancels.get(job)
@@ -222,7 +222,11 @@
         return False
 
     def propagate_in_background(self, job: str) -> None:
-        """Propagate a cancel in the background, for at most ``MAX_BACKGROUND_LEASES``."""
+        """Start to propagate a cancel in the background, for at most ``MAX_BACKGROUND_LEASES``.
+
+        Does nothing if the cancel is confirmed or being propagated already, or if too many
+        background propagations are running.
+        """
         entry = self._cancels.get(job)
         if entry is None or entry.is_confirmed or entry.is_propagating:
             return
--- a/marblestair/core/jobs/completion_records.py
+++ b/marblestair/core/jobs/completion_records.py
@@ -53,7 +53,7 @@
         self._shards_being_written: set[int] = set()
 
     def start_due_commits(self, led_shards: list[Shard]) -> None:
-        """Start recording the complete slices whose managers are unreachable."""
+        """Start the commits that record complete slices whose managers are unreachable."""
         for shard in led_shards:
             if shard.shard_id in self._shards_being_written:
                 continue
--- a/marblestair/core/jobs/dependencies.py
+++ b/marblestair/core/jobs/dependencies.py
@@ -55,7 +55,7 @@
         #: blocked jobs with a cancelled ancestor
         self._with_cancelled_ancestor: set[str] = set()
         #: blocked jobs with an ancestor whose cancel is confirmed, so that their final state may be
-        #: recorded -> steady time since which this node knows that
+        #: recorded -> monotonic time at which this node learned of the confirmation
         self._may_end_since: dict[str, float] = {}
         #: ordered set of parents with deleted records and final states that are not known here
         self._parents_with_unknown_end: dict[str, None] = {}
@@ -69,7 +69,7 @@
         advance: Callable[[str], None],
         dependents_changed: Callable[[Iterable[str]], None],
     ) -> None:
-        """Register callbacks.
+        """Register the two callbacks, replacing earlier ones.
 
         Parameters
         ----------
@@ -169,7 +169,7 @@
         return not self.ancestors_with_unknown_end(job)
 
     def ancestors_with_unknown_end(self, job: str) -> list[str]:
-        """List a blocked job's ancestors that have ended with a final state not known here."""
+        """Return a blocked job's ancestors that have ended with a final state not known here."""
         if not self._parents_with_unknown_end:
             return []
         seen = {job}
@@ -274,7 +274,7 @@
         if self._dependents_changed is not None:
             self._dependents_changed(parents)
 
-    def _notify_ready(self, job: str) -> None:
+    def _request_advance(self, job: str) -> None:
         if self._advance is not None:
             self._advance(job)
 
@@ -293,7 +293,7 @@
         for job in sorted(self._dependents.pop(parent)):
             self._unfinished_parents[job].discard(parent)
             if not self._unfinished_parents[job]:
-                self._notify_ready(job)
+                self._request_advance(job)
 
     def parent_cancelled(self, parent: str) -> None:
         """Mark the descendants of a job with a committed cancel as having a cancelled ancestor."""
@@ -315,12 +315,13 @@
         for blocked in (job, *self.descendants(job)):
             if blocked not in self._may_end_since:
                 self._may_end_since[blocked] = self._context.now
-                self._notify_ready(blocked)
+                self._request_advance(blocked)
 
     def announce_end(self, job: str, state: JobState) -> None:
         """Announce a job's final state, committed here, to the other nodes if jobs depend on it.
 
-        Without the message they would see the record deleted and have to read the final state.
+        Without the message the other nodes would see only that the record is deleted, and would
+        have to read the final state.
         """
         if job in self._dependents:
             self._context.broadcast(JobEnded(job, state))
--- a/marblestair/core/jobs/dependency_reads.py
+++ b/marblestair/core/jobs/dependency_reads.py
@@ -14,14 +14,15 @@
 
 #: mean pause between two checks for parents whose final state must be read
 READ_PAUSE_S = 0.3
-#: parents read per check, so that these reads never use up the node's request rate
+#: maximum number of parents read per check, so that these reads never use up the node's request
+#: rate
 MAX_READS_PER_ROUND = 8
-#: ancestors read for one user request
+#: maximum number of ancestors read for one user request
 MAX_READS_PER_USER_REQUEST = 4
 
 
 class DependencyReads:
-    """Reads the final states of ended parents that one node does not know."""
+    """Reads final states that one node does not know, of parents whose records are deleted."""
 
     def __init__(
         self,
--- a/marblestair/core/jobs/eligibility.py
+++ b/marblestair/core/jobs/eligibility.py
@@ -35,7 +35,7 @@
 
 
 def _is_allowed(spec: JobSpec, machine_type: MachineType) -> bool:
-    """Whether a job may use a machine type, by its names of machine types and its zone."""
+    """Whether the machine types and the zone that a job requests allow a machine type."""
     if spec.machine_types is not None and machine_type.name not in spec.machine_types:
         return False
     return spec.zone is None or spec.zone in machine_type.zones
--- a/marblestair/core/jobs/final_states.py
+++ b/marblestair/core/jobs/final_states.py
@@ -10,12 +10,12 @@
 from marblestair.core.runtime.decision_log import Decision
 from marblestair.core.state.store_view import StoreView
 
-#: final states cached per node; states that were dropped are read from the store again
+#: maximum number of final states cached per node; evicted ones are read from the store again
 MAX_CACHED_STATES = 20_000
 
 
 class DependentJobs(Protocol):
-    """Subscriber to final states: the jobs that depend on other jobs."""
+    """Index of the jobs that depend on other jobs; it is notified of each final state."""
 
     def has_dependents(self, job: str) -> bool:
         """Return whether a blocked job depends on this one."""
@@ -25,7 +25,7 @@
 
 
 class FinalStates:
-    """Committed final states by job; the oldest entries are dropped first."""
+    """Cache of committed final states by job; evicts the entries that were added first."""
 
     def __init__(self, context: NodeContext, view: StoreView) -> None:
         self._context = context
@@ -34,7 +34,7 @@
         self._dependents: DependentJobs | None = None
 
     def subscribe(self, dependents: DependentJobs) -> None:
-        """Have ``dependents`` called with each final state that becomes known."""
+        """Register the index to notify of each recorded final state, replacing an earlier one."""
         self._dependents = dependents
 
     def __contains__(self, job: object) -> bool:
--- a/marblestair/core/jobs/job_managers.py
+++ b/marblestair/core/jobs/job_managers.py
@@ -274,7 +274,7 @@
     def receive_migration_announcement(self, message: AnnounceMigration) -> Coroutine[int]:
         """Return how many change entries of a migrated slice's job are known here (Algorithm 4).
 
-        A record that is older than the migration is read again first.
+        The record is read again first if the view's is older than the migration.
         """
         if self._view.version(keys.JOBS + message.job) < message.version:
             yield from self._reader.read_record(message.job)
@@ -282,7 +282,7 @@
         return len(record.change_list) if record is not None else 0
 
     def receive_change_entries(self, message: SendChangeEntries) -> bool:
-        """Apply later change entries of a job, sent by the source of a migration; return True."""
+        """Apply a cancel among the change entries that a migration's source sent; return True."""
         if any(entry[0] == ChangeKind.CANCEL for entry in message.entries):
             self._cancels.record(message.job, message.version)
         return True
--- a/marblestair/core/jobs/migration_locks.py
+++ b/marblestair/core/jobs/migration_locks.py
@@ -1,4 +1,4 @@
-"""Migrations of slices at the managers of jobs: the locks, and the commits of updates."""
+"""Migrations of slices, at the job's manager: it grants locks and commits the updates."""
 
 from __future__ import annotations
 
@@ -178,7 +178,7 @@
         return [self._view.version(keys.JOBS + managed.job)]
 
     def release_expired(self) -> None:
-        """Release the locks that their migrations have held for too long."""
+        """Release the locks of migrations that have held them longer than the lock timeout."""
         now = self._context.now
         limit_s = LOCK_TIMEOUT_LEASE_SHARE * self._context.settings.cluster.workers.lease_s
         for (job, holder), since in list(self._locked_since.items()):
--- a/marblestair/core/jobs/progress_reports.py
+++ b/marblestair/core/jobs/progress_reports.py
@@ -14,9 +14,9 @@
 
 #: the unchanged progress of a slice is reported again after this time
 REPEAT_INTERVAL_S = 2.0
-#: sent reports that are kept for comparison: for each live job, and in addition to these
+#: limit on the sent reports kept for comparison: a number per live job, plus a constant
 MAX_SENT_REPORTS_PER_JOB, MAX_EXTRA_SENT_REPORTS = 4, 200
-#: number of placed tasks while it is not known
+#: value of ``placed_tasks`` while the number is not known
 PLACED_TASKS_UNKNOWN = -1
 
 
--- a/marblestair/core/jobs/services.py
+++ b/marblestair/core/jobs/services.py
@@ -24,7 +24,7 @@
 
 
 class JobServices:
-    """The components of this package for one node, except those for user requests."""
+    """Creates the components of this package for one node, except those for user requests."""
 
     def __init__(self, context: NodeContext, view: StoreView, leading: LeadershipServices) -> None:
         leadership, connectivity = leading.leadership, leading.connectivity
--- a/marblestair/core/jobs/user_requests.py
+++ b/marblestair/core/jobs/user_requests.py
@@ -99,7 +99,7 @@
         return Outcome(200, JobStatus(final))
 
     def _cancel_live(self, job: str) -> Coroutine[JobState | None]:
-        """Cancel a job whose record is in the view; return its final state, or None for now."""
+        """Cancel a job whose record is in the view; return its final state or None if not known."""
         known = self._answers.answerable_status(job, None)
         if known is not None:
             return known.state
@@ -115,7 +115,7 @@
         return self._final_states.get(job)
 
     def _ask_manager(self, manager: str | None, job: str) -> Coroutine[JobState | None]:
-        """Ask a job's manager to cancel it; return the final state, or None for now."""
+        """Ask a job's manager to cancel it; return its final state or None if not known."""
         reply: Any = None
         if manager == self._context.node:
             reply = yield from self._job_managers.cancel_managed(job)
--- a/marblestair/core/leadership/connectivity.py
+++ b/marblestair/core/leadership/connectivity.py
@@ -11,7 +11,7 @@
 
 #: a node without any heartbeat for this share of an agent's lease counts as unreachable by agents
 UNREACHABLE_LEASE_SHARE = 0.35
-#: the same limit in heartbeat intervals; the longer of the two applies
+#: the same limit in heartbeat intervals; the longer of the two limits applies
 UNREACHABLE_HEARTBEAT_INTERVALS = 2.5
 #: a rented machine is expected to send heartbeats after this many boot times of its type
 HEARTBEAT_DUE_BOOT_TIMES = 2.0
@@ -45,7 +45,7 @@
         self._cooldown_until = None
 
     def begin_cooldown(self, now: float) -> None:
-        """Accept no shard for a few agent leases.
+        """Begin a cooldown of a few agent leases, during which this node accepts no shard.
 
         Agents send heartbeats only to the leader of their shard. A node without shards therefore
         cannot detect that agents reach it again, and is given a shard again after the cooldown.
@@ -83,7 +83,8 @@
         """Return whether agents have apparently lost the connection to this node.
 
         This is so when no machine of its shards has sent a heartbeat lately, the view lists other
-        nodes, and either more than one machine should be sending or those nodes are silent too.
+        nodes, and either more than one machine should be sending heartbeats or those nodes are
+        silent too.
         """
         agents = self._context.settings.cluster.workers
         limit_s = max(
@@ -113,7 +114,7 @@
         ]
 
     def _should_send_heartbeats(self, shard: Shard, machine: Machine) -> bool:
-        """Return whether a machine is expected to be up.
+        """Return whether a machine is expected to send heartbeats.
 
         Either it has sent a heartbeat under this shard's term, or it was in the shard at the
         failover and has had time to boot.
--- a/marblestair/core/leadership/coordinator.py
+++ b/marblestair/core/leadership/coordinator.py
@@ -46,7 +46,7 @@
     def begin_failover_or_transfer(self, now: float) -> None:
         """Begin a failover of orphaned shards, or else a transfer of a shard to another node.
 
-        Called a few times a second.
+        Called a few times a second. Begins neither while this node may not act for its shards.
         """
         self._leadership.log_basis_change(now)
         self._transfer.record_incarnations(now)
--- a/marblestair/core/leadership/failover.py
+++ b/marblestair/core/leadership/failover.py
@@ -24,7 +24,7 @@
 DELAY_PER_LED_SHARD_S = 0.35
 #: random part of the delay, so that nodes seldom try at the same time
 MAX_RANDOM_DELAY_S = 0.15
-#: share of a lease that a restarted leader gets to take its shards over itself
+#: share of a node lease for which a restarted leader may take its own shards over first
 RESTART_GRACE_LEASE_SHARE = 0.5
 #: node leases within which a failed node's shard usually has a new leader
 EXPECTED_FAILOVER_LEASES = 1.6
@@ -49,10 +49,10 @@
         self._leadership = leadership
         self._updates = updates
         self._is_in_progress = False
-        #: version of the shard map that the latest failover without a response was conditional on
+        #: version of the shard map at the latest failover commit that got no response
         self._uncertain_version: int | None = None
-        #: shard -> monotonic time at which its leader was first seen absent
-        self._leader_absent_since: dict[int, float] = {}
+        #: shard -> monotonic time at which this node first saw that its leader is not live
+        self._leader_missing_since: dict[int, float] = {}
 
     @property
     def expected_duration_s(self) -> float:
@@ -82,7 +82,7 @@
         if not orphaned:
             return False
         self._is_in_progress = True
-        preconditions = self._absence_preconditions(current, orphaned)
+        preconditions = self._leader_key_preconditions(current, orphaned)
         self._context.spawn(self._take_over(orphaned, preconditions))
         return True
 
@@ -96,7 +96,7 @@
         orphaned: list[int] = []
         for shard_id, record in enumerate(current.shards):
             if shard_id in own:
-                self._leader_absent_since.pop(shard_id, None)
+                self._leader_missing_since.pop(shard_id, None)
             elif self._should_take_over(shard_id, record, len(own) + len(orphaned), now):
                 orphaned.append(shard_id)
         # One change of the transaction is the shard map, the rest are the fences of the shards.
@@ -110,11 +110,11 @@
             # A previous process of this node led the shard and has ended.
             return True
         if record.leader and self._view.nodes.get(record.leader) == record.incarnation:
-            self._leader_absent_since.pop(shard_id, None)
+            self._leader_missing_since.pop(shard_id, None)
             return False
         if record.leader and self._promises.may_hold_grant(record.leader, now):
             return False
-        since = self._leader_absent_since.setdefault(shard_id, now)
+        since = self._leader_missing_since.setdefault(shard_id, now)
         delay_s = (
             DELAY_PER_LED_SHARD_S * led_count + MAX_RANDOM_DELAY_S * self._context.rng.random()
         )
@@ -131,10 +131,10 @@
             return RESTART_GRACE_LEASE_SHARE * self._lease.ttl_s
         return 0.0
 
-    def _absence_preconditions(
+    def _leader_key_preconditions(
         self, current: ShardMap, orphaned: list[int]
     ) -> list[tuple[str, int]]:
-        """Return preconditions that fail if a leader of the orphaned shards registers again."""
+        """Return preconditions that fail if the node key of an earlier leader changes."""
         preconditions = []
         for shard_id in orphaned:
             leader = current.shards[shard_id].leader
--- a/marblestair/core/leadership/progress_pages.py
+++ b/marblestair/core/leadership/progress_pages.py
@@ -28,17 +28,17 @@
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
 
-#: share of a node's write rate that progress may use, so that it does not delay other writes
+#: share of a node's write rate that progress pages may use, so that it does not delay other writes
 PROGRESS_WRITE_SHARE = 0.35
 #: one batch in this many deletes obsolete keys, even while progress waits to be written
-CLEANUP_EVERY_BATCHES = 5
+BATCHES_PER_CLEANUP = 5
 #: minimum pause between two batches, and the random part added to it
 MIN_BATCH_PAUSE_S, MAX_RANDOM_PAUSE_S = 0.7, 0.2
 #: delay between progress and its write; longer for a complete slice, since the end of its job may
 #: be recorded first and make the write unnecessary
 WRITE_DELAY_S, COMPLETE_SLICE_WRITE_DELAY_S = 0.5, 1.5
-#: keys in one page of a listing
-LIST_PAGE_KEYS = 500
+#: maximum number of keys in one page of a listing
+MAX_LIST_PAGE_KEYS = 500
 
 _PAGE_MASK = (1 << TASKS_PER_PROGRESS_PAGE) - 1
 
@@ -85,14 +85,14 @@
         return self._leadership.shards.get(shard.shard_id) is shard
 
     def load(self, shard: Shard) -> Coroutine[StoredProgress | None]:
-        """Read all pages of a shard; return None if this node lost the shard meanwhile."""
+        """Read all pages of a shard, with retries; return None if this node loses the shard."""
         found: StoredProgress = {}
         prefix = f"{keys.PROGRESS}{shard.shard_id}/"
         after_key = ""
         while self._is_current(shard):
-            # The shard answers no agent until this is read: it must not queue behind user requests.
+            # The shard answers no agent until its pages are read, so they precede user requests.
             response: StoreResponse = yield ListKeys(
-                prefix, after_key, LIST_PAGE_KEYS, RequestPriority.LEASE
+                prefix, after_key, MAX_LIST_PAGE_KEYS, RequestPriority.LEASE
             )
             if response.status != 200:
                 yield Sleep(0.1 + 0.2 * self._context.rng.random())
@@ -125,7 +125,7 @@
                 continue
             batch = dirty_pages(shard, self._context.now)[: self._context.max_batch_changes]
             batch_count += 1
-            if shard.obsolete_keys and (not batch or batch_count % CLEANUP_EVERY_BATCHES == 0):
+            if shard.obsolete_keys and (not batch or batch_count % BATCHES_PER_CLEANUP == 0):
                 sent_changes = yield from self._delete_obsolete_keys(shard)
             elif batch:
                 sent_changes = len(batch)
@@ -189,7 +189,7 @@
 
 
 def dirty_pages(shard: Shard, now: float) -> list[DirtyPage]:
-    """Return the pages with finished tasks that are due to be written, the oldest first."""
+    """Return the pages with finished tasks that are due to be written, the longest dirty first."""
     found = []
     for job_slice in shard.slices.values():
         if job_slice.dirty_since is None or job_slice.is_cancelled:
--- a/marblestair/core/leadership/promise_ledger.py
+++ b/marblestair/core/leadership/promise_ledger.py
@@ -1,7 +1,7 @@
 """The promises that one node has granted and received.
 
-A promise is a vote not to take a leader's shards over. It replaces a lease renewal while the store
-is unavailable: see ``promises.py``.
+A node that promises does not take the asking leader's shards over. A promise replaces a lease
+renewal while the store is unavailable: see ``promises.py``.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
         self._lease_ttl_s = lease_ttl_s
         #: until when promises of all other controllers replace the lease; None if they never did
         self._valid_until: float | None = None
-        #: node -> until when this node has promised not to take its shards over
+        #: node -> until when this node has promised not to take that node's shards over
         self._granted_until: dict[str, float] = {}
 
     def are_valid(self, now: float) -> bool:
--- a/marblestair/core/leadership/promises.py
+++ b/marblestair/core/leadership/promises.py
@@ -35,7 +35,7 @@
     """The committed cancels that one node knows of."""
 
     def record(self, job: str, revision: int) -> object:
-        """Apply a cancel; ``revision`` is one at which the job's record contained it."""
+        """Apply a cancel that the job's record contained at store revision ``revision``."""
 
     def entries_after(self, revision: int) -> list[list[object]] | None:
         """Return the cancels that a view at ``revision`` may lack, or None if they are too many.
@@ -83,9 +83,9 @@
         return remaining_s is None or remaining_s <= RENEWAL_LEASE_SHARE * self._lease.ttl_s
 
     def _request_promises(self) -> Coroutine[None]:
-        """Request promises of all other controllers; valid only if each of them grants one.
+        """Request promises of all other controllers; they count only if each of them grants one.
 
-        Their validity counts from before the first request.
+        Their validity begins at the time of the first request.
         """
         requested_at = self._context.now
         for peer in self._context.settings.others:
--- a/marblestair/core/leadership/services.py
+++ b/marblestair/core/leadership/services.py
@@ -22,7 +22,7 @@
 
 
 class LeadershipServices:
-    """The leadership components of one node."""
+    """Creates the leadership components of one node and holds them as attributes."""
 
     def __init__(
         self, context: NodeContext, view: StoreView, on_shard_ready: Callable[[Shard], None]
@@ -63,7 +63,7 @@
         )
 
     def promises(self, cancels: CommittedCancels) -> Promises:
-        """Create the component that requests and grants promises, which carry known cancels."""
+        """Create the component that requests and grants promises; they carry ``cancels``."""
         return Promises(
             self._context,
             self._view,
@@ -75,7 +75,7 @@
         )
 
     def coordinator(self, promises: Promises) -> LeadershipCoordinator:
-        """Create the coordinator, which starts the components and initiates failovers."""
+        """Create the coordinator, which initiates failovers and transfers."""
         return LeadershipCoordinator(
             self._context,
             self.follower,
--- a/marblestair/core/leadership/shard_recovery.py
+++ b/marblestair/core/leadership/shard_recovery.py
@@ -1,4 +1,6 @@
-"""Recovery of a shard by its new leader, from job records and progress pages, before it acts.
+"""Recovery of a shard by its new leader, from job records and progress pages.
+
+The leader acts for the shard only after the recovery.
 
 All machines of the shard are unreconciled at first. Tasks that an earlier leader may have launched
 are not started again until each machine has sent a heartbeat under the new term, or its agent's
@@ -28,7 +30,7 @@
     """Updates the state of shards to match the view."""
 
     def sync_machine(self, name: str, recovering: Shard | None = None) -> None:
-        """Update a machine to match the view, also in the shard ``recovering``."""
+        """Update a machine to match the view in all ready shards and in ``recovering``."""
 
     def sync_slice(self, shard: Shard, job: str) -> None:
         """Update a shard's slice of a job to match the view."""
@@ -57,7 +59,7 @@
         self, shard: Shard, acquired_revision: int, synchronizer: ShardSynchronizer
     ) -> Coroutine[None]:
         """Recover a shard that was acquired by the shard map commit at ``acquired_revision``."""
-        # The view must first include all jobs, cancels and machines committed before that.
+        # The view must first include all jobs, cancels and machines committed before that commit.
         while self._view.revision < acquired_revision:
             yield Sleep(VIEW_CHECK_PAUSE_S)
             if self._leadership.shards.get(shard.shard_id) is not shard:
@@ -88,7 +90,7 @@
             job_slice.is_unreconciled = has_unreconciled and not job_slice.is_blocked
             if job_slice.is_cancelled:
                 # The cancel may have been confirmed to a user before the earlier leader failed, so
-                # it counts from then.
+                # it is dated back by the expected duration of a failover.
                 job_slice.cancelled_at = self._context.now - self._failover.expected_duration_s
 
     def _log_ready(self, shard: Shard) -> None:
--- a/marblestair/core/leadership/store_lease.py
+++ b/marblestair/core/leadership/store_lease.py
@@ -56,11 +56,12 @@
         self._view = view
         self._follower = follower
         self.ttl_s = lease_ttl_s(context.settings.cluster.workers.lease_s)
-        #: until when the lease is certainly valid; None until the node's key is first attached
+        #: monotonic time until which the lease is certainly valid; None until the node's key is
+        #: first attached
         self.expires_at: float | None = None
         #: revision of the commit that wrote the node's key; the node leads only if its view has it
         self.node_key_revision = 0
-        #: when the latest request that extended the lease was sent
+        #: monotonic time at which the latest request that extended the lease was sent
         self.renewed_at: float | None = None
         #: whether the latest request to keep the lease failed
         self.is_renewal_failing = False
--- a/marblestair/core/leadership/transfer.py
+++ b/marblestair/core/leadership/transfer.py
@@ -21,12 +21,12 @@
 
 #: a node counts as connected while its latest message is younger than this
 MAX_MESSAGE_AGE_S = 3.0
-#: a node must have been in the view for this many leases before it gets a shard as an idle node
+#: node leases for which a node must have been in the view before it gets a shard as an idle node
 MIN_UPTIME_LEASES = 1.5
-#: initial pause before the next transfer, and the maximum in leases
+#: initial pause before the next transfer, and the maximum pause in node leases
 INITIAL_PAUSE_S = 1.0
 MAX_PAUSE_LEASES = 10
-#: the pause is reset to its initial value after this many leases without a transfer
+#: the pause is reset to its initial value after this many node leases without a transfer
 PAUSE_RESET_LEASES = 20
 #: maximum number of commits in one transfer that assign the shard to the target
 MAX_COMMIT_TRIES = 20
@@ -98,7 +98,7 @@
         return counts
 
     def _connected_nodes(self, counts: dict[str, int], now: float) -> list[str]:
-        """Return the other live nodes with a recent message."""
+        """Return the other live nodes from which this node has received a recent message."""
         return [
             node
             for node in counts
--- a/marblestair/core/messaging/messages.py
+++ b/marblestair/core/messaging/messages.py
@@ -129,7 +129,7 @@
 
 
 class UpdateSlices(PeerMessage, frozen=True):
-    """Commit a migration: move task indexes that the source shard has given up to the target shard.
+    """Commit a migration: assign tasks that the source shard no longer starts to the target shard.
 
     Reply: the job record's new version in a list; False when the record was not changed and this
     request will not change it; None when the outcome is not known.
@@ -138,7 +138,7 @@
     job: str
     holder: str
     source: int
-    #: term of the source shard under which its leader gave the tasks up
+    #: term of the source shard under which its leader stopped starting the tasks
     term: int
     #: ``stay`` or ``log_off``: whether the source stays in ActiveServers
     option: str
@@ -166,7 +166,7 @@
 
 
 class RequestPromise(PeerMessage, frozen=True):
-    """Ask the receiver to promise not to take over the sender's shards for the time of a lease.
+    """Ask the receiver to promise not to take over the sender's shards for the duration of a lease.
 
     Reply: the cancels, as pairs of job and revision, that a view as of ``revision`` may lack; None
     when the receiver gives no promise.
--- a/marblestair/core/messaging/shard_summary.py
+++ b/marblestair/core/messaging/shard_summary.py
@@ -41,8 +41,8 @@
     #: team -> cpus and gpus that its quota in this shard must have in total for its first pending
     #: task or gang that exceeds the quota
     required_quota: dict[str, list[int]]
-    #: jobs of which no task has succeeded, and the number of machines on which such a job fails
-    #: while no other job does
+    #: jobs of which no task has succeeded, and for each the number of machines on which it fails
+    #: and no other job does
     failing_jobs: list[tuple[str, int]] = []
 
     def snapshot(self) -> ShardSummary:
--- a/marblestair/core/runtime/outbox.py
+++ b/marblestair/core/runtime/outbox.py
@@ -1,4 +1,4 @@
-"""Outputs of a controller, which its shell sends and logs."""
+"""Outputs of a controller, which the I/O code around the core sends and logs."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 class Outbox:
-    """Everything that a controller has to send and to log, until its shell takes it."""
+    """Everything that a controller has to send and to log, until the I/O code takes it."""
 
     def __init__(self) -> None:
         self.user_replies: list[UserReply] = []
--- a/marblestair/core/runtime/store_requests.py
+++ b/marblestair/core/runtime/store_requests.py
@@ -1,7 +1,7 @@
 """Requests to the store, a consensus-backed key-value store, and its responses.
 
-After a status of 0, no response, the store may have executed the request or may still execute it.
-After ``NOT_SENT`` it certainly has not executed and will not execute the request.
+Status 0 means that no response arrived: the store may have executed the request or may still
+execute it. Status ``NOT_SENT`` means that it has not executed the request and will not.
 """
 
 from __future__ import annotations
--- a/marblestair/core/state/store_follower.py
+++ b/marblestair/core/state/store_follower.py
@@ -34,8 +34,8 @@
         self._context = context
         self._view = view
         self._wait_ms = int(lease_ttl_s * WATCH_WAIT_MS_PER_LEASE_S)
-        # On a busy deployment every watch request is answered at once, because something has
-        # always changed. The pause keeps the watch from using up the node's request rate.
+        # On a busy deployment every watch request is answered at once, because a watched key has
+        # always changed since. The pause keeps the watch from using up the node's request rate.
         settings = context.settings
         requests_per_s = settings.cluster.state.rps / len(settings.nodes)
         pause_s = max(MIN_PAUSE_S, 1.0 / (MAX_WATCH_RATE_SHARE * requests_per_s))
--- a/marblestair/core/state/store_view.py
+++ b/marblestair/core/state/store_view.py
@@ -36,9 +36,9 @@
 class StoreView:
     """The watched keys, each with its version, as of ``revision``.
 
-    Responses may arrive late: that of a read which the store carried out before a deletion that
-    the watch has returned since, or that of a commit which another node has overwritten since. So
-    every update follows one rule: it changes a key only if it is newer than what the view knows of
+    Responses may arrive late. The watch may already have returned the deletion of a key whose
+    value an earlier read returns only now, or another node's change to a key that this node
+    committed before. So an update changes a key only if it is newer than what the view knows of
     this key. A key that is not in the view is known not to exist as of ``revision``.
     """
 
@@ -51,7 +51,7 @@
         self.machines: dict[str, MachineRecord] = {}
         self.jobs: dict[str, JobRecord] = {}
         self.versions: dict[str, int] = {}
-        #: revisions above ``revision`` at which keys are known not to exist
+        #: key -> latest revision above ``revision`` at which the key is known not to exist
         self._absent_at: dict[str, int] = {}
         #: ranges of the latest listing whose revisions are above ``revision``
         self._listed_ranges: list[ListedRange] = []
