--- a/marblestair/core/jobs/cancellations.py
+++ b/marblestair/core/jobs/cancellations.py
@@ -9,9 +9,9 @@
 - *confirmed*: users may be told that the job is cancelled.
 
 The paper's coordinator (Algorithm 3) releases its exclusive lock only after every active server has
-made the change. Likewise, no node tells a user that a job is cancelled before every such controller
-has applied the cancel. A leader may act if it holds its lease and a recent view, or holds promises
-of all other controllers:
+made the change. Likewise, no node tells a user that a job is cancelled before every controller that
+may act for the job has applied the cancel. A leader may act if it holds its lease and a recent
+view, or holds promises of all other controllers:
 
 - A leader that acts by its lease has a view younger than an agent's lease, so the view contains
   every entry that is older than that.
@@ -115,7 +115,7 @@
         shard_ids = {record.manager_shard, *map(int, record.slices)}
         for descendant in self._dependencies.descendants(job):
             # The dependency index may still list a descendant that has ended; no manager reports
-            # such a job as queued.
+            # an ended job as queued.
             live = self._view.jobs.get(descendant)
             if live is not None:
                 shard_ids.add(live.manager_shard)
--- a/marblestair/core/jobs/dependencies.py
+++ b/marblestair/core/jobs/dependencies.py
@@ -121,7 +121,8 @@
 
         The job's manager knows the ancestor's cancel, because it is confirmed. Any other node may
         report "queued" after a read only if its view is younger than an agent's lease. Once the
-        cancel is older than that, every such view contains it, so no node can report another state.
+        cancel is older than that, every view that recent contains it, so no node can report another
+        state.
         """
         since = self._may_end_since.get(job)
         if since is None:
--- a/marblestair/core/jobs/dependency_reads.py
+++ b/marblestair/core/jobs/dependency_reads.py
@@ -72,10 +72,10 @@
             return False
         # An ancestor that turns out to be live may have ancestors with deleted records itself.
         for _ in range(MAX_READS_PER_USER_REQUEST):
-            gone = self._dependencies.ancestors_with_unknown_end(job)
-            if not gone:
+            unread = self._dependencies.ancestors_with_unknown_end(job)
+            if not unread:
                 return not self._dependencies.has_cancelled_ancestor(job)
-            yield from self._reader.read_final_first(gone[0], priority)
+            yield from self._reader.read_final_first(unread[0], priority)
         return not self._dependencies.ancestors_with_unknown_end(
             job
         ) and not self._dependencies.has_cancelled_ancestor(job)
--- a/marblestair/core/jobs/job_managers.py
+++ b/marblestair/core/jobs/job_managers.py
@@ -1,8 +1,8 @@
-"""The managers of jobs: they commit releases, cancels and ends to the jobs' records.
+"""The managers of jobs, which commit the release, cancel and final state of each job.
 
 The leader of a job's manager shard runs the job's ServerManager. Only this leader decides how the
-job ends, and only it answers from memory with a state that is not final. So no user gets an
-answer that is older than an earlier one.
+job ends, and only it answers from memory with a state that is not final. So no user gets a
+status that is older than one returned before.
 """
 
 from __future__ import annotations
--- a/marblestair/core/jobs/lookups.py
+++ b/marblestair/core/jobs/lookups.py
@@ -39,7 +39,7 @@
         next_search = self._searches.get(job)
         if next_search is not None:
             # The running search may have read a status that is older than an answer this user got
-            # from another node before it asked here. Only a search that starts later may answer.
+            # from another node before asking here. Only a search that starts later may answer.
             status: JobStatus | None = yield next_search
             return status
         return (yield from self._search(job, search))
--- a/marblestair/core/jobs/manager_steps.py
+++ b/marblestair/core/jobs/manager_steps.py
@@ -19,15 +19,15 @@
     REWRITE = enum.auto()
     #: have a committed cancel applied by every leader that may act for the job
     PROPAGATE_CANCEL = enum.auto()
-    #: record the end of a cancelled job that has no task on a machine any more
+    #: record the final state of a cancelled job that has no task on a machine any more
     END_CANCELLED = enum.auto()
-    #: record the end of a job whose tasks are all done
+    #: record the final state of a job whose tasks are all done
     FINISH = enum.auto()
     #: commit a cancel to the job's change list
     CANCEL = enum.auto()
     #: commit the release of a blocked job whose parents are all done: its tasks may start
     RELEASE = enum.auto()
-    #: record the end of a blocked job that has a cancelled ancestor
+    #: record the final state of a blocked job that has a cancelled ancestor
     END_BLOCKED = enum.auto()
 
 
@@ -84,8 +84,8 @@
         if self._dependencies.has_cancelled_ancestor(managed.job):
             if not self._dependencies.may_end(managed.job):
                 return ManagerStep.CANCEL if managed.is_cancel_requested else None
-            # No user waits for these ends: the number in flight is limited, and their commits have
-            # a lower priority than others until they are overdue.
+            # No user waits for these final states: the number of their commits in flight is
+            # limited, and they have a lower priority than other commits until they are overdue.
             may_end = may_end_blocked or managed.is_advancing
             return ManagerStep.END_BLOCKED if may_end else None
         if managed.is_cancel_requested:
--- a/marblestair/core/leadership/connectivity.py
+++ b/marblestair/core/leadership/connectivity.py
@@ -82,9 +82,9 @@
     def is_unreachable_by_agents(self, now: float) -> bool:
         """Return whether agents have apparently lost the connection to this node.
 
-        This is so when no machine of its shards has sent a heartbeat lately, the view lists other
-        nodes, and either more than one machine should be sending heartbeats or those nodes are
-        silent too.
+        This is so when no machine of its shards has sent a heartbeat within a time limit, the view
+        lists other nodes, and either more than one machine should be sending heartbeats or those
+        nodes are silent too.
         """
         agents = self._context.settings.cluster.workers
         limit_s = max(
--- a/marblestair/core/runtime/decision_log.py
+++ b/marblestair/core/runtime/decision_log.py
@@ -32,7 +32,7 @@
     LAUNCH = "launch"
     #: commands to stop tasks were sent
     STOP = "stop"
-    #: a user's query was answered, by the proof of the answer, or rejected for lack of one
+    #: a user's query was answered (counted by proof), or refused because there was no proof
     ANSWER = "answer"
 
 
--- a/marblestair/core/runtime/outbox.py
+++ b/marblestair/core/runtime/outbox.py
@@ -20,7 +20,7 @@
     done: int | None = None
     running: int | None = None
     error: str = ""
-    #: seconds after which a rejected user may retry; 0: not specified
+    #: seconds after which the user may retry a refused request; 0: not specified
     retry_after_s: int = 0
 
 
--- a/marblestair/core/runtime/store_requests.py
+++ b/marblestair/core/runtime/store_requests.py
@@ -34,7 +34,7 @@
 
 
 class ListKeys(msgspec.Struct, frozen=True):
-    """Read the keys with a prefix that sort after ``after_key``, up to a limit."""
+    """Read the keys with a prefix that sort after ``after_key``, at most ``limit`` of them."""
 
     prefix: str
     after_key: str = ""
