--- a/marblestair/core/capacity/catalog_updates.py
+++ b/marblestair/core/capacity/catalog_updates.py
@@ -91,7 +91,7 @@
         puts = [Put(keys.MACHINE_TYPES + kind.name, kind) for kind in batch]
         preconditions = [(put.key, 0) for put in puts]
         response: StoreResponse = yield CompareAndSwap(
-            preconditions, puts, [], RequestPriority.SHARD_MAP
+            preconditions, puts, [], RequestPriority.CAPACITY
         )
         if response.status == 409:
             yield from self._read_stored()
--- a/marblestair/core/capacity/machine_registry.py
+++ b/marblestair/core/capacity/machine_registry.py
@@ -112,7 +112,7 @@
     def _register(self, name: str, record: MachineRecord) -> Coroutine[None]:
         key = keys.MACHINES + name
         fence = self._leadership.fence_precondition(record.shard_id)
-        swap = CompareAndSwap([(key, 0), fence], [Put(key, record)], [], RequestPriority.SHARD_MAP)
+        swap = CompareAndSwap([(key, 0), fence], [Put(key, record)], [], RequestPriority.CAPACITY)
         response: StoreResponse = yield swap
         if response.status == 200:
             self._view.apply_commit(swap, response.revision)
--- a/marblestair/core/capacity/rentals.py
+++ b/marblestair/core/capacity/rentals.py
@@ -79,7 +79,7 @@
         )
         fence = self._leadership.fence_precondition(shard.shard_id)
         response: StoreResponse = yield CompareAndSwap(
-            [(key, 0), fence], [Put(key, intent)], [], RequestPriority.SHARD_MAP
+            [(key, 0), fence], [Put(key, intent)], [], RequestPriority.CAPACITY
         )
         if response.status != 200:
             if response.status == 0:
@@ -158,7 +158,7 @@
             preconditions.append(self._leadership.fence_precondition(shard.shard_id))
             preconditions.append((intent_key, intent_version))
             swap = CompareAndSwap(
-                preconditions, puts, [] if rest else [intent_key], RequestPriority.SHARD_MAP
+                preconditions, puts, [] if rest else [intent_key], RequestPriority.CAPACITY
             )
             response: StoreResponse = yield swap
             if response.status == 200:
--- a/marblestair/core/runtime/store_requests.py
+++ b/marblestair/core/runtime/store_requests.py
@@ -22,7 +22,7 @@
     ACCEPTANCE = 1
     FINAL_STATE = 2
     PROGRESS = 3
-    SHARD_MAP = 4
+    CAPACITY = 4
     LOOKUP = 5
 
 
@@ -39,7 +39,7 @@
     prefix: str
     after_key: str = ""
     limit: int = 200
-    priority: RequestPriority = RequestPriority.SHARD_MAP
+    priority: RequestPriority = RequestPriority.CAPACITY
 
 
 class Put(msgspec.Struct, frozen=True):
--- a/marblestair/core/scheduling/machine_transfers.py
+++ b/marblestair/core/scheduling/machine_transfers.py
@@ -259,7 +259,7 @@
             record = self._view.machines[machine.name]
             puts.append(Put(key, msgspec.structs.replace(record, shard_id=target_id)))
             preconditions.append((key, self._view.version(key)))
-        return CompareAndSwap(preconditions, puts, [], RequestPriority.SHARD_MAP)
+        return CompareAndSwap(preconditions, puts, [], RequestPriority.CAPACITY)
 
 
 def _price(machine: Machine) -> float:
