--- a/marblestair/core/runtime/store_requests.py
+++ b/marblestair/core/runtime/store_requests.py
@@ -18,11 +18,17 @@
 class RequestPriority(enum.IntEnum):
     """Priority of a request under the node's rate limits; the lowest value is served first."""
 
+    #: leases, the watch, the shard map and the recovery of shards
     LEASE = 0
+    #: acceptance and cancels of jobs
     ACCEPTANCE = 1
+    #: releases, migrations and final states of jobs, and removals of machines
     FINAL_STATE = 2
+    #: progress pages and final states that can be deferred
     PROGRESS = 3
+    #: machines, rentals and machine types
     CAPACITY = 4
+    #: reads for users' queries
     LOOKUP = 5
 
 
