--- a/marblestair/core/runtime/outbox.py
+++ b/marblestair/core/runtime/outbox.py
@@ -1,4 +1,4 @@
-"""Outputs of a controller, which its shell sends and logs."""
+"""Outputs of a controller, which the I/O code around the core sends and logs."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     done: int | None = None
     running: int | None = None
     error: str = ""
-    #: seconds after which a rejected user may retry; 0: not specified
+    #: seconds after which the user may retry a refused request; 0: not specified
     retry_after_s: int = 0
 
 
@@ -55,7 +55,7 @@
 
 
 class Outbox:
-    """Everything that a controller has to send and to log, until its shell takes it."""
+    """Everything that a controller has to send and to log, until the I/O code takes it."""
 
     def __init__(self) -> None:
         self.user_replies: list[UserReply] = []
