--- a/marblestair/core/capacity/team_headroom.py
+++ b/marblestair/core/capacity/team_headroom.py
@@ -1,4 +1,4 @@
-"""The remaining headroom of the teams under their cpu limits."""
+"""Headroom of the teams under their cpu limits."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 
 
 class TeamHeadroom:
-    """The cpus that the teams' limits leave for pending work, reserved job by job."""
+    """Tracks the cpus that the teams' limits leave for pending work, and reserves them by job."""
 
     def __init__(
         self, teams: dict[str, Team], reported: ReportedState, live: list[JobRecord]
     ) -> None:
         self._cpus = {name: team.cpu_limit for name, team in teams.items()}
-        # Arrays are not subtracted, because they soon free their part of the limit for gangs.
+        # Arrays are not deducted from the gangs' headroom, because their tasks soon free their part
+        # of the limit.
         self._gang_cpus = dict(self._cpus)
         for record in live:
             spec = record.spec
--- a/marblestair/core/jobs/dependency_reads.py
+++ b/marblestair/core/jobs/dependency_reads.py
@@ -14,14 +14,15 @@
 
 #: mean pause between two checks for parents whose final state must be read
 READ_PAUSE_S = 0.3
-#: parents read per check, so that these reads never use up the node's request rate
+#: maximum number of parents read per check, so that these reads never use up the node's request
+#: rate
 MAX_READS_PER_ROUND = 8
-#: ancestors read for one user request
+#: maximum number of ancestors read for one user request
 MAX_READS_PER_USER_REQUEST = 4
 
 
 class DependencyReads:
-    """Reads the final states of ended parents that one node does not know."""
+    """Reads final states that one node does not know, of parents whose records are deleted."""
 
     def __init__(
         self,
@@ -71,10 +72,10 @@
             return False
         # An ancestor that turns out to be live may have ancestors with deleted records itself.
         for _ in range(MAX_READS_PER_USER_REQUEST):
-            gone = self._dependencies.ancestors_with_unknown_end(job)
-            if not gone:
+            unread = self._dependencies.ancestors_with_unknown_end(job)
+            if not unread:
                 return not self._dependencies.has_cancelled_ancestor(job)
-            yield from self._reader.read_final_first(gone[0], priority)
+            yield from self._reader.read_final_first(unread[0], priority)
         return not self._dependencies.ancestors_with_unknown_end(
             job
         ) and not self._dependencies.has_cancelled_ancestor(job)
--- a/marblestair/core/jobs/job_managers.py
+++ b/marblestair/core/jobs/job_managers.py
@@ -1,8 +1,8 @@
-"""The managers of jobs: they commit releases, cancels and ends to the jobs' records.
+"""The managers of jobs, which commit the release, cancel and final state of each job.
 
 The leader of a job's manager shard runs the job's ServerManager. Only this leader decides how the
-job ends, and only it answers from memory with a state that is not final. So no user gets an
-answer that is older than an earlier one.
+job ends, and only it answers from memory with a state that is not final. So no user gets a
+status that is older than one returned before.
 """
 
 from __future__ import annotations
@@ -112,12 +112,12 @@
 
     # --- advancing jobs --------------------------------------------------------------------
 
-    def tick(self) -> None:
+    def report_and_advance(self) -> None:
         """Send progress reports, record complete slices and advance the managed jobs."""
         if self._view.shard_map is None:
             return
         led_shards = self._leadership.led_shards()
-        self._completion_records.tick(led_shards)
+        self._completion_records.start_due_commits(led_shards)
         self._reports.send(led_shards)
         for job in list(self._managed_jobs):
             self.advance(job)
@@ -274,7 +274,7 @@
     def receive_migration_announcement(self, message: AnnounceMigration) -> Coroutine[int]:
         """Return how many change entries of a migrated slice's job are known here (Algorithm 4).
 
-        A record that is older than the migration is read again first.
+        The record is read again first if the view's is older than the migration.
         """
         if self._view.version(keys.JOBS + message.job) < message.version:
             yield from self._reader.read_record(message.job)
@@ -282,7 +282,7 @@
         return len(record.change_list) if record is not None else 0
 
     def receive_change_entries(self, message: SendChangeEntries) -> bool:
-        """Apply later change entries of a job, sent by the source of a migration; return True."""
+        """Apply a cancel among the change entries that a migration's source sent; return True."""
         if any(entry[0] == ChangeKind.CANCEL for entry in message.entries):
             self._cancels.record(message.job, message.version)
         return True
--- a/marblestair/core/runtime/store_requests.py
+++ b/marblestair/core/runtime/store_requests.py
@@ -1,7 +1,7 @@
 """Requests to the store, a consensus-backed key-value store, and its responses.
 
-After a status of 0, no response, the store may have executed the request or may still execute it.
-After ``NOT_SENT`` it certainly has not executed and will not execute the request.
+Status 0 means that no response arrived: the store may have executed the request or may still
+execute it. Status ``NOT_SENT`` means that it has not executed the request and will not.
 """
 
 from __future__ import annotations
@@ -18,11 +18,17 @@
 class RequestPriority(enum.IntEnum):
     """Priority of a request under the node's rate limits; the lowest value is served first."""
 
+    #: leases, the watch, the shard map and the recovery of shards
     LEASE = 0
+    #: acceptance and cancels of jobs
     ACCEPTANCE = 1
+    #: releases, migrations and final states of jobs, and removals of machines
     FINAL_STATE = 2
+    #: progress pages and final states that can be deferred
     PROGRESS = 3
-    SHARD_MAP = 4
+    #: machines, rentals and machine types
+    CAPACITY = 4
+    #: reads for users' queries
     LOOKUP = 5
 
 
@@ -34,12 +40,12 @@
 
 
 class ListKeys(msgspec.Struct, frozen=True):
-    """Read the keys with a prefix that sort after ``after_key``, up to a limit."""
+    """Read the keys with a prefix that sort after ``after_key``, at most ``limit`` of them."""
 
     prefix: str
     after_key: str = ""
     limit: int = 200
-    priority: RequestPriority = RequestPriority.SHARD_MAP
+    priority: RequestPriority = RequestPriority.CAPACITY
 
 
 class Put(msgspec.Struct, frozen=True):
--- a/tests/tools/bad_input.py
+++ b/tests/tools/bad_input.py
@@ -1,4 +1,4 @@
-"""What careless and hostile clients send: malformed requests and frames, crowds, floods."""
+"""Invalid input from clients: malformed requests, reports and frames, and impossible jobs."""
 
 from __future__ import annotations
 
@@ -11,44 +11,44 @@
 from tests.tools.messages import build_frame, build_request, pack
 from tests.tools.network import Address, Endpoint, Network
 from tests.tools.processes import Host
-from tests.tools.workload import describe
-
-#: how long a careless client keeps its connection
-KEPT_S = 4.0
-#: pause between two pieces of a request that is sent in pieces
-PIECE_PAUSE_S = 0.05
-TOO_LARGE_BODY = b"\x00" * (70 * 1024)
-TOO_LARGE_HEAD = b"X-Long: " + b"a" * (20 * 1024)
+from tests.tools.workload import job_submission
+
+#: time after which a client closes its connection
+HOLD_S = 4.0
+#: pause between two chunks of a request that is sent in chunks
+CHUNK_PAUSE_S = 0.05
+OVERSIZED_BODY = b"\x00" * (70 * 1024)
+OVERSIZED_HEAD = b"X-Long: " + b"a" * (20 * 1024)
 JOBS_PATH = "/v1/jobs"
 
 
-class Mischief:
-    """Clients that send bytes as they like, each on a connection of its own."""
+class RawClients:
+    """Sends arbitrary bytes, each time from a new client on a new connection."""
 
     def __init__(self, network: Network) -> None:
         self._network = network
-        self._clients = 0
+        self._client_count = 0
 
-    def send(self, address: Address, *pieces: bytes, kept_s: float = KEPT_S) -> None:
-        """Connect, send pieces one after another, and close after a time."""
-        self._clients += 1
-        name = f"client-{self._clients}"
+    def send(self, address: Address, *chunks: bytes, hold_s: float = HOLD_S) -> None:
+        """Connect, send the chunks one by one, and close the connection after ``hold_s``."""
+        self._client_count += 1
+        name = f"client-{self._client_count}"
         self._network.connect(
             Host("mischief", name, name),
             address,
             asyncio.Protocol,
-            lambda endpoint: self._opened(endpoint, pieces, kept_s),
+            lambda endpoint: self._opened(endpoint, chunks, hold_s),
             lambda error: None,
         )
 
-    def _opened(self, endpoint: Endpoint, pieces: tuple[bytes, ...], kept_s: float) -> None:
-        for number, piece in enumerate(pieces):
-            self._network.loop.call_later(number * PIECE_PAUSE_S, endpoint.write, piece)
-        self._network.loop.call_later(kept_s, endpoint.close)
+    def _opened(self, endpoint: Endpoint, chunks: tuple[bytes, ...], hold_s: float) -> None:
+        for number, chunk in enumerate(chunks):
+            self._network.loop.call_later(number * CHUNK_PAUSE_S, endpoint.write, chunk)
+        self._network.loop.call_later(hold_s, endpoint.close)
 
 
 def malformed_submissions() -> list[bytes]:
-    """Submissions that are refused as malformed."""
+    """Return requests to submit jobs that a controller must reject as malformed."""
     bodies = [b"", b"\xc1", pack([1, 2]), pack("job"), pack({"ref": "job-000001"})]
     wrong: list[dict[str, Any]] = [
         {"ref": 7},
@@ -73,13 +73,16 @@
         {"together": 1},
         {"bundle": None},
     ]
-    bodies += [pack(describe(9000, **changes)) for changes in wrong]
-    bodies += [pack({x: y for x, y in describe(9001).items() if x != "owner"}), TOO_LARGE_BODY]
+    bodies += [pack(job_submission(9000, **changes)) for changes in wrong]
+    bodies += [
+        pack({x: y for x, y in job_submission(9001).items() if x != "owner"}),
+        OVERSIZED_BODY,
+    ]
     return [build_request("POST", JOBS_PATH, body, closes_connection=False) for body in bodies]
 
 
 def impossible_jobs(first_number: int) -> list[dict[str, Any]]:
-    """Jobs that can never run."""
+    """Return submissions of jobs that can never run: unknown team, too large, no such machines."""
     changes: list[dict[str, Any]] = [
         {"owner": "nobody"},
         {"cpus": 500.0},
@@ -90,13 +93,13 @@
         {"builds": ["c16"], "room": "c"},
         {"room": "nowhere"},
     ]
-    return [describe(first_number + x, **change) for x, change in enumerate(changes)]
+    return [job_submission(first_number + x, **change) for x, change in enumerate(changes)]
 
 
-def odd_requests() -> list[tuple[bytes, ...]]:
-    """Requests with unknown paths, wrong methods or broken HTTP, some of them in pieces."""
+def unusual_requests() -> list[tuple[bytes, ...]]:
+    """Return the chunks of requests: unknown paths, wrong methods, malformed or pipelined HTTP."""
     query = get(f"{JOBS_PATH}/job-000001")
-    submission = post(JOBS_PATH, describe(9100))
+    submission = post(JOBS_PATH, job_submission(9100))
     return [
         (get("/"),),
         (get("/v1/jobs"),),
@@ -114,7 +117,7 @@
         (b"GET /\xff\xfe HTTP/1.1\r\n\r\n",),
         (b"nonsense\r\n\r\n",),
         (b"GET / HTTP/9.9\r\n\r\n",),
-        (b"GET / HTTP/1.1\r\n" + TOO_LARGE_HEAD + b"\r\n\r\n",),
+        (b"GET / HTTP/1.1\r\n" + OVERSIZED_HEAD + b"\r\n\r\n",),
         (b"POST /v1/jobs HTTP/1.1\r\nContent-Length: x\r\n\r\n",),
         (b"GET /healthz HTTP/1.1\r\nConnection: Upgrade\r\nUpgrade: websocket\r\n\r\n",),
         (b"POST /v1/jobs HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",),
@@ -127,7 +130,7 @@
 
 
 def malformed_reports() -> list[bytes]:
-    """Agents' reports that are malformed, or come from machines that nobody rented."""
+    """Return agents' reports that are malformed or come from machines that were never rented."""
     report: dict[str, Any] = {
         "bench": "host-999999",
         "endpoint": "10.1.200.1:9000",
@@ -160,7 +163,7 @@
 
 
 def malformed_frames() -> list[bytes]:
-    """Frames between controllers that are malformed, or questions that make no sense."""
+    """Return frames between controllers that are malformed or carry invalid arguments."""
     notes: list[tuple[str, list[Any]]] = [
         ("summaries", []),
         ("summaries", [1, [[1, 2]], True, []]),
@@ -213,9 +216,9 @@
     return frames
 
 
-def spread(
+def schedule_actions(
     at: Callable[..., None], begin_s: float, pause_s: float, actions: list[Callable[[], None]]
 ) -> None:
-    """Do things one after another."""
+    """Schedule actions at regular intervals, through ``at(time, action)``."""
     for number, action in enumerate(actions):
         at(begin_s + number * pause_s, action)
