--- a/marblestair/core/jobs/acceptance.py
+++ b/marblestair/core/jobs/acceptance.py
@@ -1,9 +1,10 @@
 """Acceptance of submitted jobs.
 
-A job that can never run is refused. Any other job is divided into slices and its record is
-committed to the store; that commit accepts the job. Its preconditions are that neither a record nor
-a final state exists for the job's id, so an id is accepted at most once, however often it is
-submitted and to however many controllers.
+A job that can never run is refused, and so is a job that depends on one that was never accepted.
+Any other job is accepted by a commit to the store. The commit writes the job's record with its
+slices, or the final state "cancelled" if a job that it depends on is cancelled. The commit fails if
+a record or a final state exists for the job's id, so an id is accepted at most once, however often
+it is submitted and to however many controllers.
 """
 
 from __future__ import annotations
@@ -36,17 +37,18 @@
 from marblestair.core.state.records import MAX_SPEC_SHARE, JobRecord, exceeds_value_limit
 from marblestair.core.state.store_view import StoreView
 
-#: limit on concurrent submissions, as seconds of this node's share of the store's write rate
+#: the limit on concurrent submissions is the number of writes that this node's share of the store's
+#: write rate allows in this time
 SUBMISSION_WINDOW_S = 0.75
 #: lower bound of the limit on concurrent submissions
 MIN_IN_FLIGHT_SUBMISSIONS = 2
-#: share of a node's write rate at which submissions are expected to finish; other writes use the
-#: rest
+#: share of a node's write rate that submissions are expected to use, from which their Retry-After
+#: time is computed; other writes use the rest
 SUBMISSION_WRITE_SHARE = 0.5
-#: attempts to commit the record of one submission
+#: maximum number of attempts to commit the record of one submission
 MAX_COMMIT_TRIES = 3
-#: Retry-After values: by default, when no shard is available to manage the job, and when the store
-#: refuses the record or the record would be too large at present
+#: Retry-After times: by default; when no shard can manage the job; and when the store rejected the
+#: record or the job has too many unfinished parents for the record to fit
 RETRY_AFTER_S, NO_SHARD_RETRY_AFTER_S, STORE_REFUSED_RETRY_AFTER_S = 1, 2, 5
 #: maximum number of parents listed in a log line
 MAX_LOGGED_PARENTS = 8
@@ -131,7 +133,7 @@
         if parents.state is ParentsState.CANCELLED:
             return (yield from self._accept_cancelled(dependent, parents.deciding_job))
         if self._is_too_large(dependent):
-            # A retry may fit, because some of the parents may be done by then.
+            # A later submission may fit: the record does not list parents that are done by then.
             error = "it awaits more unfinished jobs than can be kept"
             return Outcome(503, UNKNOWN, error, STORE_REFUSED_RETRY_AFTER_S)
         return (yield from self._admit(dependent))
@@ -166,12 +168,15 @@
         return None
 
     def _is_too_large(self, spec: JobSpec) -> bool:
-        """Whether a job's record without slices exceeds its share of the store's value limit."""
+        """Whether a job's record without slices exceeds ``MAX_SPEC_SHARE`` of the value limit."""
         value_kb = self._context.settings.cluster.state.value_kb
         return exceeds_value_limit(JobRecord(spec, 0, {}, []), value_kb, MAX_SPEC_SHARE)
 
     def _reject(self, spec: JobSpec, reason: str) -> Coroutine[Outcome]:
-        """Refuse a job permanently; return its status instead if it was accepted before."""
+        """Refuse a job permanently, unless it was accepted before.
+
+        Returns the job's status if it was accepted, and asks for a retry if this is not known.
+        """
         status = yield from self._answers.lookup(spec.id)
         if status is None:
             return Outcome(503, UNKNOWN, "state service unavailable", RETRY_AFTER_S)
@@ -185,9 +190,9 @@
     def _choose_manager_shard(self) -> int | None:
         """Choose the shard whose leader is to run a new job's ServerManager.
 
-        Prefers a shard that this node leads; otherwise takes one whose current leader has sent a
-        recent summary. The node need not lead the shard to commit the record: the shard's leader
-        reads the record through its watch. Returns None if no shard qualifies.
+        Chooses at random among the shards that this node leads. If it leads none but is authorized
+        to act, it chooses among the shards whose current leaders have sent a recent summary: the
+        chosen shard's leader gets the record by its watch. Returns None if no shard qualifies.
         """
         shard_ids = [shard.shard_id for shard in self._leadership.led_shards()]
         shard_map = self._view.shard_map
@@ -222,7 +227,8 @@
                 return Outcome(503, UNKNOWN, "not accepted", STORE_REFUSED_RETRY_AFTER_S)
             if response.status not in (0, 409):
                 break
-            # An earlier attempt of this node, or a submission to another node, may have succeeded.
+            # An earlier attempt of this node, or a submission to another node, may have created the
+            # record or a final state.
             status = yield from self._answers.read_status(spec.id)
             if status is None:
                 break
--- a/marblestair/core/jobs/admission.py
+++ b/marblestair/core/jobs/admission.py
@@ -18,9 +18,9 @@
     Parameters
     ----------
     limit
-        Requests that may be in progress at the same time; at least 1.
+        Maximum number of requests in progress at the same time; at least 1.
     rate_per_s
-        Requests that are expected to finish per second.
+        Expected number of requests that finish per second.
     """
 
     def __init__(self, limit: int, rate_per_s: float) -> None:
--- a/marblestair/core/jobs/answers.py
+++ b/marblestair/core/jobs/answers.py
@@ -1,10 +1,14 @@
-"""Job statuses returned to users. Every status that a user receives comes from this module.
+"""Job statuses returned to users.
+
+This module determines the status of each job that was accepted before the request; only the final
+state returned for a cancel request may come from elsewhere (``user_requests.py``).
 
 Statuses are consistent across nodes: once any node has returned a final state of a job, every
 request that arrives later, at any node, gets that same state. A state that is not final is
 therefore returned only with a proof that no node can have returned a final state before the request
-arrived; a cached state is no proof. A final state is returned once it is committed, and may come
-from a cache because it never changes.
+arrived; a cached state is no proof. A final state may be returned from a cache, because it never
+changes. The state "cancelled" may be returned before it is recorded as the final state, once the
+cancel is confirmed (``cancellations.py``).
 """
 
 from __future__ import annotations
@@ -33,8 +37,7 @@
 from marblestair.core.runtime.store_requests import RequestPriority
 from marblestair.core.state.store_view import StoreView
 
-#: timeout of a query to another controller; a user waits 2 s, and the rest is needed for reads of
-#: the store
+#: timeout of a query to another controller; a user waits 2 s, and reads of the store need the rest
 PEER_QUERY_TIMEOUT_S = 0.6
 
 
@@ -74,9 +77,10 @@
     def answerable_status(self, job: str, found: ProvenStatus | None) -> JobStatus | None:
         """Return the status that users may get for a job, or None if there is none now.
 
-        Every status passes this check last, for every kind of request. Between the commit of a
-        cancel and its confirmation neither "cancelled" nor the earlier state is returned: another
-        node may have returned "cancelled" already, and some leader may not have applied the cancel.
+        Each status that this class returns, except UNKNOWN, passes this check last. Between the
+        commit of a cancel and its confirmation neither state is returned: "cancelled" would be
+        wrong if some leader has not applied the cancel, and the earlier state would be wrong if
+        another node has already returned "cancelled".
 
         Parameters
         ----------
@@ -93,7 +97,7 @@
         if self._dependencies.has_cancelled_ancestor(job):
             if self._dependencies.may_answer_cancelled(job):
                 return JobStatus(JobState.CANCELLED)
-            # ``found``, from this node or another one, is based on an older view than this node's.
+            # ``found`` was determined without regard to the ancestor's cancel.
             found = None
         decisions = self._context.decisions
         if found is None:
@@ -107,7 +111,7 @@
         return self.answerable_status(job, self._managed_status(job))
 
     def _managed_status(self, job: str) -> ProvenStatus | None:
-        """Return the status of a job that this node manages, or None if it has no proof of it."""
+        """Return the status of a job that this node manages, or None if it cannot be proven."""
         record = self._view.jobs.get(job)
         managed = self._managed_jobs.get(job)
         if record is None or managed is None:
@@ -115,7 +119,8 @@
         if not self._leadership.is_leader(managed.shard_id):
             return None
         if not managed.is_record_known:
-            # The final state may be committed already, and another node may have returned it.
+            # A commit whose response has not arrived may have recorded the final state, and another
+            # node may already have returned that state.
             return None
         if record.is_blocked and not self._dependencies.knows_ancestors(job):
             return None
@@ -127,7 +132,7 @@
     # --- lookups ---------------------------------------------------------------------------
 
     def lookup(self, job: str) -> Coroutine[JobStatus | None]:
-        """Return a job's status: UNKNOWN if no such job exists, None if it is not available."""
+        """Return a job's status: UNKNOWN if no such job exists, None if not available now."""
         known = self.status_from_memory(job)
         if known is not None:
             return known
@@ -136,8 +141,8 @@
     def search(self, job: str) -> Coroutine[JobStatus | None]:
         """Return the status of a job from its manager, or else from a new read of the store.
 
-        Called for jobs whose status this node may not return from memory; None if the status is not
-        available from either.
+        Called for jobs whose status this node may not return from memory. Returns UNKNOWN if no
+        such job exists, and None if neither gives a status that users may get.
         """
         record = self._view.jobs.get(job)
         self._cancellations.propagate_in_background(job)
@@ -176,7 +181,7 @@
     ) -> Coroutine[JobStatus | None]:
         """Return a job's status from a new read of the store.
 
-        UNKNOWN if no such job exists, None if the status is not available.
+        Returns UNKNOWN if no such job exists, and None if there is no status that users may get.
         """
         found = yield from self._reader.read_record(job, priority)
         if found is None or found == UNKNOWN:
@@ -184,13 +189,14 @@
         if job in self._final_states:
             return self.answerable_status(job, None)
         if found.state is JobState.CANCELLED and not self._cancels.is_known(job):
-            # The record was read before the job ended, and the view already includes the end: the
-            # cancel has left the registry, and the final state has not been read yet.
+            # The record was read before the job ended, and the view already lacks the record. So
+            # the registry has dropped the cancel, but this node has not read the final state.
             return self.answerable_status(job, None)
         record = self._view.jobs.get(job)
         if record is None:
-            # The job's record is deleted in this newer view, so its final state is committed. The
-            # record that was read proves nothing, in particular not that no ancestor is cancelled.
+            # The view is newer than the read and lacks the record, so the job's final state is
+            # committed. The record that was read proves neither that the job is live nor that no
+            # ancestor is cancelled.
             yield from self._reader.read_final(job, priority)
             return self.answerable_status(job, None)
         if record.is_blocked:
--- a/marblestair/core/jobs/cancel_registry.py
+++ b/marblestair/core/jobs/cancel_registry.py
@@ -13,11 +13,11 @@
 from marblestair.core.state import keys
 from marblestair.core.state.store_view import StoreView
 
-#: time in agent leases after which every node that may act for a job or report its status has
-#: learned of a committed entry
+#: age of a committed entry, in agent leases, above which every node that may act for the job or
+#: report its status has the entry
 KNOWN_EVERYWHERE_LEASES = 1.1
-#: limit on the entries sent with a promise, so that they fit into one message; a node that lacks
-#: more entries gets no promise, and its lease expires
+#: maximum number of entries sent with a promise, so that they fit into one message; a node that may
+#: lack more entries gets no promise, and may act only while its own lease is valid
 MAX_PROMISE_ENTRIES = 10_000
 
 
@@ -33,24 +33,24 @@
         self.known_since = now
         #: shard -> term in which its leader acknowledged that it applied the entry
         self.applied_terms: dict[int, int] = {}
-        #: whether users may be told that the job is cancelled
+        #: whether the cancel is marked as confirmed: users may be told that the job is cancelled
         self.is_confirmed = False
         #: whether a background coroutine is propagating the entry
         self.is_propagating = False
 
 
 class CancelSubscriber(Protocol):
-    """Receives the cancels that become known to the registry, to pass them on to dependents."""
+    """Index of dependent jobs; it is notified of each cancel that the registry learns of."""
 
     def parent_cancelled(self, parent: str) -> None:
-        """Handle a cancel that is known to be committed."""
+        """Handle the committed cancel of the job ``parent``."""
 
     def cancel_confirmed(self, parent: str) -> None:
-        """Handle a cancel that is confirmed."""
+        """Handle the confirmation of the cancel of the job ``parent``."""
 
 
 class CancelRegistry:
-    """Keeps the cancel of each job from the commit of its entry until the record is deleted."""
+    """Keeps each committed cancel from when this node learns of it until the job has ended."""
 
     def __init__(self, context: NodeContext, view: StoreView, leadership: Leadership) -> None:
         self._context = context
@@ -60,7 +60,7 @@
         self._subscriber: CancelSubscriber | None = None
 
     def subscribe(self, subscriber: CancelSubscriber) -> None:
-        """Register the subscriber that is called for each cancel, replacing an earlier one."""
+        """Register the subscriber to notify of each cancel, replacing an earlier subscriber."""
         self._subscriber = subscriber
 
     def get(self, job: str) -> CancelEntry | None:
@@ -72,19 +72,22 @@
         return list(self._entries.values())
 
     def is_known(self, job: str) -> bool:
-        """Whether the job is known to have a committed cancel, even if the view lacks it yet."""
+        """Whether this node knows a committed cancel of the job; its view may still lack it."""
         return job in self._entries
 
     def is_known_confirmed(self, job: str) -> bool:
-        """Whether a cancel was marked as confirmed; does not check if it can be confirmed now."""
+        """Whether a cancel is marked as confirmed.
+
+        Does not check whether it can be confirmed now; ``Cancellations.is_confirmed`` does.
+        """
         entry = self._entries.get(job)
         return entry is not None and entry.is_confirmed
 
     def record(self, job: str, revision: int) -> CancelEntry:
         """Register a committed cancel and apply it to the job's tasks in all local shards.
 
-        Slices of the job that arrive later are cancelled as well, because the cancel stays
-        registered. Returns the existing entry if the cancel is known already.
+        The entry stays registered, so that slices of the job that arrive later are cancelled too.
+        Returns the existing entry if the cancel is known already.
 
         Parameters
         ----------
@@ -127,8 +130,8 @@
     def prune(self) -> None:
         """Remove the entries of ended jobs that the view's changes did not remove.
 
-        An entry that arrives by message before the view has its revision, or after the record was
-        deleted, is not removed by a change of the record.
+        ``record_changed`` does not remove an entry that arrived by a message before the view had
+        the entry's revision, or after the record was deleted.
         """
         revision = self._view.revision
         old = [job for job, entry in self._entries.items() if entry.revision <= revision]
@@ -143,7 +146,8 @@
     def entries_after(self, revision: int) -> list[list[object]] | None:
         """Return the entries that a view at a given revision may lack.
 
-        Pairs of job and revision; None if there are more than ``MAX_PROMISE_ENTRIES``.
+        Each is a pair of job and revision. Returns None if there are more than
+        ``MAX_PROMISE_ENTRIES``.
         """
         missing: list[list[object]] = [
             [job, entry.revision]
--- a/marblestair/core/jobs/cancellations.py
+++ b/marblestair/core/jobs/cancellations.py
@@ -13,8 +13,8 @@
 may act for the job has applied the cancel. A leader may act if it holds its lease and a recent
 view, or holds promises of all other controllers:
 
-- A leader that acts by its lease has a view younger than an agent's lease, so the view contains
-  every entry that is older than that.
+- A leader that acts by its lease has a view younger than an agent's lease. So the view contains
+  every entry that was committed longer ago than an agent's lease.
 - A leader that acts by promises received with each promise the entries that the promising node knew
   (Algorithm 4's transfer of missing entries). A node that confirms a cancel because enough time has
   passed has known the entry for longer than a promise lasts. So each promise that it gave and that
@@ -49,8 +49,8 @@
 
 #: timeout of a request to another controller to apply an entry
 PEER_APPLY_TIMEOUT_S = 0.8
-#: a controller that has sent nothing for this long is skipped while a user waits; controllers send
-#: each other messages twice a second
+#: while a user waits for a confirmation, controllers that have sent nothing for this time are not
+#: asked; controllers send each other messages twice a second
 MAX_SILENCE_S = 2.0
 #: maximum duration of a background propagation, in agent leases
 MAX_BACKGROUND_LEASES = 2.5
@@ -61,7 +61,7 @@
 
 
 class Cancellations:
-    """Propagates committed cancels to the leaders that must apply them, and confirms them."""
+    """Propagates committed cancels to the leaders that must apply them, and confirms cancels."""
 
     def __init__(  # noqa: PLR0913 - its collaborators
         self,
@@ -86,7 +86,7 @@
     # --- confirmation ----------------------------------------------------------------------
 
     def shards_without_entry(self, job: str) -> list[int] | None:
-        """Return the shards whose leaders may still act without the entry.
+        """Return the shards whose leaders may not have applied the cancel of a job.
 
         Returns None if this is not known: the cancel or the job's record is not known here, or the
         view is older than the entry and may lack a change of leader that was committed before it.
@@ -109,8 +109,8 @@
     def _shards_needing_entry(self, job: str, record: JobRecord) -> set[int]:
         """Return the shards whose leaders must apply the cancel of a job before it is confirmed.
 
-        Leaders of its slices may start its tasks, its manager may report it as running, and the
-        managers of its descendants may report those as queued.
+        Without the entry, the leaders of the job's slices may start its tasks, its manager may
+        report it as running, and the managers of its descendants may report these as queued.
         """
         shard_ids = {record.manager_shard, *map(int, record.slices)}
         for descendant in self._dependencies.descendants(job):
@@ -122,7 +122,7 @@
         return shard_ids
 
     def _has_entry(self, shard_id: int, shard: ShardRecord, entry: CancelEntry) -> bool:
-        """Whether a shard's current leader is known to have applied an entry."""
+        """Whether a shard's current leader is this node or has acknowledged an entry."""
         is_this_node = (shard.leader, shard.incarnation) == self._context.identity
         return is_this_node or entry.applied_terms.get(shard_id) == shard.term
 
@@ -134,8 +134,8 @@
     def is_confirmed(self, job: str) -> bool:
         """Whether users may be told that the job is cancelled.
 
-        Marks the cancel as confirmed, and announces that to the other controllers, once every
-        leader concerned has applied it.
+        Checks this if the cancel is not marked as confirmed. If every leader concerned has applied
+        the cancel, marks it as confirmed and announces the confirmation to the other controllers.
         """
         entry = self._cancels.get(job)
         if entry is None:
@@ -161,8 +161,8 @@
     def apply_entry(self, job: str, revision: int) -> list[list[int]]:
         """Apply an entry at another node's request.
 
-        Returns the shards that this node leads, each with its term: for these it has applied the
-        entry.
+        Returns a pair of id and term for each shard that this node leads: the shards for which it
+        has applied the entry.
         """
         self._cancels.record(job, revision)
         return [[shard.shard_id, shard.term] for shard in self._leadership.led_shards()]
@@ -186,7 +186,7 @@
         return self.is_confirmed(job)
 
     def _leaders_without_entry(self, job: str, shard_map: ShardMap) -> list[str]:
-        """Return the leaders that may lack the entry, by the time of their last message.
+        """Return the leaders that may lack the entry, in the order of their latest messages.
 
         The most recent comes first; leaders that have never sent a message come last.
         """
@@ -207,8 +207,8 @@
     def await_confirmation(self, job: str, timeout_s: float) -> Coroutine[bool]:
         """Propagate a committed cancel until it is confirmed, for at most ``timeout_s``.
 
-        Returns whether it is confirmed. After the timeout the propagation continues in the
-        background.
+        Returns whether the cancel is confirmed; False also if the job ends meanwhile. After the
+        timeout the propagation continues in the background.
         """
         until = self._context.now + timeout_s
         while self._cancels.is_known(job):
@@ -222,10 +222,11 @@
         return False
 
     def propagate_in_background(self, job: str) -> None:
-        """Start to propagate a cancel in the background, for at most ``MAX_BACKGROUND_LEASES``.
+        """Start to propagate a cancel in the background.
 
-        Does nothing if the cancel is confirmed or being propagated already, or if too many
-        background propagations are running.
+        The propagation ends after at most ``MAX_BACKGROUND_LEASES`` agent leases. Does nothing if
+        the cancel is not known or already confirmed, if it is being propagated in the background or
+        by the job's manager at this node, or if too many background propagations are running.
         """
         entry = self._cancels.get(job)
         if entry is None or entry.is_confirmed or entry.is_propagating:
@@ -252,10 +253,11 @@
     # --- commit without the manager --------------------------------------------------------
 
     def commit_entry(self, job: str) -> Coroutine[None]:
-        """Commit the entry of a cancel to the job's record because the manager does not reply.
+        """Commit the entry of a cancel to the job's record in place of the job's manager.
 
-        A refused or silent connection does not prove that the controller has failed, so its shards
-        are not taken over. Every leader that can read the store receives the entry by its watch.
+        Called when the manager has not cancelled the job. A refused or silent connection does not
+        prove that the manager's node has failed, so its shards are not taken over. Every leader
+        that can read the store receives the entry by its watch.
         """
         status = yield from self._reader.read_record(job)
         record = self._view.jobs.get(job)
--- a/marblestair/core/jobs/completion_records.py
+++ b/marblestair/core/jobs/completion_records.py
@@ -1,9 +1,10 @@
-"""Reports of complete slices through the store when a job's manager is unreachable.
+"""Reports complete slices through the store when a job's manager is unreachable.
 
-A refused or silent connection does not prove that a controller has failed: it may hold its lease
-and act, so its shards are not taken over. Controllers that cannot reach each other communicate
-through the job's record instead: a leader that receives nothing from a job's manager records there
-that its slice is complete. Cancels use the record in the same way (``cancellations.py``).
+A refused or silent connection does not prove that a controller has failed: the controller may hold
+its lease and act, so its shards are not taken over. Controllers that cannot reach each other
+communicate through the job's record instead. A leader that receives nothing from a job's manager
+writes into the job's record that its slice of the job is complete. Cancels use the record in the
+same way (``cancellations.py``).
 """
 
 from __future__ import annotations
@@ -27,7 +28,8 @@
 from marblestair.core.state import keys
 from marblestair.core.state.store_view import StoreView
 
-#: heartbeat intervals without a message from a manager after which its complete slices are recorded
+#: maximum time without a message from a manager's node, in heartbeat intervals, before complete
+#: slices of the manager's jobs are recorded in the store
 MAX_SILENCE_INTERVALS = 3.0
 #: pause after a commit that failed
 RETRY_PAUSE_S = 0.3
@@ -68,7 +70,10 @@
                 self._context.spawn(self._record(shard, batch))
 
     def _is_due(self, shard: Shard, job: str, job_slice: JobSlice) -> bool:
-        """Whether a slice is complete and must be recorded because its manager is silent."""
+        """Whether a slice must be recorded as complete because its job's manager is silent.
+
+        False also for slices that are cancelled or migrating, and for those already recorded.
+        """
         if not job_slice.size or job_slice.done_count != job_slice.size:
             return False
         if job_slice.is_cancelled or job_slice.migrating_ranges:
@@ -95,8 +100,8 @@
                 self._view.apply_commit(swap, response.revision)
                 self._view.publish_changes()
             else:
-                # One record that has changed fails the whole commit: read all of them again, so
-                # that the next commit has their current versions.
+                # One changed record fails the whole commit. All records are read again, so that
+                # the next commit has their current versions as preconditions.
                 for put in swap.puts:
                     yield from self._reader.read_record(put.key[len(keys.JOBS) :])
                 yield Sleep(RETRY_PAUSE_S)
--- a/marblestair/core/jobs/dependencies.py
+++ b/marblestair/core/jobs/dependencies.py
@@ -1,14 +1,16 @@
 """Dependencies between jobs: which blocked jobs may start, and which never can.
 
-A job may depend on other jobs, its *parents*; it is a *dependent* of each. It is *blocked* until it
-is released by an entry in its record's change list. Its manager commits that entry once every
-parent has the committed final state ``done``. Final states never change, so a release stays valid,
-and the leaders of the slices need only the record to act on it, also after a failover.
+A job may depend on other jobs, its *parents*; it is a *dependent* of each. A job with parents is
+*blocked* until an entry in its record's change list releases it. Its manager commits that entry
+once every parent has the committed final state ``done``. Final states never change, so a release
+stays valid. The leaders of the slices need only the job's record to act on the release, also after
+a failover.
 
 A blocked job with a cancelled ancestor has never had a running task, because a parent on the path
-from that ancestor never became done. There are no tasks to stop: its manager records its final
-state, and until then no node reports it as queued (``answers.py``). The ancestor's cancel is
-confirmed only after the managers of all live descendants have its entry (``cancellations.py``).
+from that ancestor never became done. So there are no tasks to stop, and the job's manager only
+records the final state. Until then no node that knows of the cancel reports the job as queued
+(``answers.py``). The ancestor's cancel is confirmed only after the managers of all live descendants
+have the cancel's entry (``cancellations.py``).
 
 Each node keeps an index of the dependencies and updates it for each changed record. The index is
 traversed without recursion, because chains may be long and a job may have many parents and
@@ -27,8 +29,8 @@
 from marblestair.core.state.records import JobRecord
 from marblestair.core.state.store_view import StoreView
 
-#: share of ``cancel_s`` after which the final state of a cancelled descendant is overdue; until
-#: then other writes have precedence
+#: time from the confirmation of a cancel after which the final state of a blocked descendant is
+#: overdue, as a share of ``cancel_s``; until then other writes have precedence
 END_OVERDUE_SHARE = 0.2
 #: limits of the status output: blocked jobs, and parents of each
 MAX_STATUS_JOBS, MAX_STATUS_PARENTS = 50, 20
@@ -54,10 +56,11 @@
         self._dependents: dict[str, set[str]] = {}
         #: blocked jobs with a cancelled ancestor
         self._with_cancelled_ancestor: set[str] = set()
-        #: blocked jobs with an ancestor whose cancel is confirmed, so that their final state may be
-        #: recorded -> monotonic time at which this node learned of the confirmation
+        #: blocked job whose final state may be recorded, because the cancel of an ancestor is
+        #: confirmed -> monotonic time at which this node learned of the confirmation
         self._may_end_since: dict[str, float] = {}
-        #: ordered set of parents with deleted records and final states that are not known here
+        #: parents whose records are deleted and whose final states this node does not know; the
+        #: keys form an ordered set
         self._parents_with_unknown_end: dict[str, None] = {}
         self._advance: Callable[[str], None] | None = None
         self._dependents_changed: Callable[[Iterable[str]], None] | None = None
@@ -93,36 +96,36 @@
         return job in self._with_cancelled_ancestor
 
     def is_cancelled(self, job: str) -> bool:
-        """Whether a live job or one of its ancestors has a committed cancel."""
+        """Whether this node knows that a live job or one of its ancestors is cancelled."""
         return self._cancels.is_known(job) or job in self._with_cancelled_ancestor
 
     def may_end(self, job: str) -> bool:
         """Whether the final state of a blocked job with a cancelled ancestor may be recorded.
 
-        Recording it deletes the job's record, and with that the path from the ancestor to the
-        dependents of this job. Every node, also one that has just started, follows that path to
-        find the managers that must apply the cancel before it is confirmed. So no job on the path
-        may end before the cancel is confirmed.
+        The commit of the final state deletes the job's record, which links the ancestor to this
+        job's dependents. Nodes follow these links to find the managers that must apply the cancel
+        before it is confirmed; a node that has just started has only the records for this. So no
+        descendant may end before the cancel is confirmed.
         """
         return job in self._may_end_since
 
     def is_end_overdue(self, job: str) -> bool:
-        """Whether a blocked job's final state is overdue and must be written with precedence.
+        """Whether a blocked job's final state is overdue, so that it is no longer deferred.
 
-        Users must get the state "cancelled" within ``cancel_s``, however many other writes there
-        are.
+        Users must get the state "cancelled" within ``cancel_s``, however many other writes are
+        waiting. ``JobManagers`` chooses the priority of the write by this.
         """
         since = self._may_end_since.get(job)
         cancel_s = self._context.settings.cluster.workers.cancel_s
         return since is not None and self._context.now - since > END_OVERDUE_SHARE * cancel_s
 
     def may_answer_cancelled(self, job: str) -> bool:
-        """Whether users may be told that a blocked job is cancelled before that is recorded.
+        """Whether users may be told that a blocked job is cancelled before this is recorded.
 
-        The job's manager knows the ancestor's cancel, because it is confirmed. Any other node may
-        report "queued" after a read only if its view is younger than an agent's lease. Once the
-        cancel is older than that, every view that recent contains it, so no node can report another
-        state.
+        That is so when no node can report the job as queued any more. The job's manager cannot,
+        because it has the ancestor's confirmed cancel. Another node may report "queued" after a
+        read only if its view is younger than an agent's lease. Once the confirmation has been known
+        for longer than an agent's lease, each view that is this recent contains the cancel.
         """
         since = self._may_end_since.get(job)
         if since is None:
@@ -154,23 +157,23 @@
                     yield dependent
 
     def parents_with_unknown_end(self) -> Iterable[str]:
-        """Return the parents whose records are deleted and whose final states are not known."""
+        """Return parents whose records are deleted and whose final states are not known here."""
         return self._parents_with_unknown_end
 
     def knows_ancestors(self, job: str) -> bool:
         """Whether this node would know if an ancestor of a blocked job were cancelled.
 
-        The view must contain everything committed before the job's record: an ancestor may have
-        been cancelled before the job was accepted, and a node that leads by promises may not learn
-        of that for a long time. The node must also know the final state of each ancestor whose
-        record is deleted.
+        The view must contain everything that was committed before the job's record, because an
+        ancestor may have been cancelled before the job was accepted. The view of a node that leads
+        by promises may lack that cancel for a long time. The node must also know the final state of
+        each ancestor whose record is deleted.
         """
         if self._view.revision < self._view.job_version(job):
             return False
         return not self.ancestors_with_unknown_end(job)
 
     def ancestors_with_unknown_end(self, job: str) -> list[str]:
-        """Return a blocked job's ancestors that have ended with a final state not known here."""
+        """Return a blocked job's ancestors that have ended and whose final state is not known."""
         if not self._parents_with_unknown_end:
             return []
         seen = {job}
@@ -250,7 +253,7 @@
         self._notify_dependents_changed(unfinished)
 
     def _is_cancel_confirmed(self, job: str) -> bool:
-        """Whether the cancel of a live job or of an ancestor is known to be confirmed."""
+        """Whether this node knows a confirmed cancel of a live job or of one of its ancestors."""
         return self._cancels.is_known_confirmed(job) or job in self._may_end_since
 
     def _remove(self, job: str) -> None:
@@ -287,7 +290,8 @@
         if parent not in self._dependents:
             return
         if state is JobState.CANCELLED:
-            # A cancelled job ends only after its cancel, or that of an ancestor, is confirmed.
+            # The final state "cancelled" is recorded only after the cancel of the job or of one of
+            # its ancestors is confirmed.
             self.parent_cancelled(parent)
             self.cancel_confirmed(parent)
             return
@@ -319,10 +323,10 @@
                 self._request_advance(blocked)
 
     def announce_end(self, job: str, state: JobState) -> None:
-        """Announce a job's final state, committed here, to the other nodes if jobs depend on it.
+        """Announce a final state that this node has committed, if blocked jobs depend on the job.
 
-        Without the message the other nodes would see only that the record is deleted, and would
-        have to read the final state.
+        Without the message the other nodes would see only that the job's record is deleted, and
+        would have to read the final state from the store.
         """
         if job in self._dependents:
             self._context.broadcast(JobEnded(job, state))
--- a/marblestair/core/jobs/dependency_reads.py
+++ b/marblestair/core/jobs/dependency_reads.py
@@ -1,4 +1,4 @@
-"""Reads of the final states of parents that no node has announced."""
+"""Reads final states of parents from the store when this node got no announcement of them."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class DependencyReads:
-    """Reads final states that one node does not know, of parents whose records are deleted."""
+    """Reads, for one node, unknown final states of parents whose records are deleted."""
 
     def __init__(
         self,
@@ -39,16 +39,16 @@
         self._reader = reader
 
     def read_unknown_ends(self) -> Coroutine[None]:
-        """Read the final states of parents that no node has announced, in an endless loop."""
+        """Read unknown final states of the parents of jobs managed here, in an endless loop."""
         while True:
             yield Sleep(READ_PAUSE_S * (0.8 + 0.4 * self._context.rng.random()))
             for parent in self._parents_to_read():
                 yield from self._reader.read_final_first(parent, RequestPriority.FINAL_STATE)
 
     def _parents_to_read(self) -> list[str]:
-        """Return parents with an unknown final state whose dependents are managed here.
+        """Return parents with an unknown final state and a dependent that is managed here.
 
-        At most ``MAX_READS_PER_ROUND``.
+        Returns at most ``MAX_READS_PER_ROUND`` parents.
         """
         found = []
         for parent in self._dependencies.parents_with_unknown_end():
@@ -62,15 +62,16 @@
     def may_answer_blocked(self, record: JobRecord, priority: RequestPriority) -> Coroutine[bool]:
         """Whether users may be told that a job is still blocked, given its newly read record.
 
-        The record does not show whether an ancestor is cancelled. This node's view shows it, unless
-        the view is too old or lacks an ancestor's record. The final states of ancestors with
-        deleted records are read from the store.
+        The record does not show whether an ancestor is cancelled, but this node's view does. If
+        the view is too old, the result is False. If the view lacks the record of an ancestor, the
+        ancestor's final state is read, for at most ``MAX_READS_PER_USER_REQUEST`` ancestors.
         """
         job = record.spec.id
         agent_lease_s = self._context.settings.cluster.workers.lease_s
         if self._view.staleness_s(self._context.now) > agent_lease_s:
             return False
-        # An ancestor that turns out to be live may have ancestors with deleted records itself.
+        # The list is computed again after each read: an ancestor that the read finds live may
+        # itself have ancestors with deleted records.
         for _ in range(MAX_READS_PER_USER_REQUEST):
             unread = self._dependencies.ancestors_with_unknown_end(job)
             if not unread:
--- a/marblestair/core/jobs/eligibility.py
+++ b/marblestair/core/jobs/eligibility.py
@@ -1,4 +1,4 @@
-"""Check for jobs that can never run."""
+"""Checks whether a job can ever run."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 ) -> str | None:
     """Return why a job can never run, or None if it can.
 
-    The result is the same on every controller.
+    The result depends only on the arguments, so it is the same on every controller.
     """
     team = teams.get(spec.team)
     if team is None:
@@ -26,7 +26,8 @@
         zone for machine_type in options for zone in machine_type.zones if spec.zone in (None, zone)
     }
     if spec.kind == JobKind.GANG and spec.spread_zones and spec.task_count > 1:
-        # At most half of the tasks may be in one zone, and all tasks run at the same time.
+        # All tasks run at the same time, and at most half of them may be in one zone, so that the
+        # job needs at least two zones.
         if spec.single_zone or len(zones) < 2:
             return "its tasks must lie apart, and there is one zone only"
     if _exceeds_limit(spec, team):
--- a/marblestair/core/jobs/final_states.py
+++ b/marblestair/core/jobs/final_states.py
@@ -50,7 +50,7 @@
         return self._states.get(job)
 
     def record(self, job: str, state: JobState) -> None:
-        """Cache a job's committed final state and notify the jobs that depend on it."""
+        """Cache a job's committed final state and notify the index of dependent jobs."""
         dependents = self._dependents
         if job not in self._states and dependents is not None and dependents.has_dependents(job):
             self._context.decisions.log(
--- a/marblestair/core/jobs/job_managers.py
+++ b/marblestair/core/jobs/job_managers.py
@@ -1,8 +1,9 @@
 """The managers of jobs, which commit the release, cancel and final state of each job.
 
-The leader of a job's manager shard runs the job's ServerManager. Only this leader decides how the
-job ends, and only it answers from memory with a state that is not final. So no user gets a
-status that is older than one returned before.
+The leader of a job's manager shard runs the job's ServerManager. Only this leader records the final
+state of a live job, so it alone can know without a read that the job has not ended. Therefore only
+this leader answers from memory with a state that is not final, and no user gets a status that is
+older than one returned before.
 """
 
 from __future__ import annotations
@@ -42,8 +43,8 @@
 #: pauses before a retry: while a migration holds the job's locks, after a propagation that did not
 #: confirm the cancel, and after a commit whose precondition failed
 LOCK_RETRY_S, PROPAGATION_RETRY_S, CONFLICT_RETRY_S = 0.05, 0.3, 0.05
-#: pause after the store rejected a commit as malformed or too large: a defect that a retry does
-#: not repair
+#: pause after the store rejected a commit as malformed or too large; a retry of the same commit
+#: would fail again
 REJECTED_RETRY_S = 5.0
 
 
@@ -81,13 +82,16 @@
         self._cancellations = cancellations
         self._dependencies = dependencies
         self._reader = reader
-        #: commits in flight that end a descendant of a cancelled job
+        #: number of commits in flight that record the end of a descendant of a cancelled job
         self._blocked_ends_in_flight = 0
 
     # --- which jobs are managed here -------------------------------------------------------
 
     def shards_changed(self) -> None:
-        """Manage the jobs of the manager shards that this node leads now, and drop all others."""
+        """Manage the jobs of this node's ready shards, and drop the jobs of shards that it lost.
+
+        All slices are reported again, because managers may have moved to other nodes.
+        """
         for job, record in self._view.jobs.items():
             self._manage_if_leader(job, record)
         shards = self._leadership.shards
@@ -142,7 +146,10 @@
         return is_current and self._leadership.is_leader(managed.shard_id)
 
     def _advance(self, managed: ManagedJob) -> Coroutine[None]:
-        """Take the steps of a job one by one until none is left (Algorithm 3)."""
+        """Take the steps of a job one by one while there is one (Algorithm 3).
+
+        Stops early if this node no longer manages the job.
+        """
         managed.is_advancing = True
         holder = ("edit", managed.job)
         try:
@@ -190,8 +197,9 @@
         if response.status == 200:
             self._apply_change(managed, record, step, swap, response)
         elif response.status == 409:
-            # The record was changed, perhaps by an earlier commit of this node, or the shard has a
-            # new leader. A successful read settles a commit whose outcome was unknown.
+            # The record has changed, perhaps by an earlier commit of this node, or the shard has a
+            # new leader. An earlier commit with an unknown outcome has the same or older
+            # preconditions, so it can no longer take effect. The read shows whether it did.
             if (yield from self._reader.refresh(managed.job)):
                 managed.has_uncertain_commit = False
             yield Sleep(CONFLICT_RETRY_S)
@@ -274,7 +282,7 @@
     def receive_migration_announcement(self, message: AnnounceMigration) -> Coroutine[int]:
         """Return how many change entries of a migrated slice's job are known here (Algorithm 4).
 
-        The record is read again first if the view's is older than the migration.
+        The record is read first if the view has an older version than the announced one.
         """
         if self._view.version(keys.JOBS + message.job) < message.version:
             yield from self._reader.read_record(message.job)
@@ -315,6 +323,7 @@
             return False
         if not self._leadership.is_leader(managed.shard_id):
             return False
-        # While its lease renewals fail, this node may be unable to write to the store, and the node
-        # that the user asked commits the cancel. A committed cancel needs no further write here.
+        # While its lease renewals fail, this node may be unable to write to the store. Then the
+        # node that the user asked commits the cancel (``UserRequests``). The confirmation of a
+        # committed cancel needs no write.
         return not self._lease.is_renewal_failing or self._cancels.is_known(managed.job)
--- a/marblestair/core/jobs/job_status.py
+++ b/marblestair/core/jobs/job_status.py
@@ -10,7 +10,7 @@
 
 
 class JobStatus(msgspec.Struct, frozen=True, array_like=True):
-    """Status of a job: its state and, for display only, its numbers of done and running tasks."""
+    """State of a job and, for display only, its numbers of done and running tasks if known."""
 
     state: JobState
     done: int | None = None
@@ -29,12 +29,12 @@
 class Proof(enum.Enum):
     """Why a status is at least as recent as every answer given before the request arrived."""
 
-    #: the answering node is the valid leader of the job's manager shard, and no commit of the
-    #: record that it sent is in flight or uncertain: no other node can commit a final state
+    #: the answering node may act as leader of the job's manager shard, so no other node can commit
+    #: a final state; and no commit of the record by this node is in flight or uncertain
     MANAGER = enum.auto()
     #: a read of the store that was sent after the request arrived
     READ = enum.auto()
-    #: another node, asked after the request arrived, had one of the other proofs
+    #: another node, asked after the request arrived, had a proof of the status
     PEER = enum.auto()
 
 
--- a/marblestair/core/jobs/lookups.py
+++ b/marblestair/core/jobs/lookups.py
@@ -1,10 +1,10 @@
 """Limits on the queries that a node cannot answer from memory.
 
 Users may query far more often than jobs change, and also ids that were never submitted. Queries
-that need another controller or the store therefore share one search per job at a time. Their reads
-have the lowest priority: they use the rate of store requests that leases, submissions, cancels
-and progress leave free. A query beyond the limit of concurrent reads is refused at once, and the
-user retries.
+that need another controller or the store therefore share one search per job at a time. The reads of
+a search have the lowest priority: they use the rate of store requests that leases, submissions,
+cancels and progress leave free. A query that needs a read beyond the limit on concurrent reads is
+refused at once, and the user retries.
 """
 
 from __future__ import annotations
@@ -15,7 +15,8 @@
 from marblestair.core.jobs.job_status import JobStatus
 from marblestair.core.runtime.coroutines import Coroutine, CoroutineRunner, Signal
 
-#: concurrent reads are limited to the requests that a node may send to the store in this time
+#: the limit on concurrent reads is the number of requests that a node may send to the store in this
+#: time
 READ_LIMIT_WINDOW_S = 0.5
 #: lower bound of the limit on concurrent reads
 MIN_READ_LIMIT = 4
@@ -25,21 +26,25 @@
 
 
 class Lookups:
-    """Runs one node's searches and reads for jobs that it does not manage."""
+    """Runs searches and reads for jobs whose status one node may not return from memory."""
 
     def __init__(self, coroutines: CoroutineRunner, requests_per_s: float) -> None:
         self._coroutines = coroutines
         self.max_concurrent_reads = max(MIN_READ_LIMIT, int(READ_LIMIT_WINDOW_S * requests_per_s))
         self._reads_in_flight = 0
-        #: job being searched -> signal for the callers that came after the search began
+        #: job being searched -> signal that passes the result of the next search to the callers
+        #: that came after the present search began
         self._searches: dict[str, Signal] = {}
 
     def find(self, job: str, search: Search) -> Coroutine[JobStatus | None]:
-        """Return the status of a job by a search that concurrent callers share."""
+        """Return the status of a job by a search.
+
+        Callers that come while a search for the job runs share the next search.
+        """
         next_search = self._searches.get(job)
         if next_search is not None:
-            # The running search may have read a status that is older than an answer this user got
-            # from another node before asking here. Only a search that starts later may answer.
+            # The running search may already have read a status that is older than an answer which
+            # this user got from another node. Only a search that starts after the call may be used.
             status: JobStatus | None = yield next_search
             return status
         return (yield from self._search(job, search))
--- a/marblestair/core/jobs/managed_job.py
+++ b/marblestair/core/jobs/managed_job.py
@@ -31,9 +31,9 @@
     def is_record_known(self) -> bool:
         """Whether no commit of the record by this node is in flight or uncertain.
 
-        The store may carry out a commit, and other nodes may see it by their watches and answer
-        users by it, long before its response arrives here. So the record counts as unknown from
-        before a commit is sent. Changes by other nodes are not considered.
+        A commit may take effect, and other nodes may already answer users from the new record, long
+        before the store's response arrives here. So the record counts as unknown from before a
+        commit is sent until its outcome is certain. Changes by other nodes are not considered.
         """
         return not self.has_uncertain_commit and not self._commits_in_flight
 
@@ -48,11 +48,12 @@
         return sum(progress.running for progress in self.progress_by_shard.values())
 
     def commit_change(self, swap: CompareAndSwap) -> Coroutine[StoreResponse]:
-        """Send a commit of the record; the manager sends all its commits by this method.
+        """Send a commit of the record and return the store's response.
 
-        A commit without a response may have been carried out, or may still be. It stays uncertain
-        until a later commit succeeds, or until the record has been read again after a failed
-        precondition (409).
+        The job's manager sends all its commits by this method, which tracks their outcomes.
+        A commit without a response may have taken effect, or may still do so. Its outcome stays
+        uncertain until a later commit succeeds, or until the record has been read again after a
+        later commit had a failed precondition (409).
         """
         self._commits_in_flight += 1
         try:
--- a/marblestair/core/jobs/manager_steps.py
+++ b/marblestair/core/jobs/manager_steps.py
@@ -15,9 +15,10 @@
 class ManagerStep(enum.Enum):
     """A step of a job's manager; all but PROPAGATE_CANCEL change the job's record."""
 
-    #: write the record unchanged: an uncertain commit has then been carried out, or never will be
+    #: write the record unchanged, so that an earlier commit with an unknown outcome can no longer
+    #: take effect: its precondition fails because of the record's new version
     REWRITE = enum.auto()
-    #: have a committed cancel applied by every leader that may act for the job
+    #: ask every leader that may act for the job to apply its committed cancel
     PROPAGATE_CANCEL = enum.auto()
     #: record the final state of a cancelled job that has no task on a machine any more
     END_CANCELLED = enum.auto()
@@ -60,7 +61,8 @@
         if shard_map is None:
             return None
         if managed.has_uncertain_commit and not managed.is_committing_migration:
-            # No migration retries the uncertain commit, so the manager has to settle it.
+            # No migration is retrying the uncertain commit, so the manager has to make sure that it
+            # cannot take effect later.
             return ManagerStep.REWRITE
         if record.is_cancelled:
             return self._next_cancelled_step(managed, record, shard_map)
@@ -84,8 +86,9 @@
         if self._dependencies.has_cancelled_ancestor(managed.job):
             if not self._dependencies.may_end(managed.job):
                 return ManagerStep.CANCEL if managed.is_cancel_requested else None
-            # No user waits for these final states: the number of their commits in flight is
-            # limited, and they have a lower priority than other commits until they are overdue.
+            # No user waits for these final states. So JobManagers limits the number of their
+            # commits in flight, and gives them a lower priority until they are overdue. The limit
+            # does not apply to a job whose steps are already being taken.
             may_end = may_end_blocked or managed.is_advancing
             return ManagerStep.END_BLOCKED if may_end else None
         if managed.is_cancel_requested:
@@ -94,7 +97,11 @@
 
 
 def is_complete(managed: ManagedJob, record: JobRecord, shard_map: ShardMap) -> bool:
-    """Return whether every slice is done, by the record or by its present leader's report."""
+    """Return whether all tasks of a job are done.
+
+    That is so if the slices cover all tasks, and each slice is complete by the record or by a
+    report of its current leader.
+    """
     total = 0
     for name, ranges in record.slices.items():
         shard_id = int(name)
@@ -112,12 +119,13 @@
 
 
 def has_no_placed_tasks(managed: ManagedJob, record: JobRecord, shard_map: ShardMap) -> bool:
-    """Return whether no shard has a task of a cancelled job on a machine any more."""
+    """Return whether the current leaders of all slices of a cancelled job report no placed task."""
     for name in record.slices:
         progress = managed.progress_by_shard.get(int(name))
         if progress is None or progress.term != shard_map.shards[int(name)].term:
             return False
-        # A report from before the cancel was applied does not cover tasks that started since.
+        # A report from before the leader applied the cancel does not count: tasks may have started
+        # after it.
         if progress.placed_tasks != 0 or not progress.is_cancelled:
             return False
     return True
--- a/marblestair/core/jobs/migration_locks.py
+++ b/marblestair/core/jobs/migration_locks.py
@@ -1,4 +1,4 @@
-"""Migrations of slices, at the job's manager: it grants locks and commits the updates."""
+"""The manager's part in migrations of a job's slices: it grants locks and commits the updates."""
 
 from __future__ import annotations
 
@@ -20,14 +20,15 @@
 from marblestair.core.state.records import MAX_RECORD_SHARE, JobRecord, exceeds_value_limit
 from marblestair.core.state.store_view import StoreView
 
-#: a migration's locks expire after this share of an agent's lease, unless its update is being
-#: committed
+#: maximum time for which a migration holds its locks, as a share of an agent's lease; locks do not
+#: expire while a migration's update of the job is being committed
 LOCK_TIMEOUT_LEASE_SHARE = 0.5
-#: retries of a commit that was certainly not carried out
+#: maximum number of retries of a commit that has certainly not taken effect
 MAX_COMMIT_RETRIES = 3
 
-#: the record's new version in a list; False when nothing was changed and nothing will be; None
-#: when the outcome is unknown
+#: reply to a migration's request: a list with the record's new version after a committed update;
+#: True when locks were granted or released; False when the request was refused and cannot take
+#: effect later; None when the outcome is unknown or the ServerManager does not run here
 UpdateReply = list[int] | bool | None
 
 
@@ -49,7 +50,7 @@
         self._managed_jobs = managed_jobs
         self._cancels = cancels
         self._reader = reader
-        #: job and holder -> when the locks were granted
+        #: job and holder -> monotonic time at which the locks were granted
         self._locked_since: dict[tuple[str, Hashable], float] = {}
 
     def handle(self, message: LockSlices | UpdateSlices | ReleaseSlices) -> Coroutine[UpdateReply]:
@@ -81,7 +82,7 @@
         return True
 
     def _update(self, managed: ManagedJob, update: UpdateSlices) -> Coroutine[UpdateReply]:
-        """Commit the slices of a migration to the job's record."""
+        """Commit the ranges of the source's and target's slices after a migration."""
         record = self._updated_record(managed, update)
         if record is None:
             return False
@@ -147,8 +148,9 @@
         self, managed: ManagedJob, update: UpdateSlices, record: JobRecord
     ) -> CompareAndSwap:
         key = keys.JOBS + managed.job
-        # The source's fence is a precondition too: after a takeover of the source, its new leader
-        # may have started tasks that this commit, if still in flight, would give to the target.
+        # The source's shard may be taken over while this commit is in flight. Its new leader may
+        # then start tasks that the commit would give to the target, so the fence of the source's
+        # shard is a precondition too.
         preconditions = [
             (key, self._view.version(key)),
             self._leadership.fence_precondition(managed.shard_id),
@@ -158,7 +160,7 @@
         return CompareAndSwap(preconditions, [Put(key, record)], [], RequestPriority.FINAL_STATE)
 
     def _apply(self, managed: ManagedJob, update: UpdateSlices) -> None:
-        """Apply a committed update; the progress reported for both slices is out of date."""
+        """Apply a committed update, and drop the progress of both slices as out of date."""
         managed.locks.update_active_servers(
             update.holder, update.source, update.option, update.target
         )
@@ -168,7 +170,10 @@
     def _reply_after_read(
         self, managed: ManagedJob, update: UpdateSlices, record: JobRecord
     ) -> UpdateReply:
-        """Return the reply to an update whose precondition failed, by the record read since."""
+        """Return the reply to an update whose precondition failed, after the record was read again.
+
+        If the record has the slices of the update, an earlier attempt has committed it.
+        """
         found = self._view.jobs.get(managed.job)
         if found is None or found.slices != record.slices:
             return False
@@ -178,7 +183,7 @@
         return [self._view.version(keys.JOBS + managed.job)]
 
     def release_expired(self) -> None:
-        """Release the locks of migrations that have held them longer than the lock timeout."""
+        """Release locks held longer than the lock timeout, unless an update is being committed."""
         now = self._context.now
         limit_s = LOCK_TIMEOUT_LEASE_SHARE * self._context.settings.cluster.workers.lease_s
         for (job, holder), since in list(self._locked_since.items()):
--- a/marblestair/core/jobs/parents.py
+++ b/marblestair/core/jobs/parents.py
@@ -1,7 +1,8 @@
 """Lookup of the jobs that a submission depends on: its parents.
 
-Parents may have been accepted by any node. A submission with a parent that was never accepted is
-refused, but only after a read of the store, sent after the request arrived, did not find it.
+Any node may have accepted a parent, so this node may not know an accepted parent. A submission is
+refused because a parent was never accepted only if a read of the store, sent after the submission
+arrived, finds neither a record nor a final state of the parent.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 from marblestair.core.runtime.store_requests import RequestPriority
 from marblestair.core.state.store_view import StoreView
 
-#: time for the parent lookups of one submission, out of the 5 s that its user waits
+#: time after which a submission starts no further parent lookup, out of the 5 s that its user waits
 LOOKUP_TIMEOUT_S = 2.5
 
 
@@ -49,7 +50,7 @@
 
 
 class ParentLookup:
-    """Finds parents among the cached final states, in the view or by a read of the store."""
+    """Finds the status of parents from cached final states, the view or a read of the store."""
 
     def __init__(
         self,
@@ -70,8 +71,8 @@
     def find(self, parents: list[str]) -> Coroutine[ParentLookupResult]:
         """Look up the parents of a submission.
 
-        The results of reads are cached, so a retry of the submission continues where this lookup
-        stopped.
+        The results of reads are kept in the view and in the cached final states. So if the lookup
+        runs out of time, a retry of the submission does not repeat these reads.
         """
         until = self._context.now + LOOKUP_TIMEOUT_S
         unfinished = []
--- a/marblestair/core/jobs/progress_reports.py
+++ b/marblestair/core/jobs/progress_reports.py
@@ -14,7 +14,8 @@
 
 #: the unchanged progress of a slice is reported again after this time
 REPEAT_INTERVAL_S = 2.0
-#: limit on the sent reports kept for comparison: a number per live job, plus a constant
+#: limit on the sent reports kept for comparison: a number per live job, plus a constant; beyond it,
+#: all are dropped
 MAX_SENT_REPORTS_PER_JOB, MAX_EXTRA_SENT_REPORTS = 4, 200
 #: value of ``placed_tasks`` while the number is not known
 PLACED_TASKS_UNKNOWN = -1
@@ -45,7 +46,7 @@
         self._sent: dict[tuple[int, str], SentReport] = {}
 
     def clear_sent(self) -> None:
-        """Have all slices reported again, because managers may have moved to other nodes."""
+        """Forget the sent reports, so that all slices are reported again to other nodes."""
         self._sent.clear()
 
     def receive(self, report: ProgressReport) -> None:
@@ -66,7 +67,10 @@
             managed.progress_by_shard[progress.shard_id] = progress
 
     def send(self, led_shards: list[Shard]) -> None:
-        """Report the slices of the led shards to their managers, if changed or due again."""
+        """Report the slices of the led shards to the managers of their jobs.
+
+        A manager on another node gets the progress that has changed or is due to be repeated.
+        """
         reports: dict[str, list[SliceProgress]] = {}
         for shard in led_shards:
             for job, job_slice in shard.slices.items():
@@ -102,7 +106,7 @@
 
 
 def slice_progress(shard: Shard, job_slice: JobSlice) -> SliceProgress:
-    """Return the progress of a slice as it is reported."""
+    """Return the progress of a slice for a report to the job's manager."""
     is_unknown = job_slice.is_unreconciled or bool(shard.unreconciled_machines)
     return SliceProgress(
         job=job_slice.spec.id,
--- a/marblestair/core/jobs/record_announcements.py
+++ b/marblestair/core/jobs/record_announcements.py
@@ -1,7 +1,7 @@
-"""Announces committed job records to the other nodes, ahead of their watches.
+"""Announces committed job records to the other nodes before their watches deliver the records.
 
-With an announced record, another node can start the tasks of a released job at once, and knows an
-accepted job when a submission depends on it.
+By the announcement of a release, another node can start the job's tasks at once. By that of a new
+job, it can accept submissions that depend on the job without a read of the store.
 """
 
 from __future__ import annotations
--- a/marblestair/core/jobs/record_reader.py
+++ b/marblestair/core/jobs/record_reader.py
@@ -18,9 +18,10 @@
 class RecordReader:
     """Reads the records and final states of jobs for one node.
 
-    Each read returns the status that the store holds, UNKNOWN if the store holds none, or None if
-    the read failed. The result is also applied to the view or to the cached final states. The
-    caller decides whether users may be answered with it.
+    Each read of a status returns UNKNOWN if the store has neither a record nor a final state, and
+    None if the read failed or this node is disconnected. A job with a record is given as cancelled
+    if the record has a cancel, otherwise as queued. The result is also applied to the view or to
+    the cached final states. The caller decides whether users may be answered with it.
     """
 
     def __init__(
@@ -47,8 +48,8 @@
             return None
         self._view.apply_absence(key, response.revision)
         self._view.publish_changes()
-        # The record is read first: a job that ends between the two reads moves from the record's
-        # key to the final state's.
+        # The record is read first: if the job ends between the two reads, the second read finds
+        # its final state.
         return (yield from self.read_final(job, priority))
 
     def read_final(self, job: str, priority: RequestPriority) -> Coroutine[JobStatus | None]:
@@ -63,7 +64,8 @@
     def read_final_first(self, job: str, priority: RequestPriority) -> Coroutine[JobStatus | None]:
         """Read a job's final state, then its record if it has no final state.
 
-        This order suits a job that is missing in the view, because it most often has ended.
+        This order saves a read for a job that is missing in the view, because most of these jobs
+        have ended.
         """
         if self._connectivity.is_disconnected():
             return None
@@ -75,5 +77,5 @@
         return (yield from self.read_record(job, priority))
 
     def refresh(self, job: str) -> Coroutine[bool]:
-        """Read a job's record; return whether the read succeeded."""
+        """Read a job's record, or its final state if it has no record; return whether it worked."""
         return (yield from self.read_record(job)) is not None
--- a/marblestair/core/jobs/request_services.py
+++ b/marblestair/core/jobs/request_services.py
@@ -24,7 +24,7 @@
     assignment: SliceAssignment,
     guaranteed_jobs: Container[str],
 ) -> UserRequests:
-    """Return the handler of user requests, with the acceptance of jobs that it uses."""
+    """Return a new handler of user requests with a new ``Acceptance``."""
     acceptance = Acceptance(
         context,
         view,
--- a/marblestair/core/jobs/server_manager.py
+++ b/marblestair/core/jobs/server_manager.py
@@ -1,10 +1,12 @@
 """The ServerManager of one job: its ActiveServers and its three locks.
 
-Algorithms 1 to 3 of the paper (Bauer and Reichert, section 3.2) need three locks for each
-instance: a shared lock that a migration holds until it ends, a short-term exclusive lock that a
-migration holds while it changes ActiveServers, and an exclusive lock that a modification (here: a
-cancel) holds while it is applied at every active server. The shared lock conflicts only with the
-exclusive lock.
+ActiveServers is the set of servers (here: shards) that have a part of an instance (here: a job).
+Algorithms 1 to 3 of the paper (Bauer and Reichert, section 3.2) need three locks for each instance:
+
+- a shared lock that a migration holds until it ends; it conflicts only with the exclusive lock;
+- a short-term exclusive lock that a migration holds while it changes ActiveServers;
+- an exclusive lock that a modification holds while it is applied at every active server. Here the
+  job's manager holds it for each of its steps, a cancel among them (``manager_steps.py``).
 """
 
 from __future__ import annotations
@@ -36,7 +38,10 @@
         self.waiting_modifications: set[Hashable] = set()
 
     def acquire_migration_locks(self, holder: Hashable) -> bool:
-        """Acquire the shared and the short-term lock in one call (footnote to Algorithm 1)."""
+        """Acquire the shared and the short-term lock together (footnote to Algorithm 1).
+
+        Returns False if either lock is not free or a modification waits for the exclusive lock.
+        """
         if (
             self.exclusive_holder is not None
             or self.waiting_modifications
@@ -50,7 +55,10 @@
     def update_active_servers(
         self, holder: Hashable, source: int, option: str, target: int
     ) -> bool:
-        """Change ActiveServers, then release the short-term lock (Algorithm 2)."""
+        """Change ActiveServers, then release the short-term lock (Algorithm 2).
+
+        Returns False, without a change, if ``holder`` does not hold the short-term lock.
+        """
         if self.short_term_holder != holder:
             return False
         if option == LOG_OFF:
--- a/marblestair/core/jobs/user_requests.py
+++ b/marblestair/core/jobs/user_requests.py
@@ -99,7 +99,10 @@
         return Outcome(200, JobStatus(final))
 
     def _cancel_live(self, job: str) -> Coroutine[JobState | None]:
-        """Cancel a job whose record is in the view; return its final state or None if not known."""
+        """Cancel a job whose record is in the view.
+
+        Returns the state to answer the user with, or None if the cancel is not confirmed in time.
+        """
         known = self._answers.answerable_status(job, None)
         if known is not None:
             return known.state
@@ -107,7 +110,9 @@
         final = yield from self._ask_manager(manager, job)
         if final is not None or manager == self._context.node:
             return final
-        # The manager does not reply, or cannot write: this node commits the cancel to the record.
+        # The manager did not reply, could not write to the store, or did not get the cancel
+        # confirmed in time. Unless a committed cancel is known here, this node commits it in place
+        # of the manager.
         if not self._cancels.is_known(job):
             yield from self._cancellations.commit_entry(job)
         if (yield from self._cancellations.await_confirmation(job, CONFIRMATION_TIMEOUT_S)):
@@ -115,7 +120,10 @@
         return self._final_states.get(job)
 
     def _ask_manager(self, manager: str | None, job: str) -> Coroutine[JobState | None]:
-        """Ask a job's manager to cancel it; return its final state or None if not known."""
+        """Ask a job's manager to cancel the job; return the job's final state, or None if no reply.
+
+        None is also returned when the manager replies that the job is not cancelled yet.
+        """
         reply: Any = None
         if manager == self._context.node:
             reply = yield from self._job_managers.cancel_managed(job)
