--- a/marblestair/core/capacity/array_capacity.py
+++ b/marblestair/core/capacity/array_capacity.py
@@ -1,7 +1,7 @@
 """Planning of the capacity for arrays: the cpus they should have, and the rentals to get there.
 
-Work that would miss its deadline even on a machine rented now is planned with a later completion
-time, because renting cannot help it.
+Work that is due too soon to meet its deadline (see ``INFEASIBLE_RUN_SHARE``) is planned with a
+later completion time, because more machines cannot help it.
 """
 
 from __future__ import annotations
@@ -14,31 +14,33 @@
 from marblestair.core.domain.jobs import JobSpec
 from marblestair.core.domain.machine_kinds import MachineKind, tasks_per_machine
 
-#: number of run times before it is due at which pending work becomes urgent; for urgent work,
-#: on-demand machines are rented although it may run on spot machines
+#: time before its due time by which pending work must be completed even if that takes on-demand
+#: machines, in run times of its tasks; the cpus needed for this are called urgent
 URGENT_RUN_TIMES = 1.5
-#: shortfall, as a share of the capacity, from which on-demand machines are rented for work that may
-#: run on spot ones
+#: minimum shortfall for which on-demand machines are rented for work that may run on spot machines,
+#: as a share of the current capacity
 MIN_ON_DEMAND_SHORTFALL_SHARE = 0.03
-#: price per cpu of spot machines, as a ratio to that of an on-demand machine, below which spot
-#: machines should replace the on-demand machine
+#: minimum ratio of the spot price per cpu to an on-demand machine's price per cpu at which the
+#: on-demand machine counts as capacity; below this ratio, spot machines should replace the machine
 REPLACEMENT_PRICE_RATIO = 0.7
 #: maximum ratio of an on-demand machine's cpus to the shortfall; a larger machine would be mostly
 #: empty
 MAX_MACHINE_SIZE_RATIO = 2
-#: work that is due in less than this share of its run time is considered infeasible
+#: minimum time until work is due, as a share of its tasks' run time; with less time left, the work
+#: is considered infeasible
 INFEASIBLE_RUN_SHARE = 0.3
-#: planned time to completion of infeasible work, as a multiple of the time for a boot and a run
+#: planned time to completion of infeasible work, as a multiple of the sum of boot time and run time
 INFEASIBLE_TIME_RATIO = 3.0
 
 
 def demanded_cpus(
     arrays: list[JobLoad], boot_s: float, tuning: Tuning, lead_run_times: float | None = None
 ) -> float:
-    """Return the cpus that run the placed tasks and complete the pending ones before they are due.
+    """Return the cpus that run the placed tasks and complete the pending ones in the planned time.
 
-    With ``lead_run_times``, the pending tasks need not be completed earlier than this many run
-    times before they are due.
+    The planned time is a share of the time until the tasks are due, and longer for infeasible work.
+    With ``lead_run_times``, it extends at least to this many run times before the tasks are due.
+    The cpus for pending tasks are limited by the team's limit; the capacity margin is added.
     """
     total = 0.0
     for load in arrays:
@@ -47,7 +49,7 @@
         if not load.pending:
             continue
         if load.due_in_s < INFEASIBLE_RUN_SHARE * load.run_s:
-            # The deadline can no longer be met, so this work does not need capacity soon.
+            # These tasks cannot meet the deadline, so capacity for them is not urgent.
             time_s = INFEASIBLE_TIME_RATIO * (boot_s + load.run_s)
         else:
             time_s = max(tuning.deadline_share * load.due_in_s, load.run_s)
@@ -58,7 +60,7 @@
 
 
 def _largest_backlog(loads: list[JobLoad]) -> JobLoad:
-    """Return the job whose pending tasks need the most cpus."""
+    """Return the job whose pending tasks need the most cpus in total."""
     return max(loads, key=lambda load: (load.pending * load.spec.cpus, load.spec.id))
 
 
@@ -80,12 +82,15 @@
         self._tuning = tuning
         self._boot_s = boot_s
         self._machines = draft.array_machines()
-        #: share of the target that urgent work demands; on-demand machines are rented for this
-        #: share although the work may run on spot machines
+        #: urgent share of the target (see ``URGENT_RUN_TIMES``), for which ``request_shortfall``
+        #: rents on-demand machines even if the work may run on spot machines
         self._urgent_share = 1.0
 
     def set_target(self, average_array_cpus: float, smooth: Callable[[float], float]) -> None:
-        """Set the plan's target and its current capacity for arrays, in cpus."""
+        """Set the plan's target and current capacity for arrays, in cpus.
+
+        The target includes headroom for arrays that have not arrived yet, and is smoothed.
+        """
         target = demanded_cpus(self._arrays, self._boot_s, self._tuning)
         if target > 0:
             urgent = demanded_cpus(self._arrays, self._boot_s, self._tuning, URGENT_RUN_TIMES)
@@ -96,9 +101,10 @@
         self._plan.capacity_cpus = sum(machine.machine_type.cpus for machine in self._machines)
 
     def request_shortfall(self) -> None:
-        """Request machines of the cheapest kind for the shortfall of the capacity to the target.
+        """Request machines to raise the capacity to the target.
 
-        On-demand machines that spot machines should replace do not count as capacity.
+        They are of the cheapest kind that is spot or not too large for the shortfall. On-demand
+        machines that spot machines should replace do not count as capacity.
         """
         if not self._arrays:
             return
@@ -111,8 +117,8 @@
         if kind is None:
             return
         if not kind.spot and spec.allows_spot and self._plan.capacity_cpus > 0:
-            # On-demand machines are rented only for urgent work, and not for small fluctuations of
-            # the demand of a large fleet.
+            # On-demand machines are rented for such work only if it is urgent, and not for small
+            # fluctuations of the demand in a large fleet.
             shortfall = self._urgent_share * target - capacity
             if shortfall < MIN_ON_DEMAND_SHORTFALL_SHARE * self._plan.capacity_cpus:
                 return
@@ -123,7 +129,7 @@
         self._draft.request(kind, count)
 
     def _cost_effective_cpus(self) -> float:
-        """Return the cpus of all machines but the on-demand ones that spot ones should replace."""
+        """Return the cpus of the machines for arrays that spot machines should not replace."""
         spot_price = self._kinds.spot_price_per_cpu(self._arrays)
         if spot_price is None:
             return sum(machine.machine_type.cpus for machine in self._machines)
@@ -137,7 +143,7 @@
         )
 
     def request_in_required_zones(self) -> None:
-        """Request machines for work that requires a zone, up to its demand in that zone."""
+        """Request machines for arrays that must run in one zone, up to their demand there."""
         by_zone: dict[str, list[JobLoad]] = {}
         for load in self._arrays:
             if load.spec.zone is not None and load.pending:
@@ -157,9 +163,9 @@
             self._draft.request(kinds[0], count)
 
     def request_for_unserved(self) -> None:
-        """Request a machine for each array with pending tasks that no machine of the fleet can run.
+        """Request one machine for each pending array that no machine of the fleet can run.
 
-        None is requested if the plan already requests a machine that can run the array.
+        No machine is requested for an array that can run on a machine already requested.
         """
         for load in self._arrays:
             if not load.pending or self._is_served(load.spec):
--- a/marblestair/core/capacity/capacity_refusals.py
+++ b/marblestair/core/capacity/capacity_refusals.py
@@ -1,4 +1,4 @@
-"""Kinds of machines that the cloud has no capacity for, and until when they are not requested."""
+"""Kinds of machines that the cloud recently refused to rent, and until when not to request them."""
 
 from __future__ import annotations
 
@@ -17,15 +17,18 @@
 
 
 class CapacityRefusals:
-    """Stores when refusals expire that this node received or that other nodes reported."""
+    """Stores until when each kind of machine that the cloud refused must not be requested.
+
+    The refusals are those that the cloud sent to this node and those that other nodes reported.
+    """
 
     def __init__(self, context: NodeContext) -> None:
         self._context = context
-        #: kind -> monotonic time until which it is not requested
+        #: kind -> monotonic time until which this node does not request the kind
         self._refused_until: dict[KindKey, float] = {}
 
     def record_refusal(self, kind: KindKey, seconds: float) -> None:
-        """Record that the cloud refused a kind, so that it is not requested for ``seconds``."""
+        """Record that the cloud refused a kind, which is then not requested for ``seconds``."""
         self._refused_until[kind] = self._context.now + seconds
 
     def is_refused(self, kind: MachineKind) -> bool:
@@ -36,7 +39,7 @@
     def current(self) -> list[CapacityRefusal]:
         """Return the refusals that are still valid.
 
-        They are sent to the other nodes, so that those do not request the same kinds in vain.
+        This node reports them to the other nodes, which then do not request the same kinds either.
         """
         now = self._context.now
         return [
@@ -46,7 +49,7 @@
         ]
 
     def receive(self, refusals: Iterable[CapacityRefusal]) -> None:
-        """Record the refusals that another node reports; of two expiry times the later is kept."""
+        """Record refusals that another node reports; the later expiry time of a kind is kept."""
         for refusal in refusals:
             kind = (refusal.machine_type, refusal.zone, refusal.spot)
             until = self._context.now + min(refusal.remaining_s, MAX_REPORTED_REFUSAL_S)
--- a/marblestair/core/capacity/catalog_updates.py
+++ b/marblestair/core/capacity/catalog_updates.py
@@ -1,6 +1,6 @@
 """Updates of the catalog of machine types from the store and the cloud.
 
-The types are read from the store first, since the cloud may be down.
+At start, the types are read from the store first, because the cloud may be unavailable.
 """
 
 from __future__ import annotations
@@ -27,9 +27,9 @@
 
 #: maximum number of keys in one page of a listing
 MAX_LISTED_KEYS = 1000
-#: pause between two requests to the cloud: its minimum, and the maximum of its random part
+#: minimum pause between two requests to the cloud, and maximum random time that is added to it
 MIN_REFRESH_PAUSE_S, REFRESH_JITTER_S = 60.0, 30.0
-#: mean pause after a failed request to the cloud: while types are known, and while none is known
+#: mean pause after a failed request to the cloud: if the catalog has types, and if it is empty
 RETRY_WITH_TYPES_S, RETRY_WITHOUT_TYPES_S = 5.0, 0.8
 #: pause after an attempt to write new types to the store
 STORE_PAUSE_S = 1.0
@@ -69,7 +69,7 @@
                 yield Sleep(MIN_REFRESH_PAUSE_S + REFRESH_JITTER_S * self._context.rng.random())
 
     def update(self, machine_types: list[MachineType]) -> None:
-        """Update the types in the catalog, and set the type of machines that have none yet."""
+        """Update the types in the catalog; set the type of machines whose type was unknown."""
         self._catalog.update(machine_types)
         for shard in self._leadership.shards.values():
             for machine in shard.machines.values():
@@ -90,7 +90,11 @@
         return True
 
     def _store(self, new: list[MachineType]) -> Coroutine[None]:
-        """Write types that are not in the store yet; only the first node to write one succeeds."""
+        """Write a batch of types that are not in the store yet.
+
+        If another node has stored one of them, the whole write is rejected, and the stored types
+        are read again.
+        """
         batch = new[: self._context.settings.cluster.state.txn_ops]
         puts = [Put(keys.MACHINE_TYPES + machine_type.name, machine_type) for machine_type in batch]
         preconditions = [(put.key, 0) for put in puts]
--- a/marblestair/core/capacity/decommissioning.py
+++ b/marblestair/core/capacity/decommissioning.py
@@ -1,4 +1,4 @@
-"""Selection of the machines to empty, and of unusable machines to release."""
+"""Selection of surplus machines to empty of tasks, and of unusable machines to release."""
 
 from __future__ import annotations
 
@@ -17,31 +17,32 @@
 #: expected number of heartbeat intervals until a stopped task with a checkpoint resumes on another
 #: machine
 RESTART_HEARTBEATS = 3.0
-#: minimum of a task's expected remaining run time, as a share of the time it has already run
+#: minimum remaining run time that is expected of a task, as a share of the time it has already run
 MIN_REMAINING_RUN_SHARE = 0.5
 #: boot timeout of a machine of unknown type, in agent leases
 UNKNOWN_TYPE_BOOT_TIMEOUT_LEASES = 9.0
-#: time after which a silent or unresponsive machine is released, in agent leases
+#: minimum time for which a machine must have been silent or unresponsive before it is released, in
+#: agent leases
 RELEASE_DELAY_LEASES = 1.5
-#: time after the announced reclaim, in seconds, and the time without a heartbeat, in agent leases,
-#: after which a reclaimed machine counts as gone
+#: a reclaimed machine counts as gone after both of these times: the time since the announced
+#: reclaim in seconds, and the time since its last heartbeat in agent leases
 RECLAIM_DELAY_S, RECLAIMED_SILENT_LEASES = 1.0, 0.25
 
 
 class EmptyingCandidate(NamedTuple):
     """A machine that is worth emptying, and the work that is lost by emptying it."""
 
-    #: work that has to be repeated, in fixed-point cpus times seconds
+    #: work that other machines must repeat, in fixed-point cpus times seconds
     lost_work: float
     machine: Machine
 
 
 def machines_to_empty(shard: Shard, names: set[str], now: float) -> list[Machine]:
-    """Return the nearly empty machines among ``names`` that are worth emptying.
+    """Return the surplus machines, given by ``names``, that are worth emptying.
 
-    ``names`` are surplus machines. A machine is worth emptying if repeating its tasks on other
-    machines wastes less capacity than waiting for them to end. The tasks of all returned machines
-    fit on the free cpus of the machines that are not in ``names``.
+    Emptying a machine is worth it if the work to be repeated is below ``MAX_LOST_WORK_RATIO`` of
+    the capacity that would stay idle until the machine's tasks end. The cpus that the returned
+    machines use do not exceed the free cpus of the machines that are not in ``names``.
     """
     candidates = []
     for name in names:
@@ -68,7 +69,7 @@
 
 
 def _can_be_emptied(machine: Machine, now: float) -> bool:
-    """Whether a machine has only running tasks and is past its minimum rental time."""
+    """Whether a machine is usable and past its minimum rental time, and all its tasks run."""
     if machine.machine_type is None or not machine.is_usable(now) or not machine.tasks:
         return False
     if now - machine.added_at < MIN_RENTAL_S:
@@ -80,7 +81,7 @@
 
 
 def _lost_work(shard: Shard, machine: Machine, now: float) -> float | None:
-    """Return the work that emptying a machine loses; None if it must not be emptied."""
+    """Return the work lost by emptying a machine; None if that is not allowed or not worth it."""
     lost_work = remaining_s = 0.0
     for task in machine.tasks.values():
         job_slice = shard.slices.get(task.job)
@@ -95,7 +96,7 @@
             restart_s = RESTART_HEARTBEATS * shard.cluster.workers.report_s
             lost_s = min(ran_s, spec.checkpoint_save_s + restart_s)
         lost_work += task.resources[0] * lost_s
-        # A task that has exceeded its estimated run time is assumed to run for some more time.
+        # Also a task that has exceeded its estimated run time is assumed to run for some more time.
         remaining_s = max(
             remaining_s, spec.estimated_run_s - ran_s, MIN_REMAINING_RUN_SHARE * ran_s
         )
@@ -106,9 +107,9 @@
 def machines_to_release(shard: Shard, agent_lease_s: float, now: float) -> list[str]:
     """Return the names of the machines to release because they are unusable.
 
-    These are decommissioned, failed, faulty, lost, unresponsive and reclaimed machines, emptied
-    ones, and those that did not boot in time. ``agent_lease_s`` is the duration of an agent's lease
-    in seconds.
+    These are machines that are decommissioned, failed, lost, unresponsive or reclaimed, that did
+    not boot in time, and machines without tasks that are faulty or about to be released or
+    reclaimed. ``agent_lease_s`` is the duration of an agent's lease in seconds.
     """
     partitioned = partitioned_machines(shard, agent_lease_s, now)
     known = [machine for machine in shard.machines.values() if machine.agent_incarnation]
@@ -130,7 +131,7 @@
 
 
 def _is_out_of_service(shard: Shard, machine: Machine) -> bool:
-    """Whether a machine is decommissioned or failed, or is empty and must get no more tasks."""
+    """Whether a machine is decommissioned or failed, or has no tasks and must get none."""
     if machine.is_decommissioned or machine.has_failed:
         return True
     if machine.tasks:
@@ -170,8 +171,8 @@
 def _is_reclaimed(machine: Machine, agent_lease_s: float, now: float) -> bool:
     """Whether a machine that the cloud reclaims is gone.
 
-    The release of a machine that is gone is requested nevertheless, because the cloud confirms it
-    before the agent's lease expires, and its tasks count as ended then.
+    The release of such a machine is requested because the cloud's confirmation arrives before the
+    agent's lease expires, and proves that the machine's tasks have ended.
     """
     if machine.reclaim_at is None or now <= machine.reclaim_at + RECLAIM_DELAY_S:
         return False
--- a/marblestair/core/capacity/fleet.py
+++ b/marblestair/core/capacity/fleet.py
@@ -26,20 +26,20 @@
 MAX_RELEASED_MACHINES = 100
 #: maximum number of machines in one rental request of the cloud's interface
 MAX_RENTED_MACHINES = 50
-#: pause between two scaling cycles: normally, and after a refusal during an urgent shortfall
+#: mean pause between two scaling cycles: normally, and after a refusal during an urgent shortfall
 CYCLE_PAUSE_S, SHORTFALL_PAUSE_S = 1.0, 0.1
-#: time for which a machine must have been surplus before it is emptied, in boot times; if demand
-#: returned sooner, it would have to wait for a new machine to boot
+#: minimum time for which a machine must have been surplus before it is emptied, in boot times; if
+#: the demand rises again after that, tasks must wait for a new machine to boot
 MIN_SURPLUS_BOOT_TIMES = 2.0
-#: shortfall, as a share of the capacity, from which the next best kind is requested soon after a
-#: refusal, without the normal pause
+#: minimum shortfall that counts as urgent, as a share of the capacity; after a refusal during an
+#: urgent shortfall, the next best kind is requested soon
 URGENT_SHORTFALL_SHARE = 0.1
-#: maximum age of the summary of a shard that takes part in the division of rentals, in seconds
+#: maximum age of a shard's latest summary for the shard to get a portion of the rentals, in seconds
 MAX_SUMMARY_AGE_S = 3.0
 
 
 class FleetManager:
-    """Scales the machines of the shards that one node leads."""
+    """Rents, empties and releases machines for the shards that one node leads."""
 
     def __init__(  # noqa: PLR0913 - injected components
         self,
@@ -119,9 +119,9 @@
     def _rent(self, shard: Shard, plan: Plan) -> Coroutine[float]:
         """Rent this shard's portion of the plan; return the pause until the next cycle in seconds.
 
-        All kinds of the portion are requested in this cycle, with one request for each kind. The
-        pause is short if the cloud refused a kind during an urgent shortfall, so that the next best
-        kind is requested soon.
+        This cycle requests each kind of the portion with one request. If the cloud grants fewer
+        machines than requested during an urgent shortfall, the pause is short, so that the next
+        best kind is requested soon.
         """
         is_shortfall_urgent = plan.target_cpus > plan.capacity_cpus * (1 + URGENT_SHORTFALL_SHARE)
         was_refused = False
--- a/marblestair/core/capacity/fleet_planner.py
+++ b/marblestair/core/capacity/fleet_planner.py
@@ -1,4 +1,4 @@
-"""Periodic computation of the fleet plan on each node, from the records and summaries."""
+"""Computation of the fleet plan on each node from its view of the store and shard summaries."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 #: minimum interval between two log lines of the plan, in seconds
 PLAN_LOG_INTERVAL_S = 10.0
-#: share of a team's cpu limit, after deducting the cpus of its other running work, that is planned
-#: for work with deadlines
+#: share of a team's free cpu limit with which ``infeasible_jobs`` decides which deadlines can be
+#: met; the free limit excludes the cpus of running gangs and of running jobs without a deadline
 DEADLINE_LIMIT_SHARE = 0.9
-#: average remaining share of a running task's work
+#: share of a running task's work that is assumed to remain
 RUNNING_REMAINING_SHARE = 0.5
 #: minimum time constant of the smoothing, in seconds; avoids a division by zero
 MIN_SMOOTHING_S = 1e-6
@@ -80,7 +80,7 @@
         return computed
 
     def _smooth_target(self, target: float) -> float:
-        """Return the arrays' target in cpus, averaged exponentially over some boot times."""
+        """Return the exponential moving average of the arrays' target, in cpus."""
         now = self._context.now
         types = self._catalog.types.values()
         boot_s = min((machine_type.boot_s for machine_type in types), default=UNKNOWN_BOOT_S)
@@ -101,7 +101,7 @@
         for load in loads:
             spec = load.spec
             if spec.deadline_s is None or spec.kind == JobKind.GANG:
-                # Running gangs and jobs without a deadline use part of the team's limit.
+                # Tasks of gangs and of jobs without a deadline use part of the team's limit.
                 running_cpus = load.running * spec.cpus
                 used_cpus[spec.team] = used_cpus.get(spec.team, 0.0) + running_cpus
             else:
--- a/marblestair/core/capacity/gang_reservations.py
+++ b/marblestair/core/capacity/gang_reservations.py
@@ -1,4 +1,4 @@
-"""Planning of whole machines for gangs: reservation of existing ones, requests for missing ones."""
+"""Planning of whole machines for gangs: reserves existing machines and requests missing ones."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 def standby_gang_count(gangs: ExpectedGangs, types: dict[str, MachineType], min_gangs: int) -> int:
     """Return the number of gangs of a class for which machines are kept on standby.
 
-    These are the gangs expected to arrive within the time to boot a machine and fetch the image,
-    plus one standard deviation of their number (for Poisson arrivals), and at least ``min_gangs``.
+    The number is that of the gangs expected to arrive within the time to boot a machine and fetch
+    the image, plus one standard deviation (for Poisson arrivals), but at least ``min_gangs``.
     """
     lead_times_s = [
         SLOW_BOOT_RATIO * machine_type.boot_s
@@ -72,7 +72,8 @@
         self._draft = draft
         self._kinds = kinds
         self._boot_s = boot_s
-        #: shard of the gang (None for any) -> all machines in the order in which they are allocated
+        #: shard of the gang (None for any) -> all machines, in the order in which ``_allocate``
+        #: uses them
         self._soonest_empty: dict[int | None, list[AvailableMachine]] = {}
 
     def reserve_for_pending(self, gangs: list[JobLoad]) -> None:
@@ -87,7 +88,9 @@
     ) -> None:
         """Keep machines on standby for classes whose gangs cannot wait for a machine to boot.
 
-        The machines suffice for at least ``min_gangs`` gangs of each class; 0 disables standby.
+        If gangs of a class can preempt every array, machines for ``standby_gang_count`` gangs are
+        marked as draining; otherwise, machines for ``min_gangs`` gangs are reserved. If
+        ``min_gangs`` is 0, no machines are kept on standby.
         """
         if not min_gangs:
             return
@@ -109,8 +112,9 @@
     def _allocate(self, spec: JobSpec, task_count: int, shard_id: int | None) -> list[str]:
         """Allocate machines to a gang's tasks, and request the missing ones.
 
-        Machines that will be empty soonest are allocated first; among equal ones, those of the
-        gang's shard come first. Returns the names of the allocated machines.
+        The machines that will be empty soonest are allocated first; if several are empty at the
+        same time, those of the gang's shard come first. Returns the names of the allocated
+        machines.
         """
         kinds = self._kinds.available(spec)
         candidates, tasks_by_zone = self._candidates(spec, shard_id)
@@ -135,7 +139,7 @@
     def _candidates(
         self, spec: JobSpec, shard_id: int | None
     ) -> tuple[list[tuple[AvailableMachine, int]], dict[str, int]]:
-        """Return the machines with the number of tasks that fit on each, and the sums by zone."""
+        """Return the machines that fit tasks, with the number of tasks, and the sums by zone."""
         #: type, zone and whether spot -> number of tasks that fit on such a machine
         fitting_by_kind: dict[tuple[str, str, bool], int] = {}
         candidates: list[tuple[AvailableMachine, int]] = []
@@ -156,7 +160,7 @@
         return candidates, tasks_by_zone
 
     def _soonest_empty_first(self, shard_id: int | None) -> list[AvailableMachine]:
-        """Return all machines, those empty soonest first; sorted once for each shard."""
+        """Return all machines, those that are empty soonest first; the order is cached by shard."""
         ordered = self._soonest_empty.get(shard_id)
         if ordered is None:
             ordered = self._soonest_empty[shard_id] = sorted(
--- a/marblestair/core/capacity/machine_kinds_by_price.py
+++ b/marblestair/core/capacity/machine_kinds_by_price.py
@@ -11,7 +11,8 @@
 from marblestair.core.domain.machines import MachineType
 from marblestair.core.scheduling.arrivals import ExpectedGangs
 
-#: factor on the price of a scarce type in comparisons for arrays
+#: factor by which a scarce type's price is multiplied when prices are compared for arrays; scarce
+#: types are defined by ``scarce_types``
 SCARCE_PRICE_RATIO = 1.5
 #: lower bound of the number of cpus by which a price is divided; avoids a division by zero
 MIN_DIVISOR_CPUS = 1.0
@@ -31,9 +32,10 @@
 def scarce_types(
     expected_gangs: dict[str, ExpectedGangs], types: dict[str, MachineType]
 ) -> set[str]:
-    """Return the types that fit some class of expected gangs which not every type fits.
+    """Return the types that can run a class of expected gangs that some other types cannot run.
 
-    Arrays avoid these types if they have a choice, so that the cloud still has some for the gangs.
+    ``cheapest_first`` raises the price of these types for arrays, so that the cloud still has
+    machines of these types when the gangs arrive.
     """
     scarce: set[str] = set()
     for gangs in expected_gangs.values():
@@ -66,7 +68,7 @@
     def cheapest_first(self, spec: JobSpec) -> list[MachineKind]:
         """Return the available kinds for an array, cheapest first.
 
-        The price of scarce types is weighted with ``SCARCE_PRICE_RATIO``.
+        The price of scarce types is multiplied by ``SCARCE_PRICE_RATIO``.
         """
         return sorted(
             self.available(spec),
@@ -74,14 +76,14 @@
         )
 
     def cheapest(self, kinds: list[MachineKind], spec: JobSpec) -> MachineKind:
-        """Return the cheapest of some kinds for a gang; scarce types get no extra weight."""
+        """Return the cheapest of some kinds for a gang; the price of scarce types is not raised."""
         no_scarce: set[str] = set()
         return min(kinds, key=lambda kind: (self._price_per_task(kind, spec, no_scarce), kind.zone))
 
     def spot_price_per_cpu(self, loads: list[JobLoad]) -> float | None:
-        """Return the lowest price per cpu of the available spot kinds for some jobs; None without.
+        """Return the lowest price per cpu of the spot kinds that are available for some jobs.
 
-        The price includes the risk premium on spot machines.
+        The price includes the risk premium on spot machines. Returns None if there is no such kind.
         """
         risk = 1 + self._tuning.spot_risk_premium
         # Jobs with equal properties share one list of kinds, so each list is examined once.
@@ -106,9 +108,9 @@
         return kinds
 
     def _price_per_task(self, kind: MachineKind, spec: JobSpec, scarce: set[str]) -> float:
-        """Return the weighted price of one task's share of a machine.
+        """Return the price of one task's share of a machine.
 
-        The weights are the risk premium on spot machines and the factor on scarce types.
+        It is raised by the risk premium on spot machines and by the factor on scarce types.
         """
         price = kind.price / max(1, tasks_per_machine(kind.machine_type, spec.resources))
         if kind.spot:
--- a/marblestair/core/capacity/machine_registry.py
+++ b/marblestair/core/capacity/machine_registry.py
@@ -1,7 +1,8 @@
 """Registration of machines that belong to no shard.
 
-They are found by their heartbeats or in the cloud's list. Those that have failed, or still run
-tasks after the removal of their records, are released; all others are registered in a shard.
+These machines are found by their heartbeats or in the cloud's list. Machines that have failed, or
+that still run tasks although they have no record, are released; the others are registered in a
+shard.
 """
 
 from __future__ import annotations
@@ -31,22 +32,23 @@
 
 #: shard whose leader registers machines from the cloud's list, on behalf of all shards
 LISTING_SHARD = 0
-#: pause between two listings: its minimum in seconds, and its length in lags of the list
+#: mean pause between two listings: a multiple of the lag of the cloud's list (the setting
+#: ``list_lag_s``), but at least the minimum in seconds
 MIN_LISTING_PAUSE_S, LISTING_PAUSE_LAGS = 2.0, 1.2
-#: minimum age of a listed machine before it is registered: seconds, plus lags of the list; the
-#: leader that rented a younger machine may still be recording it in a shard
+#: minimum age of a listed machine before it is registered: a time in seconds, plus a multiple of
+#: the list's lag; the leader that rented a younger machine may still be recording the machine
 MIN_LISTED_AGE_S, LISTED_AGE_LAGS = 15.0, 2
-#: lags of the list for which a machine must have been listed before it is registered, because the
-#: list still shows machines for a while after their release
+#: minimum time for which a machine must have been listed before it is registered, as a multiple of
+#: the list's lag; the list still shows machines for a while after their release
 MIN_LISTED_LAGS = 2
-#: minimum time between a failed inspection or release of a machine and the next attempt
+#: minimum pause after a failed inspection or release of a machine before the next attempt
 REGISTRY_RETRY_PAUSE_S = 1.0
 #: state in the cloud's list of a machine that stopped without being released
 FAILED_STATE = "failed"
 
 
 class MachineRegistry:
-    """Registers or releases the machines without a shard that one node finds."""
+    """Registers or releases machines that one node finds and that belong to no shard."""
 
     def __init__(self, context: NodeContext, view: StoreView, leadership: Leadership) -> None:
         self._context = context
@@ -61,9 +63,9 @@
     def receive_unregistered(self, heartbeat: Heartbeat) -> HeartbeatResponse:
         """Handle a heartbeat of a machine that belongs to no shard, and return the response.
 
-        The machine is registered in a shard that this node leads, and the status is 503 until
-        then. If another shard has at least two machines fewer, the status is 421 instead, with the
-        leader of the shard that has the fewest machines.
+        The machine is registered in the smallest shard that this node leads, and the status is 503
+        until then. If another shard has at least two machines fewer, the status is 421 with the
+        leader of the shard that has the fewest machines. A machine that reports tasks is released.
         """
         name = heartbeat.machine
         if name in self._view.removed_machines or name in self._releasing:
@@ -73,7 +75,7 @@
         if not led_shards or shard_map is None:
             return HeartbeatResponse(503)
         if heartbeat.tasks:
-            # The machine's record was removed while it still ran tasks; those must not continue.
+            # The record of this machine was removed while its tasks still ran; they must not go on.
             self._releasing.add(name)
             self._context.spawn(self._release([name]))
             return HeartbeatResponse(503)
@@ -96,7 +98,7 @@
     def _register_inspected(self, heartbeat: Heartbeat, shard: Shard) -> Coroutine[None]:
         """Register the sender of a heartbeat if its agent confirms that the machine exists.
 
-        The heartbeat may be a late duplicate from a machine that was released or reclaimed.
+        Without this check, a delayed heartbeat could register a machine that is already gone.
         """
         inspected: Heartbeat | None = yield InspectAgent(heartbeat.address)
         if inspected is None or inspected.machine != heartbeat.machine:
@@ -111,7 +113,7 @@
         return MachineRecord(shard.shard_id, machine_type, zone, spot, added_at)
 
     def _register(self, name: str, record: MachineRecord) -> Coroutine[None]:
-        """Write the record of a machine that has none yet."""
+        """Write the record of a machine, unless the machine already has one."""
         key = keys.MACHINES + name
         fence = self._leadership.fence_precondition(record.shard_id)
         swap = CompareAndSwap([(key, 0), fence], [Put(key, record)], [], RequestPriority.CAPACITY)
@@ -130,7 +132,12 @@
     # --- found in the cloud's list ---------------------------------------------------------
 
     def watch_machine_list(self) -> Coroutine[None]:
-        """Periodically search the cloud's list for failed machines and those without a shard."""
+        """Periodically read the cloud's list to find failed and unregistered machines.
+
+        Each node marks failed machines of its shards; only the leader of ``LISTING_SHARD``
+        registers machines. The other nodes read the list only while the lease of one of their
+        machines has expired.
+        """
         lag_s = self._context.settings.cluster.cloud.list_lag_s
         first_listed: dict[str, float] = {}
         pause_s = max(MIN_LISTING_PAUSE_S, LISTING_PAUSE_LAGS * lag_s)
@@ -160,7 +167,7 @@
         )
 
     def _is_unregistered(self, machine: ListedMachine, lag_s: float) -> bool:
-        """Whether a listed machine is in no shard and old enough to be registered."""
+        """Whether a listed machine belongs to no shard and is old enough to be registered."""
         name = machine.name
         if name in self._view.machines or name in self._view.removed_machines:
             return False
@@ -190,7 +197,7 @@
                     machine.has_failed = True
 
     def _list_machines(self) -> Coroutine[list[ListedMachine] | None]:
-        """Return all pages of the cloud's list; None if one of them could not be read."""
+        """Return the machines in the cloud's list; None if a page of it could not be read."""
         found: list[ListedMachine] = []
         after_name = ""
         while True:
--- a/marblestair/core/capacity/plan_draft.py
+++ b/marblestair/core/capacity/plan_draft.py
@@ -1,4 +1,4 @@
-"""Mutable draft of the fleet plan, which the planning steps extend in turn."""
+"""Draft of the fleet plan, to which each planning step adds its part."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RequestedKind(NamedTuple):
-    """A requested kind of machine, and the shard that should rent it; None for any shard."""
+    """A requested kind of machine, and the shard that rents it; None for any shard."""
 
     machine_type: str
     zone: str
@@ -35,9 +35,9 @@
         return [machine for machine in self.machines if machine.name not in self.gang_machines]
 
     def request(self, kind: MachineKind, count: int, shard_id: int | None = None) -> None:
-        """Request ``count`` machines of a kind; does nothing if it is not positive.
+        """Request ``count`` machines of a kind; do nothing if ``count`` is not positive.
 
-        The shard ``shard_id`` should rent them; None if any shard may.
+        The machines are rented by the shard ``shard_id``; None divides them among the shards.
         """
         if count > 0:
             requested = RequestedKind(kind.machine_type.name, kind.zone, kind.spot, shard_id)
--- a/marblestair/core/capacity/plan_inputs.py
+++ b/marblestair/core/capacity/plan_inputs.py
@@ -15,10 +15,10 @@
 from marblestair.core.state.records import JobRecord
 from marblestair.core.state.store_view import StoreView
 
-#: maximum run time of the parents of a blocked job for which capacity is planned, in boot times of
-#: the type that boots fastest
+#: maximum estimated run time of each parent of a blocked array for the array to be planned for, in
+#: boot times of the type that boots fastest
 MAX_PARENT_RUN_BOOT_TIMES = 2.0
-#: minimum run time of a task that is assumed in the plan, in seconds
+#: lower bound of a task's estimated run time in the plan, in seconds
 MIN_RUN_S = 1.0
 
 
@@ -50,10 +50,10 @@
     def loads(
         self, reported: ReportedState, live: list[JobRecord], default_deadline_run_times: float
     ) -> list[JobLoad]:
-        """Return the load of every unfinished job, and of blocked arrays that may start soon.
+        """Return the loads of the jobs that have tasks, and of blocked arrays that may start soon.
 
-        A job without a deadline is due ``default_deadline_run_times`` run times after it became
-        startable.
+        Cancelled jobs are left out. A job without a deadline is due ``default_deadline_run_times``
+        run times after it became startable.
         """
         headroom = TeamHeadroom(self._context.teams, reported, live)
         loads = []
@@ -62,7 +62,8 @@
             pending, placed = reported.tasks.get(spec.id, (0, 0))
             if record.is_cancelled or not pending + placed:
                 continue
-            # Tasks beyond the team's limit cannot run, so no machines are planned for them.
+            # Tasks beyond the team's limit cannot run, so no machines are planned for them. A gang
+            # runs only as a whole.
             allowed = headroom.reserve(record, pending)
             if spec.kind == JobKind.GANG:
                 pending = 0 if allowed < spec.task_count and not placed else allowed
@@ -84,8 +85,8 @@
     ) -> list[JobLoad]:
         """Return the loads of blocked arrays that may start by the time a rented machine boots.
 
-        These are the arrays whose parents all run and end soon. Gangs are left out, because the
-        machines reserved for a gang would be idle until it starts.
+        An array may start soon if all its unfinished parents run and end soon. Gangs are left out,
+        because machines reserved for a gang would be idle until the gang starts.
         """
         loads = []
         for record in live:
@@ -116,7 +117,7 @@
         return True
 
     def machines(self, reported: ReportedState) -> list[AvailableMachine]:
-        """Return the machines that are up or booting, of the shards with a recent summary."""
+        """Return the available machines of known type in the shards with a recent summary."""
         machines = []
         for name, record in self._view.machines.items():
             machine_type = self._catalog.types.get(record.machine_type)
--- a/marblestair/core/capacity/planning.py
+++ b/marblestair/core/capacity/planning.py
@@ -1,11 +1,11 @@
 """Computation of the fleet plan: the machines to rent, to reserve and to release.
 
 Every leader computes the same plan from the records and the summaries of all shards, and carries
-out its own portion of it. It does not matter which shard rents a machine, since pending tasks
-migrate to shards with free capacity.
+out a portion of the plan. Machines for a pending gang are rented by the gang's shard. Any shard may
+rent the other machines, since pending tasks migrate to shards with free capacity.
 
-For arrays, the plan provides the number of cpus that complete the work by the time it is due; for
-gangs, it provides whole machines.
+For arrays, the plan provides a number of cpus, with which the work is completed by the time it is
+due if that is possible; for gangs, it provides whole machines.
 """
 
 from __future__ import annotations
@@ -46,22 +46,22 @@
     Parameters
     ----------
     loads
-        The unfinished work of all jobs, in the order in which the jobs are served.
+        The unfinished work of all jobs; machines are reserved for pending gangs in this order.
     machines
         The machines that are up or booting.
     types
         The machine types of the cloud, by name.
     is_refused
-        Tells whether the cloud currently has no machines of a kind.
+        Tells whether a kind must not be requested, because the cloud refused it recently.
     average_array_cpus
         Average size of an array in cpus; 0 if none is expected.
     expected_gangs
         The gangs that are expected to arrive, by job class.
     tuning
-        The weights of the plan.
+        The parameters of the plan.
     smooth
-        Averages the arrays' target in cpus over time, because a machine rented for a short burst
-        is booted only after the burst is over.
+        Averages the arrays' target in cpus over time, so that no machines are rented for a burst
+        that ends before they have booted. By default, the target is not averaged.
     """
     gangs = [load for load in loads if load.spec.kind == JobKind.GANG]
     arrays = [load for load in loads if load.spec.kind != JobKind.GANG]
--- a/marblestair/core/capacity/provisioning.py
+++ b/marblestair/core/capacity/provisioning.py
@@ -7,40 +7,44 @@
 from marblestair.core.domain.jobs import JobSpec
 from marblestair.core.domain.machines import MachineType
 
-#: minimum age of a machine before it is released, in seconds; a rental costs at least one minute
+#: minimum age at which an idle machine is released or a surplus one is emptied, in seconds; a
+#: rental costs at least one minute
 MIN_RENTAL_S = 58.0
-#: boot time that is assumed while no machine type is known, in seconds
+#: boot time that is assumed for an unknown machine type, in seconds
 UNKNOWN_BOOT_S = 30.0
 #: planned boot time as a multiple of the type's nominal boot time; most boots take no longer
 SLOW_BOOT_RATIO = 1.2
-#: minimum remaining time that is assumed for a machine that is booting, in seconds
+#: minimum time that a booting machine is assumed to need until it is up, in seconds
 MIN_BOOT_LEFT_S = 1.0
 #: used in place of a job id for a machine that is reserved for a gang that has not arrived yet
 EXPECTED_GANG = ""
 
 
 class Tuning(msgspec.Struct, frozen=True):
-    """Weights of the fleet plan, which operators can set in the policy script."""
+    """Parameters of the fleet plan, which operators can set in the policy script."""
 
     #: additional capacity for arrays, as a ratio to the capacity that they demand
     capacity_margin: float = 0.0
-    #: time constant of the average of the arrays' target, in boot times
+    #: time constant of the moving average of the arrays' target, in boot times of the type that
+    #: boots fastest
     smoothing_boot_times: float = 1.0
     #: minimum surplus at which an idle machine is released, as a ratio to the machine's cpus
     release_surplus: float = 0.6
-    #: share of the time until its deadline in which work should be completed
+    #: time in which pending work should be completed, as a share of the time until it is due
     deadline_share: float = 0.4
-    #: additional capacity for arrays that have not arrived yet, in arrays of average size
+    #: additional capacity for arrays that have not arrived yet, as a multiple of the average size
+    #: of an array
     headroom_jobs: float = 0.3
-    #: minimum number of gangs of each latency-sensitive class for which machines stand by; 0
-    #: disables standby machines
+    #: minimum number of gangs of each latency-sensitive class for which machines are kept on
+    #: standby; 0 keeps no machines on standby
     standby_gangs: int = 1
     #: surcharge on the price of spot machines in comparisons, as a ratio to that price
     spot_risk_premium: float = 0.2
-    #: minimum idle time of a machine before it is released, in its boot times
+    #: minimum time for which a machine must be idle before it is released, in boot times of its
+    #: type
     min_idle_boot_times: float = 0.5
-    #: time after which a startable job without a deadline should be completed, in run times of its
-    #: tasks
+    #: time in which a job without a deadline should be completed after it became startable, in run
+    #: times of its tasks
     default_deadline_run_times: float = 2.0
 
 
@@ -74,8 +78,8 @@
     shard_id: int
     #: cpus in use, in fixed point
     used_cpus: int = 0
-    #: whether the machine is presumed to be in a network partition; it then counts as capacity,
-    #: since it will probably reconnect, but is not reserved
+    #: whether the machine is presumed to be in a network partition; such a machine will probably
+    #: reconnect, so it counts as capacity, but it is not reserved for gangs
     is_partitioned: bool = False
 
     def empty_in_s(self, busy_s: float) -> float:
@@ -94,7 +98,8 @@
     zone: str
     spot: bool
     count: int
-    #: shard whose leader should rent them because a gang is pending there; None if any leader may
+    #: shard whose leader rents the machines because a gang is pending there; None divides the
+    #: machines among the shards
     shard_id: int | None = None
 
 
@@ -107,9 +112,9 @@
     #: target and current capacity for arrays, in cpus
     target_cpus: float = 0.0
     capacity_cpus: float = 0.0
-    #: machines that get tasks only if there is no other free capacity, so that they become idle
+    #: machines that get tasks only if there is no other free capacity: surplus and standby machines
     draining_machines: set[str] = set()
-    #: the draining machines that exceed the arrays' target
+    #: the draining machines whose cpus are not needed to reach the arrays' target
     surplus_machines: set[str] = set()
     #: machine reserved for a gang -> id of the pending job, or EXPECTED_GANG
     reserved_machines: dict[str, str] = {}
--- a/marblestair/core/capacity/releases.py
+++ b/marblestair/core/capacity/releases.py
@@ -1,4 +1,4 @@
-"""Release of machines to the cloud, and removal of their records after its confirmation."""
+"""Release of machines to the cloud, and removal of their records once the cloud confirms it."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 
 #: pause after a release request that the cloud did not confirm, in seconds
 RELEASE_RETRY_PAUSE_S = 0.5
-#: time after which a machine that still has a task of a cancelled job is decommissioned, as a share
-#: of the setting ``cancel_s``
+#: time since a job's cancellation after which a machine that still has a task of the job is
+#: decommissioned, as a share of the setting ``cancel_s``
 CANCEL_TIMEOUT_SHARE = 0.5
 
 
@@ -37,7 +37,7 @@
         self._follower = follower
 
     def release(self, shard: Shard, machines: list[Machine]) -> Coroutine[None]:
-        """Request the release of machines; their tasks are removed when the cloud confirms it."""
+        """Request the release of machines; if the cloud confirms it, remove tasks and records."""
         for machine in machines:
             machine.is_releasing = True
         names = [machine.name for machine in machines]
@@ -48,7 +48,8 @@
             return
         for machine in machines:
             # The cloud may still carry out the request. A decommissioned machine stays marked as
-            # releasing; the release of any other machine can be requested again.
+            # releasing, so this leader does not request its release again; the release of any other
+            # machine can be requested again.
             machine.is_releasing = machine.is_decommissioned
             if not machine.tasks:
                 machine.idle_since = self._context.now
@@ -81,10 +82,11 @@
             yield Sleep(0.3 + 0.3 * self._context.rng.random())
 
     def enforce_cancel_deadline(self, shard: Shard) -> None:
-        """Decommission machines that still have a task of a job cancelled too long ago.
+        """Decommission machines that still have a task of a job some time after its cancellation.
 
-        The heartbeats of a decommissioned machine get no response with status 200, so that its
-        agent's lease expires, and the machine is released. Either of these ends the task.
+        The heartbeats of a decommissioned machine are not answered with status 200, so the lease of
+        its agent expires. This node also requests the release of the machine from the cloud. The
+        expiry of the lease and the release each end the task.
         """
         now = self._context.now
         limit_s = CANCEL_TIMEOUT_SHARE * self._context.settings.cluster.workers.cancel_s
--- a/marblestair/core/capacity/rentals.py
+++ b/marblestair/core/capacity/rentals.py
@@ -1,7 +1,7 @@
 """Rental of machines from the cloud.
 
-Each rental is recorded in the store as an intent, under a name that is never reused, before it is
-requested from the cloud.
+Before a leader requests machines from the cloud, it records the rental in the store as an intent,
+under a name that is never reused.
 """
 
 from __future__ import annotations
@@ -29,13 +29,14 @@
 from marblestair.core.state.records import MachineRecord, RentalIntent
 from marblestair.core.state.store_view import StoreView
 
-#: maximum age of an earlier leader's intent that a new leader carries out, in agent leases
+#: maximum age of an earlier leader's intent at which a new leader still carries it out, in agent
+#: leases
 MAX_INTENT_AGE_LEASES = 2.0
-#: time for which a kind is not requested after a refusal, in the kind's boot times, and its minimum
-#: in seconds if the cloud refused the whole request
+#: time for which a kind is not requested after a refusal, in the kind's boot times; and the minimum
+#: of that time, in seconds, if the cloud granted no machine at all
 REFUSED_BOOT_TIMES, MIN_REFUSED_S = 0.5, 5.0
-#: pause before a request without a response is repeated: the first pause, the factor by which each
-#: further one is longer, and the maximum
+#: mean pause before a rental request that was neither granted nor refused is repeated: the first
+#: pause, the factor by which each further pause is longer, and the maximum
 FIRST_RETRY_PAUSE_S, RETRY_PAUSE_GROWTH, MAX_RETRY_PAUSE_S = 0.5, 1.6, 4.0
 #: maximum number of intents in one page of a listing, and the pause after a failed listing
 MAX_LISTED_INTENTS, LISTING_RETRY_PAUSE_S = 200, 0.5
@@ -57,7 +58,7 @@
         self._leadership = leadership
         self._catalog = catalog
         self._refusals = refusals
-        #: number of rentals of this process; part of their names, so that these are unique
+        #: number of rentals that this process has started; makes the names of rentals unique
         self._count = 0
 
     def _is_current(self, shard: Shard) -> bool:
@@ -66,8 +67,8 @@
     def rent(self, shard: Shard, rental: RentalRequest) -> Coroutine[int]:
         """Rent machines, and return how many the cloud granted.
 
-        If the attempt to record the intent fails, nothing is rented and the requested number is
-        returned, because the cloud refused nothing.
+        If the intent cannot be recorded, nothing is rented. The requested number is returned then,
+        so that the caller does not take the failure for a refusal of the cloud.
         """
         self._count += 1
         name = f"r-{shard.term}-{self._count}"
@@ -106,9 +107,10 @@
     def _request(
         self, shard: Shard, name: str, rental: RentalRequest, intent_version: int
     ) -> Coroutine[list[str] | None]:
-        """Request the machines until the cloud grants or refuses them; return the granted machines.
+        """Request the machines until the cloud grants or refuses them; return those granted.
 
-        Returns None if the cloud refuses, or if this node no longer leads the shard.
+        Returns None if the cloud refuses, or if a request fails and this node no longer leads the
+        shard.
         """
         pause_s = FIRST_RETRY_PAUSE_S
         while True:
@@ -127,7 +129,7 @@
             pause_s = min(MAX_RETRY_PAUSE_S, pause_s * RETRY_PAUSE_GROWTH)
 
     def _record_refusal(self, rental: RentalRequest, min_s: float) -> None:
-        """Record that the cloud has no more machines of a kind.
+        """Record that the cloud refused machines of a kind.
 
         The kind is then not requested for some boot times, or ``min_s`` seconds if that is longer.
         """
@@ -196,10 +198,10 @@
     def finish_recorded(self, shard: Shard) -> Coroutine[None]:
         """Carry out the recent rentals that earlier leaders recorded but did not finish.
 
-        The cloud returns the same machines for the same name, so machines that were granted but not
-        recorded are put to use. Older intents are marked obsolete: the cloud refused them, or their
-        machines are recorded, listed or sending heartbeats by now. Repeating their requests could
-        rent machines that are no longer needed.
+        The cloud answers a repeated name with the same machines, so machines that were granted but
+        not recorded are put to use. Intents older than ``MAX_INTENT_AGE_LEASES`` are only marked
+        obsolete, because a new request could rent machines that are no longer needed. The cloud has
+        refused these intents, or their machines are already recorded, sending heartbeats or listed.
         """
         prefix = f"{keys.RENTAL_INTENTS}{shard.shard_id}/"
         after_key = ""
--- a/marblestair/core/capacity/reported_state.py
+++ b/marblestair/core/capacity/reported_state.py
@@ -1,4 +1,4 @@
-"""Merges the summaries of all shards into one input of the fleet plan."""
+"""Merges the summaries of all shards into one state, from which the fleet plan is computed."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 from marblestair.core.messaging.shard_summary import ReceivedSummary
 from marblestair.core.runtime.context import NodeContext
 
-#: maximum age of a shard's summary that is used, in agent leases
+#: maximum age at which a shard's summary is still used, in agent leases
 MAX_SUMMARY_AGE_LEASES = 1.5
 
 
 class ReportedState:
     """Holds the merged state from the latest summaries of all shards.
 
-    During a failover, the last summary of a shard is a good approximation of its state. It is used
-    up to the maximum age; after that, the shard's work and machines are left out.
+    During a failover, the last summary of a shard is a good approximation of the shard's state. A
+    shard whose summary is older than the maximum age is left out.
     """
 
     def __init__(self, context: NodeContext, summaries: ReceivedSummaries) -> None:
-        #: job -> number of its pending tasks, and of its tasks on machines
+        #: job -> number of its pending tasks, and number of its placed tasks
         self.tasks: dict[str, tuple[int, int]] = {}
         #: job -> a shard that has tasks of it
         self.shard_of_job: dict[str, int] = {}
--- a/marblestair/core/capacity/scale_in.py
+++ b/marblestair/core/capacity/scale_in.py
@@ -10,7 +10,8 @@
 def drain_surplus(draft: PlanDraft) -> None:
     """Mark surplus machines as draining: on-demand before spot ones, the least used first.
 
-    A machine is surplus if the capacity exceeds the target by at least its size.
+    A machine is surplus if the target is still met without this machine and without the surplus
+    machines chosen before it. Machines for gangs and partitioned machines are never chosen.
     """
     plan = draft.plan
     surplus_cpus = plan.capacity_cpus - plan.target_cpus
@@ -31,9 +32,11 @@
 
 
 def release_idle(draft: PlanDraft, has_arrays: bool, tuning: Tuning) -> None:
-    """Add idle machines that are not needed to the releases.
+    """Add to the plan's releases the idle machines that are not needed for arrays.
 
-    On-demand machines come before spot ones, and those with the highest price per cpu first.
+    A machine is added if the surplus is large enough for its size, or if there are no arrays. It
+    must have been rented and idle for a minimum time. On-demand machines come before spot ones, and
+    within each group the machines with the highest price per cpu come first.
     """
     plan = draft.plan
     surplus_cpus = plan.capacity_cpus - plan.target_cpus
--- a/marblestair/core/capacity/spending.py
+++ b/marblestair/core/capacity/spending.py
@@ -1,4 +1,4 @@
-"""Accounting of the cost of a shard's machines by use, for the log."""
+"""Accounting of what a shard's machines cost for each use (running, booting, idle), for the log."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         self._logged_at: dict[int, float] = {}
 
     def account(self, shard: Shard) -> None:
-        """Add the cost of a shard's machines since the last call, and log the sum once a minute."""
+        """Add the cost of a shard's machines since the last call; log the sums once a minute."""
         now = self._context.now
         elapsed_s = min(MAX_ACCOUNTED_S, now - self._accounted_at.get(shard.shard_id, now))
         self._accounted_at[shard.shard_id] = now
@@ -55,7 +55,9 @@
 def _add(spent: dict[str, float], machine: Machine, elapsed_s: float) -> None:
     """Add the cost of one machine, divided among the uses of its cpus.
 
-    All of it counts as ``boot`` while the machine has an expired lease or sent no heartbeat yet.
+    The uses are ``run`` for running tasks, ``start`` for starting ones, and ``spare`` or ``idle``
+    for free cpus of a machine with or without tasks. The whole cost counts as ``boot`` if the
+    machine has sent no heartbeat yet or its lease has expired.
     """
     if machine.machine_type is None:
         return
--- a/marblestair/core/capacity/team_headroom.py
+++ b/marblestair/core/capacity/team_headroom.py
@@ -15,8 +15,8 @@
         self, teams: dict[str, Team], reported: ReportedState, live: list[JobRecord]
     ) -> None:
         self._cpus = {name: team.cpu_limit for name, team in teams.items()}
-        # Arrays are not deducted from the gangs' headroom, because their tasks soon free their part
-        # of the limit.
+        # The cpus of arrays are not deducted from the headroom of gangs, because tasks of arrays
+        # soon end and free their part of the limit.
         self._gang_cpus = dict(self._cpus)
         for record in live:
             spec = record.spec
@@ -29,7 +29,7 @@
             self._gang_cpus[team] = self._gang_cpus.get(team, 0.0) - cpus
 
     def reserve(self, record: JobRecord, pending: int) -> int:
-        """Reserve cpus for the pending tasks that the limit allows to run; return their number."""
+        """Reserve cpus for as many pending tasks as the limit allows; return their number."""
         spec = record.spec
         is_gang = spec.kind == JobKind.GANG
         left = self._gang_cpus if is_gang else self._cpus
--- a/marblestair/http_api.py
+++ b/marblestair/http_api.py
@@ -22,16 +22,18 @@
 
 log = logging.getLogger("marblestair")
 
-#: limit of open connections, as a share of the process's sockets, and its minimum
+#: maximum number of open connections: as a share of the process's sockets, and the lower bound of
+#: that number
 CONNECTION_LIMIT_SHARE = 0.8
 MIN_CONNECTION_LIMIT = 8
-#: number of connections above which users' requests are refused so that agents can still connect,
-#: as a share of the process's sockets, and its minimum
+#: number of connections above which users' requests are refused, so that agents can still connect:
+#: as a share of the process's sockets, and the lower bound of that number
 USER_LIMIT_SHARE = 0.7
 MIN_USER_LIMIT = 4
 #: time after which an idle connection is closed
 IDLE_TIMEOUT_S = 120.0
-#: Retry-After of users' requests refused for too many connections, and of requests that failed
+#: Retry-After in seconds in the response to a user's request that is refused because of too many
+#: connections, and to a request whose handling raised an exception
 OVERLOAD_RETRY_AFTER_S = 2
 ERROR_RETRY_AFTER_S = 1
 
@@ -39,7 +41,7 @@
 class HttpApi:
     """Receives HTTP requests, passes them to the core and sends the responses.
 
-    It owns the HTTP server, and keeps the connections whose requests the core has not answered yet.
+    It owns the HTTP server, and keeps each connection until the core has answered its request.
 
     Parameters
     ----------
@@ -50,9 +52,9 @@
     request_ids
         Yields a unique id for each request.
     set_time
-        Called before each input of the core; sets the core's clock.
+        Sets the core's clock; called before each heartbeat or user's request.
     flush
-        Called after each input of the core; sends the core's output.
+        Sends the core's output; called after the core has handled an input.
     """
 
     def __init__(
--- a/marblestair/node.py
+++ b/marblestair/node.py
@@ -31,12 +31,13 @@
 
 log = logging.getLogger("marblestair")
 
-#: interval of ticks, as a share of the agents' heartbeat interval, and its minimum
+#: interval between two ticks of the core: as a share of the agents' heartbeat interval, and its
+#: minimum in seconds
 TICK_INTERVAL_SHARE = 0.2
 MIN_TICK_INTERVAL_S = 0.05
-#: interval of checks for idle connections
+#: interval between two searches for idle connections to close
 IDLE_CHECK_INTERVAL_S = 5.0
-#: size of the random incarnation of a process
+#: length of the random incarnation, which identifies one run of a controller process, in bytes
 INCARNATION_BYTES = 7
 
 
--- a/marblestair/policy.py
+++ b/marblestair/policy.py
@@ -6,7 +6,7 @@
 - ``lead("CLASS", SECONDS)`` to schedule the jobs of a class as if they were due that many seconds
   earlier.
 
-If the script fails or uses an unknown name, the error states its file and line.
+If the script fails or uses an unknown name, the error states the file and line of the failure.
 """
 
 from __future__ import annotations
@@ -47,7 +47,8 @@
 #: maximum absolute offset of a deadline
 MAX_DEADLINE_OFFSET_S = 1e6
 
-#: prefixes of the lines of an interpreter's error that contain its location and its text
+#: prefixes of the lines of an interpreter's error: the line with the location, and the line with
+#: the text
 _LOCATION_PREFIX = "-->"
 _ERROR_PREFIX = "error:"
 #: prefixes of the lines of an interpreter's error to skip: the quoted script and the call stack
@@ -55,7 +56,7 @@
 
 
 class PolicyError(Exception):
-    """A policy script is invalid; the text is one line with its file and line."""
+    """A policy script is invalid; the text is one line that names the script and the problem."""
 
 
 class Policy(msgspec.Struct, frozen=True):
@@ -92,7 +93,7 @@
             self.tuned_values[tunable.field] = value if is_whole else float(value)
 
     def lead(self, cls: Any, seconds: Any) -> None:
-        """Schedule the jobs of a class as if they were due some seconds earlier."""
+        """Schedule the jobs of a class as if they were due ``seconds`` earlier."""
         if not isinstance(cls, str) or not cls:
             raise TypeError(f"lead: the class must be a non-empty string, got {cls!r:.40}")
         if isinstance(seconds, bool) or not isinstance(seconds, (int, float)):
--- a/marblestair/request_executor.py
+++ b/marblestair/request_executor.py
@@ -45,24 +45,25 @@
 
 log = logging.getLogger("marblestair")
 
-#: limit of idle connections to the store, and of connections to agents, each as a share of the
-#: process's sockets, and its minimum
+#: maximum number of idle connections to the store, and of in-flight requests to agents: as a share
+#: of the process's sockets, and the lower bound of that number
 OUTGOING_LIMIT_SHARE = 0.04
 MIN_OUTGOING_LIMIT = 4
-#: limit of in-flight requests to the store, as a multiple of the limit of idle connections to it
+#: maximum number of in-flight requests to the store, as a multiple of the maximum number of idle
+#: connections to the store
 STORE_IN_FLIGHT_FACTOR = 2
 #: limits of idle connections and of in-flight requests to the cloud
 MAX_IDLE_CLOUD_CONNECTIONS = 2
 MAX_CLOUD_REQUESTS_IN_FLIGHT = 8
-#: shares of the permitted request rates that are used; the rest allows for clock drift between this
-#: node and the store or the cloud
+#: maximum request rates to the store and the cloud, as shares of the permitted rates; the rest
+#: allows for clock drift between this node and the store or the cloud
 STORE_RATE_SHARE = 0.95
 CLOUD_RATE_SHARE = 0.9
 #: write rate of the cloud's rate limiter; without effect, since no cloud request counts as a write
 CLOUD_WRITES_PER_S = 1.0
 #: maximum time that a request to the cloud waits for the rate limiter
 MAX_CLOUD_WAIT_S = 10.0
-#: timeouts of one request to the store, to the cloud and to an agent
+#: timeouts of one request to the store (plus the wait of a watch), to the cloud and to an agent
 STORE_TIMEOUT_S = 1.2
 CLOUD_TIMEOUT_S = 4.0
 AGENT_TIMEOUT_S = 1.5
@@ -96,8 +97,8 @@
             max_idle_per_address=MAX_IDLE_CLOUD_CONNECTIONS,
             max_in_flight=MAX_CLOUD_REQUESTS_IN_FLIGHT,
         )
-        # Stop commands to hundreds of agents at once wait until fewer requests are in flight. With
-        # many agents, an idle connection is soon closed by the limit on all idle connections.
+        # If commands go to hundreds of agents at once, those above max_in_flight wait. With many
+        # agents, max_idle soon closes an agent's idle connection.
         self._agents = HttpClient(
             max_idle_per_address=1, max_in_flight=max_outgoing, max_idle=max_outgoing
         )
@@ -123,7 +124,7 @@
     async def execute(self, request: CoroutineRequest) -> Any:
         """Execute a request and return its response.
 
-        An unexpected exception is logged, and the result of :func:`no_response` is returned.
+        If an unexpected exception occurs, it is logged and :func:`no_response` gives the result.
         """
         try:
             return await self._send(request)
@@ -132,7 +133,7 @@
             return no_response(request)
 
     async def send_command(self, command: DirectCommand) -> None:
-        """Send commands directly to an agent; only its heartbeats show whether they took effect."""
+        """Send commands to an agent; ignore the response, as heartbeats show their effect."""
         body = encode_direct_command(
             command.fencing_token, command.agent_incarnation, command.commands
         )
--- a/marblestair/settings/checks.py
+++ b/marblestair/settings/checks.py
@@ -13,14 +13,14 @@
 #: smallest permitted limit of changes in one transaction; a failover and the end of a job each
 #: need two
 MIN_TRANSACTION_CHANGES = 3
-#: maximum number of shards; a larger one is probably a mistake in the file
+#: maximum number of shards; a larger number is probably a mistake in the settings file
 MAX_SHARDS = 100
 #: minimum duration of an agent's lease, in heartbeat intervals
 MIN_LEASE_INTERVALS = 2
 
 BYTES_PER_KB = 1024
-#: numbers whose MessagePack encoding is at least as long as that of any real incarnation, term or
-#: quota
+#: numbers that are encoded in at least as many bytes of MessagePack as any real incarnation, term
+#: or quota
 LARGE_INCARNATION, LARGE_TERM, LARGE_QUOTA = 1 << 56, 1 << 32, 1 << 40
 
 
--- a/marblestair/settings/loading.py
+++ b/marblestair/settings/loading.py
@@ -10,15 +10,15 @@
 from marblestair.core.domain.settings import Settings
 from marblestair.settings.checks import SettingsError, check_settings
 
-#: separates the problem from the path of the field in the text of a msgspec error
+#: text between the problem and the path of the field in a msgspec error
 _FIELD_PATH_SEPARATOR = " - at `$"
 
 
 def parse(data: Mapping[str, object]) -> Settings:
     """Build checked settings from a parsed TOML table.
 
-    The limits of the store in the result are the stricter ones of the current and the next limits
-    (``cluster.state.next``), because the next limits come into force without notice.
+    Each limit of the store in the result is the stricter one of the current limit and the next
+    limit (``cluster.state.next``), because the next limits come into force without notice.
 
     Raises
     ------
