--- a/marblestair/core/domain/agents.py
+++ b/marblestair/core/domain/agents.py
@@ -18,12 +18,12 @@
     PLANNED = "planned"
     #: the start command was in a response, and no heartbeat has listed the task yet
     SENT = "sent"
-    #: the agent is fetching its image
+    #: the agent is fetching the task's image
     FETCHING = "fetching"
-    #: ready, and waiting for the other tasks of its gang
+    #: the task is ready, and waits for the other tasks of its gang
     WAITING = "waiting"
     RUNNING = "running"
-    #: commanded to stop, and saving a checkpoint
+    #: the task was commanded to stop, and saves a checkpoint
     SAVING = "saving"
     EXITED = "exited"
     #: the agent reported a state that this version does not know
@@ -58,7 +58,7 @@
 
     START = "start"
     STOP = "stop"
-    #: omit an exited task from further heartbeats
+    #: discard an exited task, so that further heartbeats do not list it
     FORGET = "forget"
 
 
@@ -76,9 +76,9 @@
 class Heartbeat(msgspec.Struct, frozen=True):
     """A heartbeat of an agent, with the status of every task on its machine.
 
-    Sequence numbers ascend within one agent incarnation. ``fencing_token`` is the latest one that
+    Sequence numbers ascend within one agent incarnation. ``fencing_token`` is the latest token that
     the agent accepted. ``reclaim_in_s`` is the time in seconds until the cloud reclaims the
-    machine, or None if the cloud has not announced that.
+    machine, or None if the cloud has announced no reclaim.
     """
 
     machine: str
--- a/marblestair/core/domain/amounts.py
+++ b/marblestair/core/domain/amounts.py
@@ -1,4 +1,4 @@
-"""Fixed-point resource amounts, so that sums accumulate no rounding error against a limit."""
+"""Fixed-point resource amounts, whose sums compare with limits without rounding errors."""
 
 from __future__ import annotations
 
--- a/marblestair/core/domain/index_ranges.py
+++ b/marblestair/core/domain/index_ranges.py
@@ -1,4 +1,4 @@
-"""Compact sets of task indexes, which need no object per task that has not started."""
+"""Compact sets of task indexes, which hold no object for each index."""
 
 from __future__ import annotations
 
--- a/marblestair/core/domain/jobs.py
+++ b/marblestair/core/domain/jobs.py
@@ -77,8 +77,8 @@
     deadline_s: float | None
     #: wall-clock time in seconds at which the job was accepted; for ordering and deadlines only
     accepted_at: float = 0.0
-    #: ids of the jobs that must be done before any task of this job starts; without those that were
-    #: done already when this job was accepted
+    #: ids of the jobs that must be done before any task of this job starts. Jobs that were already
+    #: done when this job was accepted are not listed.
     depends_on: list[str] = []
 
     @property
--- a/marblestair/core/domain/machine_kinds.py
+++ b/marblestair/core/domain/machine_kinds.py
@@ -8,7 +8,8 @@
 from marblestair.core.domain.jobs import JobSpec
 from marblestair.core.domain.machines import MachineType
 
-#: task count per machine for tasks that use no resources; larger than any job's task count
+#: number of tasks that count as fitting on one machine if they use no resources; larger than any
+#: job's task count
 UNBOUNDED_TASKS = 1 << 20
 
 
@@ -23,7 +24,7 @@
     def key(self) -> tuple[str, str, bool]:
         """Key of the kind: name of the type, zone, and whether it is a spot instance.
 
-        A plain tuple, because the planner builds one for each kind that it compares.
+        A plain tuple, which is cheap to create: the planner creates one for each kind it compares.
         """
         return self.machine_type.name, self.zone, self.spot
 
--- a/marblestair/core/domain/settings.py
+++ b/marblestair/core/domain/settings.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-#: limit in cpus or gpus of a team without a configured limit: more than any fleet has. A number
-#: rather than None, because limits are divided among the shards and stored in the shard map.
+#: limit, in cpus or in gpus, of a team without a configured limit; more than any fleet has. It is a
+#: number rather than None, because limits are divided among the shards and stored in the shard map.
 UNLIMITED = 1e9
 
 
@@ -28,7 +28,10 @@
 
 
 class Team(msgspec.Struct, frozen=True):
-    """Guaranteed quota and limit of a team; 0 means that it has none."""
+    """Guaranteed quota (``cpus``, ``gpus``) and limits (``cpus_max``, ``gpus_max``) of a team.
+
+    A value of 0 means no guarantee or no limit.
+    """
 
     name: str
     cpus: float
@@ -80,7 +83,7 @@
 
 
 class NextStateLimits(msgspec.Struct, frozen=True):
-    """Limits of the store that may take effect at any time; None: the limit does not change."""
+    """Announced limits of the store, which may take effect at any time; None: no change."""
 
     rps: float | None = None
     write_rps: float | None = None
@@ -100,7 +103,7 @@
     next: NextStateLimits | None = None
 
     def strictest(self) -> StateLimits:
-        """Return the smaller of each current limit and its announced successor."""
+        """Return, for each limit, the smaller of its current and its announced value."""
         later = self.next or NextStateLimits()
         return StateLimits(
             rps=min(self.rps, later.rps or self.rps),
@@ -121,7 +124,7 @@
 class MachineLimits(msgspec.Struct, frozen=True):
     """Resource limits of one controller process."""
 
-    #: processor time, in cores
+    #: maximum processor time, in cores
     core_share: float = 1.0
     mem_mb: float = 256.0
     sockets: float = 512.0
--- a/marblestair/core/leadership/connectivity.py
+++ b/marblestair/core/leadership/connectivity.py
@@ -9,18 +9,20 @@
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state.store_view import StoreView
 
-#: a node without any heartbeat for this share of an agent's lease counts as unreachable by agents
+#: maximum time without any heartbeat before a node counts as unreachable by agents, as a share of
+#: an agent's lease
 UNREACHABLE_LEASE_SHARE = 0.35
-#: the same limit in heartbeat intervals; the longer of the two limits applies
+#: the same maximum in heartbeat intervals; the longer of the two applies
 UNREACHABLE_HEARTBEAT_INTERVALS = 2.5
-#: a rented machine is expected to send heartbeats after this many boot times of its type
+#: time from the addition of a machine until it is expected to send heartbeats, in boot times of its
+#: type
 HEARTBEAT_DUE_BOOT_TIMES = 2.0
-#: a node that its agents did not reach accepts no shard for this many agent leases
+#: time for which a node that its agents did not reach accepts no shard, in agent leases
 COOLDOWN_AGENT_LEASES = 4.0
 
 
 class Connectivity:
-    """Decides by recent messages and heartbeats whether a node can serve users and lead shards."""
+    """Decides from recent messages and heartbeats if a node can serve users and lead shards."""
 
     def __init__(
         self, context: NodeContext, view: StoreView, lease: StoreLease, leadership: Leadership
@@ -31,7 +33,7 @@
         self._leadership = leadership
         #: node -> monotonic time at which its latest message arrived
         self.last_received_at: dict[str, float] = {}
-        #: node -> whether its latest summary said that it can be given shards
+        #: node -> whether the node's latest summary said that the node accepts shards
         self.peer_can_accept_shards: dict[str, bool] = {}
         #: end of the cooldown during which this node accepts no shard; None when there is none
         self._cooldown_until: float | None = None
@@ -48,7 +50,7 @@
         """Begin a cooldown of a few agent leases, during which this node accepts no shard.
 
         Agents send heartbeats only to the leader of their shard. A node without shards therefore
-        cannot detect that agents reach it again, and is given a shard again after the cooldown.
+        cannot detect that agents reach it again, and may be given a shard again after the cooldown.
         """
         agent_lease_s = self._context.settings.cluster.workers.lease_s
         self._cooldown_until = now + COOLDOWN_AGENT_LEASES * agent_lease_s
@@ -57,7 +59,7 @@
         """Return whether this node is cut off from the store and from all other controllers.
 
         This is so when it has received nothing from any of them for the duration of a node lease.
-        It then cannot answer users, and refuses their requests at once.
+        A disconnected node cannot answer users, and refuses user requests at once.
         """
         now, limit_s = self._context.now, self._lease.ttl_s
         last_renewal = self._lease.renewed_at
@@ -83,8 +85,8 @@
         """Return whether agents have apparently lost the connection to this node.
 
         This is so when no machine of its shards has sent a heartbeat within a time limit, the view
-        lists other nodes, and either more than one machine should be sending heartbeats or those
-        nodes are silent too.
+        lists other nodes, and either more than one machine should be sending heartbeats or all
+        other nodes are silent too.
         """
         agents = self._context.settings.cluster.workers
         limit_s = max(
@@ -116,8 +118,8 @@
     def _should_send_heartbeats(self, shard: Shard, machine: Machine) -> bool:
         """Return whether a machine is expected to send heartbeats.
 
-        Either it has sent a heartbeat under this shard's term, or it was in the shard at the
-        failover and has had time to boot.
+        Either the machine is reconciled (it has sent a heartbeat to this leader), or it was in the
+        shard when this node acquired the shard and has had time to boot.
         """
         if machine.is_reconciled:
             return True
@@ -132,7 +134,7 @@
         )
 
     def can_accept_shards(self) -> bool:
-        """Return whether agents reach this node, as far as known, and no cooldown is active."""
+        """Return whether this node does not seem unreachable by agents and is in no cooldown."""
         now = self._context.now
         is_cooling_down = self._cooldown_until is not None and now < self._cooldown_until
         return not self.is_unreachable_by_agents(now) and not is_cooling_down
--- a/marblestair/core/leadership/coordinator.py
+++ b/marblestair/core/leadership/coordinator.py
@@ -46,7 +46,8 @@
     def begin_failover_or_transfer(self, now: float) -> None:
         """Begin a failover of orphaned shards, or else a transfer of a shard to another node.
 
-        Called a few times a second. Begins neither while this node may not act for its shards.
+        Called a few times a second. Begins nothing before the view is loaded, during a failover, or
+        while this node may not act for its shards.
         """
         self._leadership.log_basis_change(now)
         self._transfer.record_incarnations(now)
--- a/marblestair/core/leadership/failover.py
+++ b/marblestair/core/leadership/failover.py
@@ -1,4 +1,8 @@
-"""Failover: a node takes over the shards of leaders whose lease has expired."""
+"""Failover: a node takes over shards without a live leader.
+
+Either the leader's lease has expired, or its process was restarted, or the shard never had a
+leader.
+"""
 
 from __future__ import annotations
 
@@ -20,13 +24,15 @@
 from marblestair.core.state.records import ShardMap, ShardRecord
 from marblestair.core.state.store_view import StoreView
 
-#: delay of a takeover for each shard that the node already leads, so that shards spread evenly
+#: delay of a takeover per shard that the node already leads or is taking over, so that shards
+#: spread evenly over the nodes
 DELAY_PER_LED_SHARD_S = 0.35
-#: random part of the delay, so that nodes seldom try at the same time
+#: maximum of the random part of the delay, so that nodes seldom try at the same time
 MAX_RANDOM_DELAY_S = 0.15
-#: share of a node lease for which a restarted leader may take its own shards over first
+#: time for which other nodes leave a restarted leader's shards to its new process, as a share of a
+#: node lease
 RESTART_GRACE_LEASE_SHARE = 0.5
-#: node leases within which a failed node's shard usually has a new leader
+#: time within which a failed node's shard usually has a new leader, in node leases
 EXPECTED_FAILOVER_LEASES = 1.6
 
 
@@ -49,9 +55,9 @@
         self._leadership = leadership
         self._updates = updates
         self._is_in_progress = False
-        #: version of the shard map at the latest failover commit that got no response
+        #: version of the shard map after the latest failover commit that got no response
         self._uncertain_version: int | None = None
-        #: shard -> monotonic time at which this node first saw that its leader is not live
+        #: shard -> monotonic time at which this node first saw that the shard's leader is not live
         self._leader_missing_since: dict[int, float] = {}
 
     @property
@@ -61,12 +67,12 @@
 
     @property
     def is_in_progress(self) -> bool:
-        """Whether this node has begun a failover and awaits the store's response."""
+        """Whether a failover, or the creation of the shard map, has begun and not ended."""
         return self._is_in_progress
 
     @property
     def is_pending(self) -> bool:
-        """Whether a failover is in progress, or got no response and may still be applied."""
+        """Whether a failover is in progress, or its commit got no response and may still apply."""
         if self._is_in_progress:
             return True
         return self._uncertain_version == self._view.version(keys.SHARD_MAP)
@@ -123,18 +129,18 @@
     def _extra_delay_s(self, shard_id: int, record: ShardRecord) -> float:
         """Return the extra delay that lets a better candidate take the shard over first."""
         if not record.leader:
-            # New deployment: each node gets time to take the shards it is the preferred leader of.
+            # New deployment: for one node lease, only the preferred leader takes the shard.
             is_preferred = self._leadership.preferred_leader(shard_id) == self._context.node
             return 0.0 if is_preferred else self._lease.ttl_s
         if self._view.nodes.get(record.leader) is not None:
-            # The leader has restarted, and its new process takes the shard over itself.
+            # The leader has restarted: its new process may take the shard over first.
             return RESTART_GRACE_LEASE_SHARE * self._lease.ttl_s
         return 0.0
 
     def _leader_key_preconditions(
         self, current: ShardMap, orphaned: list[int]
     ) -> list[tuple[str, int]]:
-        """Return preconditions that fail if the node key of an earlier leader changes."""
+        """Return preconditions that fail if the node key of a former leader changes."""
         preconditions = []
         for shard_id in orphaned:
             leader = current.shards[shard_id].leader
--- a/marblestair/core/leadership/leadership.py
+++ b/marblestair/core/leadership/leadership.py
@@ -1,7 +1,8 @@
 """The shards that this node leads, and whether it may act for them now.
 
-A node acts for a shard only while the shard map names it as leader, its view includes the commit
-that made it leader, and its lease is certainly valid or promises of all other nodes replace it.
+A node acts for a shard only while the shard map assigns the shard to its process, the shard is
+recovered and not being transferred, and the node is authorized by its lease or by promises of all
+other nodes (``Leadership.is_authorized``).
 """
 
 from __future__ import annotations
@@ -43,8 +44,9 @@
     def is_authorized(self, now: float) -> bool:
         """Return whether this node may act for its shards.
 
-        The view must include the commit of this node's key. In addition, all other nodes must have
-        promised, or the lease must be certainly valid and the view younger than an agent's lease.
+        The view must include the commit of this node's key. In addition, either promises of all
+        other nodes must be valid, or the lease must be certainly valid and the view's staleness
+        less than an agent's lease.
         """
         if self._view.revision < self._lease.node_key_revision:
             return False
@@ -79,7 +81,7 @@
         return nodes[shard_id % len(nodes)]
 
     def fence_precondition(self, shard_id: int) -> tuple[str, int]:
-        """Return a precondition that fails once the shard has another leader."""
+        """Return a precondition that fails once the shard has a new leader."""
         key = f"{keys.FENCES}{shard_id}"
         return key, self._view.version(key)
 
--- a/marblestair/core/leadership/progress_pages.py
+++ b/marblestair/core/leadership/progress_pages.py
@@ -1,8 +1,8 @@
 """Pages in the store that record which tasks of a shard's jobs are done.
 
-Each page is written by one shard only, conditional on the shard's fence and the page's version. An
-agent is told to discard a finished task only after the page that records it was written, so that a
-failover never loses a result.
+Only the leader of a page's shard writes the page, conditional on the versions of the shard's fence
+and of the page. An agent is told to discard a finished task only after the page that records the
+task was written, so that a failover never loses a result.
 """
 
 from __future__ import annotations
@@ -28,14 +28,15 @@
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state import keys
 
-#: share of a node's write rate that progress pages may use, so that it does not delay other writes
+#: share of a node's write rate that progress pages may use, so that they do not delay other writes
 PROGRESS_WRITE_SHARE = 0.35
-#: one batch in this many deletes obsolete keys, even while progress waits to be written
+#: one batch in this many deletes obsolete keys, if there are any, even while progress waits to be
+#: written
 BATCHES_PER_CLEANUP = 5
-#: minimum pause between two batches, and the random part added to it
+#: minimum pause between two batches, and the maximum random time added to each pause
 MIN_BATCH_PAUSE_S, MAX_RANDOM_PAUSE_S = 0.7, 0.2
-#: delay between progress and its write; longer for a complete slice, since the end of its job may
-#: be recorded first and make the write unnecessary
+#: minimum time between progress of a slice and its write; longer for a complete slice, since the
+#: final state of the job may be recorded first and make the write unnecessary
 WRITE_DELAY_S, COMPLETE_SLICE_WRITE_DELAY_S = 0.5, 1.5
 #: maximum number of keys in one page of a listing
 MAX_LIST_PAGE_KEYS = 500
@@ -90,7 +91,8 @@
         prefix = f"{keys.PROGRESS}{shard.shard_id}/"
         after_key = ""
         while self._is_current(shard):
-            # The shard answers no agent until its pages are read, so they precede user requests.
+            # The leader answers no agent of the shard until all pages are read, so these reads take
+            # precedence over user requests.
             response: StoreResponse = yield ListKeys(
                 prefix, after_key, MAX_LIST_PAGE_KEYS, RequestPriority.LEASE
             )
@@ -107,7 +109,9 @@
         return None
 
     def persist(self, shard: Shard) -> Coroutine[None]:
-        """Write progress in batches, about once a second or less often if the write rate demands.
+        """Write progress in batches until this node loses the shard.
+
+        A batch is written about once a second, or less often if the write rate requires it.
 
         The number of slices grows with the load, while the store's write rate is fixed. A delayed
         write is safe: an agent lists a finished task until it is told to discard it, which happens
@@ -134,8 +138,8 @@
     def _delete_obsolete_keys(self, shard: Shard) -> Coroutine[int]:
         """Delete obsolete keys of a shard; return the number of changes sent.
 
-        Each deletion is conditional on the key's version, so that one that is applied late does
-        not remove a newer value.
+        Each deletion is conditional on the key's version, so that a deletion that is applied late
+        does not remove a newer value.
         """
         max_keys = self._context.max_batch_changes
         yield from _read_versions(shard, max_keys)
@@ -158,7 +162,7 @@
         return len(deletions)
 
     def _write(self, shard: Shard, batch: list[DirtyPage]) -> Coroutine[None]:
-        """Write pages in one commit, and update their slices by its result."""
+        """Write pages in one commit, and update the slices from the result."""
         in_flight = [InFlightPage(dirty.job_slice, dirty.page, dirty.bits) for dirty in batch]
         preconditions = [self._leadership.fence_precondition(shard.shard_id)]
         puts = []
@@ -237,7 +241,8 @@
 def _reread_pages(shard: Shard, in_flight: list[InFlightPage]) -> Coroutine[None]:
     """Reread pages whose write failed or got no response.
 
-    If a page changes after it was read, the next write fails on its version and rereads it.
+    If a page changes after this read, the precondition on its version fails at the next write, and
+    the page is reread.
     """
     for page in in_flight:
         response: StoreResponse = yield Get(_key(shard, page), RequestPriority.PROGRESS)
--- a/marblestair/core/leadership/promise_ledger.py
+++ b/marblestair/core/leadership/promise_ledger.py
@@ -1,21 +1,21 @@
 """The promises that one node has granted and received.
 
-A node that promises does not take the asking leader's shards over. A promise replaces a lease
-renewal while the store is unavailable: see ``promises.py``.
+Until a promise expires, the node that granted it does not take over the shards of the leader that
+asked for it. Promises replace lease renewals while the store is unavailable: see ``promises.py``.
 """
 
 from __future__ import annotations
 
 
 class PromiseLedger:
-    """Stores until when granted and received promises are valid, in monotonic time."""
+    """Stores the monotonic times at which granted and received promises expire."""
 
     def __init__(self, started_at: float, lease_ttl_s: float) -> None:
         self._started_at = started_at
         self._lease_ttl_s = lease_ttl_s
-        #: until when promises of all other controllers replace the lease; None if they never did
+        #: time until which all other controllers have promised; None if they never all did
         self._valid_until: float | None = None
-        #: node -> until when this node has promised not to take that node's shards over
+        #: node -> time until which this node has promised not to take that node's shards over
         self._granted_until: dict[str, float] = {}
 
     def are_valid(self, now: float) -> bool:
@@ -23,7 +23,7 @@
         return self._valid_until is not None and now < self._valid_until
 
     def extend(self, until: float) -> None:
-        """Record that all other controllers have promised until a time; never shortens this."""
+        """Record that all other controllers have promised until a time, unless this is earlier."""
         if self._valid_until is None or until > self._valid_until:
             self._valid_until = until
 
@@ -38,8 +38,8 @@
     def may_hold_grant(self, node: str, now: float) -> bool:
         """Return whether a node may hold a promise that this node has granted.
 
-        A previous process of this node may have granted one, which can stay valid for one lease
-        after this process has started.
+        For one lease after this process has started, any node may hold a promise that a previous
+        process of this node granted.
         """
         until = self._granted_until.get(node)
         if until is not None and now < until:
--- a/marblestair/core/leadership/promises.py
+++ b/marblestair/core/leadership/promises.py
@@ -1,10 +1,10 @@
 """Promises between controllers, which replace lease renewals while the store is unavailable.
 
 During an outage of the store, a leader asks every other controller to promise not to take its
-shards over for the duration of a lease. It may act beyond its own lease only with promises of all
-of them, and only if it was authorized to act until they arrived. A controller that can still take
-shards over refuses, and a missing reply counts as a refusal. A promise comes with the cancels that
-the asker's view may lack.
+shards over for the duration of a lease. The leader may act beyond its own lease only if every other
+controller promises and the leader is still authorized to act when the last reply arrives. A
+controller refuses while its own lease renewals succeed or a failover of its own is pending, and a
+missing reply counts as a refusal. A promise comes with the cancels that the leader's view may lack.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 from marblestair.core.runtime.requests import PeerRequest, Sleep
 from marblestair.core.state.store_view import StoreView
 
-#: checks per lease whether promises are needed
+#: number of checks whether promises are needed, per duration of a lease
 CHECKS_PER_LEASE = 8
-#: new promises are requested once the present ones last no longer than this share of a lease
+#: maximum remaining validity of the promises at which new ones are requested, as a share of a lease
 RENEWAL_LEASE_SHARE = 0.6
-#: time for another controller to reply
+#: maximum time to wait for another controller's reply
 REPLY_TIMEOUT_S = 0.5
 
 
@@ -38,9 +38,9 @@
         """Apply a cancel that the job's record contained at store revision ``revision``."""
 
     def entries_after(self, revision: int) -> list[list[object]] | None:
-        """Return the cancels that a view at ``revision`` may lack, or None if they are too many.
+        """Return the cancels that a view at ``revision`` may lack, or None if there are too many.
 
-        Each is a pair of a job and a revision at which the job's record contained the cancel.
+        Each cancel is a pair of a job and a revision at which the job's record contained it.
         """
 
 
@@ -68,7 +68,7 @@
     # --- requests --------------------------------------------------------------------------
 
     def maintain(self) -> Coroutine[None]:
-        """Request promises of all other controllers while the lease cannot be renewed."""
+        """Request promises of all other controllers while the lease renewal is overdue."""
         while True:
             yield Sleep(self._lease.ttl_s / CHECKS_PER_LEASE)
             if self._should_request(self._context.now):
@@ -83,9 +83,10 @@
         return remaining_s is None or remaining_s <= RENEWAL_LEASE_SHARE * self._lease.ttl_s
 
     def _request_promises(self) -> Coroutine[None]:
-        """Request promises of all other controllers; they count only if each of them grants one.
+        """Request promises of all other controllers, one after the other.
 
-        Their validity begins at the time of the first request.
+        The promises count only if every controller grants one and this node is still authorized to
+        act afterwards. Their validity is counted from the time of the first request.
         """
         requested_at = self._context.now
         for peer in self._context.settings.others:
@@ -111,10 +112,10 @@
     def grant(self, request: RequestPromise) -> list[list[object]] | None:
         """Promise not to take the asking node's shards over for the duration of a lease.
 
-        Returns the cancels that a view of the asker's revision may lack, or None if this node may
-        not promise or they are too many. The asker counts the promise only after it has applied
-        them, so a leader that acts on promises has applied each cancel that any other node can
-        have confirmed.
+        Returns the cancels that a view at the asking node's revision may lack. Returns None and
+        promises nothing if this node may not promise or there are too many such cancels. The asking
+        node counts the promise only after it has applied these cancels. A leader that acts on
+        promises has therefore applied each cancel that any other node can have confirmed.
         """
         if not self._may_promise(request):
             return None
--- a/marblestair/core/leadership/services.py
+++ b/marblestair/core/leadership/services.py
@@ -63,7 +63,7 @@
         )
 
     def promises(self, cancels: CommittedCancels) -> Promises:
-        """Create the component that requests and grants promises; they carry ``cancels``."""
+        """Create the component that requests and grants promises, which carry ``cancels``."""
         return Promises(
             self._context,
             self._view,
--- a/marblestair/core/leadership/shard_map.py
+++ b/marblestair/core/leadership/shard_map.py
@@ -1,7 +1,7 @@
 """Changes of the shard map: leaders, terms and team quotas.
 
-Each function returns a new map and leaves its input as it is. The caller commits the new map
-conditional on the version of the map that it was made from.
+A function that changes a map returns a copy with the change. The caller commits this copy,
+conditional on the version of the original map.
 """
 
 from __future__ import annotations
--- a/marblestair/core/leadership/shard_map_updates.py
+++ b/marblestair/core/leadership/shard_map_updates.py
@@ -21,8 +21,9 @@
     """The result of an update of the shard map."""
 
     APPLIED = enum.auto()
+    #: the update was not applied and will not be
     REJECTED = enum.auto()
-    #: no response: the update may have been applied, or may still be
+    #: no response: the update may have been applied, or may be applied later
     UNCERTAIN = enum.auto()
 
 
@@ -42,8 +43,8 @@
     ) -> Coroutine[UpdateResult]:
         """Replace the shard map if it still has the given version and the preconditions hold.
 
-        The terms of the shards in ``fenced_ids``, which get a new leader, become the new values of
-        their fences.
+        ``fenced_ids`` are the shards that get a new leader: the same transaction sets the fence of
+        each of these shards to the shard's new term.
         """
         puts = [Put(keys.SHARD_MAP, shard_map)]
         puts += [
--- a/marblestair/core/leadership/shard_recovery.py
+++ b/marblestair/core/leadership/shard_recovery.py
@@ -1,10 +1,10 @@
 """Recovery of a shard by its new leader, from job records and progress pages.
 
-The leader acts for the shard only after the recovery.
+A new leader acts for the shard only after the recovery.
 
 All machines of the shard are unreconciled at first. Tasks that an earlier leader may have launched
-are not started again until each machine has sent a heartbeat under the new term, or its agent's
-lease has certainly expired.
+are not started again until, for each machine, a heartbeat under the new term has arrived or the
+agent's lease has certainly expired.
 """
 
 from __future__ import annotations
@@ -59,7 +59,8 @@
         self, shard: Shard, acquired_revision: int, synchronizer: ShardSynchronizer
     ) -> Coroutine[None]:
         """Recover a shard that was acquired by the shard map commit at ``acquired_revision``."""
-        # The view must first include all jobs, cancels and machines committed before that commit.
+        # The view must first include all jobs, cancels and machines that were committed before the
+        # shard was acquired.
         while self._view.revision < acquired_revision:
             yield Sleep(VIEW_CHECK_PAUSE_S)
             if self._leadership.shards.get(shard.shard_id) is not shard:
@@ -86,11 +87,11 @@
     def _mark_slices(self, shard: Shard) -> None:
         has_unreconciled = bool(shard.unreconciled_machines)
         for job_slice in shard.slices.values():
-            # A blocked job has never had a running task, so it may start as soon as it is released.
+            # No task of a blocked job has ever run, so the job may start as soon as it is released.
             job_slice.is_unreconciled = has_unreconciled and not job_slice.is_blocked
             if job_slice.is_cancelled:
                 # The cancel may have been confirmed to a user before the earlier leader failed, so
-                # it is dated back by the expected duration of a failover.
+                # ``cancelled_at`` is set back by the expected duration of a failover.
                 job_slice.cancelled_at = self._context.now - self._failover.expected_duration_s
 
     def _log_ready(self, shard: Shard) -> None:
--- a/marblestair/core/leadership/store_lease.py
+++ b/marblestair/core/leadership/store_lease.py
@@ -1,7 +1,8 @@
 """The node's lease in the store, and the node key that is deleted when the lease expires.
 
-The node counts the lease from when it sent the request, by its own monotonic clock and with an
-allowance for clock drift. The lease thus never expires later on the node than at the store.
+The node counts the lease's duration from when it sent the grant or renewal request, by its own
+monotonic clock, and subtracts an allowance for clock drift. So for the node the lease never expires
+later than at the store.
 """
 
 from __future__ import annotations
@@ -24,15 +25,17 @@
 from marblestair.core.state.store_follower import StoreFollower
 from marblestair.core.state.store_view import StoreView
 
-#: a node's lease as a share of an agent's: a failover must finish before agents' leases expire
+#: duration of a node's lease, as a share of an agent's lease; a failover must finish before agents'
+#: leases expire
 AGENT_LEASE_SHARE = 0.4
-#: bounds of a node's lease
+#: bounds of the duration of a node's lease
 MIN_LEASE_S, MAX_LEASE_S = 0.5, 600.0
-#: renewals per lease, and retries per lease while they fail
+#: number of renewals per duration of a lease, and number of tries per duration while they fail
 RENEWALS_PER_LEASE, RETRIES_PER_LEASE = 4, 12
-#: a failing renewal is overdue when the last success is longer ago than this share of a lease
+#: maximum time since the latest successful renewal before a failing renewal is overdue, as a share
+#: of a lease
 OVERDUE_LEASE_SHARE = 0.3
-#: allowance for timers that fire late
+#: time subtracted from the validity of leases and promises, because timers may fire late
 TIMER_MARGIN_S = 0.05
 
 
@@ -59,7 +62,8 @@
         #: monotonic time until which the lease is certainly valid; None until the node's key is
         #: first attached
         self.expires_at: float | None = None
-        #: revision of the commit that wrote the node's key; the node leads only if its view has it
+        #: revision of the commit that wrote the node's key; the node acts only if its view includes
+        #: this commit
         self.node_key_revision = 0
         #: monotonic time at which the latest request that extended the lease was sent
         self.renewed_at: float | None = None
@@ -71,7 +75,7 @@
 
     @property
     def is_renewal_overdue(self) -> bool:
-        """Whether renewals fail and the latest success is too long ago."""
+        """Whether renewals fail and none succeeded recently (see ``OVERDUE_LEASE_SHARE``)."""
         if not self.is_renewal_failing:
             return False
         return (
@@ -84,7 +88,7 @@
         return self.expires_at is not None and now < self.expires_at
 
     def remaining_s(self, now: float) -> float | None:
-        """Return how long the lease is certainly valid; None until the key is first attached."""
+        """Return the seconds of certain validity left; None until the key is first attached."""
         return None if self.expires_at is None else self.expires_at - now
 
     def maintain(self) -> Coroutine[None]:
@@ -126,8 +130,8 @@
         """Attach the node's key to a lease; return the status, or None if the lease has expired.
 
         All tries use the same lease, and each is conditional on the key's version in the view. A
-        try that got no response and is applied late can therefore neither replace a newer one nor
-        attach the key to a lease that nobody renews.
+        try that got no response and is applied late can therefore neither replace a newer value of
+        the key nor attach the key to a lease that this node does not renew.
         """
         key = keys.NODES + self._context.node
         swap = CompareAndSwap(
@@ -138,8 +142,8 @@
         response: StoreResponse = yield swap
         if response.status == 200:
             self._lease_id, self._unattached_lease = granted.lease_id, None
-            # The node may lead only once its view includes this commit: while the key was
-            # missing, another node may have taken its shards over.
+            # The node may act only once its view includes this commit: while the key was missing,
+            # another node may have taken over this node's shards.
             self.node_key_revision = response.revision
             self._view.apply_commit(swap, response.revision)
             self._extend(granted.requested_at)
--- a/marblestair/core/leadership/transfer.py
+++ b/marblestair/core/leadership/transfer.py
@@ -1,8 +1,9 @@
 """Planned leadership transfers: a leader assigns a shard to another live node.
 
-A node transfers a shard to a stable node that leads none, for example after a restart, and
-transfers its own shards away while agents do not reach it. Each transfer doubles the pause before
-the next, so that a flapping node does not cause a transfer each time.
+A node that leads several shards transfers one to a stable node that leads none, for example because
+that node was restarted. While agents do not reach a node, it transfers its shards away, one at a
+time. Each transfer doubles the pause before the next one, up to a maximum, so that a flapping node
+does not cause a transfer each time. The pause is reset after a long time without transfers.
 """
 
 from __future__ import annotations
@@ -19,14 +20,15 @@
 from marblestair.core.state.records import ShardMap
 from marblestair.core.state.store_view import StoreView
 
-#: a node counts as connected while its latest message is younger than this
+#: maximum age of a node's latest message for the node to count as connected
 MAX_MESSAGE_AGE_S = 3.0
-#: node leases for which a node must have been in the view before it gets a shard as an idle node
+#: minimum time for which a node must have been in the view before it gets a shard because it leads
+#: none, in node leases
 MIN_UPTIME_LEASES = 1.5
 #: initial pause before the next transfer, and the maximum pause in node leases
 INITIAL_PAUSE_S = 1.0
 MAX_PAUSE_LEASES = 10
-#: the pause is reset to its initial value after this many node leases without a transfer
+#: time without a transfer after which the pause is reset to its initial value, in node leases
 PAUSE_RESET_LEASES = 20
 #: maximum number of commits in one transfer that assign the shard to the target
 MAX_COMMIT_TRIES = 20
@@ -50,7 +52,7 @@
         self._leadership = leadership
         self._connectivity = connectivity
         self._updates = updates
-        #: node -> its incarnation, and when that was first seen
+        #: node -> latest incarnation of the node, and monotonic time at which it was first seen
         self._incarnation_seen: dict[str, tuple[int, float]] = {}
         self._last_begun_at: float | None = None
         self._pause_s = INITIAL_PAUSE_S
@@ -110,8 +112,10 @@
         """Transfer a shard to another node because agents do not reach this one."""
         counts = self._led_counts(current)
         connected = self._connected_nodes(counts, now)
-        # If other nodes are connected, the target must be one that agents reach. If agents reach
-        # none of them, the fault is not in this node's network and a transfer would not help.
+        # If other nodes are connected, the target must be one of them that accepts shards. If none
+        # does, agents probably do not reach those nodes either: the fault is then not in this
+        # node's network, and a transfer would not help. If no node is connected, any other live
+        # node may be the target.
         targets = (
             connected if connected else [node for node in counts if node != self._context.node]
         )
@@ -141,7 +145,7 @@
             return
 
     def _is_stable(self, node: str, now: float) -> bool:
-        """Return whether a node can accept shards and has been up for long enough."""
+        """Return whether a node accepts shards and has been up for ``MIN_UPTIME_LEASES``."""
         _, seen_since = self._incarnation_seen.get(node, (0, now))
         if not self._connectivity.peer_can_accept_shards.get(node, False):
             return False
@@ -159,7 +163,7 @@
         shard = self._leadership.shards.get(shard_id)
         if shard is None or shard.is_being_transferred:
             return
-        # The commit may be applied at any time after it was sent: stop acting for the shard now.
+        # The commit may be applied any time after it is sent, so stop acting for the shard now.
         shard.is_being_transferred = True
         uncertain_version: int | None = None
         tries = 0
@@ -169,10 +173,12 @@
             tries += 1
             if incarnation is None or tries > MAX_COMMIT_TRIES:
                 if uncertain_version != version:
-                    # No earlier commit can still be applied: each got a response or is out of date.
+                    # No earlier commit can still be applied: each got a response or requires an
+                    # older version of the shard map.
                     shard.is_being_transferred = False
                     return
-                # Commit this node as the leader again, so that the commit without a response fails.
+                # Commit this node as the leader again: then the earlier commit without a response
+                # can no longer be applied.
                 target, incarnation = self._context.identity
             new = shard_map.assign_shards(self._view.shard_map, [shard_id], target, incarnation)
             target_key = keys.NODES + target
--- a/marblestair/core/messaging/messages.py
+++ b/marblestair/core/messaging/messages.py
@@ -14,7 +14,7 @@
 class CapacityRefusal(msgspec.Struct, frozen=True, array_like=True):
     """A kind of machine that the cloud has no capacity for.
 
-    Controllers request no machines of the kind for another ``remaining_s`` seconds.
+    For another ``remaining_s`` seconds, controllers request no machines of this kind.
     """
 
     machine_type: str
@@ -31,7 +31,7 @@
     term: int
     done: int
     running: int
-    #: number of tasks that are or may be on machines; -1 while the leader does not know it
+    #: number of tasks that are or may be on machines; -1 while the leader does not know the number
     placed_tasks: int
     #: number of tasks in the slice
     size: int
@@ -47,7 +47,7 @@
 
     incarnation: int
     summaries: list[ShardSummary]
-    #: whether the sender may be given shards: as far as it can tell, agents can reach it
+    #: whether the sender accepts shards (see ``Connectivity.can_accept_shards``)
     can_accept_shards: bool
     #: kinds of machines that the cloud currently has no capacity for
     refusals: list[CapacityRefusal]
@@ -109,8 +109,8 @@
 class ApplyCancel(PeerMessage, frozen=True):
     """Apply the committed cancel of a job.
 
-    Reply: pairs of shard and term of all shards that the receiver leads; it has applied the cancel
-    for them.
+    The receiver applies the cancel in all shards that it leads. Reply: the id and term of each of
+    these shards.
     """
 
     job: str
@@ -118,7 +118,7 @@
 
 
 class LockSlices(PeerMessage, frozen=True):
-    """Request the locks for a migration from the manager of a job.
+    """Ask a job's manager for the locks that a migration of some of the job's tasks needs.
 
     Reply: True if the locks are granted, False if not, None if the receiver does not manage the
     job.
@@ -129,7 +129,9 @@
 
 
 class UpdateSlices(PeerMessage, frozen=True):
-    """Commit a migration: assign tasks that the source shard no longer starts to the target shard.
+    """Ask a job's manager to commit a migration of tasks from one shard to another.
+
+    The source shard's leader has stopped starting these tasks.
 
     Reply: the job record's new version in a list; False when the record was not changed and this
     request will not change it; None when the outcome is not known.
@@ -140,7 +142,7 @@
     source: int
     #: term of the source shard under which its leader stopped starting the tasks
     term: int
-    #: ``stay`` or ``log_off``: whether the source stays in ActiveServers
+    #: ``stay`` or ``log_off``: whether the source shard stays in the job's ActiveServers
     option: str
     target: int
     #: ranges [start, end) of the task indexes to move
@@ -182,7 +184,7 @@
 class AnnounceMigration(PeerMessage, frozen=True):
     """Announce to the target of a migration that the migration has been committed.
 
-    Reply: the number of entries that the receiver knows of the job's change list.
+    Reply: the number of entries of the job's change list that the receiver knows.
     """
 
     job: str
@@ -191,7 +193,7 @@
 
 
 class SendChangeEntries(PeerMessage, frozen=True):
-    """Send the target of a migration the entries of a job's change list that it lacks.
+    """Send a migration's target shard the entries of the job's change list that the target lacks.
 
     Reply: True.
     """
--- a/marblestair/core/messaging/received_summaries.py
+++ b/marblestair/core/messaging/received_summaries.py
@@ -5,7 +5,7 @@
 from marblestair.core.messaging.shard_summary import ReceivedSummary, ShardSummary
 from marblestair.core.runtime.context import NodeContext
 
-#: maximum age of a summary for its shard to be given newly accepted jobs
+#: maximum age of a shard's summary for the shard to be given newly accepted jobs
 MAX_SUMMARY_AGE_S = 4.0
 
 
@@ -17,7 +17,7 @@
         self._context = context
 
     def record(self, summary: ShardSummary) -> None:
-        """Store a summary that this node received or made."""
+        """Store a summary that this node received or created, with the current time."""
         self[summary.shard_id] = ReceivedSummary(self._context.now, summary)
 
     def is_recent(self, shard_id: int, term: int) -> bool:
--- a/marblestair/core/messaging/shard_summary.py
+++ b/marblestair/core/messaging/shard_summary.py
@@ -8,27 +8,31 @@
 
 
 class ShardSummary(msgspec.Struct, array_like=True):
-    """State of a shard for the other controllers; amounts are in fixed point."""
+    """State of a shard for the other controllers; resource amounts are in fixed point."""
 
     shard_id: int
     term: int
-    #: per machine: type, zone, spot, free cpus, gpus and memory
+    #: for each usable machine with free cpus that no gang has claimed: type, zone, spot, free cpus,
+    #: gpus and memory
     free_capacity: list[tuple[str, str, bool, int, int, int]]
-    #: the same, counting as free what a latency-sensitive gang could preempt on the machine
+    #: the same for each machine on which latency-sensitive gangs could preempt tasks, with the
+    #: amounts that would be free after the preemption
     preemptible_capacity: list[tuple[str, str, bool, int, int, int]]
-    #: cpus that all pending tasks request
+    #: cpus that pending tasks request; of a quarantined job, at most one task counts
     backlog_cpus: int
     #: team -> unused cpus and gpus of its quota in this shard
     free_quota: dict[str, list[int]]
-    #: team -> cpus and gpus by which its quota in this shard is too small for its pending tasks
+    #: team -> cpus and gpus by which its pending tasks exceed its unused quota in this shard
     quota_shortfall: dict[str, list[int]]
-    #: job, number of pending tasks, number of tasks on machines
+    #: for each unfinished job: its id, the number of its pending and migrating tasks, and the
+    #: number of its tasks on machines; of a quarantined job, at most one pending task counts
     pending_jobs: list[tuple[str, int, int]]
-    #: machines with tasks, and the cpus in use on each
+    #: machines with tasks, but none of a gang, and the cpus in use on each
     busy_machines: list[tuple[str, int]]
     #: machines without tasks, and the seconds for which each has had none
     idle_machines: list[tuple[str, float]]
-    #: jobs whose tasks must start together and do not fit into the shard's capacity
+    #: indivisible jobs, none of whose tasks could be placed in the shard for a minimum time
+    #: (``MachineTransfers.lacks_capacity``)
     jobs_lacking_capacity: list[str]
     #: machines that run tasks of gangs
     gang_machines: list[str]
@@ -38,11 +42,12 @@
     #: machines whose heartbeats stopped at the same time as those of many others, so that a network
     #: partition is assumed; they are expected to return
     partitioned_machines: list[str]
-    #: team -> cpus and gpus that its quota in this shard must have in total for its first pending
-    #: task or gang that exceeds the quota
+    #: team -> cpus and gpus of its first pending task or gang that exceeds its entire quota in this
+    #: shard; the quota must grow to these amounts before the task or gang can start
     required_quota: dict[str, list[int]]
-    #: jobs of which no task has succeeded, and for each the number of machines on which it fails
-    #: and no other job does
+    #: jobs without a successful task, and for each the number of machines on which it fails and
+    #: all other failing jobs are quarantined; a job that the sender has quarantined gets at least
+    #: the number that quarantines a job
     failing_jobs: list[tuple[str, int]] = []
 
     def snapshot(self) -> ShardSummary:
--- a/marblestair/core/runtime/context.py
+++ b/marblestair/core/runtime/context.py
@@ -11,7 +11,7 @@
 from marblestair.core.runtime.outbox import LogLine, Outbox, OutgoingMessage
 from marblestair.core.runtime.requests import PeerMessage
 
-#: maximum share of a node's writes per second that one transaction may use
+#: maximum size of a batch transaction, as a share of the changes that a node may write per second
 MAX_BATCH_WRITE_SHARE = 0.5
 
 
@@ -54,9 +54,9 @@
 
     @property
     def max_batch_changes(self) -> int:
-        """Maximum number of changes in one transaction.
+        """Maximum number of changes in one transaction that writes a batch of waiting changes.
 
-        It leaves part of the node's writes per second to other transactions.
+        The limit leaves part of the node's writes per second to other transactions.
         """
         state = self.settings.cluster.state
         changes = MAX_BATCH_WRITE_SHARE * state.write_rps / len(self.settings.nodes)
--- a/marblestair/core/runtime/coroutines.py
+++ b/marblestair/core/runtime/coroutines.py
@@ -18,7 +18,7 @@
 class Signal:
     """An event that coroutines wait for by yielding it.
 
-    :meth:`CoroutineRunner.fire` resumes all coroutines that wait.
+    :meth:`CoroutineRunner.fire` resumes all coroutines that wait for the signal.
     """
 
     def __init__(self) -> None:
@@ -39,7 +39,7 @@
         self._next_request = 1
         #: request number -> coroutine that waits for the response
         self._waiting: dict[int, Coroutine[None]] = {}
-        #: time at which each sleep ends, and its request number
+        #: for each sleep, the time at which it ends and its request number
         self._sleeping: list[tuple[float, int]] = []
         #: requests that the caller has not taken yet, each with its number
         self.requests: list[tuple[int, CoroutineRequest]] = []
@@ -52,7 +52,7 @@
         self._advance(coroutine, None)
 
     def supervise(self, factory: Callable[[], Coroutine[None]]) -> None:
-        """Start a coroutine, and restart it whenever it fails, until it returns."""
+        """Start a coroutine, and restart it whenever it fails, until it returns normally."""
         self._advance(self._supervised(factory), None)
 
     def _supervised(self, factory: Callable[[], Coroutine[None]]) -> Coroutine[None]:
--- a/marblestair/core/runtime/decision_log.py
+++ b/marblestair/core/runtime/decision_log.py
@@ -1,6 +1,6 @@
 """Log of a node's decisions, as counts and as log lines at a bounded rate.
 
-Each line names the kind of decision, its outcome and the facts that it is based on (such as the
+Each line names the kind of the decision, the outcome and the facts behind the decision (such as the
 revision of the view, a term or a proof), so that operators can reconstruct the order of events.
 Lines are written per job or per lease; decisions per task or per heartbeat are only counted.
 """
@@ -11,7 +11,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-#: maximum number of lines per second of one kind of decision; further ones are only counted
+#: maximum number of lines per second for one kind of decision; further decisions are only counted
 MAX_LINES_PER_S = 20
 
 
@@ -22,11 +22,11 @@
     AUTHORITY = "authority"
     #: this node gave a promise to another node
     PROMISE = "promise"
-    #: a cancel became known to this node, was confirmed, or was removed from its registry
+    #: a cancel became known to this node, was confirmed, or was removed from the cancel registry
     CANCEL = "cancel"
     #: this node, as manager of a job, committed a change of the job's record
     RECORD = "record"
-    #: the final state of a job became known to this node
+    #: the final state of a job on which other jobs depend became known to this node
     END = "end"
     #: commands to start tasks were sent
     LAUNCH = "launch"
@@ -63,7 +63,7 @@
         self._write("info", f"{kind} {outcome}: {described}")
 
     def _begin_second(self, second: int) -> None:
-        """Log how many lines were suppressed in the last second, and reset the line counts."""
+        """Log how many lines were suppressed in the counted second, and reset the line counts."""
         for kind, number in self._line_counts.items():
             if number > MAX_LINES_PER_S:
                 suppressed = number - MAX_LINES_PER_S
--- a/marblestair/core/runtime/outbox.py
+++ b/marblestair/core/runtime/outbox.py
@@ -41,7 +41,7 @@
 
 
 class PeerReply(msgspec.Struct, frozen=True):
-    """The reply to a request of another controller; a value of None means that there is none."""
+    """The reply to a request of another controller; ``value`` is None if it cannot be answered."""
 
     request_id: int
     value: Any
--- a/marblestair/core/runtime/rejected_writes.py
+++ b/marblestair/core/runtime/rejected_writes.py
@@ -20,8 +20,8 @@
     def record(self, swap: CompareAndSwap) -> None:
         """Count and log a rejected write, unless it attaches a key to a lease.
 
-        The store rejects such a write in the same way when the lease has expired, which is no
-        defect.
+        The store rejects a write that attaches a key to an expired lease with the same status, and
+        that indicates no defect.
         """
         if any(put.lease_id is not None for put in swap.puts):
             return
--- a/marblestair/core/runtime/requests.py
+++ b/marblestair/core/runtime/requests.py
@@ -13,15 +13,15 @@
 class PeerMessage(msgspec.Struct, frozen=True, array_like=True):
     """A message from one controller to another; its subclasses are in ``core/messaging``.
 
-    Messages are sent as arrays of their fields and also read by the version in production: fields
-    may be renamed but not reordered, and new fields are appended with a default.
+    Messages are sent as arrays of their fields, and the version in production reads them too.
+    Fields may therefore be renamed but not reordered, and new fields are appended with a default.
     """
 
 
 class PeerRequest(msgspec.Struct, frozen=True):
     """Send a request to another controller.
 
-    Response: the reply, or None if there was none within ``timeout_s``.
+    Response: the reply, which may be None, or None if no reply arrived within ``timeout_s``.
     """
 
     node: str
--- a/marblestair/core/runtime/store_requests.py
+++ b/marblestair/core/runtime/store_requests.py
@@ -1,7 +1,8 @@
 """Requests to the store, a consensus-backed key-value store, and its responses.
 
 Status 0 means that no response arrived: the store may have executed the request or may still
-execute it. Status ``NOT_SENT`` means that it has not executed the request and will not.
+execute it. Status ``NOT_SENT`` means that the request was never sent, so the store never executes
+it.
 """
 
 from __future__ import annotations
@@ -24,11 +25,11 @@
     ACCEPTANCE = 1
     #: releases, migrations and final states of jobs, and removals of machines
     FINAL_STATE = 2
-    #: progress pages and final states that can be deferred
+    #: writes and deletions of progress pages, and final states that can be deferred
     PROGRESS = 3
-    #: machines, rentals and machine types
+    #: additions and transfers of machines, rentals and machine types
     CAPACITY = 4
-    #: reads for users' queries
+    #: reads for users' queries and of the states of parent jobs
     LOOKUP = 5
 
 
@@ -58,7 +59,7 @@
 
 
 class CompareAndSwap(msgspec.Struct, frozen=True):
-    """A transaction that is applied if every key of the preconditions has the given version.
+    """A transaction that is applied only if each key in ``preconditions`` has the version there.
 
     Version 0 stands for a key that does not exist.
     """
@@ -89,7 +90,7 @@
 
 
 class Watch(msgspec.Struct, frozen=True):
-    """Wait up to ``wait_ms`` for changes of keys with a prefix after a revision."""
+    """Read the changes after a revision to keys with a prefix; wait for one up to ``wait_ms``."""
 
     prefix: str
     after_revision: int
--- a/marblestair/core/state/keys.py
+++ b/marblestair/core/state/keys.py
@@ -11,8 +11,9 @@
 WATCHED = f"{TENANT}/w/"
 SHARD_MAP = f"{WATCHED}split"
 NODES = f"{WATCHED}node/"
-#: one key per shard, rewritten at each failover. Its version is a precondition of all commits of
-#: the shard's leader, so a late transaction of a former leader fails.
+#: one key per shard, rewritten whenever the shard gets a new leader. The key's version is a
+#: precondition of the commits that a leader makes for the shard, so a late transaction of a former
+#: leader fails.
 FENCES = f"{WATCHED}fence/"
 MACHINES = f"{WATCHED}machine/"
 JOBS = f"{WATCHED}job/"
--- a/marblestair/core/state/machine_catalog.py
+++ b/marblestair/core/state/machine_catalog.py
@@ -6,7 +6,7 @@
 
 
 class MachineCatalog:
-    """Machine types by name; empty until they have been received."""
+    """Machine types by name; empty until types from the cloud or the store have been set."""
 
     def __init__(self) -> None:
         self.types: dict[str, MachineType] = {}
--- a/marblestair/core/state/records.py
+++ b/marblestair/core/state/records.py
@@ -1,7 +1,7 @@
 """Records in the store: jobs, the shard map, machines and rental intents.
 
-Records are stored as arrays and also read by the version in production: fields may be renamed but
-not reordered, and new fields are appended with a default.
+Records are stored as arrays of their fields, and the version in production reads them too. Fields
+may therefore be renamed but not reordered, and new fields are appended with a default.
 """
 
 from __future__ import annotations
@@ -34,8 +34,8 @@
     #: entries ``["cancel", sequence]`` and, for a job that depends on other jobs,
     #: ``["release", sequence, wall-clock time]``
     change_list: list[list[Any]]
-    #: shards whose leaders recorded here that their slices are complete, because the job's manager
-    #: did not respond
+    #: shards whose slices of the job are complete. A leader records its shard here if the job's
+    #: manager did not respond.
     complete_shards: list[int] = []
 
     @property
@@ -80,8 +80,9 @@
 def with_cancel(record: JobRecord, value_kb: float) -> JobRecord:
     """Return the record with a cancel entry appended.
 
-    If the result exceeds the value limit, because the record was stored under a larger one, the
-    permitted machine types are removed: tasks of a cancelled job are not placed any more.
+    With the entry, a record that was stored under a larger value limit may exceed the present one.
+    The list of permitted machine types is then removed from the result: it is not needed, since
+    tasks of a cancelled job are not placed any more.
     """
     updated = record.with_entry(ChangeKind.CANCEL)
     if not exceeds_value_limit(updated, value_kb, 1.0):
@@ -100,7 +101,10 @@
 
 
 class ShardRecord(msgspec.Struct, array_like=True):
-    """Leader (node and incarnation), term and quota per team of one shard."""
+    """Leader (node and incarnation), term and quotas of one shard.
+
+    ``quotas`` maps each team to its cpus and gpus in fixed point.
+    """
 
     leader: str
     incarnation: int
@@ -111,7 +115,7 @@
 
 
 class ShardMap(msgspec.Struct, array_like=True):
-    """All shards; ``last_term`` is the highest term ever assigned."""
+    """All shards; ``last_term`` is the highest term ever assigned to any shard."""
 
     last_term: int
     shards: list[ShardRecord]
--- a/marblestair/core/state/store_follower.py
+++ b/marblestair/core/state/store_follower.py
@@ -17,10 +17,10 @@
 
 #: maximum number of keys in one page of a listing
 MAX_PAGE_KEYS = 1000
-#: time for which a watch request waits for a change, per second of the node's lease
+#: maximum time for which a watch request waits for a change, in ms per second of the node's lease
 WATCH_WAIT_MS_PER_LEASE_S = 500
-#: bounds of the pause between two watch requests; the maximum is a share of the node's lease and
-#: takes precedence
+#: bounds of the interval between the starts of two watch requests; the maximum is a share of the
+#: node's lease and takes precedence
 MAX_PAUSE_LEASE_SHARE = 1 / 8
 MIN_PAUSE_S = 0.15
 #: maximum share of a node's request rate at the store that its watch may use
@@ -34,8 +34,9 @@
         self._context = context
         self._view = view
         self._wait_ms = int(lease_ttl_s * WATCH_WAIT_MS_PER_LEASE_S)
-        # On a busy deployment every watch request is answered at once, because a watched key has
-        # always changed since. The pause keeps the watch from using up the node's request rate.
+        # On a busy deployment every watch request is answered at once, because some watched key has
+        # changed since the previous one. The pause keeps the watch from using up the node's request
+        # rate.
         settings = context.settings
         requests_per_s = settings.cluster.state.rps / len(settings.nodes)
         pause_s = max(MIN_PAUSE_S, 1.0 / (MAX_WATCH_RATE_SHARE * requests_per_s))
--- a/marblestair/core/state/store_view.py
+++ b/marblestair/core/state/store_view.py
@@ -16,7 +16,7 @@
 from marblestair.core.state import keys
 from marblestair.core.state.records import JobRecord, MachineRecord, ShardMap
 
-#: maximum number of removed machines that are retained; several times the largest fleet
+#: maximum number of removed machines whose names are retained; several times the largest fleet
 MAX_REMOVED_MACHINES = 20_000
 
 
@@ -38,8 +38,8 @@
 
     Responses may arrive late. The watch may already have returned the deletion of a key whose
     value an earlier read returns only now, or another node's change to a key that this node
-    committed before. So an update changes a key only if it is newer than what the view knows of
-    this key. A key that is not in the view is known not to exist as of ``revision``.
+    committed before. So a response changes a key in the view only if it is newer than what the view
+    knows of the key. A key that is not in the view is known not to exist as of ``revision``.
     """
 
     def __init__(self) -> None:
@@ -69,7 +69,7 @@
         self._listeners.append(listener)
 
     def publish_changes(self) -> None:
-        """Call all listeners, which apply the changes of the view to what is derived from it."""
+        """Call all listeners; each updates the state that it derives from the view."""
         for listener in self._listeners:
             listener()
 
@@ -96,8 +96,8 @@
     def load_listing(self, pages: list[StoreResponse]) -> None:
         """Replace the view's content by a new listing.
 
-        Each page has its own revision. The view is then as of that of the first page, and the
-        watch returns the changes since.
+        Each page has its own revision. ``revision`` becomes at least that of the first page, and
+        the watch returns all changes after ``revision``.
         """
         after = ""
         ranges: list[ListedRange] = []
@@ -130,7 +130,7 @@
             self._set(key, value, version)
 
     def apply_absence(self, key: str, revision: int) -> None:
-        """Remove a key that a read at a revision did not find, unless its version is newer."""
+        """Remove a key that a read at ``revision`` did not find, unless its version is newer."""
         if key not in self.versions or revision < self.versions[key]:
             return
         self._record_absence(key, revision)
@@ -150,8 +150,9 @@
         """Return whether a version of a key is newer than what the view knows of the key.
 
         The view stores no version for a deleted key, so a version of a key that it lacks must be
-        newer than ``revision``. Otherwise the late response to a read or to a commit would restore
-        a deleted record, which the watch, already past the deletion, would never remove.
+        newer than ``revision`` and than any later revision at which the key is known not to exist.
+        Otherwise the late response to a read or to a commit would restore a deleted record. The
+        watch would never remove this record, since it has already returned the deletion.
         """
         if key in self.versions:
             return version > self.versions[key]
@@ -169,7 +170,7 @@
             self._absent_at[key] = max(revision, self._absent_at.get(key, 0))
 
     def _advance(self, revision: int) -> None:
-        """Raise ``revision``, and drop the known absences that it now includes."""
+        """Raise ``revision``, and drop known absences at revisions that are no longer above it."""
         self.revision = max(self.revision, revision)
         if self._absent_at:
             self._absent_at = {
