--- a/marblestair/core/scheduling/array_placement.py
+++ b/marblestair/core/scheduling/array_placement.py
@@ -20,8 +20,8 @@
 
     #: all usable machines, full ones included; samples are drawn from this list
     usable: list[Machine]
-    #: usable machines that may have free capacity; the same list object as ``usable`` if samples
-    #: need not include full machines
+    #: usable machines that may have free capacity; the same list object as ``usable`` if full
+    #: machines are to be left out of the samples
     free: list[Machine]
 
 
--- a/marblestair/core/scheduling/arrivals.py
+++ b/marblestair/core/scheduling/arrivals.py
@@ -16,25 +16,26 @@
 from marblestair.core.state.machine_catalog import MachineCatalog
 from marblestair.core.state.records import JobRecord
 
-#: time window for the arrival rate of a class, and maximum number of its latest jobs that are used;
-#: if more jobs arrive within the window, the rate is computed over these jobs alone
+#: length of the window over which the arrival rate of a class is computed, and maximum number of
+#: the class's latest gangs that are counted; if more arrive within the window, the rate is that of
+#: the counted gangs, over the time since the first of them
 RATE_WINDOW_S, RATE_WINDOW_JOBS = 90.0, 64
-#: limit on the ids of counted jobs that are kept so that no job is counted twice; the limit is
-#: twice the number of live jobs if that is larger
+#: number of ids of counted jobs that are kept, so that no job is counted twice; twice the number of
+#: live jobs are kept if that is more
 MIN_TRACKED_JOBS = 2000
-#: a class expires, and nothing is reserved for it, when no job of it has arrived for this long
+#: time without new jobs of a class after which the class expires and nothing is reserved for it
 CLASS_EXPIRY_S = 120.0
 #: weight of the latest array in the exponential moving average of array sizes
 LATEST_ARRAY_WEIGHT = 0.1
-#: a class is latency-sensitive if its wait objective is below this multiple of the shortest boot
-#: time of any machine type that its jobs may run on
+#: wait objective below which a class is latency-sensitive, as a multiple of the shortest boot time
+#: of the machine types that its jobs may run on
 LATENCY_SENSITIVE_BOOT_TIMES = 2.0
-#: key of all arrays in mappings by class, since arrays are counted together
+#: key for all arrays together in mappings by class, since arrays are not counted by class
 ALL_ARRAYS = ""
 
 
 class ExpectedGangs(msgspec.Struct, frozen=True):
-    """A class of gangs of which more are expected, with its latest job and its arrival rate."""
+    """A class of which more gangs are expected, with the spec of its latest gang."""
 
     spec: JobSpec
     #: whether these gangs must start without waiting for a machine to boot
@@ -48,11 +49,11 @@
     def __init__(self, context: NodeContext, catalog: MachineCatalog) -> None:
         self._context = context
         self._catalog = catalog
-        #: class -> the gangs expected of it
+        #: class -> what is expected of its gangs
         self.expected_gangs: dict[str, ExpectedGangs] = {}
         #: moving average of array sizes, each limited to the guaranteed cpus of the array's team
         self.average_array_cpus = 0.0
-        #: class -> wall-clock times since which its latest gangs may start
+        #: class -> wall-clock times at which its latest gangs became startable
         self._arrived_at: dict[str, deque[float]] = {}
         #: ids of counted jobs, oldest first
         self._counted_jobs: dict[str, None] = {}
@@ -60,12 +61,19 @@
         self._last_counted_at: dict[str, float] = {}
 
     def is_latency_sensitive(self, spec: JobSpec) -> bool:
-        """Whether jobs of this job's class must start without waiting for a machine to boot."""
+        """Whether gangs of this job's class must start without waiting for a machine to boot.
+
+        False if no gangs of the class are expected.
+        """
         gangs = self.expected_gangs.get(spec.job_class)
         return gangs is not None and gangs.is_latency_sensitive
 
     def count_arrivals(self, live: list[JobRecord]) -> None:
-        """Count the live jobs that are not blocked and have not been counted yet."""
+        """Count the live jobs that are not blocked and have not been counted yet.
+
+        Arrays of best-effort teams do not change the average array size. Expired classes are
+        removed afterwards.
+        """
         wait_objectives_s = self._wait_objectives_s()
         for record in live:
             if record.is_blocked or record.spec.id in self._counted_jobs:
@@ -80,7 +88,7 @@
         self._remove_expired()
 
     def _wait_objectives_s(self) -> dict[str, float]:
-        """Return the shortest objective for the wait until the start, by class."""
+        """Return by class the shortest wait before a start that an objective sets, in seconds."""
         shortest: dict[str, float] = {}
         for objective in self._context.settings.cluster.objectives:
             if objective.kind == "wait":
@@ -89,7 +97,10 @@
         return shortest
 
     def _guarantee_objective_s(self) -> float | None:
-        """Return the shortest objective for the start of guaranteed jobs; None if there is none."""
+        """Return the shortest time within which an objective requires guaranteed jobs to start.
+
+        The time is in seconds; None if there is no such objective.
+        """
         objectives = self._context.settings.cluster.objectives
         return min(
             (objective.within_s for objective in objectives if objective.kind == "guarantee"),
@@ -111,7 +122,11 @@
         self._last_counted_at[job_class] = self._context.now
 
     def _must_start_before_boot(self, spec: JobSpec, wait_objective_s: float | None) -> bool:
-        """Whether the objectives leave a gang no time to wait for a machine to boot."""
+        """Whether the objectives leave a gang too little time to wait for a machine to boot.
+
+        This is so if the wait objective is below ``LATENCY_SENSITIVE_BOOT_TIMES`` boot times, or
+        the shortest guarantee objective below one.
+        """
         kinds = kinds_for_job(spec, self._catalog.types)
         boot_s = min((kind.machine_type.boot_s for kind in kinds), default=None)
         if boot_s is None:
@@ -125,7 +140,7 @@
         return guarantee_s is not None and guarantee_s < boot_s
 
     def _count_array(self, spec: JobSpec) -> None:
-        """Count an array in the average size, with at most the guaranteed cpus of its team."""
+        """Add an array's cpus, at most its team's guaranteed cpus, to the moving average."""
         size_cpus = min(spec.task_count * spec.cpus, self._context.teams[spec.team].cpus)
         self.average_array_cpus += LATEST_ARRAY_WEIGHT * (size_cpus - self.average_array_cpus)
         self._last_counted_at[ALL_ARRAYS] = self._context.now
--- a/marblestair/core/scheduling/best_effort.py
+++ b/marblestair/core/scheduling/best_effort.py
@@ -1,9 +1,9 @@
 """Preemption of best-effort tasks for guaranteed jobs.
 
 Best-effort teams have no guaranteed quota: their tasks use capacity that other teams leave free.
-When a job within its team's guaranteed quota finds no free capacity, best-effort tasks are stopped,
-those that lose the least run time first. A small share of each shard's capacity is exempt from
-this preemption, so that no best-effort job starves.
+When an array within its team's guaranteed quota finds too little free capacity, best-effort tasks
+are stopped for it, those that lose the least run time first. Best-effort tasks on a small share of
+each shard's cpus are not stopped, so that no best-effort job starves.
 """
 
 from __future__ import annotations
@@ -18,15 +18,16 @@
 from marblestair.core.shard.machine import Machine, PlacedTask, StopReason
 from marblestair.core.shard.shard import Shard
 
-#: share of a shard's capacity that best-effort tasks keep even if guaranteed jobs need it
+#: minimum share of the cpus of a shard's usable machines that placed best-effort tasks keep, even
+#: if guaranteed jobs need the cpus
 MIN_BEST_EFFORT_SHARE = 0.1
 
 
 class _PreemptionCandidate(msgspec.Struct):
     """A placed best-effort task of which no stop has been requested."""
 
-    #: run time in seconds that a stop would lose; 0 if the task is not running yet or its job saves
-    #: checkpoints
+    #: run time in seconds that would be lost by a stop; 0 if the task is not running yet or if its
+    #: job saves checkpoints
     lost_s: float
     task: PlacedTask
     machine: Machine
@@ -38,9 +39,11 @@
     def __init__(self, context: NodeContext, shard: Shard) -> None:
         self._shard = shard
         self._candidates: list[_PreemptionCandidate] = []
-        #: cpus that tasks being stopped will free, less those already allotted to a slice
+        #: cpus of best-effort tasks that are being stopped, less the cpus that ``preempt_for`` has
+        #: already counted for a slice
         self._stopping_cpus = 0
-        #: cpus of tasks that may be stopped without going below ``MIN_BEST_EFFORT_SHARE``
+        #: cpus that may still be freed before best-effort tasks are down to
+        #: ``MIN_BEST_EFFORT_SHARE``
         self._preemptible_cpus = 0
         teams = {name for name, team in context.teams.items() if team.is_best_effort}
         if not teams:
@@ -71,8 +74,8 @@
     def preempt_for(self, job_slice: JobSlice, cpus: int) -> None:
         """Stop tasks to free cpus for a slice.
 
-        Cpus of tasks that are already being stopped count first. Fewer cpus are freed if not enough
-        tasks may be stopped.
+        Tasks that are already being stopped, on any machine, count towards ``cpus`` first. Fewer
+        cpus are freed if too few tasks may be stopped.
 
         Parameters
         ----------
--- a/marblestair/core/scheduling/demand.py
+++ b/marblestair/core/scheduling/demand.py
@@ -1,7 +1,7 @@
-"""The cpus and gpus that a shard's pending tasks need, and the quota that the shard lacks for them.
+"""Measurement of what a shard's pending tasks need, and of the quota that the shard lacks for them.
 
-Each shard has a portion of every team's limit. A shard publishes its quota shortfall in its
-summary, and the leaders of other shards transfer quota to it accordingly.
+Each shard has a part of every team's limit as its quota. A shard publishes its quota shortfall in
+its summary, and the leaders of other shards transfer quota to it (``QuotaTransfers``).
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
 class Demand(msgspec.Struct):
     """The demand of one shard's pending tasks, in fixed point."""
 
-    #: cpus of all pending tasks
+    #: cpus of the pending tasks that :func:`demanded_tasks` counts
     backlog_cpus: int = 0
-    #: team -> amounts by which its pending tasks exceed its unused quota in this shard
+    #: team -> amounts by which the demand of its tasks exceeds its unused quota in this shard
     quota_shortfall: dict[str, QuotaAmounts] = {}
-    #: team -> quota needed for its first pending unit (a task, or a whole gang) that is larger than
-    #: its entire quota in this shard
+    #: team -> quota that one task of an array, or one whole gang, needs; only for teams with a task
+    #: or gang that needs more than the team's entire quota in this shard (the first one found)
     required_quota: dict[str, QuotaAmounts] = {}
 
 
 def demanded_tasks(failures: FailureAttribution, job_slice: JobSlice) -> int:
     """Count the tasks of a slice that add to the demand.
 
-    A quarantined job, which probably fails on every machine, adds at most one task at a time. A
-    quarantined gang adds none: it is retried only when capacity is free anyway.
+    A quarantined array, which probably fails on every machine, adds one task while none is placed.
+    A quarantined gang adds none: it is retried only when capacity is free anyway.
     """
     pending = len(job_slice.pending)
     if pending and failures.is_quarantined(job_slice.spec.id):
@@ -45,7 +45,7 @@
 
 
 def measure_demand(failures: FailureAttribution, quotas: EffectiveQuotas, shard: Shard) -> Demand:
-    """Sum the demand of all slices of a shard."""
+    """Sum the demand of all slices of a shard that are not cancelled."""
     demand = Demand()
     demanded_by_team: dict[str, QuotaAmounts] = {}
     for job_slice in shard.slices.values():
--- a/marblestair/core/scheduling/dispatch.py
+++ b/marblestair/core/scheduling/dispatch.py
@@ -60,8 +60,8 @@
         self._filling = MachineFilling(context, failures, fleet_plan, preemption, self._placement)
         #: shard -> queue of its latest pass; no entry if nothing was pending then
         self._queues: dict[int, PendingQueue] = {}
-        #: shards that got new pending tasks after their latest pass; the next heartbeat of any of
-        #: their machines triggers a pass
+        #: shards that got new pending tasks after their latest pass; the next heartbeat of any
+        #: machine in such a shard triggers a pass
         self.shards_with_new_work: set[int] = set()
 
     def pending_in_order(self, shard: Shard) -> list[JobSlice]:
@@ -69,7 +69,7 @@
         return self._scheduling_order.pending_slices(shard)
 
     def place_all(self, shard: Shard) -> None:
-        """Build a new queue of a shard's pending slices, and launch all tasks that fit."""
+        """Build a new queue of a shard's pending slices, and run a placement pass over it."""
         self.shards_with_new_work.discard(shard.shard_id)
         self._queues.pop(shard.shard_id, None)
         order = self._scheduling_order.pending_slices(shard)
@@ -91,7 +91,7 @@
         placement_pass.run(queue)
 
     def _candidates(self, shard: Shard, min_cpus: int) -> CandidateMachines:
-        """Return the usable, unclaimed machines; those with ``min_cpus`` free count as free."""
+        """Return the usable machines without claims, as ``free`` those with ``min_cpus`` free."""
         now, claims = self._context.now, self._preemption.claims
         usable = [
             machine
--- a/marblestair/core/scheduling/due_work.py
+++ b/marblestair/core/scheduling/due_work.py
@@ -1,4 +1,4 @@
-"""Selection of the jobs that a team's cpu limit does not let finish by their deadlines."""
+"""Selection of jobs to defer when a team's cpu limit does not let all meet their deadlines."""
 
 from __future__ import annotations
 
@@ -21,9 +21,10 @@
 def infeasible_jobs(work: list[DueWork], limit_cpus: float) -> set[str]:
     """Return the jobs to defer so that as many jobs as possible meet their deadlines.
 
-    This is the Moore-Hodgson algorithm, with ``limit_cpus`` in place of a single machine: jobs are
-    accepted in the order of their deadlines, and whenever the accepted jobs cannot all finish by
-    the latest of their deadlines, the one with the most remaining work is deferred.
+    This is the Moore-Hodgson algorithm for a single machine. That machine stands for all
+    ``limit_cpus`` cpus, so any job is assumed to be able to use all of them. Jobs are accepted in
+    the order of their deadlines. Whenever the accepted jobs cannot all finish by the latest of
+    their deadlines, the accepted job with the most remaining work is deferred.
     """
     deferred: set[str] = set()
     accepted: list[tuple[float, str]] = []
--- a/marblestair/core/scheduling/effective_quotas.py
+++ b/marblestair/core/scheduling/effective_quotas.py
@@ -12,11 +12,14 @@
     def __init__(self, view: StoreView) -> None:
         self._view = view
         #: shard and team -> cpus and gpus, in fixed point, that are being transferred to another
-        #: shard; they are not used here any more, even before the transfer is committed
+        #: shard; this shard's tasks may not use them, even before the transfer is committed
         self.pending_transfers: dict[tuple[int, str], list[int]] = {}
 
     def quota(self, shard: Shard, team: str) -> tuple[int, int]:
-        """Return the cpus and gpus that a team's tasks may use in a shard, in fixed point."""
+        """Return the cpus and gpus that a team may use in a shard, in fixed point.
+
+        They are 0 as long as the node has not read the shard map.
+        """
         shard_map = self._view.shard_map
         if shard_map is None:
             return 0, 0
--- a/marblestair/core/scheduling/fleet_plan.py
+++ b/marblestair/core/scheduling/fleet_plan.py
@@ -9,8 +9,8 @@
     def __init__(self) -> None:
         #: machine reserved for a gang -> id of the pending gang, or "" for a gang that is expected
         self.reserved_machines: dict[str, str] = {}
-        #: machines that should become idle; tasks are placed there only if no other machine
-        #: has free capacity
+        #: machines that should become idle; array tasks are placed there only if they fit on no
+        #: other machine
         self.draining_machines: set[str] = set()
-        #: jobs deferred because their team's limit does not let all its jobs meet their deadlines
+        #: jobs scheduled later, since a team's limit does not let all its jobs meet their deadlines
         self.infeasible_jobs: set[str] = set()
--- a/marblestair/core/scheduling/gang_placement.py
+++ b/marblestair/core/scheduling/gang_placement.py
@@ -38,7 +38,7 @@
     quota
         Cpus and gpus that the team's tasks may use in the shard, in fixed point.
     machines
-        Machines to consider; those that are not usable now are skipped.
+        Machines to consider; those that are claimed or not usable now are skipped.
     is_claimed
         Returns whether a machine is claimed for a job other than the given one.
     now
--- a/marblestair/core/scheduling/guarantees.py
+++ b/marblestair/core/scheduling/guarantees.py
@@ -13,13 +13,13 @@
 
 
 class Guarantees:
-    """The jobs within their teams' guaranteed quota, computed from one node's view."""
+    """Holds the jobs within their teams' guaranteed quota, computed from one node's view."""
 
     def __init__(self, context: NodeContext, view: StoreView, failures: FailureAttribution) -> None:
         self._context = context
         self._view = view
         self._failures = failures
-        #: ids of the jobs, as of the latest update
+        #: ids of the jobs within guaranteed quota, as of the latest update
         self.jobs: set[str] = set()
 
     def __contains__(self, job: object) -> bool:
@@ -27,7 +27,7 @@
         return job in self.jobs
 
     def update(self) -> None:
-        """Recompute the jobs from the current view."""
+        """Recompute the jobs within guaranteed quota from the current view."""
         self.jobs = jobs_within_guarantee(
             self._view.jobs, self._context.teams, self._failures.is_quarantined
         )
@@ -40,8 +40,9 @@
 ) -> set[str]:
     """Return the jobs that fit into their team's guaranteed quota.
 
-    A job fits if the guaranteed quota covers it together with all unfinished jobs of the team that
-    became startable before it. Quarantined, cancelled and blocked jobs use no guaranteed quota.
+    A job fits if the guaranteed quota covers the job and all jobs of the team that became startable
+    earlier. Every job counts with all its tasks, finished ones included. Quarantined, cancelled and
+    blocked jobs do not count.
     """
     used: dict[str, list[int]] = {}
     guaranteed: set[str] = set()
--- a/marblestair/core/scheduling/inherited_urgency.py
+++ b/marblestair/core/scheduling/inherited_urgency.py
@@ -1,8 +1,8 @@
 """Priorities and deadlines that jobs inherit from the jobs that depend on them.
 
 Users set the deadline and the intended priority only on the last job of a pipeline. A job
-therefore inherits the highest priority of its dependents, and must be done by the earliest time at
-which one of them must start to meet its own deadline.
+therefore inherits the highest priority of its dependents. It must also be done by the time at which
+the first dependent has to start, so that each dependent can meet its own deadline.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from marblestair.core.state.records import JobRecord
 from marblestair.core.state.store_view import StoreView
 
-#: heartbeat intervals from the end of a job to the start of a job that depends on it
+#: time allowed between the end of a job and the start of a dependent, in heartbeat intervals
 DEPENDENT_START_INTERVALS = 2.0
 
 
@@ -31,7 +31,7 @@
 
 
 class InheritedUrgency:
-    """Inherited urgency of each job, updated when its dependents are added or removed."""
+    """Holds the inherited urgency of each job; updated when dependents are added or removed."""
 
     def __init__(
         self,
@@ -70,7 +70,10 @@
         self._inherited.pop(job, None)
 
     def recompute(self, jobs: Iterable[str]) -> None:
-        """Recompute the urgency of jobs whose dependents changed, and of affected ancestors."""
+        """Recompute the urgency of jobs whose dependents changed, and of their prerequisites.
+
+        The prerequisites of a job are recomputed only if its urgency changed and it is blocked.
+        """
         stack = sorted(jobs)
         while stack:
             job = stack.pop()
@@ -104,7 +107,7 @@
     def _urgency_from(self, dependent: JobRecord) -> Urgency:
         """Return the urgency that one dependent passes on to the jobs that it depends on.
 
-        They must be done by the time at which the dependent must start.
+        Those jobs must be done by the time at which the dependent has to start.
         """
         spec = self.scheduling_spec(dependent)
         if spec.deadline_s is None:
--- a/marblestair/core/scheduling/machine_choice.py
+++ b/marblestair/core/scheduling/machine_choice.py
@@ -12,11 +12,11 @@
 
 #: number of machines sampled for one choice
 SAMPLE_SIZE = 6
-#: cost of leaving all cpus of a machine free, in seconds of image fetch time; proportional to the
-#: share of cpus left free after the placement
+#: cost of the cpus that a placement leaves free on the machine: this number times their share of
+#: the machine's cpus, in seconds of image fetch time
 FREE_CAPACITY_WEIGHT_S = 8.0
-#: cost of using a regular machine, in seconds of image fetch time; the cost of a spot machine is
-#: scaled by the ratio of its price to the regular price
+#: cost of using a regular machine, in seconds of image fetch time; for a spot machine, it is
+#: multiplied by the ratio of the spot price to the regular price of the same type
 PRICE_WEIGHT_S = 8.0
 #: lower bound on the image fetch rate, in case the cloud lists a machine type with a rate of 0
 MIN_FETCH_GB_PER_S = 1e-6
@@ -27,9 +27,10 @@
 ) -> tuple[float, str]:
     """Return the cost of placing a task on a machine, with the machine's name to break ties.
 
-    The cost grows with the image fetch time, the share of cpus left free, and the price. Nearly
-    full machines are preferred and expensive ones avoided, so that whole machines become idle and
-    can be released.
+    The cost grows with the image fetch time, with the share of cpus left free, and with the ratio
+    of the machine's price to the regular price of its type; prices of different types are not
+    compared. Nearly full machines are preferred, so that whole machines become idle and can be
+    released. The cost is infinite if the machine's type is unknown.
 
     Parameters
     ----------
@@ -68,10 +69,10 @@
     rng: random.Random,
     fetch_weight: float = 1.0,
 ) -> Machine | None:
-    """Return the cheapest machine of a sample on which a task fits.
+    """Return the machine with the lowest placement cost among sampled machines that fit a task.
 
-    If the task fits on no sampled machine, the first of ``fitting`` is returned; None if that is
-    empty.
+    If the task fits on no sampled machine, or on one candidate only, the first of ``fitting`` is
+    returned. Returns None if ``fitting`` is empty.
 
     Parameters
     ----------
@@ -82,7 +83,7 @@
     fitting
         The candidates on which the task fits.
     rng
-        Generator for the sample; not used if there are too few machines to need one.
+        Generator for the sample; not used if all candidates are compared or fewer than two fit.
     fetch_weight
         Weight of the image fetch time.
     """
--- a/marblestair/core/scheduling/machine_filling.py
+++ b/marblestair/core/scheduling/machine_filling.py
@@ -1,8 +1,8 @@
 """Launches of queued tasks on a single machine whose heartbeat freed capacity.
 
-The launch commands are sent in the response to that heartbeat. The cost of launching array tasks
-does not depend on the number of machines in the shard; an attempt to place a gang may examine all
-of them.
+The launch commands for that machine are sent in the response to the heartbeat. The time to launch
+array tasks does not depend on the number of machines in the shard; an attempt to place a gang may
+examine all machines of the shard.
 """
 
 from __future__ import annotations
@@ -41,7 +41,8 @@
     def fill(self, shard: Shard, machine: Machine, queue: PendingQueue) -> None:
         """Launch the tasks of a shard's queue that fit on one of its machines.
 
-        A claimed machine is used only for the gang that claims it, a draining machine not at all.
+        A claimed machine is used only for the gang that claims it. A draining machine without a
+        claim is not used.
         """
         if not machine.is_usable(self._context.now):
             return
@@ -82,11 +83,15 @@
     def _fill_in_order(
         self, shard: Shard, machine: Machine, candidates: CandidateMachines, queue: PendingQueue
     ) -> None:
-        """Launch tasks in queue order until the machine is full or no team has quota left."""
+        """Launch tasks in queue order until no further task can fit.
+
+        That is so when the machine has too few free cpus for the smallest task, or when no team has
+        quota left for an array task and the machine has too few free cpus for a gang's.
+        """
         placement = self._placement
-        #: team -> cpus of the smallest task found not to fit into its remaining quota
+        #: team -> cpus of the smallest task that was found to exceed the team's remaining quota
         exhausted_teams: dict[str, int] = {}
-        #: number of teams whose smallest pending array task does not fit into their remaining quota
+        #: number of teams whose remaining quota does not cover their smallest pending array task
         blocked_team_count = 0
         #: quota reserved for gangs earlier in the queue
         reserved = ReservedQuota()
--- a/marblestair/core/scheduling/machine_transfers.py
+++ b/marblestair/core/scheduling/machine_transfers.py
@@ -1,4 +1,4 @@
-"""Transfers of idle machines to the shard of a gang that fits into no single shard."""
+"""Transfers of idle machines to the shard of a job that lacks capacity there."""
 
 from __future__ import annotations
 
@@ -37,9 +37,10 @@
 from marblestair.core.state.store_follower import StoreFollower
 from marblestair.core.state.store_view import StoreView
 
-#: heartbeat intervals for which tasks must be pending before they count as lacking capacity
+#: minimum time for which a slice must have been pending before it counts as lacking capacity, in
+#: heartbeat intervals
 MIN_PENDING_INTERVALS = 1.5
-#: age above which a shard's summary is ignored, so that its jobs receive no machines
+#: maximum age of a shard's summary; if it is older, the shard's jobs receive no machines
 MAX_JOB_SUMMARY_AGE_S = 2.0
 #: maximum attempts to commit one transfer; unlimited while the outcome of an attempt is uncertain
 MAX_COMMIT_ATTEMPTS = 4
@@ -91,9 +92,10 @@
         return not self._failures.is_quarantined(job_slice.spec.id)
 
     def transfer_idle_machines(self, shard: Shard) -> None:
-        """Start a transfer of idle machines to a shard with a gang that lacks capacity.
+        """Start a transfer of idle machines to a shard with a job that lacks capacity.
 
-        Machines are kept for a job of this shard that lacks capacity and became startable earlier.
+        No machines are transferred for a job if a job of this shard also lacks capacity and became
+        startable earlier.
         """
         shard_map = self._view.shard_map
         if self._is_in_progress or shard_map is None or shard.unreconciled_machines:
@@ -119,7 +121,7 @@
                     return
 
     def _oldest_lacking_capacity(self, shard: Shard) -> tuple[float, str] | None:
-        """Return, of the jobs that lack capacity, when the first became startable, and its id."""
+        """Return the start of the wait and the id of the oldest job that lacks capacity, if any."""
         return min(
             (
                 (job_slice.startable_since, job_slice.spec.id)
@@ -146,8 +148,10 @@
     ) -> list[Machine]:
         """Choose idle machines to transfer for a job of another shard.
 
-        These are the machines that the fleet plan reserves for the job. If there are none, it is
-        the cheapest unclaimed machine, unless the job already fits into the shard.
+        Machines that the fleet plan reserves for the job are chosen. If there are none, the
+        unclaimed machine with the lowest regular price is chosen, unless the job already fits into
+        the free capacity that the other shard reported. For a job that needs a single zone, that
+        machine must be in the zone with the most capacity for the job.
         """
         suitable = [
             machine
@@ -160,7 +164,7 @@
             if self._fleet_plan.reserved_machines.get(machine.name) == spec.id
         ]
         if reserved:
-            # One operation of the transaction is the update of the shard map.
+            # Each machine needs one operation of the transaction, and the shard map needs one too.
             return reserved[: max(1, self._context.settings.cluster.state.txn_ops - 1)]
         unclaimed = [
             machine for machine in suitable if not self._preemption.is_claimed(machine, spec.id)
@@ -175,7 +179,7 @@
         return [min(unclaimed, key=lambda machine: (_price(machine), machine.name))]
 
     def _zone_with_most_capacity(self, spec: JobSpec, summary: ShardSummary) -> str | None:
-        """Return the zone with the most free capacity for a job across all shards."""
+        """Return the zone with the most reported free capacity for a job, over all shards."""
         tasks_by_zone = capacity_by_zone(spec, spec.resources, summary.free_capacity)
         for _, other in self._summaries.values():
             if other.shard_id != summary.shard_id:
@@ -200,7 +204,11 @@
             self._is_in_progress = False
 
     def _commit(self, shard: Shard, machines: list[Machine], target_id: int) -> Coroutine[None]:
-        """Commit a transfer; return only once no commit of it can still be applied later."""
+        """Commit a transfer; return once it is, or can no longer be, committed.
+
+        Also returns if this node no longer leads the shard, or if none of the machines can be
+        transferred any more.
+        """
         uncertain_version: int | None = None
         attempts = 0
         while self._leadership.shards.get(shard.shard_id) is shard:
@@ -210,7 +218,7 @@
                 return
             version = self._view.version(keys.SHARD_MAP)
             if uncertain_version not in (None, version):
-                # The shard map has changed: the uncertain commit was applied or never will be.
+                # The shard map has changed: the uncertain commit was applied or will be rejected.
                 for machine in machines:
                     yield from self._follower.refresh_until_read(keys.MACHINES + machine.name)
                 return
--- a/marblestair/core/scheduling/migration_planner.py
+++ b/marblestair/core/scheduling/migration_planner.py
@@ -25,14 +25,14 @@
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state.store_view import StoreView
 
-#: age from which on a shard's summary is ignored, so that no tasks migrate to the shard
+#: age of a shard's summary from which on the summary is ignored and no tasks migrate to the shard
 MAX_TARGET_SUMMARY_AGE_S = 1.5
-#: time for which a slice must be pending in its shard before its tasks migrate
+#: minimum time for which a slice must have been pending in its shard before its tasks may migrate
 MIN_PENDING_S = 0.3
 
 
 class MigrationTarget(NamedTuple):
-    """A shard with capacity for pending tasks of a slice, and the number of those tasks."""
+    """The summary of a shard to which tasks are to migrate, and the number of these tasks."""
 
     summary: ShardSummary
     task_count: int
@@ -68,8 +68,8 @@
     def migrate_pending(self, shard: Shard) -> None:
         """Start migrations of pending tasks to shards with capacity and quota for them.
 
-        Where no shard has both, unused quota is transferred to a shard with capacity. A
-        latency-sensitive gang that can start here by preemption does not migrate.
+        If no other shard has both, unused quota is transferred to a shard with capacity. A
+        latency-sensitive gang for which tasks of this shard can be preempted does not migrate.
         """
         summaries = [] if shard.unreconciled_machines else self._recent_summaries(shard)
         if not summaries:
@@ -102,7 +102,7 @@
     def _migrate(self, shard: Shard, job_slice: JobSlice, target: MigrationTarget) -> bool:
         """Start to migrate the last pending tasks of a slice; return whether a migration started.
 
-        Their capacity and quota are subtracted from the target's summary.
+        The capacity and quota that these tasks need are subtracted from the target's summary.
         """
         summary, task_count = target
         ranges = job_slice.pending.tail(task_count)
@@ -160,8 +160,8 @@
     ) -> int:
         """Return the number of a slice's pending tasks that fit into a shard's capacity and quota.
 
-        Tasks that must start together count only if all of them fit. With ``may_preempt``, capacity
-        that the shard reported as preemptible is available to them.
+        Tasks that must start together count only if all of them fit. For them, the capacity that
+        the shard reported as preemptible is included if ``may_preempt`` is set.
         """
         spec = job_slice.spec
         pending = len(job_slice.pending)
--- a/marblestair/core/scheduling/pending_queue.py
+++ b/marblestair/core/scheduling/pending_queue.py
@@ -9,12 +9,13 @@
 
 
 class StarvedSlice(msgspec.Struct):
-    """A starved slice, which is placed ahead of all other slices, with its launch limits."""
+    """A starved array, whose tasks are launched before other tasks, with its launch limits."""
 
     job_slice: JobSlice
-    #: tasks that it may still launch while its team has ``starved_cpus_left``
+    #: maximum number of tasks that may still be launched, if the team's
+    #: :attr:`PendingQueue.starved_cpus_left` covers them
     max_tasks: int
-    #: tasks that it may still launch even without ``starved_cpus_left``
+    #: number of tasks that may still be launched even if ``starved_cpus_left`` does not cover them
     min_tasks: int
 
 
@@ -31,15 +32,15 @@
 
     def __init__(self, order: list[JobSlice]) -> None:
         self.order = order
-        #: slices that are placed ahead of those in ``order``
+        #: arrays whose tasks are launched before those of the slices in ``order``
         self.starved: list[StarvedSlice] = []
-        #: team -> cpus that its starved slices may still use, in fixed point
+        #: team -> cpus that the team's starved arrays may still use, in fixed point
         self.starved_cpus_left: dict[str, int] = {}
         #: cpus of the smallest pending task, in fixed point
         self.min_cpus = min(job_slice.resources[0] for job_slice in order)
-        #: team -> cpus of the smallest pending task of its arrays, in fixed point
+        #: team -> cpus of the smallest pending task of the team's arrays, in fixed point
         self.min_array_cpus: dict[str, int] = {}
-        #: cpus of the smallest task of any gang, in fixed point; None without gangs
+        #: cpus of the smallest task of any pending gang, in fixed point; None without gangs
         self.min_gang_cpus: int | None = None
         for job_slice in order:
             team, cpus = job_slice.spec.team, job_slice.resources[0]
--- a/marblestair/core/scheduling/placement.py
+++ b/marblestair/core/scheduling/placement.py
@@ -1,7 +1,8 @@
 """Checks of whether a job may run on a machine and how many of its tasks fit.
 
-These functions check all placement rules: machine type, zone, spot or regular machine, resources
-and quota. Free capacity is that of a machine of the shard, or the capacity that the leader of
+The functions check machine type, zone, spot or regular machine, resources and quota. Claims and
+reservations of machines are checked by their callers, and the zones of an array's tasks by
+``ZoneRule``. Free capacity is that of a machine in this node's shards, or what the leader of
 another shard published.
 """
 
@@ -17,7 +18,8 @@
 from marblestair.core.shard.machine import Machine
 from marblestair.core.shard.shard import Shard
 
-#: number of tasks that fit if a task uses no resources: more than any job has
+#: stands for "no limit" on the number of tasks that fit, if a task uses no resources; more tasks
+#: than any job has
 UNBOUNDED_TASKS = 1 << 30
 
 #: free capacity of a machine as shards publish it: type, zone, spot, cpus, gpus, memory
@@ -53,7 +55,10 @@
 
 
 def placeable_tasks(shard: Shard, spec: JobSpec, now: float) -> int:
-    """Return the number of a job's tasks that fit on the usable machines of a shard now."""
+    """Return how many of a job's tasks fit on the usable machines of a shard now.
+
+    Quota, claims and reservations are not checked.
+    """
     return sum(
         tasks_that_fit(machine, spec.resources)
         for machine in shard.machines.values()
@@ -76,7 +81,10 @@
 def gang_fits(
     spec: JobSpec, resources: Resources, capacities: list[FreeCapacity], task_count: int
 ) -> bool:
-    """Whether tasks that must start together all fit into published free capacity."""
+    """Whether tasks that must start together all fit into published free capacity.
+
+    The limits on the zones of the job are checked too.
+    """
     count_by_zone = capacity_by_zone(spec, resources, capacities)
     if spec.single_zone:
         return any(count >= task_count for count in count_by_zone.values())
--- a/marblestair/core/scheduling/placement_pass.py
+++ b/marblestair/core/scheduling/placement_pass.py
@@ -20,8 +20,8 @@
 class PlacementPass:
     """Places the pending slices of a shard once.
 
-    Tasks that fit are launched, and other tasks are preempted for guaranteed arrays and for
-    latency-sensitive gangs.
+    Tasks that fit are launched. Best-effort tasks are preempted for guaranteed arrays, and tasks of
+    lower priority for latency-sensitive gangs.
     """
 
     def __init__(  # noqa: PLR0913 - its collaborators
@@ -45,7 +45,7 @@
         self._survey = preemption.survey(shard)
         self._best_effort_tasks = best_effort_tasks
         self._reserved_quota = ReservedQuota()
-        #: team -> cpus of the smallest task found to exceed the rest of its quota
+        #: team -> cpus of the smallest task that was found to exceed the team's remaining quota
         self._exhausted_teams: dict[str, int] = {}
 
     def run(self, queue: PendingQueue) -> None:
@@ -61,8 +61,8 @@
     def _place_array(self, array: JobSlice, min_cpus: int) -> None:
         """Launch an array's tasks that fit; if it is guaranteed, preempt best-effort tasks for it.
 
-        ``min_cpus`` is what the smallest task of the queue needs: machines with fewer cpus free are
-        not candidates for the rest of the pass.
+        ``min_cpus`` is the cpus of the smallest task in the queue. After tasks have been launched,
+        machines with fewer free cpus are no longer candidates in this pass.
         """
         shard, candidates, reserved = self._shard, self._candidates, self._reserved_quota
         team, cpus = array.spec.team, array.resources[0]
--- a/marblestair/core/scheduling/preemption.py
+++ b/marblestair/core/scheduling/preemption.py
@@ -1,7 +1,8 @@
 """Preemption: stops other tasks so that a latency-sensitive gang can start.
 
-A gang claims the machines that are cleared for it. The claims keep arrays from using freed capacity
-while other tasks are still being stopped, and keep two gangs from waiting for the same machine.
+The gang gets a claim on each machine that is cleared for it. The claims keep arrays from using
+freed capacity while other tasks are still being stopped, and keep two gangs from waiting for the
+same machine.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state.store_view import StoreView
 
-#: heartbeat intervals after which a claim expires even if its gang has not started
+#: time after which a claim expires even if its gang has not started, in heartbeat intervals
 CLAIM_TTL_INTERVALS = 6.0
 
 
@@ -53,9 +54,9 @@
 
 
 class _CandidateMachine(msgspec.Struct):
-    """A machine that a gang could use, and the work lost per task of the gang placed there."""
+    """A machine that a gang could use, and the work that preemption there would lose."""
 
-    #: cpu seconds, in fixed point
+    #: cpu seconds lost per task of the gang, in fixed point
     lost_work: float
     machine: Machine
 
@@ -82,7 +83,7 @@
     # --- claims ----------------------------------------------------------------------------
 
     def is_claimed(self, machine: Machine, job: str = "") -> bool:
-        """Whether a job other than ``job`` claims a machine or has it reserved by the plan."""
+        """Whether a job other than ``job`` claims a machine, or is live and has it reserved."""
         claim = self.claims.get(machine.name)
         if claim is not None:
             return claim.job != job
@@ -118,7 +119,7 @@
     def can_preempt_for(
         self, shard: Shard, gang: JobSlice, quota: tuple[int, int], survey: PreemptionSurvey
     ) -> bool:
-        """Whether a gang has claims, or can get enough machines in a shard by preemption.
+        """Whether a gang has claims, or can get enough machines and quota by preemption.
 
         Parameters
         ----------
@@ -127,7 +128,8 @@
         gang
             The slice that holds all tasks of the gang.
         quota
-            Cpus and gpus that the team's tasks may use in the shard, in fixed point.
+            Cpus and gpus that the team's tasks may use in the shard, in fixed point; only the cpus
+            are checked.
         survey
             The survey of the shard for the current pass.
         """
@@ -160,8 +162,8 @@
     ) -> _PreemptionPlan | None:
         """Choose the tasks to stop for a gang; return None if preemption does not suffice.
 
-        Machines with the least work to lose are chosen first. If the quota is still too small
-        then, more tasks of the gang's own team are stopped.
+        The machines on which the least work would be lost are chosen first. If stopping their tasks
+        frees too little cpu quota, more tasks of the gang's own team are chosen.
         """
         team, rank = gang.spec.team, PRIORITY_RANKS[gang.spec.priority]
         used_cpus = shard.usage(team)[0]
@@ -183,7 +185,7 @@
     def _cheapest_machines(
         self, shard: Shard, gang: JobSlice, rank: int, survey: PreemptionSurvey
     ) -> list[_ClearedMachine] | None:
-        """Choose the machines with the least work to lose; return None if there are too few."""
+        """Choose machines on which the least work is lost; return None if the gang does not fit."""
         lacking_tasks = gang.pending.count
         chosen: list[_ClearedMachine] = []
         candidates = self._candidate_machines(gang, rank, survey)
@@ -191,7 +193,8 @@
         for candidate in candidates:
             if lacking_tasks <= 0:
                 break
-            # Counted again, since tasks may have been placed or stopped after the survey.
+            # The tasks that fit are counted again, since tasks may have been placed or stopped on
+            # the machine after the survey.
             machine = candidate.machine
             victims: list[PlacedTask] = []
             fits = tasks_that_fit(machine, gang.resources)
@@ -228,7 +231,12 @@
     # --- summaries -------------------------------------------------------------------------
 
     def preemptible_capacity(self, shard: Shard) -> list[FreeCapacity]:
-        """Return what each machine has free after preemption for latency-sensitive gangs."""
+        """Return the free capacity that machines would have after preemption.
+
+        All tasks that the latency-sensitive gangs of the highest priority may preempt are assumed
+        to be stopped. Only machines with such tasks and then room for a gang's task are included.
+        The amounts include what is free already.
+        """
         specs = [
             gangs.spec
             for gangs in self._arrivals.expected_gangs.values()
--- a/marblestair/core/scheduling/preemption_survey.py
+++ b/marblestair/core/scheduling/preemption_survey.py
@@ -21,7 +21,10 @@
 
 
 def preemptible_tasks(shard: Shard, machine: Machine, rank: int) -> list[PlacedTask]:
-    """Return the tasks on a machine that a job of a priority rank may preempt."""
+    """Return the tasks on a machine that a gang of a priority rank may preempt.
+
+    These are the tasks of lower rank, and those whose slice is not in the shard.
+    """
     tasks = []
     for task in machine.tasks.values():
         job_slice = shard.slices.get(task.job)
@@ -46,9 +49,9 @@
 
 
 class PreemptionSurvey:
-    """Determines a shard's preemptible tasks, once for all gangs in one pass.
+    """Determines a shard's preemptible tasks, and caches them for all gangs in one pass.
 
-    A ``rank`` is that of the preempting gang's priority.
+    The argument ``rank`` of the methods is the rank of the preempting gang's priority.
     """
 
     def __init__(self, shard: Shard, now: float) -> None:
@@ -57,7 +60,7 @@
         self._machines: dict[int, list[SurveyedMachine]] = {}
         #: team and rank -> the team's tasks of lower priority, in the order of preemption
         self._tasks: dict[tuple[str, int], list[PlacedTask]] = {}
-        #: team and rank -> cpus of those tasks, in fixed point
+        #: team and rank -> cpus of the tasks in ``_tasks``, in fixed point
         self._cpus: dict[tuple[str, int], int] = {}
 
     def machines(self, rank: int) -> list[SurveyedMachine]:
@@ -90,10 +93,11 @@
     def choose_tasks_to_stop(
         self, team: str, rank: int, cpus: int, excluded: list[PlacedTask]
     ) -> list[PlacedTask] | None:
-        """Choose tasks of a team to stop, so that they free ``cpus`` of its quota in the shard.
+        """Choose tasks of a team to stop, in order to free ``cpus`` of the team's quota.
 
-        Tasks that are already being stopped come first, then the latest started. Tasks in
-        ``excluded``, which are stopped anyway, are not chosen. Returns None if there are too few.
+        Tasks that are already being stopped are chosen first, then those with the shortest run
+        time. Tasks in ``excluded``, which the caller stops anyway, are not chosen. Returns None if
+        the tasks of the shard free too few cpus.
         """
         chosen: list[PlacedTask] = []
         if cpus <= 0:
@@ -132,6 +136,6 @@
         return True, 0.0 if task.running_since is None else self._now - task.running_since
 
     def invalidate_team(self, team: str) -> None:
-        """Discard the order of a team's tasks, which changes when some of them are stopped."""
+        """Discard the cached order of a team's tasks; needed after tasks were stopped."""
         for key in [key for key in self._tasks if key[0] == team]:
             del self._tasks[key]
--- a/marblestair/core/scheduling/quota_transfers.py
+++ b/marblestair/core/scheduling/quota_transfers.py
@@ -1,7 +1,7 @@
 """Transfers of a team's quota from a shard with spare quota to a shard that lacks it.
 
 The source's leader first stops using the quota. One commit then changes the quotas of both shards,
-so that all quotas of a team never add up to more than its limit.
+so that a team's quotas in all shards never add up to more than the team's limit.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from marblestair.core.state.records import ShardMap
 from marblestair.core.state.store_view import StoreView
 
-#: maximum age of a shard's summary for quota to be transferred to that shard
+#: maximum age of a shard's summary; if it is older, the shard receives no quota for the summary
 MAX_DEMAND_AGE_S = 3.0
 #: maximum attempts to commit one transfer; unlimited while the outcome of an attempt is uncertain
 MAX_COMMIT_ATTEMPTS = 5
@@ -87,7 +87,7 @@
     def _spare_quota(
         self, shard: Shard, team: str, own: ShardSummary, other: ShardSummary
     ) -> list[int] | None:
-        """Return the cpus and gpus that a shard can spare; None if it needs the quota itself."""
+        """Return the cpus and gpus that a shard can spare; None if the shard itself needs quota."""
         used, quota = shard.usage(team), self._quotas.quota(shard, team)
         unused = [quota[i] - used[i] for i in range(2)]
         if team in other.required_quota:
@@ -112,7 +112,8 @@
     def largest_gang_cpus(self, shard: Shard, team: str) -> int:
         """Return the cpus of a team's largest pending gang in a shard, in fixed point.
 
-        This quota is not transferred for other tasks, since the gang would need it back.
+        ``UnusedQuotaTransfers`` does not transfer this quota for arrays, since the gang would need
+        it back.
         """
         return max(
             (
@@ -141,7 +142,10 @@
     def _commit(
         self, shard: Shard, target_id: int, team: str, amounts: list[int]
     ) -> Coroutine[None]:
-        """Change both quotas; return once the change is, or can no longer be, committed."""
+        """Change both quotas; return once the change is, or can no longer be, committed.
+
+        Also returns as soon as this node no longer leads the source shard.
+        """
         uncertain_version: int | None = None
         attempts = 0
         while True:
--- a/marblestair/core/scheduling/reported_capacity.py
+++ b/marblestair/core/scheduling/reported_capacity.py
@@ -1,7 +1,8 @@
 """Free capacity and quota that the leaders of other shards reported in their summaries.
 
-A summary is used until the shard's next one arrives. Tasks that are assigned to the shard in the
-meantime are subtracted from it, so that the same capacity is not used twice.
+A summary is used until the shard's next summary arrives. In the meantime, the resources of gangs
+that this node assigns to the shard, and of tasks that it migrates there, are subtracted from the
+summary (:func:`reserve_capacity`), so that the same capacity is not used twice.
 """
 
 from __future__ import annotations
@@ -17,7 +18,11 @@
 
 
 def reserve_capacity(summary: ShardSummary, spec: JobSpec, task_count: int) -> None:
-    """Subtract tasks that were assigned to a shard from the capacity and quota it reported."""
+    """Subtract tasks that were assigned to a shard from the shard's summary.
+
+    The free quota is reduced, and the free capacity; what does not fit there is subtracted from the
+    preemptible capacity.
+    """
     resources = spec.resources
     free_quota = summary.free_quota.get(spec.team, [0, 0])
     for i in range(2):
@@ -58,7 +63,7 @@
 
 
 def max_free_quota_cpus_by_team(summaries: Iterable[ShardSummary]) -> dict[str, int]:
-    """Return for each team the most cpus of free quota in one shard, in fixed point."""
+    """Return for each team the largest free quota in any one shard: cpus, in fixed point."""
     most: dict[str, int] = {}
     for summary in summaries:
         for team, free_quota in summary.free_quota.items():
@@ -84,8 +89,9 @@
     zone: str | None
     allows_spot: bool
     resources: Resources
-    #: tasks to place, and tasks of the whole job, which determine the limit per zone
+    #: number of tasks to place
     task_count: int
+    #: number of tasks of the whole job, from which the limit per zone follows
     job_task_count: int
     single_zone: bool
     spread_zones: bool
@@ -104,7 +110,7 @@
         self._fitting_gangs: dict[GangFitKey, bool] = {}
 
     def clear(self) -> None:
-        """Clear the cache; called after capacity was reserved in a summary."""
+        """Clear the cache; callers do this after they have reserved capacity in a summary."""
         self._fitting_tasks.clear()
         self._fitting_gangs.clear()
 
@@ -127,7 +133,7 @@
     def fits_together(
         self, summary: ShardSummary, job_slice: JobSlice, count: int, with_preemptible: bool
     ) -> bool:
-        """Whether ``count`` tasks of a slice fit into a shard at the same time."""
+        """Whether ``count`` tasks of a slice all fit into the capacity that a shard reported."""
         spec = job_slice.spec
         key = GangFitKey(
             summary.shard_id,
--- a/marblestair/core/scheduling/run_times.py
+++ b/marblestair/core/scheduling/run_times.py
@@ -4,9 +4,9 @@
 
 from marblestair.core.domain.jobs import JobSpec
 
-#: weight of the latest task in the exponential moving average
+#: weight of the latest task's ratio in the exponential moving average of its class
 LATEST_TASK_WEIGHT = 0.02
-#: upper bound of the ratio that a single task contributes
+#: maximum ratio of measured to estimated run time that one task contributes to the average
 MAX_TASK_RATIO = 5.0
 
 
@@ -17,11 +17,11 @@
         self._ratios: dict[str, float] = {}
 
     def ratio(self, job_class: str) -> float:
-        """Return the factor that corrects the estimates of a class; 1 before any task completed."""
+        """Return the factor that corrects a class's estimates; 1 before any task is recorded."""
         return self._ratios.get(job_class, 1.0)
 
     def record(self, spec: JobSpec, run_s: float) -> None:
-        """Record the run time of a completed task, in seconds."""
+        """Record the run time of a completed task, in seconds; ignored if it has no estimate."""
         if spec.estimated_run_s > 0:
             average = self.ratio(spec.job_class)
             latest = min(MAX_TASK_RATIO, run_s / spec.estimated_run_s)
--- a/marblestair/core/scheduling/scheduling_order.py
+++ b/marblestair/core/scheduling/scheduling_order.py
@@ -14,19 +14,20 @@
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.shard import Shard
 
-#: penalties of a job: their sum is compared first, and a larger sum is scheduled later
+#: penalties of a job; jobs are ordered by the sum of their penalties first, smallest sum first
 QUARANTINED_PENALTY = 8
 BEST_EFFORT_PENALTY = 4
 OVERDUE_PENALTY = 2
 INFEASIBLE_PENALTY = 1
-#: a job is overdue when it cannot be done within its deadline plus this share of the deadline
+#: maximum expected delay past a job's deadline before the job counts as overdue, as a share of the
+#: time from acceptance to the deadline
 OVERDUE_TOLERANCE_SHARE = 0.5
 #: slack of a job without a deadline at the time when it becomes startable
 NO_DEADLINE_SLACK_S = 120.0
 
-#: sum of the penalties, 0 if guaranteed or of at least high priority and else 1, negative rank of
-#: the priority, slack in seconds, and job id. A plain tuple, since one is built for each sorted
-#: slice and a NamedTuple would cost one more call each time.
+#: sort key of a job: sum of the penalties; 0 if the job is guaranteed or of at least high priority,
+#: else 1; negative rank of the priority; slack in seconds; job id. The key is a plain tuple, since
+#: one is built for each sorted slice and a NamedTuple would cost one more call each time.
 PriorityKey: TypeAlias = tuple[int, int, int, float, str]
 
 
@@ -44,18 +45,20 @@
 ) -> PriorityKey:
     """Return the sort key of a job; the job with the smallest key is scheduled first.
 
-    Guaranteed jobs and those of at least high priority come first. Jobs are then ordered by
-    priority, and by the slack to the deadline, or by age if there is none. Best-effort jobs come
-    after all others, and quarantined jobs, which will probably fail, come last. A job with
-    dependents gets no penalty for its deadline, which is only the time at which the dependents
-    should start.
+    Jobs are ordered by their penalties first: infeasible, overdue and best-effort jobs come after
+    jobs without a penalty, in this order, and quarantined jobs, which will probably fail, come
+    last. Among jobs with the same penalties, guaranteed jobs and those of at least high priority
+    come first. Jobs are then ordered by priority, and by the slack to the deadline, or by age if
+    they have no deadline. A job with dependents gets no penalty for its deadline, since that may be
+    inherited and is then only the time at which a dependent should start.
 
     Parameters
     ----------
     spec
         The job, with its inherited priority and deadline applied.
     wall_time
-        Wall-clock time in seconds, plus the offset by which the policy advances the job's class.
+        Wall-clock time in seconds, plus the seconds by which the operators' policy reduces the
+        slack of the job's class.
     run_time_ratio
         Factor that corrects the estimated run time.
     startable_since
@@ -65,8 +68,8 @@
     is_infeasible
         Whether the team's limit prevents the job from being done by its deadline.
     is_quarantined, is_best_effort, has_dependents
-        Whether the job is quarantined, its team has no guaranteed quota, and other jobs depend on
-        it.
+        Whether the job is quarantined, whether its team has no guaranteed quota, and whether other
+        jobs depend on it.
     """
     penalty = QUARANTINED_PENALTY * is_quarantined + BEST_EFFORT_PENALTY * is_best_effort
     if spec.deadline_s is not None:
@@ -118,7 +121,7 @@
         self._guarantees = guarantees
         self._fleet_plan = fleet_plan
         self._dependencies = dependencies
-        #: class -> seconds by which the operators' policy advances its jobs
+        #: class -> seconds by which the operators' policy reduces the slack of the class's jobs
         self._deadline_offsets_s = deadline_offsets_s
         #: shard -> the result of its latest sort
         self._latest: dict[int, _SortedSlices] = {}
@@ -126,7 +129,7 @@
     def pending_slices(self, shard: Shard) -> list[JobSlice]:
         """Return a shard's slices with pending tasks, in scheduling order.
 
-        They are sorted only once for all calls at the same monotonic time.
+        The slices are sorted once, and the result is reused for calls at the same monotonic time.
         """
         latest = self._latest.get(shard.shard_id)
         if latest is not None and latest.sorted_at == self._context.now:
--- a/marblestair/core/scheduling/services.py
+++ b/marblestair/core/scheduling/services.py
@@ -29,7 +29,7 @@
 
 
 class SchedulingServices:
-    """Composes the scheduling components of one node: placement, preemption and transfers."""
+    """Composes one node's scheduling components: placement, preemption, transfers, migration."""
 
     def __init__(  # noqa: PLR0913 - the collaborators of all components
         self,
--- a/marblestair/core/scheduling/shard_summarizer.py
+++ b/marblestair/core/scheduling/shard_summarizer.py
@@ -23,14 +23,14 @@
 class MachineUse(msgspec.Struct):
     """The machines of a shard, grouped by their use."""
 
-    #: machines with tasks, and their cpus in use, in fixed point
+    #: machines that run tasks but none of a gang, and their cpus in use, in fixed point
     busy_machines: list[tuple[str, int]] = []
     #: machines without tasks, and how long they have been idle, in seconds
     idle_machines: list[tuple[str, float]] = []
-    #: machines with tasks of gangs
+    #: machines that run tasks of gangs
     gang_machines: list[str] = []
-    #: machines that do not count as capacity: unresponsive, overdue, or about to be reclaimed
-    #: or released
+    #: machines that do not count as capacity: unresponsive, overdue (no first heartbeat in time),
+    #: about to be reclaimed, or being released
     unavailable_machines: list[str] = []
 
 
@@ -89,7 +89,7 @@
         )
 
     def _free_capacity(self, shard: Shard) -> list[FreeCapacity]:
-        """Return the free capacity of the usable machines that no gang has claimed."""
+        """Return the free capacity of usable machines that no pending gang claims or reserves."""
         return [
             (
                 machine.type_name,
@@ -114,7 +114,11 @@
         return free_quota
 
     def _pending_jobs(self, shard: Shard) -> list[tuple[str, int, int]]:
-        """Return unfinished jobs: id, number of tasks that demand capacity, and number placed."""
+        """Return the id, the number of waiting tasks, and the number of placed tasks of each job.
+
+        Waiting tasks are the migrating ones and those that :func:`demanded_tasks` counts. Cancelled
+        jobs, and jobs without pending, placed or migrating tasks, are omitted.
+        """
         pending_jobs = []
         for job, job_slice in shard.slices.items():
             if job_slice.is_cancelled or not (
@@ -127,7 +131,11 @@
         return pending_jobs
 
     def _machine_use(self, shard: Shard, partitioned: set[str]) -> MachineUse:
-        """Group a shard's machines by use; partitioned ones are omitted unless being released."""
+        """Group a shard's machines by use.
+
+        Partitioned machines are omitted, unless they are being released. So are cordoned machines
+        and those that are neither idle nor known to run tasks.
+        """
         use = MachineUse()
         gang_machines = _gang_machines(shard)
         for machine in shard.machines.values():
@@ -167,10 +175,10 @@
     def _is_overdue(self, machine: Machine) -> bool:
         """Whether a rented machine should have sent this leader a heartbeat by now.
 
-        The time counts from when the machine was added to the shard, since it may have sent
-        heartbeats to another leader before a failover or a transfer. If machines did not count as
-        capacity until their first heartbeat here, replacements for the whole shard would be rented
-        after a failover.
+        The time is measured from when the machine was added to the shard, since the machine may
+        have sent heartbeats to another leader before a failover or a transfer. If machines did not
+        count as capacity until their first heartbeat here, replacements for the whole shard would
+        be rented after a failover.
         """
         if machine.agent_incarnation or machine.machine_type is None:
             return False
--- a/marblestair/core/scheduling/slice_assignment.py
+++ b/marblestair/core/scheduling/slice_assignment.py
@@ -22,7 +22,11 @@
         self._arrivals = arrivals
 
     def assign(self, spec: JobSpec, manager_shard: int) -> dict[str, list[list[int]]]:
-        """Return the ranges of task indexes ``[start, end)`` by shard id."""
+        """Return the ranges of task indexes ``[start, end)`` by shard id.
+
+        Tasks are split evenly between the shards that have quota for them. A job that is
+        indivisible or has fewer than two tasks per shard is assigned to one shard.
+        """
         current = self._view.shard_map
         assert current is not None
         load = self._load_by_shard(current, manager_shard)
@@ -45,7 +49,8 @@
     def _load_by_shard(self, current: ShardMap, manager_shard: int) -> dict[int, float]:
         """Return each shard's backlog less its free cpus, in fixed point.
 
-        Only the manager shard and shards with a recent summary are included.
+        Only the manager shard and shards with a recent summary are included. The load is 0 without
+        a summary.
         """
         load: dict[int, float] = {}
         for shard_id, shard in enumerate(current.shards):
@@ -82,10 +87,10 @@
     def _fitting_shards(
         self, spec: JobSpec, summaries: dict[int, ShardSummary], count: int
     ) -> list[int]:
-        """Return the shards where ``count`` tasks fit into the reported capacity.
+        """Return the shards that reported capacity for ``count`` tasks together.
 
-        Capacity that preemption would free counts only if a latency-sensitive job fits nowhere
-        else.
+        Capacity that preemption would free is included only for a latency-sensitive job that fits
+        into no shard's free capacity.
         """
         fitting = [
             shard_id
@@ -107,7 +112,7 @@
 
 
 def _shards_with_quota(spec: JobSpec, current: ShardMap, load: dict[int, float]) -> list[int]:
-    """Return the shards whose quota of the team covers one task, or a whole gang."""
+    """Return the shards whose entire quota of the team covers one array task, or a whole gang."""
     min_tasks = spec.task_count if spec.kind == JobKind.GANG else 1
     eligible = []
     for shard_id in load:
--- a/marblestair/core/scheduling/slice_migration.py
+++ b/marblestair/core/scheduling/slice_migration.py
@@ -1,10 +1,11 @@
 """Migration of pending tasks between shards: Algorithms 1, 2 and 4 of Bauer and Reichert.
 
-The source first removes the tasks from its pending ones. It then requests the shared and the
-short-term lock from the job's ServerManager in one call, requests the change of ActiveServers
-(``stay`` or ``log_off``), notifies the target, and releases the shared lock. The manager commits
-the change of the job record before it replies, so the target starts only tasks that the record
-assigns to it. Without a reply, the source does not start the tasks before it has read the record.
+The leader of the source shard first removes the tasks that migrate from the pending tasks. It then
+requests the shared and the short-term lock from the job's ServerManager in one call, requests the
+change of ActiveServers (``stay`` or ``log_off``), notifies the target's leader, and releases the
+locks. The manager commits the change of the job record before it replies, so the target starts only
+tasks that the record assigns to it. If the manager does not reply, the source makes the tasks
+pending again only after the locks are released and the record has been read again.
 """
 
 from __future__ import annotations
@@ -74,16 +75,16 @@
         self._reader = reader
         self.active_count = 0
         self.completed_count = 0
-        #: migrations started by this process; makes the names of lock holders unique
+        #: number of migrations started by this process; makes the names of lock holders unique
         self._started_count = 0
 
     def start(
         self, shard: Shard, job_slice: JobSlice, ranges: list[list[int]], target_id: int
     ) -> bool:
-        """Start the migration of pending tasks of a slice; return whether it was started.
+        """Start the migration of pending tasks of a slice; return whether a migration started.
 
-        It is not started if too many migrations are active, or if the slice is already migrating,
-        cancelled, or not reconciled yet.
+        No migration is started if ``MAX_ACTIVE_MIGRATIONS`` are active, or if the slice has
+        migrating tasks, is cancelled, or is not reconciled yet.
 
         Raises
         ------
@@ -151,7 +152,10 @@
     def _send_to_manager(
         self, message: LockSlices | UpdateSlices | ReleaseSlices
     ) -> Coroutine[UpdateReply]:
-        """Send a request to the job's ServerManager, local or remote; None if there is no reply."""
+        """Send a request to the job's ServerManager; return its reply.
+
+        Returns None if the manager is unknown or does not reply.
+        """
         record = self._view.jobs.get(message.job)
         if record is None:
             return None
@@ -166,8 +170,8 @@
     def _notify_target(self, migration: Migration, version: int) -> Coroutine[None]:
         """Announce a migration to the leader of the target shard.
 
-        The leader replies with the number of the job's change entries that it knows, and is sent
-        only the later ones (Algorithm 4).
+        The leader replies with the number of the job's change entries that it knows. If there are
+        later entries, they are sent to it (Algorithm 4).
         """
         job = migration.job
         leader = self._leadership.leader_of(migration.target_id)
@@ -184,9 +188,9 @@
     def _await_outcome(self, migration: Migration) -> Coroutine[None]:
         """Wait until the job record shows the migration's outcome; restore tasks that stay here.
 
-        The tasks may become pending here again only after the manager has released the
-        migration's locks, so that an in-flight update will be rejected, and the record has then
-        been read again.
+        Tasks become pending here again only after the manager has released the migration's locks
+        and the record has then been read again. Once the locks are released, the manager rejects an
+        update that is still in flight.
         """
         shard, job_slice, _, holder = migration
         job = migration.job
@@ -210,7 +214,7 @@
             yield Sleep(OUTCOME_RETRY_DELAY_S)
 
     def _restore(self, shard: Shard, job_slice: JobSlice, holder: str) -> None:
-        """Make the tasks of a migration that still belong to the slice pending again."""
+        """Make a migration's tasks pending again, except those placed, done or not in the slice."""
         if job_slice.migration_holder != holder:
             return
         unconfirmed, job_slice.migrating_ranges = job_slice.migrating_ranges, []
--- a/marblestair/core/scheduling/slice_placement.py
+++ b/marblestair/core/scheduling/slice_placement.py
@@ -22,10 +22,10 @@
 
 #: the users require that every job, even the largest, starts within this time
 MAX_START_DELAY_S = 240.0
-#: time after which a slice without placed tasks may use machines that are reserved for expected
-#: gangs; after twice this time it may also use those reserved for pending gangs
+#: maximum time for which an array without placed tasks is kept off the machines that are reserved
+#: for expected gangs; for the machines reserved for pending gangs, it is twice this time
 MAX_RESERVATION_WAIT_S = MAX_START_DELAY_S / 8
-#: weight of the image fetch time when a machine is chosen for a guaranteed job
+#: weight of the image fetch time when a machine is chosen for a guaranteed array; 1 for others
 GUARANTEED_FETCH_WEIGHT = 3.0
 
 
@@ -71,7 +71,7 @@
     ) -> tuple[int, int]:
         """Return the quota of a slice's team less what gangs ahead in the queue have reserved.
 
-        The amounts are cpus and gpus in fixed point, including those in use.
+        The amounts are cpus and gpus in fixed point, and include what the team's tasks already use.
         """
         quota = self._quotas.quota(shard, job_slice.spec.team)
         amounts = reserved.get(job_slice.spec.team)
@@ -102,7 +102,7 @@
         reserved: ReservedQuota,
         max_tasks: int | None = None,
     ) -> int:
-        """Launch pending tasks of an array, up to ``max_tasks`` if given; return their number."""
+        """Launch pending tasks of an array, ``max_tasks`` at most; return the number launched."""
         job = job_slice.spec.id
         if max_tasks is None:
             max_tasks = job_slice.pending.count
@@ -129,7 +129,7 @@
         return place_array(shard, job_slice, candidates, constraints, self._context.rng)
 
     def _machines_still_reserved(self, waited_s: float) -> set[str]:
-        """Return the reserved machines that a slice which has waited this long may not use yet."""
+        """Return the reserved machines that a slice may not use yet after waiting ``waited_s``."""
         if waited_s > 2 * MAX_RESERVATION_WAIT_S:
             return set()
         return {name for name, job in self._fleet_plan.reserved_machines.items() if job}
@@ -150,8 +150,8 @@
     ) -> bool:
         """Launch all tasks of a gang if they fit; return whether they were launched.
 
-        The gang is placed on ``free`` machines and on those claimed for it; if ``free`` is None,
-        on any machines of the shard.
+        The gang is placed on machines of the list ``free`` and on those claimed for the gang, or,
+        if ``free`` is None, on any machines of the shard.
         """
         job, cpus = gang.spec.id, gang.resources[0]
         machines: Iterable[Machine] = shard.machines.values() if free is None else free
--- a/marblestair/core/scheduling/starvation.py
+++ b/marblestair/core/scheduling/starvation.py
@@ -1,9 +1,9 @@
 """Starvation prevention: slices that have waited too long are scheduled before all others.
 
-A starved array that has not started may launch a few of its tasks. A started array is starved only
-after a longer time, and may then launch any number. The starved arrays of a team together get at
-most a share of its quota, which only a minimum of one task may exceed. Starved gangs move to the
-head of the queue.
+A few tasks of a starved array are launched if the array has not started. An array that has started
+is starved only after a longer time; any number of its tasks may then be launched. The starved
+arrays of a team together get at most a share of the team's quota; one task of an array may exceed
+that share, so that the array can start or continue. Starved gangs move to the head of the queue.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 from marblestair.core.shard.job_slice import JobSlice
 from marblestair.core.shard.shard import Shard
 
-#: time since a pending slice became startable after which it is starved
+#: time after which a pending slice is starved, counted from when the slice became startable
 MIN_STARVED_AGE_S = 0.4 * MAX_START_DELAY_S
-#: time since an array became startable after which it is scheduled as starved even if it has
-#: already started
+#: the same limit for an array that has already started
 MIN_STARVED_AGE_STARTED_S = 2 * MAX_START_DELAY_S
-#: share of a team's quota that its starved arrays may use together
+#: maximum share of a team's quota in a shard that the team's starved arrays may use together
 STARVED_QUOTA_SHARE = 0.25
-#: a starved array that has not started may launch its number of tasks divided by this
+#: of a starved array that has not started, the slice's number of tasks divided by this may be
+#: launched in one pass, but at least one task
 INITIAL_TASKS_DIVISOR = 16
 
 
@@ -51,7 +51,11 @@
     def schedule_starved(
         self, shard: Shard, queue: PendingQueue, candidates: CandidateMachines
     ) -> None:
-        """Launch tasks of starved arrays; queue their other tasks and starved gangs first."""
+        """Launch tasks of starved arrays, and move starved gangs to the head of the queue.
+
+        Starved arrays of which more tasks may be launched later, when machines become free, are
+        added to ``queue.starved``.
+        """
         wall_time = self._context.wall_time
         starved = [
             job_slice
@@ -103,7 +107,10 @@
                 launches.continue_array(array)
 
     def _running_cpus(self, shard: Shard) -> dict[str, int]:
-        """Return the cpus that each team's starved arrays use in a shard, in fixed point."""
+        """Return by team the cpus that arrays of a starved age use in a shard, in fixed point.
+
+        Arrays older than ``MIN_STARVED_AGE_S`` count, even if no more of their tasks are pending.
+        """
         wall_time = self._context.wall_time
         running_cpus: dict[str, int] = {}
         for job_slice in shard.slices.values():
@@ -140,13 +147,14 @@
         self._teams_with_queued_array: set[str] = set()
 
     def start_array(self, array: JobSlice) -> None:
-        """Launch a few tasks of an array that has not started; one may exceed the team's share."""
+        """Launch a few tasks of an unstarted array; one task may exceed the team's share."""
         self._launch(array, max(1, array.size // INITIAL_TASKS_DIVISOR), 1)
 
     def continue_array(self, array: JobSlice) -> None:
         """Launch tasks of an array that has started.
 
-        If no starved array of the team is running, one task may exceed the team's share.
+        One task may exceed the team's share, unless ``_running_cpus`` shows that an old array of
+        the team is running, or a started array of the team is already queued.
         """
         team = array.spec.team
         has_minimum = self._running_cpus.get(team) or team in self._teams_with_queued_array
@@ -154,7 +162,10 @@
             self._teams_with_queued_array.add(team)
 
     def _launch(self, array: JobSlice, max_tasks: int, min_tasks: int) -> bool:
-        """Launch tasks within the team's share; return whether the remaining ones were queued."""
+        """Launch tasks within the team's share; return whether the array was queued for more.
+
+        ``min_tasks`` tasks may be launched even if they exceed the share.
+        """
         team, cpus = array.spec.team, array.resources[0]
         cpus_left = self._cpus_left(team)
         count = max(min_tasks, min(max_tasks, cpus_left // cpus)) if cpus else max_tasks
--- a/marblestair/core/scheduling/unused_quota_transfers.py
+++ b/marblestair/core/scheduling/unused_quota_transfers.py
@@ -1,8 +1,8 @@
 """Transfers of unused quota to shards that have free capacity for pending tasks.
 
-They are for tasks that cannot be placed in any shard now, since no shard has both the capacity and
-the quota for them. The tasks then migrate to the target shard. Without a transfer, the team could
-not use quota in a shard whose machines have no capacity for its tasks.
+Such a transfer is begun for pending tasks if no other shard has both capacity and quota for them.
+After the transfer, the tasks can migrate to the target shard. Without transfers, a team could not
+use its quota in a shard whose machines have no capacity for the team's tasks.
 """
 
 from __future__ import annotations
@@ -36,13 +36,14 @@
         self._shard = shard
         self._summaries = summaries
         self._capacity = capacity
-        #: team -> whether part of its quota in the shard is unused
+        #: team -> whether part of the team's quota in the shard is unused
         self._has_unused_quota: dict[str, bool] = {}
 
     def transfer_for(self, job_slice: JobSlice) -> None:
-        """Begin to transfer unused quota to a shard with capacity for a slice's tasks, if any.
+        """Begin to transfer unused quota to a shard with free capacity for a slice's tasks.
 
-        Only one transfer at a time is in progress per node.
+        No transfer is begun if no quota is unused, no shard has the capacity, or another transfer
+        from this node is in progress.
         """
         team = job_slice.spec.team
         has_unused = self._has_unused_quota.get(team)
@@ -54,7 +55,11 @@
             self._begin_transfer(job_slice)
 
     def _begin_transfer(self, job_slice: JobSlice) -> None:
-        """Begin a transfer to the first shard whose machines have free capacity for the tasks."""
+        """Begin a transfer to the first shard whose machines have free capacity for the tasks.
+
+        A transfer for an array leaves the quota that the team's largest pending gang in this shard
+        needs. Quota for tasks that fit on this shard's machines is not transferred.
+        """
         spec, resources = job_slice.spec, job_slice.resources
         used = self._shard.usage(spec.team)
         cpus, gpus = self._quotas.quota(self._shard, spec.team)
--- a/marblestair/core/scheduling/zone_rule.py
+++ b/marblestair/core/scheduling/zone_rule.py
@@ -10,12 +10,18 @@
 
 
 def max_tasks_per_zone(spec: JobSpec) -> int:
-    """Return how many of a job's tasks may be in one zone: half, rounded up, if it is spread."""
+    """Return how many of a job's tasks may be in one zone.
+
+    That is half of the tasks, rounded up, for a job that is spread over zones, and else all.
+    """
     return (spec.task_count + 1) // 2 if spec.spread_zones else spec.task_count
 
 
 class ZoneRule:
-    """Decides which zones may get more tasks of a job that needs a single zone or is spread."""
+    """Applies the zone constraint of a job, a single zone or a spread over zones, to one slice.
+
+    Only tasks of this slice are counted, not those of the job's slices in other shards.
+    """
 
     def __init__(self, job_slice: JobSlice) -> None:
         spec = job_slice.spec
@@ -39,11 +45,14 @@
         return not self._spread_zones or self._placed[machine.zone] < self._max_per_zone
 
     def allowed_tasks(self, machine: Machine, task_count: int) -> int:
-        """Return how many of ``task_count`` tasks may be placed in a machine's zone."""
+        """Return how many of ``task_count`` tasks a spread job may place in a machine's zone.
+
+        A single zone is not checked here; :meth:`is_open` does that.
+        """
         if not self._spread_zones:
             return task_count
         return min(task_count, self._max_per_zone - self._placed[machine.zone])
 
     def add(self, machine: Machine, task_count: int) -> None:
-        """Count tasks that were placed on a machine."""
+        """Add tasks that were placed on a machine to the count of its zone."""
         self._placed[machine.zone] += task_count
