--- a/marblestair/core/controller.py
+++ b/marblestair/core/controller.py
@@ -37,8 +37,8 @@
 from marblestair.core.status import StatusReport
 from marblestair.core.view_synchronizer import ViewSynchronizer
 
-#: interval at which summaries are published and transfers to other shards begin, and interval at
-#: which quota is rebalanced and old cancels are removed
+#: interval between publications of summaries, at which transfers to other shards are also started,
+#: and interval at which quota is rebalanced and old cancels are removed
 SUMMARY_INTERVAL_S, REBALANCE_INTERVAL_S = 0.4, 1.0
 
 
@@ -170,7 +170,7 @@
         )
 
     def _start_shard(self, shard: Shard) -> None:
-        """Start the background work for a shard that has been recovered."""
+        """Start the background work for a recovered shard."""
         self.job_services.job_managers.shards_changed()
         progress_pages = self.leadership_services.progress_pages
         self.context.supervise(partial(progress_pages.persist, shard))
@@ -179,7 +179,7 @@
     # --- inputs ----------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Start loading the view and acquiring a lease, and the background updates."""
+        """Start the background updates and the coordinator, which loads the view."""
         capacity = self.capacity_services
         self.context.spawn(self.coordinator.start())
         self.context.supervise(capacity.catalog_updates.maintain)
@@ -187,7 +187,7 @@
         self.context.supervise(self.job_services.dependency_reads.read_unknown_ends)
 
     def set_time(self, now: float, wall_time: float) -> None:
-        """Set the monotonic and wall-clock times, in seconds; to be called before every input."""
+        """Set the monotonic and wall-clock times, in seconds; must be called before every input."""
         self.context.set_time(now, wall_time)
 
     def complete(self, request: int, response: Any) -> None:
@@ -199,7 +199,7 @@
         return self.heartbeat_receiver.receive(heartbeat)
 
     def is_healthy(self) -> bool:
-        """Whether this node can take requests."""
+        """Whether this node has started, is connected, and is reachable by agents."""
         connectivity = self.leadership_services.connectivity
         if not self.coordinator.is_started or connectivity.is_disconnected():
             return False
@@ -208,7 +208,7 @@
     # --- time ------------------------------------------------------------------------------
 
     def tick(self) -> None:
-        """Run all periodic work; to be called a few times per second."""
+        """Run the periodic work that is due; must be called a few times per second."""
         now = self.context.now
         self.context.coroutines.wake(now)
         self.synchronizer.synchronize()
--- a/marblestair/core/heartbeat_receiver.py
+++ b/marblestair/core/heartbeat_receiver.py
@@ -20,7 +20,7 @@
 
 
 class HeartbeatReceiver:
-    """Answers agents' heartbeats, and places tasks on the capacity that they free."""
+    """Answers agents' heartbeats, and places tasks on capacity that a heartbeat shows as free."""
 
     def __init__(  # noqa: PLR0913 - injected components
         self,
@@ -61,7 +61,11 @@
         return self._receive_as_leader(shard, heartbeat)
 
     def _receive_as_leader(self, shard: Shard, heartbeat: Heartbeat) -> HeartbeatResponse:
-        """Handle a heartbeat from a machine of a shard that this node leads."""
+        """Handle a heartbeat from a machine of a shard that this node leads.
+
+        An agent with a later fencing token than the shard's term gets status 421 without a leader,
+        since another node may lead the shard by now.
+        """
         machine = shard.machines.get(heartbeat.machine)
         if machine is not None and machine.machine_type is None:
             machine.set_machine_type(self._catalog.types.get(machine.type_name))
@@ -88,7 +92,7 @@
     def _launch_commands(
         self, shard: Shard, machine: Machine, commands: list[TaskCommand]
     ) -> list[TaskCommand]:
-        """Return the launches for a response; count them, and its stops, as decisions."""
+        """Return the launches for a response; count launches and stops in the decision log."""
         launches = launch_commands(shard, machine, self._context.now)
         stops = sum(command.verb is CommandVerb.STOP for command in commands)
         decisions = self._context.decisions
--- a/marblestair/core/peer_service.py
+++ b/marblestair/core/peer_service.py
@@ -101,15 +101,15 @@
             self._announcements.receive(message)
 
     def reject_message(self, node: str, error: str) -> None:
-        """Log a message or request from another node that could not be decoded."""
+        """Log that a message or request from another node could not be decoded."""
         if node in self._context.settings.nodes:
             self._connectivity.message_received(node)
         self._context.log("error", f"rejected message from {node}: {error}")
 
     def _receive_summaries(self, node: str, message: ShardSummaries) -> None:
         if self._view.nodes.get(node, message.incarnation) != message.incarnation:
-            # A late message of an earlier process on the node, or one of a process that is not in
-            # the view yet.
+            # The sender is an earlier process on that node, whose message arrived late, or a new
+            # process that is not in the view yet.
             return
         for summary in message.summaries:
             self._summaries.record(summary)
@@ -138,7 +138,7 @@
         self._context.spawn(self._handle_request(request_id, message))
 
     def reject_request(self, request_id: int, node: str, error: str) -> None:
-        """Reply with None to a request that could not be decoded."""
+        """Log a request that could not be decoded, and reply to it with None."""
         self.reject_message(node, error)
         self._context.outbox.peer_replies.append(PeerReply(request_id, None))
 
--- a/marblestair/core/shard/__init__.py
+++ b/marblestair/core/shard/__init__.py
@@ -1,1 +1,1 @@
-"""One shard led under one term: its machines, slices, heartbeats, commands and leases."""
+"""A shard that this node leads under one term: machines, slices, heartbeats, commands, leases."""
--- a/marblestair/core/shard/agent_leases.py
+++ b/marblestair/core/shard/agent_leases.py
@@ -1,7 +1,8 @@
 """Expiry of agents' leases, and withdrawal of launches from machines with overdue heartbeats.
 
 An agent stops all its tasks when it has received no heartbeat response for the duration of its
-lease. The leader measures that duration from the last response that the agent may have received.
+lease. The leader measures that duration from its own last response, or from the shard's
+acquisition if that is later, since the previous leader may have responded until then.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
         if machine.tasks and (
             last_heartbeat_at is None or now - last_heartbeat_at >= shard.heartbeat_timeout_s
         ):
-            # No response has carried these launches, so the tasks can be placed elsewhere at once.
+            # The launches of planned tasks were not sent, so the tasks can be placed elsewhere now.
             shard.remove_planned_tasks(machine, now)
         if machine.responsiveness.state is Reachability.LEASE_EXPIRED:
             continue
--- a/marblestair/core/shard/boot_times.py
+++ b/marblestair/core/shard/boot_times.py
@@ -2,8 +2,8 @@
 
 The cloud names a nominal boot time for each type. Machines occasionally take several times as long,
 or never boot. A machine that is overdue no longer counts as expected capacity, so that a
-replacement is rented; it is still used if it boots before the boot timeout, after which it is
-released.
+replacement is rented. The machine is still used if it boots before the boot timeout, and is
+released otherwise.
 """
 
 from __future__ import annotations
@@ -13,17 +13,18 @@
 
 from marblestair.core.domain.machines import MachineType
 
-#: age from which on a booting machine is overdue, in expected boot times
+#: maximum age of a booting machine that is not overdue, in expected boot times
 OVERDUE_EXPECTED_BOOT_TIMES = 1.6
-#: boot timeout in expected boot times, and its minimum in nominal boot times
+#: boot timeout, in expected boot times, and minimum of the boot timeout, in nominal boot times
 TIMEOUT_EXPECTED_BOOT_TIMES, MIN_TIMEOUT_NOMINAL_BOOT_TIMES = 2.0, 3.0
 #: bounds of the expected boot time, in nominal boot times
 MIN_BOOT_RATIO, MAX_BOOT_RATIO = 1.0, 4.0
-#: recorded boots of one type: their maximum number, and their retention in nominal boot times
+#: maximum number of recorded boots of one type, and time for which a boot is used, in nominal boot
+#: times of the type
 MAX_RETAINED_BOOTS, RETENTION_NOMINAL_BOOT_TIMES = 16, 8.0
-#: quantile of the retained boot times that is taken as the expected boot time
+#: the expected boot time is this quantile of the retained boot times
 EXPECTED_QUANTILE = 0.75
-#: lower bound of the divisor in boot time ratios, since a cloud may name a boot time of zero
+#: minimum by which a boot's duration is divided, since a cloud may name a nominal boot time of zero
 MIN_NOMINAL_BOOT_S = 1e-6
 
 
@@ -44,7 +45,7 @@
         self._boots: dict[str, deque[Boot]] = {}
 
     def record(self, machine_type: MachineType, boot_s: float, now: float) -> None:
-        """Record a boot that took ``boot_s`` seconds and ended now with the first heartbeat."""
+        """Record a boot that took ``boot_s`` seconds and ends now, at the first heartbeat."""
         boots = self._boots.setdefault(machine_type.name, deque(maxlen=MAX_RETAINED_BOOTS))
         boots.append(Boot(now, boot_s / max(machine_type.boot_s, MIN_NOMINAL_BOOT_S)))
 
--- a/marblestair/core/shard/commands.py
+++ b/marblestair/core/shard/commands.py
@@ -1,4 +1,4 @@
-"""Commands to agents: in heartbeat responses, and stops that are sent directly."""
+"""Composition of commands to agents, for heartbeat responses and for direct requests."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from marblestair.core.shard.machine import Machine, PlacedTask
 from marblestair.core.shard.shard import Shard
 
-#: maximum number of launches in a heartbeat response, of stops in a direct command, and of stops in
+#: maximum number of launches in a heartbeat response, of stops in a direct request, and of stops in
 #: the response to an unreconciled machine; keeps messages well below the size limit
 MAX_COMMANDS_PER_MESSAGE = 400
-#: heartbeat intervals after which a stop is sent directly again if its task has not ended
+#: time after which a stop is sent directly again if its task has not ended, in heartbeat intervals
 STOP_RETRY_INTERVALS = 2
 
 
@@ -27,7 +27,7 @@
 def task_commands(shard: Shard, machine: Machine, now: float) -> list[TaskCommand]:
     """Return the stop and forget commands for the response to a heartbeat.
 
-    The heartbeat must have been reconciled.
+    The heartbeat must have been passed to ``reconcile`` before.
     """
     commands: list[TaskCommand] = []
     for (job, index), exited in machine.exited_tasks.items():
@@ -42,9 +42,9 @@
 
 
 def _is_completion_unpersisted(job_slice: JobSlice | None, index: int) -> bool:
-    """Whether a task's completion is not in the store yet.
+    """Whether the store still lacks the completion of a task that needs one.
 
-    Until it is, the agent must keep listing the task.
+    Until the completion is stored, the agent must keep listing the task.
     """
     return (
         job_slice is not None
@@ -55,9 +55,10 @@
 
 
 def stops_of_ended_jobs(shard: Shard, heartbeat: Heartbeat) -> list[TaskCommand]:
-    """Return stops for the tasks of ended or cancelled jobs that an unreconciled machine lists.
+    """Return stops for live tasks of ended or cancelled jobs on an unreconciled machine.
 
-    The response renews the agent's lease, so these tasks would otherwise keep running.
+    The response renews the agent's lease, so these tasks would otherwise keep running. At most
+    ``MAX_COMMANDS_PER_MESSAGE`` stops are returned.
     """
     commands = []
     for status in heartbeat.tasks:
@@ -89,7 +90,7 @@
 
 
 def _may_start(job_slice: JobSlice | None, machine: Machine, task: PlacedTask) -> bool:
-    """Whether a planned task may start on its machine."""
+    """Whether a planned task may still be launched on its machine."""
     return (
         job_slice is not None
         and not job_slice.is_blocked
@@ -103,8 +104,9 @@
 def direct_stops(shard: Shard, now: float) -> list[DirectStops]:
     """Return the stops to send directly rather than in the next heartbeat response.
 
-    These are stops that were never sent, and stops that are due for a retry. A stop that arrives
-    late is harmless, since attempt numbers are never reused.
+    These are stops that were never sent, and stops that are due for a retry, of tasks that may have
+    been launched on reconciled machines. A stop that arrives late is harmless, since attempt
+    numbers are never reused.
     """
     pending_stops = []
     retry_s = shard.cluster.workers.report_s * STOP_RETRY_INTERVALS
--- a/marblestair/core/shard/failures.py
+++ b/marblestair/core/shard/failures.py
@@ -1,13 +1,14 @@
 """Attribution of task failures to the machine or to the job.
 
-A faulty machine fails every task that it runs; a faulty job fails on every machine. A single
-failure does not show which of the two is at fault. Failures count against a machine when their job
-has succeeded elsewhere, or when several different jobs fail on that machine. They count against a
-job when its tasks fail on several machines where no other job fails, and none has ever succeeded.
-
-A job with enough failures counted against it is quarantined: only a few of its tasks are retried,
-with exponential back-off, until one succeeds. The failure records are bounded in number; the oldest
-one is evicted first.
+On a faulty machine every task fails; a faulty job fails on every machine. A single failure does not
+show which of the two is at fault. A failure counts against the machine when a task of the same job
+has succeeded elsewhere, or when several different jobs fail on that machine. Failures count against
+a job when none of its tasks is known to have succeeded, once for each machine on which no other job
+fails (jobs in quarantine are ignored).
+
+A job that is the only failing one on ``MIN_QUARANTINE_MACHINES`` machines is quarantined: only a
+few of its tasks are retried, with exponential back-off, until one succeeds. The failure records are
+bounded in number; the oldest one is evicted first.
 """
 
 from __future__ import annotations
@@ -18,28 +19,30 @@
 
 from marblestair.core.domain.settings import Workers
 
-#: a job is quarantined once it is the only failing job on this many machines
+#: minimum number of machines on which a job must be the only failing one to be quarantined
 MIN_QUARANTINE_MACHINES = 3
-#: a machine is faulty once this many failures count against it
+#: minimum number of failures counted against a machine for which the machine is faulty
 MIN_FAULTY_FAILURES = 3
-#: jobs, and machines, with a failure record: more than the machines of the largest fleets
+#: maximum number of job records, and of machine records; exceeds the machines of the largest fleets
 MAX_TRACKED_ENTRIES = 10_000
-#: machines in the record of one job, and jobs in the record of one machine
+#: maximum number of machines in the record of one job, and of jobs in the record of one machine
 MAX_KEYS_PER_ENTRY = 8
 #: first back-off of a quarantined job, in heartbeat intervals
 INITIAL_BACKOFF_INTERVALS = 4.0
-#: longest back-off of a job or a machine, in agent leases
+#: longest back-off of a job or a machine, as a multiple of the agents' lease
 MAX_BACKOFF_LEASES = 2.5
 #: factor by which a quarantined job's back-off grows with each failed retry
 BACKOFF_FACTOR = 2.0
-#: back-off of a machine for each failure counted against it, in heartbeat intervals
+#: back-off of a machine for each failure counted against it, and of one job on a machine for each
+#: of the job's failures there, in heartbeat intervals
 BACKOFF_INTERVALS_PER_FAILURE = 2.0
-#: agent leases after which the failing jobs published for another shard expire
+#: time for which the failing jobs that another shard's leader published are used, as a multiple of
+#: the agents' lease
 PUBLISHED_FAILURES_TTL_LEASES = 3.0
 
 
 class FailingJob(NamedTuple):
-    """A job without any success, and the number of machines on which only this job fails."""
+    """A job of which no task has succeeded, and the number of machines on which only it fails."""
 
     job: str
     machine_count: int
@@ -51,7 +54,7 @@
     __slots__ = ("failed_on", "backoff_s", "retry_at", "has_succeeded", "is_quarantined")
 
     def __init__(self) -> None:
-        #: machines on which its tasks failed, the most recent one last
+        #: machines on which the job's tasks failed; the machine of the latest failure is last
         self.failed_on: OrderedDict[str, None] = OrderedDict()
         self.has_succeeded = False
         self.is_quarantined = False
@@ -68,7 +71,7 @@
     def __init__(self) -> None:
         #: job -> number of failed tasks
         self.failures: OrderedDict[str, int] = OrderedDict()
-        #: job -> time before which it is not placed on this machine again
+        #: job -> time until which the job's tasks are not placed on this machine
         self.retry_at: dict[str, float] = {}
 
 
@@ -94,10 +97,10 @@
         self._published_failures_ttl_s = PUBLISHED_FAILURES_TTL_LEASES * workers.lease_s
         self._jobs: OrderedDict[str, JobFailures] = OrderedDict()
         self._machines: OrderedDict[str, MachineFailures] = OrderedDict()
-        #: what the leader of each shard last published, and the machine counts summed by job
+        #: failing jobs last published for each shard, and their machine counts summed by job
         self._by_shard: dict[int, PublishedFailures] = {}
         self._published_counts: dict[str, int] = {}
-        #: whether a quarantine has begun or ended since the view synchronizer last cleared this
+        #: whether a quarantine may have begun or ended since the view synchronizer cleared this
         self.quarantine_changed = False
 
     # --- recording -------------------------------------------------------------------------
@@ -165,9 +168,10 @@
     # --- assessment of jobs ----------------------------------------------------------------
 
     def failing_jobs(self) -> list[FailingJob]:
-        """Return the jobs without any success, for publication to the other controllers.
+        """Return the failing jobs without a success, for publication to the other controllers.
 
-        Failures on the machines of a single shard may be too few to quarantine a job.
+        A job may fail on too few machines of each single shard to be quarantined, but on enough
+        machines of all shards together.
         """
         failing = []
         for job, entry in self._jobs.items():
@@ -185,7 +189,7 @@
         return [job for job, entry in self._jobs.items() if entry.is_quarantined]
 
     def is_quarantined(self, job: str) -> bool:
-        """Whether a job is quarantined, here or by the failures that other shards published."""
+        """Whether this controller or the published machine counts put a job into quarantine."""
         entry = self._jobs.get(job)
         if entry is not None and (entry.is_quarantined or entry.has_succeeded):
             return entry.is_quarantined
@@ -197,10 +201,10 @@
         return entry is not None and entry.is_quarantined and now < entry.retry_at
 
     def avoided_machines(self, job: str, now: float) -> set[str]:
-        """Return the machines on which a job is not placed for now since its tasks failed there."""
+        """Return the machines where a job's tasks failed and its back-off there has not ended."""
         entry = self._jobs.get(job)
         if entry is None or entry.is_quarantined:
-            # A job that fails on every machine is retried where its image is already cached.
+            # A quarantined job may be retried where it failed, since its image is cached there.
             return set()
         return {
             machine
@@ -216,14 +220,14 @@
         return published_count + self._count_machines_against(job, entry) >= MIN_QUARANTINE_MACHINES
 
     def _count_machines_against(self, job: str, entry: JobFailures) -> int:
-        """Count the machines on which only this job fails."""
+        """Count the machines where this job failed and only quarantined jobs fail besides."""
         return sum(self._is_only_failing_job(job, machine) for machine in entry.failed_on)
 
     def _is_only_failing_job(self, job: str, machine: str) -> bool:
         """Whether all other jobs that fail on a machine are quarantined."""
         machine_entry = self._machines.get(machine)
         if machine_entry is None:
-            # A task has succeeded there since the failure.
+            # A task succeeded on the machine after this job's failure, or its record was evicted.
             return True
         return all(other == job or self.is_quarantined(other) for other in machine_entry.failures)
 
@@ -239,19 +243,20 @@
     # --- assessment of machines ------------------------------------------------------------
 
     def is_faulty(self, machine: str) -> bool:
-        """Whether a machine has so many failures counted against it that it should be released."""
+        """Whether at least ``MIN_FAULTY_FAILURES`` failures count against a machine."""
         return self._count_failures_against(machine) >= MIN_FAULTY_FAILURES
 
     def machine_backoff_s(self, machine: str) -> float:
-        """Return the time in seconds for which no task is placed on a machine after a failure."""
+        """Return the time in seconds for which a machine gets no task after its latest failure."""
         failure_count = self._count_failures_against(machine)
         return min(self._max_backoff_s, failure_count * self._backoff_per_failure_s)
 
     def _count_failures_against(self, machine: str) -> int:
         """Count the failures that are attributed to a machine rather than to jobs.
 
-        Each failed task of a job that has succeeded counts. Each other job that is not quarantined
-        counts once, but not if it is the only job that would count.
+        Each failed task of a job that has succeeded counts as one failure. Each other job that is
+        not quarantined counts as one failure, unless it is the only failing job on the machine
+        apart from quarantined ones.
         """
         machine_entry = self._machines.get(machine)
         if machine_entry is None:
@@ -271,7 +276,7 @@
 
 
 def _get_or_add(entries: OrderedDict[str, Entry], key: str, make: Callable[[], Entry]) -> Entry:
-    """Return the entry of a key, creating it if missing; evicts the oldest entries if too many."""
+    """Return a key's entry, created if missing; evict the oldest above ``MAX_TRACKED_ENTRIES``."""
     entry = entries.get(key)
     if entry is None:
         entry = entries[key] = make()
@@ -281,7 +286,7 @@
 
 
 def _set_latest(latest: OrderedDict[str, Value], key: str, value: Value) -> None:
-    """Set a key and move it to the end; evicts the oldest keys if there are too many."""
+    """Set a key and move it to the end; evict the oldest keys above ``MAX_KEYS_PER_ENTRY``."""
     latest[key] = value
     latest.move_to_end(key)
     while len(latest) > MAX_KEYS_PER_ENTRY:
--- a/marblestair/core/shard/heartbeat_response.py
+++ b/marblestair/core/shard/heartbeat_response.py
@@ -11,8 +11,8 @@
 class HeartbeatResponse(NamedTuple):
     """The response to a heartbeat.
 
-    With status 200 it carries the shard's fencing token and commands, with 421 the node that leads
-    the shard, if known, and with 503 nothing.
+    A response with status 200 carries the shard's fencing token and commands. One with status 421
+    names the node that leads the shard, if known. One with status 503 carries nothing.
     """
 
     status: int
--- a/marblestair/core/shard/heartbeats.py
+++ b/marblestair/core/shard/heartbeats.py
@@ -1,4 +1,4 @@
-"""Handling of agents' heartbeats: rejects stale ones and updates the state of the machine."""
+"""Handling of agents' heartbeats: rejects stale ones and updates their machines' state."""
 
 from __future__ import annotations
 
@@ -9,21 +9,22 @@
 from marblestair.core.shard.responsiveness import MAX_IGNORED_MESSAGES
 from marblestair.core.shard.shard import Shard
 
-#: heartbeat intervals within which an agent that receives responses sends its next heartbeat
+#: gap between heartbeats below which the agent is taken to receive responses, in heartbeat
+#: intervals
 MAX_FREQUENT_GAP_INTERVALS = 2.0
-#: share of an agent's lease for which heartbeats must arrive without a longer gap before the count
-#: of ignored commands is reset
+#: time for which all gaps between heartbeats must be below that limit before the count of ignored
+#: commands is reset, as a share of the agents' lease
 RECOVERY_LEASE_SHARE = 0.5
-#: share of an agent's lease: a new incarnation within this time after a heartbeat of the previous
-#: one means that the previous one received no responses
+#: maximum time between the last heartbeat of one incarnation and the first of the next from which
+#: the leader concludes that the former received no responses, as a share of the agents' lease
 LOST_RESPONSES_LEASE_SHARE = 0.5
 
 
 def receive_heartbeat(shard: Shard, heartbeat: Heartbeat, now: float) -> list[TaskCommand] | None:
     """Apply a heartbeat and return the commands for its response.
 
-    Returns None when the heartbeat must not be answered with status 200, which would renew the
-    agent's lease.
+    Returns None when the heartbeat must not be answered with status 200, because that would renew
+    the agent's lease.
     """
     machine = shard.machines.get(heartbeat.machine)
     if machine is None or not _is_acceptable(shard, machine, heartbeat):
@@ -41,10 +42,16 @@
 
 
 def _is_acceptable(shard: Shard, machine: Machine, heartbeat: Heartbeat) -> bool:
-    """Whether a heartbeat is newer than all accepted ones, and its machine remains in service."""
+    """Whether a heartbeat is newer than all accepted ones and its machine may be answered.
+
+    A machine is not answered if it is decommissioned or being released, or if its agent has a later
+    fencing token than the shard's term. Heartbeats of incarnations whose leases have expired are
+    rejected too.
+    """
     if machine.is_decommissioned or machine.is_releasing or heartbeat.fencing_token > shard.term:
         return False
-    # The agent no longer waits for the response to a late duplicate, and its task list is stale.
+    # A late duplicate is rejected: its task list is stale, and the agent no longer waits for the
+    # response.
     return heartbeat.agent_incarnation >= machine.min_incarnation and (
         heartbeat.agent_incarnation,
         heartbeat.sequence,
@@ -72,15 +79,19 @@
 
 
 def _begin_incarnation(shard: Shard, machine: Machine, incarnation: int, now: float) -> None:
-    """Begin a new agent incarnation: the first one seen, or one after a lease expired."""
+    """Record a new agent incarnation.
+
+    The first one ends the machine's boot. At a later one the previous incarnation's tasks are
+    removed.
+    """
     if not machine.agent_incarnation:
         if machine.machine_type is not None and machine.name not in shard.unreconciled_machines:
             shard.boot_times.record(machine.machine_type, now - machine.added_at, now)
     else:
         limit_s = LOST_RESPONSES_LEASE_SHARE * shard.cluster.workers.lease_s
         if machine.last_heartbeat_at is not None and now - machine.last_heartbeat_at < limit_s:
-            # The previous incarnation sent heartbeats until its lease expired, so it cannot have
-            # received the responses.
+            # An agent begins a new incarnation after its lease has expired. This agent sent
+            # heartbeats until then, so it cannot have received the responses.
             machine.responsiveness.ignored_commands += 1
             machine.responsiveness.mark_unresponsive(now)
         shard.remove_all_tasks(machine, now)
@@ -93,13 +104,12 @@
     """Return the commands for a machine that has not sent this term's fencing token yet.
 
     The response renews the agent's lease and tells it the new fencing token. The agent's task list
-    is used only from the first heartbeat with that token on, because only heartbeats with it are
-    known to be newer than everything that the previous leader sent.
+    is used only from the first heartbeat with that token on. Only such a heartbeat is known to be
+    newer than everything that the previous leader sent.
 
-    Returns None, so that the lease is not renewed, when the agent has ignored the token repeatedly.
-    The lease, measured from the last response that the agent may have received, then expires. A new
-    incarnation alone does not reconcile the machine, since the leader may know the previous
-    incarnation only from a late duplicate.
+    Returns None when the agent has ignored the token more than ``MAX_IGNORED_MESSAGES`` times, so
+    that the lease is not renewed and expires. A new incarnation alone does not reconcile the
+    machine, since the leader may know the previous incarnation only from a late duplicate.
     """
     if machine.responsiveness.ignored_terms > MAX_IGNORED_MESSAGES:
         machine.responsiveness.mark_unresponsive(now)
--- a/marblestair/core/shard/job_slice.py
+++ b/marblestair/core/shard/job_slice.py
@@ -10,8 +10,8 @@
 class JobSlice:
     """The tasks of one job that belong to one shard.
 
-    Each task that is not done is pending, placed on a machine, or migrating to another shard, but
-    none is pending while the job is blocked. Pending tasks of a cancelled job are not launched.
+    Each task that is not done is pending, placed on a machine, or migrating to another shard. While
+    the job is blocked, no task is pending. Pending tasks of a cancelled job are not launched.
     """
 
     def __init__(self, spec: JobSpec) -> None:
@@ -28,33 +28,35 @@
         self.done_count = 0
         #: number of placed tasks that their agents have reported as running
         self.running_count = 0
-        #: bit mask of the tasks recorded as done in the store, and the versions of the progress
-        #: pages there
+        #: bit mask of the tasks that the store records as done, and the versions of its progress
+        #: pages
         self.durable_bits = 0
         self.page_versions: dict[int, int] = {}
-        #: time since which the store lacks the completion of some task; None when it has all
+        #: time since which the store lacks the completion of a task; None if it lacks no completion
         self.dirty_since: float | None = None
         self.is_cancelled = False
         self.cancelled_at = 0.0
-        #: the slice existed before the failover, and some of its tasks may be on machines that are
-        #: not reconciled yet
+        #: the slice existed before the failover, and some of the slice's tasks may run on machines
+        #: that are not reconciled yet
         self.is_unreconciled = False
         #: the job is a gang that lost a task, and its remaining tasks are being stopped
         self.is_stopping_gang = False
         #: time since which no task is placed
         self.pending_since = 0.0
-        #: the job depends on unfinished jobs: no task is pending, so none may start
+        #: the job depends on unfinished jobs, so its tasks must not start
         self.is_blocked = False
         #: wall-clock time since which tasks may start
         self.startable_since = spec.accepted_at
-        #: task indexes in a migration to another shard whose commit is not confirmed yet
+        #: indexes of tasks that are migrating to another shard; the outcome of the migration's
+        #: commit is not known yet
         self.migrating_ranges: list[list[int]] = []
-        #: identifies that migration, so that an earlier one does not restore the tasks
+        #: identifies that migration, so that the end of an earlier migration does not make its
+        #: tasks pending
         self.migration_holder = ""
 
     @property
     def is_vacated(self) -> bool:
-        """Whether all tasks have migrated to other shards and none is placed here any more."""
+        """Whether the slice has no tasks, neither assigned nor placed, and is not cancelled."""
         return not self.ranges and not self.placed_on and not self.is_cancelled
 
     def contains(self, index: int) -> bool:
@@ -89,7 +91,7 @@
         if (
             self.is_done(index)
             or not self.contains(index)
-            # A task of a service is restarted whenever it exits, for whatever reason.
+            # The tasks of a service are never done: each one is restarted whenever it exits.
             or self.spec.kind == JobKind.SERVICE
         ):
             return
@@ -106,12 +108,12 @@
     # --- changes to the job record ---------------------------------------------------------
 
     def block(self, ranges: list[list[int]]) -> None:
-        """Assign tasks of a job that depends on unfinished jobs: none of them becomes pending."""
+        """Assign the tasks of a job that depends on unfinished jobs, without making any pending."""
         self.is_blocked = True
         self._assign(ranges)
 
     def unblock(self, now: float) -> None:
-        """Allow tasks to start, since all jobs that this one depends on are done.
+        """Allow tasks to start after all jobs that this one depends on are done.
 
         The caller must then call :meth:`set_ranges` with the ranges in the job's record.
         """
@@ -143,9 +145,9 @@
         self.size = sum(end - start for start, end in self.ranges)
 
     def _exclude_migrating(self, assigned: IndexRanges) -> None:
-        """Keep migrating tasks from becoming pending until the migration's outcome is known.
+        """Remove migrating tasks from the pending ones until the migration's outcome is known.
 
-        The record may be older than the migration's in-flight commit.
+        The record from which tasks were assigned may be older than the migration's commit.
         """
         migrating = IndexRanges()
         for index in IndexRanges(self.migrating_ranges):
--- a/marblestair/core/shard/machine.py
+++ b/marblestair/core/shard/machine.py
@@ -12,8 +12,8 @@
 from marblestair.core.domain.machines import MachineType
 from marblestair.core.shard.responsiveness import Reachability, Responsiveness
 
-#: job and index of a task. A plain tuple, since one is built for each task that a heartbeat lists,
-#: and the constructor of a named tuple would double the cost of a lookup.
+#: job and index of a task. A key is built for each task that a heartbeat lists; a named tuple's
+#: constructor would double the cost of a lookup.
 TaskKey: TypeAlias = tuple[str, int]
 
 
@@ -22,13 +22,13 @@
 
     JOB_ENDED = "over"
     CANCELLED = "cancel"
-    #: its gang lost another task
+    #: another task of the same gang was lost
     GANG_LOST = "gang"
-    #: the cloud is about to reclaim its machine
+    #: the cloud is about to reclaim the task's machine
     MACHINE_RECLAIMED = "drain"
-    #: another task gets its resources
+    #: the task's resources are given to another task
     PREEMPTED = "preempted"
-    #: its machine is being emptied for release
+    #: the task's machine is to be released
     MACHINE_RELEASED = "returned"
 
 
@@ -72,7 +72,7 @@
         self.team = team
         self.state = TaskState.PLANNED
         self.running_since: float | None = None
-        #: grace period of the requested stop; None when no stop is requested
+        #: grace period of the requested stop, in seconds; None when no stop is requested
         self.stop_grace_s: float | None = None
         self.stop_reason: StopReason | None = None
         #: when the requested stop was last sent; None when it has not been sent yet
@@ -87,8 +87,8 @@
 class Machine:
     """A machine of a shard.
 
-    Its state flags are independent of one another, except those in ``responsiveness``: a machine
-    may be reconciled, cordoned, decommissioned and being released in any combination.
+    The flags that say whether a machine is reconciled, cordoned, decommissioned or being released
+    may occur in any combination.
     """
 
     def __init__(self, name: str, type_name: str, zone: str, spot: bool, now: float) -> None:
@@ -108,22 +108,25 @@
         self.min_incarnation = 0
         #: the shard's term when the machine joined it
         self.join_term = 0
-        #: whether a heartbeat with the fencing token of that term, or a later one, has arrived; the
+        #: whether a heartbeat has arrived whose fencing token is at least ``join_term``; the
         #: agent's task list is used only from then on
         self.is_reconciled = False
-        #: when a heartbeat was last answered with status 200, and last accepted; None before that
+        #: when a heartbeat was last answered with status 200, and when one was last accepted; None
+        #: before the first
         self.last_answered_at: float | None = None
         self.last_heartbeat_at: float | None = None
-        #: time in seconds without a heartbeat after which no task is placed here; None for no limit
+        #: maximum time since the last heartbeat for which tasks are placed here, in seconds; None
+        #: for no limit
         self.heartbeat_timeout_s: float | None = None
         #: when the cloud will reclaim the machine, if it has announced that
         self.reclaim_at: float | None = None
         self.tasks: dict[TaskKey, PlacedTask] = {}
-        #: unreserved cpus, gpus and memory, in fixed point
+        #: cpus, gpus and memory that no task reserves, in fixed point; zero until the type is known
         self.free = [0, 0, 0]
         #: exited tasks listed in the newest heartbeat
         self.exited_tasks: dict[TaskKey, ExitedTask] = {}
-        #: listed tasks, with their attempts, that this shard does not expect here and stops
+        #: attempts of tasks that the agent lists but the shard does not expect here; they are
+        #: stopped
         self.unknown_tasks: dict[TaskKey, int] = {}
         self.responsiveness = Responsiveness(now)
         self.cordon: CordonReason | None = None
@@ -134,10 +137,11 @@
         self.is_releasing = False
         #: the cloud lists the machine as failed
         self.has_failed = False
-        #: no task is placed here before this time after one failed or was refused; None: no limit
+        #: time until which no task is placed here, after a task failed or the agent refused to
+        #: start one; None without such a back-off
         self.backoff_until: float | None = None
         self.idle_since: float | None = now
-        #: images that the agent has cached or fetches, with sizes in GB; most recently used last
+        #: image that the agent has cached or is fetching -> size in GB; most recently used last
         self.cached_images: OrderedDict[str, float] = OrderedDict()
 
     # --- capacity --------------------------------------------------------------------------
@@ -191,12 +195,15 @@
         )
 
     def back_off(self, until: float) -> None:
-        """Place no task here before a time; an earlier back-off is extended, never shortened."""
+        """Place no task here before ``until``, or before the end of a longer earlier back-off."""
         if self.backoff_until is None or until > self.backoff_until:
             self.backoff_until = until
 
     def record_image(self, spec: JobSpec) -> None:
-        """Record that the agent has or fetches a job's image; drop images that exceed its cache."""
+        """Record that the agent has or fetches a job's image.
+
+        The least recently used images that exceed the agent's cache are dropped.
+        """
         self.cached_images[spec.image] = spec.image_gb
         self.cached_images.move_to_end(spec.image)
         cache_gb = self.machine_type.cache_gb if self.machine_type else 0.0
@@ -207,7 +214,7 @@
 
     @property
     def is_lease_expired(self) -> bool:
-        """Whether the agent's lease has expired and no heartbeat has arrived since."""
+        """Whether the agent's lease has expired and no heartbeat has been accepted since."""
         return self.responsiveness.state is Reachability.LEASE_EXPIRED
 
     @property
@@ -218,8 +225,8 @@
     def mark_lease_expired(self, now: float) -> None:
         """Record that the agent's lease has expired.
 
-        Late duplicates of this incarnation's heartbeats are rejected from now on, so that they
-        cannot restore its tasks.
+        Late duplicates of this incarnation's heartbeats are rejected from now on, so that the tasks
+        that they list are not adopted again.
         """
         self.responsiveness.mark_lease_expired(now)
         self.min_incarnation = self.agent_incarnation + 1 if self.agent_incarnation else 0
--- a/marblestair/core/shard/partition_detection.py
+++ b/marblestair/core/shard/partition_detection.py
@@ -4,10 +4,11 @@
 
 from marblestair.core.shard.shard import Shard
 
-#: minimum number of machines that are out of contact at the same time for a partition to be
-#: presumed, and their minimum share of the shard's machines; both must be reached
+#: a partition is presumed only if at least this number and this share of the shard's machines are
+#: out of contact at the same time
 MIN_PARTITIONED_MACHINES, MIN_PARTITIONED_SHARE = 3, 0.06
-#: agent leases without a heartbeat after which a machine is no longer presumed partitioned
+#: time since a machine was last seen below which it can be presumed partitioned, as a multiple of
+#: the agents' lease
 MAX_PARTITION_LEASES = 3.0
 
 
@@ -15,8 +16,8 @@
     """Return the names of the machines that are presumed partitioned rather than failed.
 
     When many machines are out of contact at the same time, the likely cause is the network, and
-    most of them can be expected to reconnect. ``agent_lease_s`` is the duration of an
-    agent's lease.
+    most of these machines can be expected to reconnect. ``agent_lease_s`` is the duration of an
+    agent's lease in seconds.
     """
     lost_contact = [
         machine
--- a/marblestair/core/shard/reclaimed_machines.py
+++ b/marblestair/core/shard/reclaimed_machines.py
@@ -1,4 +1,4 @@
-"""Eviction of tasks, with a checkpoint, from machines that the cloud is about to reclaim."""
+"""Eviction of tasks from machines that the cloud is about to reclaim, with saved checkpoints."""
 
 from __future__ import annotations
 
@@ -6,15 +6,16 @@
 from marblestair.core.shard.machine import StopReason
 from marblestair.core.shard.shard import Shard
 
-#: time before the reclaim at which checkpoints begin: a multiple of the time to save one, plus a
-#: number of heartbeat intervals
+#: tasks are stopped this long before the reclaim: this multiple of the time to save a checkpoint,
+#: plus this number of heartbeat intervals
 EVICTION_LEAD_SAVES, EVICTION_LEAD_INTERVALS = 2, 3
-#: minimum grace period of a stop with a checkpoint; agents stop a task at once if it is zero
+#: minimum grace period of a stop with a checkpoint; at a grace period of zero, agents stop the task
+#: at once
 MIN_SAVE_GRACE_S = 0.001
 
 
 def evict_from_reclaimed_machines(shard: Shard, now: float) -> None:
-    """Stop tasks that support checkpoints early enough to save one before the reclaim."""
+    """Stop each task that can save a checkpoint, early enough to save one before the reclaim."""
     for machine in shard.machines.values():
         reclaim_at = machine.reclaim_at
         if reclaim_at is None:
@@ -25,8 +26,8 @@
                 continue
             spec = job_slice.spec
             if spec.saves_checkpoints and reclaim_at - now <= _eviction_lead_s(shard, spec):
-                # The whole slice is stopped, since a gang saves a checkpoint only if all its tasks
-                # are stopped at nearly the same time.
+                # All placed tasks of the slice are stopped, whatever the job's kind, since a gang
+                # saves a checkpoint only if all its tasks are stopped at nearly the same time.
                 grace_s = max(spec.checkpoint_save_s, MIN_SAVE_GRACE_S)
                 job_slice.request_stops(grace_s, StopReason.MACHINE_RECLAIMED)
 
--- a/marblestair/core/shard/reconciliation.py
+++ b/marblestair/core/shard/reconciliation.py
@@ -8,7 +8,7 @@
 from marblestair.core.shard.responsiveness import MAX_IGNORED_MESSAGES, Reachability
 from marblestair.core.shard.shard import FinishedTask, Shard
 
-#: heartbeat intervals for which no task is placed on a machine that refused to start one
+#: time for which no task is placed on a machine that refused to start one, in heartbeat intervals
 REFUSED_START_BACKOFF_INTERVALS = 2
 #: exit reasons that mean that the agent refused to start the task
 START_REFUSALS = (
@@ -19,7 +19,7 @@
 
 
 def reconcile(shard: Shard, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
-    """Update the tasks that are expected on a reconciled machine from its heartbeat."""
+    """Update the expected tasks of a reconciled machine from those that its heartbeat lists."""
     listed = _classify_listed_tasks(shard, machine, heartbeat, now)
     if machine.unknown_tasks:
         shard.machines_with_unknown_tasks.add(machine.name)
@@ -46,11 +46,11 @@
 def _classify_listed_tasks(
     shard: Shard, machine: Machine, heartbeat: Heartbeat, now: float
 ) -> dict[TaskKey, TaskStatus]:
-    """Classify the tasks that a machine lists as expected, adopted, exited or unknown.
+    """Classify each task that a machine lists: it is expected, adopted, exited or unknown.
 
-    Returns the statuses to compare with the expected tasks, by task key. Listed tasks of the
-    shard's slices that are placed on no machine are adopted; other unexpected tasks are unknown and
-    will be stopped.
+    An unexpected task that has not exited is adopted if it belongs to a slice of the shard and is
+    placed on no machine; otherwise it is unknown and will be stopped. Returns the statuses to
+    compare with the expected tasks, by task key.
     """
     listed: dict[TaskKey, TaskStatus] = {}
     machine.exited_tasks = {}
@@ -80,7 +80,10 @@
 
 
 def _adopt_completion(shard: Shard, status: TaskStatus, now: float) -> None:
-    """Record a completion that the previous leader failed to record."""
+    """Mark a reported task as done if it belongs to a slice here and is placed on no machine.
+
+    An earlier leader launched the task and did not record its completion.
+    """
     job_slice = shard.slices.get(status.job)
     if job_slice is not None and job_slice.can_adopt(status.index):
         job_slice.mark_done(status.index, now)
@@ -103,8 +106,8 @@
 def _reset_launch(shard: Shard, machine: Machine, task: PlacedTask, now: float) -> None:
     """Return a task to the planned state after the agent dropped the response with its launch.
 
-    A heartbeat that is newer than the response does not list the task, so the launch was not
-    carried out.
+    The launch was not carried out, since a heartbeat that is newer than the response does not list
+    the task. A task that must not be launched again is removed from the machine.
     """
     task.state = TaskState.PLANNED
     job_slice = shard.slices.get(task.job)
@@ -118,7 +121,10 @@
 
 
 def _record_ignored_launch(shard: Shard, machine: Machine, now: float) -> None:
-    """Count a response whose launches were not carried out, and detect an unresponsive agent."""
+    """Count a response whose launches were not carried out.
+
+    After ``MAX_IGNORED_MESSAGES`` such responses the agent is marked unresponsive.
+    """
     responsiveness = machine.responsiveness
     responsiveness.ignored_commands += 1
     if responsiveness.ignored_commands < MAX_IGNORED_MESSAGES:
--- a/marblestair/core/shard/responsiveness.py
+++ b/marblestair/core/shard/responsiveness.py
@@ -4,8 +4,8 @@
 
 import enum
 
-#: consecutive ignored commands from which on, and ignored terms above which, an agent counts as
-#: unresponsive
+#: an agent is marked unresponsive when ``ignored_commands`` reaches this number or
+#: ``ignored_terms`` exceeds it
 MAX_IGNORED_MESSAGES = 2
 
 
@@ -16,7 +16,7 @@
     no effect, or when its lease expired although its heartbeats arrived. Its state is
     ``LEASE_EXPIRED`` once its lease must have expired, and unresponsive after the next heartbeat.
     It becomes responsive again when its heartbeats arrive as frequently as those of an agent that
-    receives responses, and few enough commands have been ignored.
+    receives responses, and ``ignored_commands`` is below ``MAX_IGNORED_MESSAGES``.
     """
 
     RESPONSIVE = "responsive"
@@ -40,16 +40,17 @@
 
     def __init__(self, now: float) -> None:
         self.state = Reachability.RESPONSIVE
-        #: time since which the agent is not responsive; not used while it is responsive
+        #: time since which the agent has not been responsive; not used while it is responsive
         self.unresponsive_since = now
         #: the agent lost contact together with many others and is presumed partitioned
         self.is_partitioned = False
         #: consecutive responses whose launches had no effect, and leases that expired although
         #: heartbeats arrived
         self.ignored_commands = 0
-        #: consecutive responses to heartbeats that did not carry the shard's fencing token
+        #: responses, since the last lease expiry, to heartbeats whose fencing token was older than
+        #: the term in which the machine joined
         self.ignored_terms = 0
-        #: start of the current uninterrupted period of frequent heartbeats
+        #: time of the last heartbeat that was not frequent; initially, when the machine was added
         self.frequent_since = now
 
     def mark_unresponsive(self, now: float) -> None:
@@ -71,10 +72,10 @@
         Parameters
         ----------
         is_frequent
-            Whether it arrived as soon after the previous one as from an agent that receives
+            Whether the heartbeat arrived so soon after the previous one that the agent must receive
             responses.
         is_new_incarnation
-            Whether it is the first heartbeat of an agent incarnation.
+            Whether the heartbeat is the first one of an agent incarnation.
         recovery_s
             Duration of frequent heartbeats, in seconds, after which ``ignored_commands`` is reset.
         now
@@ -89,8 +90,8 @@
         if not is_frequent:
             self.frequent_since = now
         elif now - self.frequent_since > recovery_s:
-            # An unresponsive agent is sent no launches, so no confirmed launch can reset the count.
+            # An unresponsive agent gets no launches, so no confirmed launch can reset the count.
             self.ignored_commands = 0
         if self.is_partitioned:
-            # The heartbeats that follow show whether responses reach the agent.
+            # The heartbeats from now on show whether responses reach the agent.
             self.unresponsive_since, self.is_partitioned = now, False
--- a/marblestair/core/shard/shard.py
+++ b/marblestair/core/shard/shard.py
@@ -1,11 +1,12 @@
 """One shard of the fleet under one term: its machines, its slices of jobs, and its tasks.
 
 The main invariant is that no task runs twice. A task counts as placed on its machine from the
-moment its launch is decided until it certainly no longer runs there: a newer heartbeat of the
-machine under this term does not list it (or lists it as exited), a new agent incarnation has begun,
-the cloud confirmed that the machine is released, or the agent's lease must have expired. Launches
-are sent only in heartbeat responses: an agent has one heartbeat in flight, and ignores a response
-that arrives after a few seconds, so its next heartbeat shows whether a launch was carried out.
+moment its launch is decided until it certainly no longer runs there. That is certain when a newer
+heartbeat of the machine under this term does not list the task or lists it as exited, a new agent
+incarnation has begun, the cloud has confirmed the machine's release, or the agent's lease must have
+expired. Launches are sent only in heartbeat responses. An agent has one heartbeat in flight and
+ignores a response that arrives after a few seconds, so its next heartbeat shows whether the
+launches in the previous response were carried out.
 
 Heartbeats are handled in :mod:`marblestair.core.shard.heartbeats` and
 :mod:`marblestair.core.shard.reconciliation`, time-outs in
@@ -28,12 +29,13 @@
 from marblestair.core.shard.machine import Machine, PlacedTask, StopReason
 from marblestair.core.state.records import JobRecord
 
-#: an attempt number is ``(term << ATTEMPT_COUNT_BITS) + count``, so no two terms share one
+#: an attempt number is ``(term << ATTEMPT_COUNT_BITS) + count``, so attempt numbers of different
+#: terms differ
 ATTEMPT_COUNT_BITS = 24
-#: heartbeat intervals without a heartbeat after which a machine gets no new tasks, and its unsent
-#: launches are withdrawn
+#: time since a machine's last heartbeat after which the machine gets no new tasks and its unsent
+#: launches are withdrawn, in heartbeat intervals
 HEARTBEAT_TIMEOUT_INTERVALS = 3.5
-#: time that an agent may need to stop its tasks after its lease plus clock drift has passed
+#: time that an agent may need to stop its tasks after its lease has ended
 AGENT_STOP_MARGIN_S = 0.25
 #: usage of a team for which no upper bound is known; exceeds any quota
 UNBOUNDED_USAGE = 1 << 62
@@ -76,7 +78,8 @@
         self.failures = failures if failures is not None else FailureAttribution(cluster.workers)
         self.boot_times = boot_times if boot_times is not None else BootTimes()
         self.shard_id = shard_id
-        #: rises when the leader of another shard moves a machine into this one
+        #: the shard's present term; rises when another shard's leader moves a machine into this
+        #: shard
         self.term = term
         #: the term under which the shard was acquired; identifies this period of leadership
         self.acquired_term = term
@@ -90,20 +93,22 @@
         self.unreconciled_machines: set[str] = set()
         #: machines that list tasks that this shard does not expect there
         self.machines_with_unknown_tasks: set[str] = set()
-        #: the view is as recent as the failover, and the progress pages have been loaded
+        #: recovery is complete: the view includes the shard's acquisition, and the progress pages
+        #: have been loaded
         self.is_ready = False
         #: the shard is being transferred to another node
         self.is_being_transferred = False
         #: tasks completed since the heartbeat receiver last cleared this list
         self.finished_tasks: list[FinishedTask] = []
-        #: store keys that are no longer needed (progress pages, rental intents), with the version
-        #: to delete; None where the version must be read first
+        #: store key that is no longer needed (progress page, rental intent) -> version to delete;
+        #: None where the version must be read first
         self.obsolete_keys: dict[str, int | None] = {}
-        #: time since the last answered heartbeat after which an agent must have stopped its tasks
+        #: time since the last answered heartbeat after which an agent has stopped its tasks, in
+        #: seconds
         self.agent_lease_limit_s = (
             cluster.workers.lease_s * (1 + MAX_CLOCK_DRIFT_FRACTION) + AGENT_STOP_MARGIN_S
         )
-        #: time without a heartbeat after which a machine gets no new tasks
+        #: time since its last heartbeat after which a machine gets no new tasks, in seconds
         self.heartbeat_timeout_s = HEARTBEAT_TIMEOUT_INTERVALS * cluster.workers.report_s
         self._attempt_count = 0
 
@@ -112,7 +117,8 @@
     def usage(self, team: str) -> tuple[int, int]:
         """Return an upper bound of the cpus and gpus that a team's tasks use, in fixed point.
 
-        A machine that is not reconciled, or lists unknown tasks, counts with its full capacity.
+        The full capacity of each machine that is not reconciled, or lists unknown tasks, is added.
+        The result is ``UNBOUNDED_USAGE`` if the type of such a machine is unknown.
         """
         cpus, gpus = self.team_usage.get(team, (0, 0))
         for name in (
@@ -156,7 +162,7 @@
         self._place(machine, job_slice, task)
 
     def adopt(self, machine: Machine, job_slice: JobSlice, status: TaskStatus, now: float) -> None:
-        """Place a task that an earlier leader launched and that a machine lists."""
+        """Place a listed task, launched by an earlier leader, that is placed on no machine."""
         task = PlacedTask(
             status.job, status.index, status.attempt, job_slice.resources, job_slice.spec.team
         )
@@ -178,8 +184,8 @@
     def remove_task(self, machine: Machine, task: PlacedTask, now: float) -> None:
         """Remove a task that no longer runs on its machine.
 
-        It becomes pending if it is not done and still belongs to the slice. The remaining tasks of
-        a gang are stopped.
+        The task becomes pending if it is not done and still belongs to the slice. If the task
+        belonged to a gang that is not done, the gang's other placed tasks are stopped.
         """
         machine.remove_task(task, now)
         self._count_usage(task, -1)
@@ -204,7 +210,7 @@
                 self.remove_task(machine, task, now)
 
     def remove_all_tasks(self, machine: Machine, now: float) -> None:
-        """Remove all tasks of a machine, whose agent incarnation must have ended."""
+        """Remove all tasks of a machine whose agent incarnation has ended or lost its lease."""
         for task in list(machine.tasks.values()):
             self.remove_task(machine, task, now)
         machine.exited_tasks = {}
@@ -257,7 +263,7 @@
             self.cancel(job, now)
 
     def cancel(self, job: str, now: float) -> None:
-        """Cancel a slice: no task starts any more, and launched tasks are stopped at once."""
+        """Cancel a slice: no task starts any more, and launched tasks are stopped without grace."""
         job_slice = self.slices.get(job)
         if job_slice is None or job_slice.is_cancelled:
             return
@@ -274,7 +280,7 @@
         job_slice.pending = IndexRanges()
 
     def mark_slices_reconciled(self) -> None:
-        """Mark the slices as reconciled if no machine is left unreconciled since the failover."""
+        """Mark all slices as reconciled if all machines from before the failover are reconciled."""
         if self.unreconciled_machines:
             return
         for job_slice in self.slices.values():
@@ -306,13 +312,13 @@
         self.mark_reconciled(name)
 
     def mark_reconciled(self, name: str) -> None:
-        """Record that all tasks on a machine from before the failover are known."""
+        """Record that all tasks that a machine may run from before the failover are known."""
         self.unreconciled_machines.discard(name)
         self.mark_slices_reconciled()
 
 
 def _stop_rest_of_gang(job_slice: JobSlice) -> None:
-    """Stop the rest of a gang that lost a task; it can start again once all tasks have ended."""
+    """Stop the rest of a gang that lost a task; the gang can restart when no task is placed."""
     if job_slice.done_count == job_slice.size:
         return
     if not job_slice.placed_on:
--- a/marblestair/core/status.py
+++ b/marblestair/core/status.py
@@ -16,7 +16,7 @@
 from marblestair.core.state.records import ShardRecord
 from marblestair.core.state.store_view import StoreView
 
-#: upper limit of the reported view age, in seconds; stands for a view that was never loaded
+#: upper limit of the reported view age, in seconds; also reported if the view was never loaded
 MAX_VIEW_AGE_S = 1e6
 
 
@@ -80,7 +80,7 @@
         }
 
     def _pending_status(self) -> dict[str, object]:
-        """Return the counts of unfinished operations, and for cancels the age of the oldest."""
+        """Return counts of unfinished operations, and the age of the oldest unconfirmed cancel."""
         shards = self._leadership.shards.values()
         managed = self._managed_jobs.values()
         return {
--- a/marblestair/core/view_synchronizer.py
+++ b/marblestair/core/view_synchronizer.py
@@ -87,7 +87,7 @@
         self._dependencies.record_changed(job)
 
     def _sync_urgency(self) -> None:
-        """Update the slices of jobs whose urgency, inherited from dependent jobs, has changed."""
+        """Update the slices of jobs whose urgency changed because dependent jobs did."""
         for job in self._urgency.pop_changed():
             for shard in self._leadership.shards.values():
                 if job in shard.slices:
@@ -106,10 +106,10 @@
             shard = shards.get(shard_id)
             if (record.leader, record.incarnation) == self._context.identity:
                 if shard is not None and shard.acquired_term == record.acquired_term:
-                    # This node has led the shard without interruption; another leader may have
-                    # raised the term to move a machine into it. Only the acquired term in the
-                    # record shows this: the rest of the view may be older than the shard map, and
-                    # a leadership that was lost and regained must not look uninterrupted.
+                    # The equal acquired terms show that this node has led the shard without
+                    # interruption, although another leader may have raised the term to move a
+                    # machine into the shard. Nothing else in the view shows whether leadership was
+                    # lost and regained, since the rest may be older than the shard map.
                     shard.term = record.term
                 else:
                     self._acquire(shard_id, record)
@@ -120,7 +120,7 @@
                 )
 
     def _acquire(self, shard_id: int, record: ShardRecord) -> None:
-        """Start the recovery of a shard whose leader this node has become."""
+        """Start the recovery of a shard that this node has begun to lead."""
         shard = Shard(
             shard_id,
             record.term,
@@ -135,9 +135,9 @@
         self._context.supervise(partial(self._recovery.recover, shard, revision, self))
 
     def sync_machine(self, name: str, recovering: Shard | None = None) -> None:
-        """Update a machine from the view in all ready shards.
+        """Add a machine to, or remove it from, this node's ready shards as its record says.
 
-        ``recovering`` is a shard to update too although its recovery has not finished.
+        ``recovering`` is a shard that is updated although its recovery has not finished.
         """
         now = self._context.now
         record = self._view.machines.get(name)
@@ -164,7 +164,7 @@
                 shard.obsolete_keys[keys.progress_page(shard.shard_id, job, page)] = version
         shard.sync_job(record, job, now)
         if job in shard.slices and self._cancels.is_known(job):
-            # The cancel may be newer than the record in the view, so it is applied separately.
+            # The record in the view may be older than the cancel, which is applied here too.
             shard.cancel(job, now)
         job_slice = shard.slices.get(job)
         if job_slice is None or record is None:
--- a/marblestair/net/framing.py
+++ b/marblestair/net/framing.py
@@ -99,7 +99,10 @@
             self._on_frame(self, elements)
 
     def _next_payload(self) -> bytes | None:
-        """Remove and return the next complete payload of the buffer; None when there is none."""
+        """Remove and return the next complete payload of the buffer; None when there is none.
+
+        A length above ``MAX_FRAME_BYTES`` aborts the connection.
+        """
         if self.transport is None or len(self._buffer) < LENGTH_BYTES:
             return None
         length = int.from_bytes(self._buffer[:LENGTH_BYTES], "big")
--- a/marblestair/net/http_client.py
+++ b/marblestair/net/http_client.py
@@ -11,14 +11,14 @@
 from marblestair.core.runtime.store_requests import NOT_SENT
 from marblestair.net.media_types import CONTENT_TYPE
 
-#: maximum size of the body of a response
+#: maximum size of the body of a response; the connection is aborted above it
 MAX_RESPONSE_BODY_BYTES = 8 * 1024 * 1024
 #: status of a request that got no response and may have been carried out
 NO_RESPONSE = 0
 
 
 class HttpResponse(NamedTuple):
-    """Status and body of a response; ``NO_RESPONSE`` or ``NOT_SENT`` if there is none."""
+    """A response; without one, the status is ``NO_RESPONSE`` or ``NOT_SENT``."""
 
     status: int
     body: bytes = b""
@@ -136,7 +136,8 @@
         """Send a request and wait for the response.
 
         The wait until fewer than ``max_in_flight`` requests are in flight, and the exchange itself,
-        take up to ``timeout_s`` seconds each.
+        take up to ``timeout_s`` seconds each. The status is ``NOT_SENT`` if that wait or the
+        connection fails, and ``NO_RESPONSE`` if no response arrives after the request was sent.
         """
         try:
             async with asyncio.timeout(timeout_s):
@@ -149,7 +150,7 @@
             self._in_flight_slots.release()
 
     def close(self) -> None:
-        """Close the idle connections, and each busy one after its request has ended."""
+        """Close the idle connections; each busy one is closed when its request has ended."""
         self._is_closed = True
         for connections in self._idle.values():
             for connection in connections:
@@ -194,7 +195,7 @@
         return connection
 
     def _return_to_pool(self, address: str, connection: ClientConnection) -> None:
-        """Return a connection to the pool, or close it when it must not be kept."""
+        """Return a connection to the pool; close it if it is not reusable or the pool is full."""
         if self._is_closed or not connection.is_reusable:
             connection.close()
             return
--- a/marblestair/net/http_server.py
+++ b/marblestair/net/http_server.py
@@ -13,13 +13,13 @@
 
 #: maximum size of the head of a request: its request line and headers
 MAX_HEAD_BYTES = 16 * 1024
-#: maximum number of requests that wait on one connection while an earlier one is handled; clients
-#: are not expected to pipeline requests, but a few pipelined ones are handled in order
+#: maximum number of pipelined requests that wait on one connection while an earlier one is handled;
+#: clients are not expected to send more, and the connection is closed if they do
 MAX_QUEUED_REQUESTS = 4
-#: share of the idle timeout after which idle connections of agents are closed when the limit of
-#: connections is reached and no user's connection is idle
+#: idle time after which agents' connections are closed when the limit of connections is reached and
+#: no user's connection is idle, as a share of the idle timeout
 AGENT_IDLE_TIMEOUT_SHARE = 0.125
-#: substitute for a path that is not ASCII; no interface has this path
+#: path that replaces one that is not ASCII; no interface has this path
 NON_ASCII_PATH = "/?"
 
 REASON_PHRASES = {
@@ -35,7 +35,8 @@
 }
 _BAD_REQUEST = b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
-#: called with the connection, method, path and body; must call ``Connection.respond``
+#: called with the connection, method, path and body; must call
+#: ``Connection.respond``, at once or later
 Handler: TypeAlias = Callable[["Connection", str, str, bytes], None]
 
 
@@ -72,8 +73,8 @@
         self._parser: Any = httptools.HttpRequestParser(self)
         self._url = b""
         self._body = bytearray()
-        #: bytes received since the end of a request head or a piece of a body; they belong to the
-        #: next head
+        #: bytes received since the parser last reported a complete head, a piece of a body or a
+        #: complete request; they belong to a head that is not complete yet
         self._head_bytes = 0
         self._is_too_large = False
         #: whether a request was passed to the handler and has no response yet
@@ -83,13 +84,14 @@
         self._queue: list[_Request] = []
         #: time of the server's clock at which data was last received
         self.last_active_at = 0.0
-        #: whether a heartbeat arrived on it; at the limit, users' connections are closed first
+        #: set by the handler when a heartbeat arrives on the connection; at the limit of
+        #: connections, idle ones of users are closed first
         self.is_from_agent = False
 
     # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Accept the connection, or abort it when the server has too many."""
+        """Accept the connection, or abort it when the server does not admit it."""
         self._transport = cast(asyncio.Transport, transport)
         self.last_active_at = self._server.clock()
         if not self._server.admit(self):
@@ -102,7 +104,7 @@
         self._queue.clear()
 
     def data_received(self, data: bytes) -> None:
-        """Feed received bytes to the parser."""
+        """Feed received bytes to the parser; reject malformed requests and oversized heads."""
         self.last_active_at = self._server.clock()
         self._head_bytes += len(data)
         try:
@@ -137,7 +139,7 @@
         self._head_bytes = 0
 
     def on_body(self, body: bytes) -> None:
-        """Append a piece of the request body; refuse the request above the limit."""
+        """Append a piece of the request body; reject a body above the limit and close."""
         self._head_bytes = 0
         if len(self._body) + len(body) > self._server.max_body:
             self._reject_too_large()
@@ -152,7 +154,10 @@
             self._reject_and_close()
 
     def on_message_complete(self) -> None:
-        """Pass the complete request to the handler, or queue it while another one is handled."""
+        """Pass the complete request to the handler, or queue it while another one is handled.
+
+        The connection is closed if its queue is full.
+        """
         self._head_bytes = 0
         if self._is_too_large:
             return
@@ -236,16 +241,18 @@
     clock
         Monotonic clock, in seconds.
     max_connections
-        Maximum number of open connections. At the limit, a new connection replaces the user's
-        connection that has been idle for longest; if none is idle, agents' connections that have
-        been idle for ``AGENT_IDLE_TIMEOUT_SHARE`` of the timeout.
+        Maximum number of open connections. For a new connection at the limit, the idle user's
+        connection that has received no data for longest is closed. If no user's connection is idle,
+        agents' connections are closed that have been idle for ``AGENT_IDLE_TIMEOUT_SHARE`` of the
+        timeout. If there are none either, the new connection is aborted.
     max_body
         Maximum size of a request body, in bytes.
     idle_timeout_s
         Time in seconds without received data after which an idle connection may be closed.
     refuse_users_above
-        Number of connections above which users' requests must be refused, so that the remaining
-        connections are reserved for agents; by default no requests are refused.
+        Number of connections above which ``must_refuse_users`` tells the handler to refuse users'
+        requests, so that the remaining connections are reserved for agents. By default no requests
+        are refused.
     """
 
     def __init__(
@@ -298,7 +305,7 @@
         return len(self.connections) > self._refuse_users_above
 
     def admit(self, connection: Connection) -> bool:
-        """Admit a new connection if the limit permits; at the limit, close idle ones first."""
+        """Admit a new connection; False at the limit if no idle connection can be closed."""
         if len(self.connections) >= self._max_connections:
             self._evict_idle()
             if len(self.connections) >= self._max_connections:
--- a/marblestair/net/peers.py
+++ b/marblestair/net/peers.py
@@ -15,12 +15,13 @@
     ResponseFrame,
 )
 
-#: time since the last received frame after which a connection is replaced if a frame was sent since
+#: maximum time since the last received frame while a later sent frame is unanswered; after it, the
+#: connection is replaced
 STALE_AFTER_S = 2.5
 #: timeout of an attempt to connect, and delay after a failed attempt
 CONNECT_TIMEOUT_S = 1.0
 RECONNECT_DELAY_S = 0.5
-#: interval at which a request that waits for the connection checks whether it is open
+#: interval at which a request that waits for its connection to open checks the connection
 CONNECT_POLL_INTERVAL_S = 0.02
 
 #: sends the response to a request
@@ -34,8 +35,9 @@
 class Link:
     """An outgoing connection to one peer.
 
-    It is opened on first use, and again on the first use after a failure. The link owns its
-    connection and the task that opens it; :meth:`close` ends both.
+    The connection is opened on first use. If it is lost or stale, the next use opens a new one, but
+    not within ``RECONNECT_DELAY_S`` after a failed attempt. :meth:`close` ends the connection and
+    the task that opens it.
 
     Parameters
     ----------
@@ -60,14 +62,17 @@
         self._last_sent_at = 0.0
 
     def send_message(self, tag: str, arguments: Any) -> None:
-        """Send a one-way message if the connection is open; otherwise drop it."""
+        """Send a one-way message if the connection is open; otherwise drop the message."""
         connection = self._usable_connection()
         if connection is not None:
             self._last_sent_at = asyncio.get_running_loop().time()
             connection.send(MessageFrame(self._node, tag, arguments))
 
     async def request(self, tag: str, arguments: Any, timeout_s: float) -> Any:
-        """Send a request and wait for the response; return None when none arrives in time."""
+        """Send a request and return the response.
+
+        Returns None when no response arrives in time, or the connection fails.
+        """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
         connection = await self._open_connection(deadline)
@@ -98,7 +103,7 @@
         self._connection_lost()
 
     async def _open_connection(self, deadline: float) -> FramedConnection | None:
-        """Wait for an open connection and return it; None when it is not open in time."""
+        """Wait for an open connection and return it; None if opening it fails or takes too long."""
         loop = asyncio.get_running_loop()
         connection = self._usable_connection()
         while connection is None and self._opening is not None and loop.time() < deadline:
@@ -118,7 +123,7 @@
         return self._connection
 
     def _is_stale(self, now: float) -> bool:
-        """Whether the last received frame is too old and a frame was sent since."""
+        """Whether a sent frame is unanswered and no frame arrived for ``STALE_AFTER_S``."""
         is_unanswered = self._last_sent_at > self._last_received_at
         return is_unanswered and now - self._last_received_at > STALE_AFTER_S
 
@@ -140,7 +145,7 @@
             self._opening = None
 
     def _receive(self, _: FramedConnection, elements: Elements) -> None:
-        """Receive a frame of any kind, and resolve the awaited response if it carries one."""
+        """Record when a frame arrived; pass a response to the request that awaits it."""
         self._last_received_at = asyncio.get_running_loop().time()
         match elements:
             case ["answer", number, value]:
--- a/marblestair/net/rate_limiter.py
+++ b/marblestair/net/rate_limiter.py
@@ -1,8 +1,9 @@
 """Rate limiter with priorities, built on token buckets.
 
-Requests and writes are limited by one rate each. When a request must wait for write tokens, later
-requests with writes wait behind it, but reads do not, so that reads proceed while commits have used
-up the write rate.
+Requests and writes are limited by one rate each. While a request with writes waits for tokens,
+requests with writes that come later in the order of priority and age wait too. Requests without
+writes wait only for request tokens, so that reads proceed while commits have used up the write
+rate.
 """
 
 from __future__ import annotations
@@ -14,11 +15,11 @@
 
 #: default time after which a waiting request is rejected
 DEFAULT_MAX_WAIT_S = 2.0
-#: share of its capacity to which the bucket must be filled before a request with more writes than
-#: this share is granted
+#: a request that needs more write tokens than this share of the write bucket's capacity is granted
+#: when the bucket is filled to this share
 FULL_BUCKET_SHARE = 0.95
 #: interval at which waiting requests are granted, as a share of the time in which one request token
-#: is added; the rate in this interval is at least MIN_GRANT_RATE_PER_S requests per second
+#: is added; for request rates below MIN_GRANT_RATE_PER_S, that time is computed from this rate
 GRANT_INTERVAL_SHARE = 0.5
 MIN_GRANT_RATE_PER_S = 1.0
 
@@ -41,7 +42,9 @@
 
 
 class RateLimiter:
-    """Limits requests and writes by a token bucket each, which holds the tokens of one second.
+    """Limits requests and writes by one token bucket each.
+
+    A bucket holds the tokens of one second; the bucket for requests holds at least one token.
 
     Parameters
     ----------
@@ -57,7 +60,7 @@
         self.rps = rps
         self.write_rps = write_rps
         self.max_wait_s = max_wait_s
-        # A bucket that holds less than one token would never grant a request.
+        # A bucket with a capacity below one token would never grant a request.
         self.burst = max(1.0, rps)
         self._request_tokens = self.burst
         self._write_tokens = write_rps
@@ -106,7 +109,7 @@
         return True
 
     def _has_write_tokens(self, writes: int) -> bool:
-        # A request with more writes than the bucket holds is granted when the bucket is almost
+        # A request with more writes than the bucket's capacity is granted when the bucket is almost
         # full; the number of tokens then becomes negative.
         return not writes or self._write_tokens >= min(writes, self.write_rps * FULL_BUCKET_SHARE)
 
--- a/marblestair/wire/agents.py
+++ b/marblestair/wire/agents.py
@@ -143,7 +143,7 @@
 
 
 def encode_redirect(node: str | None) -> bytes:
-    """Encode the body of a 421 response to a heartbeat: the node that accepts it, if known."""
+    """Encode the body of a 421 response to a heartbeat, which names the shard's leader if known."""
     return pack(_Redirect(node or msgspec.UNSET))
 
 
--- a/marblestair/wire/cloud.py
+++ b/marblestair/wire/cloud.py
@@ -95,7 +95,7 @@
 
 
 def decode_cloud_response(request: CloudRequest, status: int, body: bytes) -> CloudResponse:
-    """Decode a response of the cloud; a malformed one is returned as status 0, no response."""
+    """Decode a response of the cloud; a malformed one gets status 0, as if none had arrived."""
     try:
         if status == 503:
             return CloudResponse(503, no_capacity=_error(body) == NO_CAPACITY)
--- a/marblestair/wire/codec.py
+++ b/marblestair/wire/codec.py
@@ -1,4 +1,4 @@
-"""MessagePack bodies, HTTP requests and the error for malformed input, shared by all interfaces."""
+"""MessagePack encoding, encoded HTTP requests, and the error for malformed request bodies."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 import msgspec
 
-#: maximum size of the body of an HTTP request
+#: maximum size of the body of a received HTTP request
 MAX_REQUEST_BODY_BYTES = 64 * 1024
 
 
 class BadRequestError(Exception):
-    """A request body is malformed; the text says which field is wrong and why."""
+    """A request body is malformed or has a field out of range; the text gives the reason."""
 
 
 class HttpRequest(msgspec.Struct, frozen=True):
--- a/marblestair/wire/peers.py
+++ b/marblestair/wire/peers.py
@@ -1,7 +1,8 @@
 """Wire format of messages between controllers: the tag and the arguments of each message.
 
-A message is sent as its tag and a list of arguments, which are its fields in order. Tags and the
-order of fields must not change, since controllers of the deployed version use them too.
+A message is sent as its tag and a list of arguments: the message's fields in order, or the slices
+of a progress report. Tags and the order of fields must not change, since controllers that still run
+the deployed version use the same ones.
 """
 
 from __future__ import annotations
--- a/marblestair/wire/store.py
+++ b/marblestair/wire/store.py
@@ -98,15 +98,19 @@
 
 
 def decode_store_response(request: StoreRequest, status: int, body: bytes) -> StoreResponse:
-    """Decode a response of the store; a malformed one is returned as status 0, no response."""
+    """Decode a response of the store.
+
+    A malformed response keeps its status if that is 429 or at least 500, and otherwise gets status
+    0, as if none had arrived.
+    """
     try:
         fields = msgspec.msgpack.decode(body) if body else {}
         if status == 200:
             return _decode_success(request, _require_map(fields))
         return _decode_failure(request, status, _require_map(fields))
     except (msgspec.DecodeError, UnicodeDecodeError, ValueError, KeyError, TypeError):
-        # The statuses 429 and 5xx show without the body that the request was not carried out. After
-        # a malformed response with any other status it may have been, as status 0 says.
+        # The statuses 429 and 5xx show without the body that the request was not carried out. With
+        # any other status the request may have been carried out, which is what status 0 means.
         return StoreResponse(status if status == 429 or status >= 500 else 0)
 
 
@@ -124,15 +128,15 @@
     if isinstance(request, GrantLease):
         return StoreResponse(200, lease_id=int(fields["tenancy"]))
     if isinstance(request, CompareAndSwap):
-        # The revision is required: it orders this commit against reads of the same keys.
+        # The revision is required, to order this commit relative to reads of the same keys.
         return StoreResponse(200, revision=int(fields["ledger_rev"]))
     return _decode_status(200, fields)
 
 
 def _decode_failure(request: StoreRequest, status: int, fields: _Fields) -> StoreResponse:
     if isinstance(request, Get) and status == 404:
-        # The revision is required: it orders this read, which found no value, against changes of
-        # the key.
+        # The revision is required, to order this read, which found no value, relative to changes
+        # of the key.
         return StoreResponse(404, revision=int(fields["ledger_rev"]))
     return _decode_status(status, fields)
 
--- a/marblestair/wire/users.py
+++ b/marblestair/wire/users.py
@@ -13,9 +13,9 @@
 
 #: maximum number of tasks in one job
 MAX_TASKS_PER_JOB = 100_000
-#: maximum amount of a resource, a size or a time, in its unit
+#: maximum of each resource amount, size and time in a submission, in the unit of its field
 MAX_AMOUNT = 1e12
-#: maximum number of characters in one name; names are stored in the job records
+#: maximum number of characters in one name; bounds the job records, which contain the names
 MAX_NAME_CHARS = 200
 #: maximum number of names in one submission: class, team, image, zone and machine types together
 MAX_NAMES_PER_SUBMISSION = 100
@@ -201,7 +201,7 @@
 def encode_job_status(
     job: str, state: str, done: int | None = None, running: int | None = None
 ) -> bytes:
-    """Encode the body of a 200 or 201 response: the job's state, and its task counts if known."""
+    """Encode the body of a 200 or 201 response: a job's state, and its task counts if known."""
     status = _JobStatus(job, _JOB_STATES[JobState(state)])
     if done is not None:
         status.done = done
