--- a/marblestair/core/jobs/acceptance.py
+++ b/marblestair/core/jobs/acceptance.py
@@ -1,10 +1,10 @@
 """Acceptance of submitted jobs.
 
-A job that can never run is refused, and so is a job that depends on one that was never accepted.
-Any other job is accepted by a commit to the store. The commit writes the job's record with its
-slices, or the final state "cancelled" if a job that it depends on is cancelled. The commit fails if
-a record or a final state exists for the job's id, so an id is accepted at most once, however often
-it is submitted and to however many controllers.
+A job is refused if it can never run, if its description is too large to be stored, or if it depends
+on a job that was never accepted. Any other job is accepted by a commit to the store. The commit
+writes the job's record with its slices, or the final state "cancelled" if a job that it depends on
+is cancelled. The commit fails if a record or a final state exists for the job's id, so an id is
+accepted at most once, however often it is submitted and to however many controllers.
 """
 
 from __future__ import annotations
@@ -42,8 +42,8 @@
 SUBMISSION_WINDOW_S = 0.75
 #: lower bound of the limit on concurrent submissions
 MIN_IN_FLIGHT_SUBMISSIONS = 2
-#: share of a node's write rate that submissions are expected to use, from which their Retry-After
-#: time is computed; other writes use the rest
+#: expected share of submissions in a node's write rate, from which the Retry-After time of
+#: submissions is computed; other writes use the rest
 SUBMISSION_WRITE_SHARE = 0.5
 #: maximum number of attempts to commit the record of one submission
 MAX_COMMIT_TRIES = 3
@@ -139,7 +139,7 @@
         return (yield from self._admit(dependent))
 
     def _admit(self, spec: JobSpec) -> Coroutine[Outcome]:
-        """Accept a job unless too many submissions are in progress."""
+        """Accept a job unless no shard can manage it or too many submissions are in progress."""
         manager_shard = self._choose_manager_shard()
         if manager_shard is None:
             return Outcome(503, UNKNOWN, "no part to accept into", NO_SHARD_RETRY_AFTER_S)
@@ -151,7 +151,7 @@
             self._limiter.release()
 
     def _answer_known_job(self, job: str) -> Coroutine[Outcome]:
-        """Return the status of a job that was accepted before."""
+        """Return the status of a job accepted before; ask for a retry if it is not available."""
         status = yield from self._answers.lookup(job)
         if status is None or status == UNKNOWN:
             return Outcome(503, UNKNOWN, "state not available", RETRY_AFTER_S)
--- a/marblestair/core/jobs/answers.py
+++ b/marblestair/core/jobs/answers.py
@@ -3,12 +3,12 @@
 This module determines the status of each job that was accepted before the request; only the final
 state returned for a cancel request may come from elsewhere (``user_requests.py``).
 
-Statuses are consistent across nodes: once any node has returned a final state of a job, every
-request that arrives later, at any node, gets that same state. A state that is not final is
-therefore returned only with a proof that no node can have returned a final state before the request
-arrived; a cached state is no proof. A final state may be returned from a cache, because it never
-changes. The state "cancelled" may be returned before it is recorded as the final state, once the
-cancel is confirmed (``cancellations.py``).
+Statuses are consistent across nodes: once any node has returned a final state of a job, no request
+that arrives later, at any node, gets another state. A state that is not final is therefore returned
+only with a proof that no node can have returned a final state before the request arrived; a cached
+state is no proof. A final state may be returned from a cache, because it never changes. The state
+"cancelled" may be returned before it is recorded as the final state, once the cancel is confirmed
+(``cancellations.py``).
 """
 
 from __future__ import annotations
@@ -78,9 +78,9 @@
         """Return the status that users may get for a job, or None if there is none now.
 
         Each status that this class returns, except UNKNOWN, passes this check last. Between the
-        commit of a cancel and its confirmation neither state is returned: "cancelled" would be
-        wrong if some leader has not applied the cancel, and the earlier state would be wrong if
-        another node has already returned "cancelled".
+        commit of a cancel and its confirmation no status is returned: "cancelled" would be wrong
+        if some leader has not applied the cancel, and the state from before the cancel would be
+        wrong if another node has already returned "cancelled".
 
         Parameters
         ----------
@@ -107,7 +107,7 @@
         return found.status
 
     def status_from_memory(self, job: str) -> JobStatus | None:
-        """Return a job's status if this node may return it without a request, else None."""
+        """Return the status that users may get for a job from memory, or None if there is none."""
         return self.answerable_status(job, self._managed_status(job))
 
     def _managed_status(self, job: str) -> ProvenStatus | None:
@@ -142,7 +142,8 @@
         """Return the status of a job from its manager, or else from a new read of the store.
 
         Called for jobs whose status this node may not return from memory. Returns UNKNOWN if no
-        such job exists, and None if neither gives a status that users may get.
+        such job exists, and None if neither the manager nor the read gives a status that users may
+        get. Also starts to propagate a known, unconfirmed cancel of the job in the background.
         """
         record = self._view.jobs.get(job)
         self._cancellations.propagate_in_background(job)
--- a/marblestair/core/jobs/cancel_registry.py
+++ b/marblestair/core/jobs/cancel_registry.py
@@ -60,7 +60,7 @@
         self._subscriber: CancelSubscriber | None = None
 
     def subscribe(self, subscriber: CancelSubscriber) -> None:
-        """Register the subscriber to notify of each cancel, replacing an earlier subscriber."""
+        """Register the subscriber to notify of each cancel; replaces an earlier subscriber."""
         self._subscriber = subscriber
 
     def get(self, job: str) -> CancelEntry | None:
@@ -76,9 +76,10 @@
         return job in self._entries
 
     def is_known_confirmed(self, job: str) -> bool:
-        """Whether a cancel is marked as confirmed.
+        """Whether a cancel of the job is known here and marked as confirmed.
 
-        Does not check whether it can be confirmed now; ``Cancellations.is_confirmed`` does.
+        Does not check whether an unmarked cancel can be confirmed now;
+        ``Cancellations.is_confirmed`` does.
         """
         entry = self._entries.get(job)
         return entry is not None and entry.is_confirmed
@@ -163,7 +164,7 @@
 
     @property
     def oldest_unconfirmed_s(self) -> float:
-        """Seconds for which the oldest unconfirmed cancel has been known; 0.0 without any."""
+        """Seconds for which the oldest unconfirmed cancel has been known; 0.0 if there is none."""
         since = [e.known_since for e in self._entries.values() if not e.is_confirmed]
         return self._context.now - min(since) if since else 0.0
 
--- a/marblestair/core/jobs/cancellations.py
+++ b/marblestair/core/jobs/cancellations.py
@@ -4,8 +4,8 @@
 
 - *committed*: its entry is in the change list of the job's record;
 - *applied*: every controller that may act for the job, as leader of the shard of a slice or of the
-  manager shard, has the entry. It launches no more tasks of the job, has begun to stop the running
-  ones, and no longer reports the job as running;
+  manager shard, has the entry. Each of them launches no more tasks of the job, has begun to stop
+  the running tasks, and no longer reports the job as running;
 - *confirmed*: users may be told that the job is cancelled.
 
 The paper's coordinator (Algorithm 3) releases its exclusive lock only after every active server has
@@ -88,7 +88,8 @@
     def shards_without_entry(self, job: str) -> list[int] | None:
         """Return the shards whose leaders may not have applied the cancel of a job.
 
-        Returns None if this is not known: the cancel or the job's record is not known here, or the
+        The list is empty once the entry is so old that every leader that may act has it. Returns
+        None if the shards are not known: the cancel or the job's record is not known here, or the
         view is older than the entry and may lack a change of leader that was committed before it.
         """
         view = self._view
@@ -109,8 +110,9 @@
     def _shards_needing_entry(self, job: str, record: JobRecord) -> set[int]:
         """Return the shards whose leaders must apply the cancel of a job before it is confirmed.
 
-        Without the entry, the leaders of the job's slices may start its tasks, its manager may
-        report it as running, and the managers of its descendants may report these as queued.
+        Without the entry, the leaders of the job's slices may start the job's tasks, the job's
+        manager may report the job as running, and the managers of the job's descendants may report
+        the descendants as queued.
         """
         shard_ids = {record.manager_shard, *map(int, record.slices)}
         for descendant in self._dependencies.descendants(job):
@@ -256,8 +258,9 @@
         """Commit the entry of a cancel to the job's record in place of the job's manager.
 
         Called when the manager has not cancelled the job. A refused or silent connection does not
-        prove that the manager's node has failed, so its shards are not taken over. Every leader
-        that can read the store receives the entry by its watch.
+        prove that the manager's node has failed, so that node's shards are not taken over. Every
+        leader that can read the store receives the entry by its watch. Nothing is committed if the
+        record cannot be read, or if the job has ended or already has a cancel.
         """
         status = yield from self._reader.read_record(job)
         record = self._view.jobs.get(job)
--- a/marblestair/core/jobs/completion_records.py
+++ b/marblestair/core/jobs/completion_records.py
@@ -2,8 +2,8 @@
 
 A refused or silent connection does not prove that a controller has failed: the controller may hold
 its lease and act, so its shards are not taken over. Controllers that cannot reach each other
-communicate through the job's record instead. A leader that receives nothing from a job's manager
-writes into the job's record that its slice of the job is complete. Cancels use the record in the
+communicate through the job's record instead. A leader whose slice of a job is complete writes this
+into the job's record if it receives nothing from the job's manager. Cancels use the record in the
 same way (``cancellations.py``).
 """
 
@@ -70,9 +70,10 @@
                 self._context.spawn(self._record(shard, batch))
 
     def _is_due(self, shard: Shard, job: str, job_slice: JobSlice) -> bool:
-        """Whether a slice must be recorded as complete because its job's manager is silent.
+        """Whether a slice is complete and must be recorded so, because its job's manager is silent.
 
-        False also for slices that are cancelled or migrating, and for those already recorded.
+        False also if the slice is migrating or already recorded, or if the slice or its job is
+        cancelled.
         """
         if not job_slice.size or job_slice.done_count != job_slice.size:
             return False
--- a/marblestair/core/jobs/dependencies.py
+++ b/marblestair/core/jobs/dependencies.py
@@ -72,14 +72,15 @@
         advance: Callable[[str], None],
         dependents_changed: Callable[[Iterable[str]], None],
     ) -> None:
-        """Register the two callbacks, replacing earlier ones.
+        """Register the two callbacks; replaces earlier callbacks.
 
         Parameters
         ----------
         advance
             Called with a blocked job whose manager can take its next step now.
         dependents_changed
-            Called with the jobs that gained or lost dependents.
+            Called with the unfinished parents of a job that was added to the index or removed from
+            it, and with a job that has dependents when its record arrives or changes.
         """
         self._advance = advance
         self._dependents_changed = dependents_changed
@@ -110,7 +111,7 @@
         return job in self._may_end_since
 
     def is_end_overdue(self, job: str) -> bool:
-        """Whether a blocked job's final state is overdue, so that it is no longer deferred.
+        """Whether a blocked job's final state is overdue, so that its write is not deferred.
 
         Users must get the state "cancelled" within ``cancel_s``, however many other writes are
         waiting. ``JobManagers`` chooses the priority of the write by this.
@@ -120,7 +121,7 @@
         return since is not None and self._context.now - since > END_OVERDUE_SHARE * cancel_s
 
     def may_answer_cancelled(self, job: str) -> bool:
-        """Whether users may be told that a blocked job is cancelled before this is recorded.
+        """Whether users may be told that a blocked job is cancelled before its end is recorded.
 
         That is so when no node can report the job as queued any more. The job's manager cannot,
         because it has the ancestor's confirmed cancel. Another node may report "queued" after a
@@ -306,9 +307,9 @@
             self._mark_ancestor_cancelled(job)
 
     def cancel_confirmed(self, parent: str) -> None:
-        """Allow the descendants of a job to end, because its cancel is confirmed.
+        """Allow the final states of a job's descendants to be recorded.
 
-        The managers of all live descendants have applied the cancel.
+        The job's cancel is confirmed, so the managers of all live descendants have applied it.
         """
         for job in sorted(self._dependents.get(parent, ())):
             self._mark_cancel_confirmed(job)
--- a/marblestair/core/jobs/dependency_reads.py
+++ b/marblestair/core/jobs/dependency_reads.py
@@ -63,8 +63,10 @@
         """Whether users may be told that a job is still blocked, given its newly read record.
 
         The record does not show whether an ancestor is cancelled, but this node's view does. If
-        the view is too old, the result is False. If the view lacks the record of an ancestor, the
-        ancestor's final state is read, for at most ``MAX_READS_PER_USER_REQUEST`` ancestors.
+        the view lacks the record of an ancestor, the ancestor's final state is read, for at most
+        ``MAX_READS_PER_USER_REQUEST`` ancestors. The result is False if an ancestor is cancelled,
+        if the final state of an ancestor remains unknown, or if the view is older than an agent's
+        lease.
         """
         job = record.spec.id
         agent_lease_s = self._context.settings.cluster.workers.lease_s
--- a/marblestair/core/jobs/eligibility.py
+++ b/marblestair/core/jobs/eligibility.py
@@ -26,8 +26,8 @@
         zone for machine_type in options for zone in machine_type.zones if spec.zone in (None, zone)
     }
     if spec.kind == JobKind.GANG and spec.spread_zones and spec.task_count > 1:
-        # All tasks run at the same time, and at most half of them may be in one zone, so that the
-        # job needs at least two zones.
+        # All tasks run at the same time, and at most half of them may be in one zone, so the job
+        # needs at least two zones.
         if spec.single_zone or len(zones) < 2:
             return "its tasks must lie apart, and there is one zone only"
     if _exceeds_limit(spec, team):
@@ -43,7 +43,10 @@
 
 
 def _exceeds_limit(spec: JobSpec, team: Team) -> bool:
-    """Whether the tasks that must run at the same time need more than the team's limit."""
+    """Whether a job always needs more CPUs or GPUs at one time than its team's limit.
+
+    All tasks of a gang must run at the same time; of another job, one task must be able to run.
+    """
     tasks = spec.task_count if spec.kind == JobKind.GANG else 1
     cpus, gpus, _ = spec.resources
     limit_cpus = fixed_point_down(team.cpu_limit)
--- a/marblestair/core/jobs/final_states.py
+++ b/marblestair/core/jobs/final_states.py
@@ -18,7 +18,7 @@
     """Index of the jobs that depend on other jobs; it is notified of each final state."""
 
     def has_dependents(self, job: str) -> bool:
-        """Return whether a blocked job depends on this one."""
+        """Return whether a blocked job depends directly on ``job``."""
 
     def parent_ended(self, parent: str, state: JobState) -> None:
         """Handle the committed final state of a job."""
@@ -34,7 +34,7 @@
         self._dependents: DependentJobs | None = None
 
     def subscribe(self, dependents: DependentJobs) -> None:
-        """Register the index to notify of each recorded final state, replacing an earlier one."""
+        """Register the index to notify of each recorded final state; replaces an earlier index."""
         self._dependents = dependents
 
     def __contains__(self, job: object) -> bool:
--- a/marblestair/core/jobs/job_managers.py
+++ b/marblestair/core/jobs/job_managers.py
@@ -36,7 +36,7 @@
 from marblestair.core.state.records import ChangeKind, JobRecord, with_cancel, with_release
 from marblestair.core.state.store_view import StoreView
 
-#: time for a manager to get a cancel confirmed while a user waits
+#: maximum time for a manager to commit a cancel and get it confirmed while a user waits
 CANCEL_TIMEOUT_S = 3.0
 #: pause between two checks whether the cancel is confirmed
 CANCEL_POLL_S = 0.02
@@ -146,7 +146,7 @@
         return is_current and self._leadership.is_leader(managed.shard_id)
 
     def _advance(self, managed: ManagedJob) -> Coroutine[None]:
-        """Take the steps of a job one by one while there is one (Algorithm 3).
+        """Take the next steps of a job, one by one, until there is none (Algorithm 3).
 
         Stops early if this node no longer manages the job.
         """
@@ -191,7 +191,7 @@
     def _change_record(
         self, managed: ManagedJob, record: JobRecord, step: ManagerStep
     ) -> Coroutine[None]:
-        """Commit the change of the record that a step requires, and handle the response."""
+        """Commit the write or deletion of the record that a step requires; handle the response."""
         swap = self._commit_for_step(managed, record, step)
         response = yield from managed.commit_change(swap)
         if response.status == 200:
@@ -245,7 +245,7 @@
     def _commit_for_step(
         self, managed: ManagedJob, record: JobRecord, step: ManagerStep
     ) -> CompareAndSwap:
-        """Return the commit that changes the record as a step requires."""
+        """Return the commit that writes or deletes the record as a step requires."""
         key = keys.JOBS + managed.job
         preconditions = [
             (key, self._view.version(key)),
@@ -298,8 +298,8 @@
     def cancel_managed(self, job: str) -> Coroutine[JobState | None]:
         """Cancel a job managed here, and return its final state.
 
-        Returns None when this node may not cancel the job, or when the cancel is not confirmed
-        within ``CANCEL_TIMEOUT_S``.
+        The state is "done" if the job finished first. Returns None when this node may not
+        cancel the job, or when the cancel is not confirmed within ``CANCEL_TIMEOUT_S``.
         """
         until = self._context.now + CANCEL_TIMEOUT_S
         while self._context.now < until:
@@ -323,7 +323,7 @@
             return False
         if not self._leadership.is_leader(managed.shard_id):
             return False
-        # While its lease renewals fail, this node may be unable to write to the store. Then the
-        # node that the user asked commits the cancel (``UserRequests``). The confirmation of a
-        # committed cancel needs no write.
+        # While this node's lease renewals fail, the node may be unable to write to the store.
+        # Then the node that the user asked commits the cancel (``UserRequests``). The confirmation
+        # of a committed cancel needs no write.
         return not self._lease.is_renewal_failing or self._cancels.is_known(managed.job)
--- a/marblestair/core/jobs/lookups.py
+++ b/marblestair/core/jobs/lookups.py
@@ -1,8 +1,8 @@
 """Limits on the queries that a node cannot answer from memory.
 
-Users may query far more often than jobs change, and also ids that were never submitted. Queries
-that need another controller or the store therefore share one search per job at a time. The reads of
-a search have the lowest priority: they use the rate of store requests that leases, submissions,
+Users may query far more often than jobs change, and may query ids that were never submitted. So the
+queries that need another controller or the store share one search per job at a time. The reads of a
+search have the lowest priority: they use the rate of store requests that leases, submissions,
 cancels and progress leave free. A query that needs a read beyond the limit on concurrent reads is
 refused at once, and the user retries.
 """
--- a/marblestair/core/jobs/manager_steps.py
+++ b/marblestair/core/jobs/manager_steps.py
@@ -13,7 +13,7 @@
 
 
 class ManagerStep(enum.Enum):
-    """A step of a job's manager; all but PROPAGATE_CANCEL change the job's record."""
+    """A step of a job's manager; all but PROPAGATE_CANCEL write or delete the job's record."""
 
     #: write the record unchanged, so that an earlier commit with an unknown outcome can no longer
     #: take effect: its precondition fails because of the record's new version
@@ -125,7 +125,7 @@
         if progress is None or progress.term != shard_map.shards[int(name)].term:
             return False
         # A report from before the leader applied the cancel does not count: tasks may have started
-        # after it.
+        # since that report.
         if progress.placed_tasks != 0 or not progress.is_cancelled:
             return False
     return True
--- a/marblestair/core/jobs/migration_locks.py
+++ b/marblestair/core/jobs/migration_locks.py
@@ -1,4 +1,4 @@
-"""The manager's part in migrations of a job's slices: it grants locks and commits the updates."""
+"""The manager's part in migrations of a job's slices: it grants locks and commits updates."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
         self._locked_since: dict[tuple[str, Hashable], float] = {}
 
     def handle(self, message: LockSlices | UpdateSlices | ReleaseSlices) -> Coroutine[UpdateReply]:
-        """Handle a request to a job's ServerManager; return None when it does not run here."""
+        """Handle a request to a job's ServerManager; None if this node does not run the manager."""
         managed = self._managed_jobs.get(message.job)
         if managed is None or message.job not in self._view.jobs:
             return None
@@ -93,7 +93,7 @@
             managed.is_committing_migration = False
 
     def _updated_record(self, managed: ManagedJob, update: UpdateSlices) -> JobRecord | None:
-        """Return the record with the migrated slices, or None when the update is not valid."""
+        """Return the record with the migrated slices; None if it is too large or not valid."""
         shard_map = self._view.shard_map
         record = self._view.jobs[managed.job]
         if managed.locks.short_term_holder != update.holder or shard_map is None:
@@ -160,7 +160,7 @@
         return CompareAndSwap(preconditions, [Put(key, record)], [], RequestPriority.FINAL_STATE)
 
     def _apply(self, managed: ManagedJob, update: UpdateSlices) -> None:
-        """Apply a committed update, and drop the progress of both slices as out of date."""
+        """Apply a committed update; drop the outdated progress of the source and the target."""
         managed.locks.update_active_servers(
             update.holder, update.source, update.option, update.target
         )
@@ -172,7 +172,8 @@
     ) -> UpdateReply:
         """Return the reply to an update whose precondition failed, after the record was read again.
 
-        If the record has the slices of the update, an earlier attempt has committed it.
+        If the record has the slices of the update, an earlier attempt has committed the update, and
+        the reply is the record's version. Otherwise the reply is False.
         """
         found = self._view.jobs.get(managed.job)
         if found is None or found.slices != record.slices:
--- a/marblestair/core/jobs/parents.py
+++ b/marblestair/core/jobs/parents.py
@@ -1,8 +1,8 @@
 """Lookup of the jobs that a submission depends on: its parents.
 
-Any node may have accepted a parent, so this node may not know an accepted parent. A submission is
-refused because a parent was never accepted only if a read of the store, sent after the submission
-arrived, finds neither a record nor a final state of the parent.
+Any node may have accepted a parent, so an accepted parent may still be unknown to this node. A
+submission is refused because a parent was never accepted only if a read of the store, sent after
+the submission arrived, finds neither a record nor a final state of the parent.
 """
 
 from __future__ import annotations
@@ -29,9 +29,9 @@
 class ParentsState(enum.Enum):
     """Combined state of a submission's parents."""
 
-    #: all parents were accepted, and none is cancelled
+    #: all parents were accepted, and none of them or of their ancestors is cancelled
     ACCEPTED = enum.auto()
-    #: a parent, or an ancestor of it, is cancelled
+    #: all parents were accepted, and one of them or of their ancestors is cancelled
     CANCELLED = enum.auto()
     #: a parent was never accepted
     UNKNOWN = enum.auto()
@@ -94,7 +94,11 @@
         return ParentLookupResult(ParentsState.ACCEPTED, unfinished)
 
     def _status(self, job: str) -> Coroutine[JobStatus | None]:
-        """Return a parent's status as final, cancelled or queued; None when it is not available."""
+        """Return a parent's status, with a live parent given as cancelled or queued.
+
+        A live parent is given as cancelled if a cancel of it or of an ancestor is known here.
+        Returns UNKNOWN if no such job exists, and None if the status is not available.
+        """
         if job not in self._final_states and job not in self._view.jobs:
             read = self._reader.read_final_first(job, RequestPriority.LOOKUP)
             status = yield from self._lookups.read_within_limit(read)
--- a/marblestair/core/jobs/progress_reports.py
+++ b/marblestair/core/jobs/progress_reports.py
@@ -12,10 +12,10 @@
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state.store_view import StoreView
 
-#: the unchanged progress of a slice is reported again after this time
+#: time after which unchanged progress is sent again to a manager on another node
 REPEAT_INTERVAL_S = 2.0
-#: limit on the sent reports kept for comparison: a number per live job, plus a constant; beyond it,
-#: all are dropped
+#: limit on the sent reports kept for comparison: a number per live job, plus a constant; above the
+#: limit, all are dropped
 MAX_SENT_REPORTS_PER_JOB, MAX_EXTRA_SENT_REPORTS = 4, 200
 #: value of ``placed_tasks`` while the number is not known
 PLACED_TASKS_UNKNOWN = -1
@@ -61,13 +61,13 @@
             return
         if not 0 <= progress.shard_id < len(shard_map.shards):
             return
-        # Reports of earlier leaders are dropped: their counts may include tasks that have since
-        # moved to another shard.
+        # Reports of other terms are dropped: the counts of an earlier leader may include tasks that
+        # have since moved to another shard.
         if shard_map.shards[progress.shard_id].term == progress.term:
             managed.progress_by_shard[progress.shard_id] = progress
 
     def send(self, led_shards: list[Shard]) -> None:
-        """Report the slices of the led shards to the managers of their jobs.
+        """Report the progress of the slices in the led shards to the managers of the slices' jobs.
 
         A manager on another node gets the progress that has changed or is due to be repeated.
         """
--- a/marblestair/core/jobs/record_announcements.py
+++ b/marblestair/core/jobs/record_announcements.py
@@ -1,7 +1,8 @@
 """Announces committed job records to the other nodes before their watches deliver the records.
 
-By the announcement of a release, another node can start the job's tasks at once. By that of a new
-job, it can accept submissions that depend on the job without a read of the store.
+On the announcement of a release, another node can start the job's tasks at once. On the
+announcement of a new job, another node can accept submissions that depend on the job without a read
+of the store.
 """
 
 from __future__ import annotations
--- a/marblestair/core/jobs/record_reader.py
+++ b/marblestair/core/jobs/record_reader.py
@@ -18,10 +18,11 @@
 class RecordReader:
     """Reads the records and final states of jobs for one node.
 
-    Each read of a status returns UNKNOWN if the store has neither a record nor a final state, and
-    None if the read failed or this node is disconnected. A job with a record is given as cancelled
-    if the record has a cancel, otherwise as queued. The result is also applied to the view or to
-    the cached final states. The caller decides whether users may be answered with it.
+    The methods that return a status return UNKNOWN if the store does not have what they read, and
+    None if a read failed. ``read_record`` and ``read_final_first`` also return None without a read
+    if this node is disconnected. The status of a job with a record is "cancelled" if the record has
+    a cancel, otherwise "queued". What was read is also applied to the view or to the cached final
+    states. The caller decides whether users may be answered with the status.
     """
 
     def __init__(
@@ -53,7 +54,7 @@
         return (yield from self.read_final(job, priority))
 
     def read_final(self, job: str, priority: RequestPriority) -> Coroutine[JobStatus | None]:
-        """Read a job's final state; return UNKNOWN if it has none."""
+        """Read a job's final state; return UNKNOWN if it has none, and None if the read failed."""
         response: StoreResponse = yield Get(keys.FINAL_STATES + job, priority)
         if response.status == 200 and response.value in FINAL_STATES:
             state = JobState(response.value)
@@ -77,5 +78,5 @@
         return (yield from self.read_record(job, priority))
 
     def refresh(self, job: str) -> Coroutine[bool]:
-        """Read a job's record, or its final state if it has no record; return whether it worked."""
+        """Read a job's record, or its final state without one; return whether this succeeded."""
         return (yield from self.read_record(job)) is not None
--- a/marblestair/core/jobs/user_requests.py
+++ b/marblestair/core/jobs/user_requests.py
@@ -23,7 +23,7 @@
 from marblestair.core.state.store_view import StoreView
 
 #: time for another controller to reply to a cancel, out of the 5 s that a user waits; the rest is
-#: for the store
+#: left for requests to the store
 CANCEL_PEER_TIMEOUT_S = 2.5
 #: time for the confirmation of a cancel that this node committed in place of the manager
 CONFIRMATION_TIMEOUT_S = 1.0
@@ -110,9 +110,9 @@
         final = yield from self._ask_manager(manager, job)
         if final is not None or manager == self._context.node:
             return final
-        # The manager did not reply, could not write to the store, or did not get the cancel
-        # confirmed in time. Unless a committed cancel is known here, this node commits it in place
-        # of the manager.
+        # The manager is unknown, did not reply, could not write to the store, or did not get the
+        # cancel confirmed in time. Unless a committed cancel is known here, this node commits one
+        # in place of the manager.
         if not self._cancels.is_known(job):
             yield from self._cancellations.commit_entry(job)
         if (yield from self._cancellations.await_confirmation(job, CONFIRMATION_TIMEOUT_S)):
@@ -120,9 +120,10 @@
         return self._final_states.get(job)
 
     def _ask_manager(self, manager: str | None, job: str) -> Coroutine[JobState | None]:
-        """Ask a job's manager to cancel the job; return the job's final state, or None if no reply.
+        """Ask a job's manager to cancel the job; return the job's final state.
 
-        None is also returned when the manager replies that the job is not cancelled yet.
+        Returns None if no manager is known, if the manager does not reply, or if it replies that
+        the job has no final state yet.
         """
         reply: Any = None
         if manager == self._context.node:
