--- a/marblestair/core/scheduling/arrivals.py
+++ b/marblestair/core/scheduling/arrivals.py
@@ -17,13 +17,14 @@
 from marblestair.core.state.records import JobRecord
 
 #: length of the window over which the arrival rate of a class is computed, and maximum number of
-#: the class's latest gangs that are counted; if more arrive within the window, the rate is that of
-#: the counted gangs, over the time since the first of them
+#: the class's latest gangs that are counted; if more gangs arrive within the window, the rate is
+#: the number of counted gangs divided by the time since the oldest of them became startable
 RATE_WINDOW_S, RATE_WINDOW_JOBS = 90.0, 64
-#: number of ids of counted jobs that are kept, so that no job is counted twice; twice the number of
-#: live jobs are kept if that is more
+#: the ids of the latest counted jobs are kept, so that no job is counted twice: this many ids, or
+#: two per live job if that is more
 MIN_TRACKED_JOBS = 2000
-#: time without new jobs of a class after which the class expires and nothing is reserved for it
+#: time without new gangs of a class after which no more gangs of the class are expected; also the
+#: time without new arrays after which the average array size is reset to 0
 CLASS_EXPIRY_S = 120.0
 #: weight of the latest array in the exponential moving average of array sizes
 LATEST_ARRAY_WEIGHT = 0.1
@@ -51,7 +52,8 @@
         self._catalog = catalog
         #: class -> what is expected of its gangs
         self.expected_gangs: dict[str, ExpectedGangs] = {}
-        #: moving average of array sizes, each limited to the guaranteed cpus of the array's team
+        #: moving average of array sizes in cpus; each size is limited to the guaranteed cpus of the
+        #: array's team
         self.average_array_cpus = 0.0
         #: class -> wall-clock times at which its latest gangs became startable
         self._arrived_at: dict[str, deque[float]] = {}
@@ -88,7 +90,7 @@
         self._remove_expired()
 
     def _wait_objectives_s(self) -> dict[str, float]:
-        """Return by class the shortest wait before a start that an objective sets, in seconds."""
+        """Return, by class, the shortest wait that a wait objective allows a job, in seconds."""
         shortest: dict[str, float] = {}
         for objective in self._context.settings.cluster.objectives:
             if objective.kind == "wait":
@@ -124,8 +126,9 @@
     def _must_start_before_boot(self, spec: JobSpec, wait_objective_s: float | None) -> bool:
         """Whether the objectives leave a gang too little time to wait for a machine to boot.
 
-        This is so if the wait objective is below ``LATENCY_SENSITIVE_BOOT_TIMES`` boot times, or
-        the shortest guarantee objective below one.
+        This is so if the wait objective is below ``LATENCY_SENSITIVE_BOOT_TIMES`` boot times, or if
+        the shortest guarantee objective is below one boot time. The boot time is the shortest of
+        the machine types that the job may run on; False if there is none.
         """
         kinds = kinds_for_job(spec, self._catalog.types)
         boot_s = min((kind.machine_type.boot_s for kind in kinds), default=None)
--- a/marblestair/core/scheduling/best_effort.py
+++ b/marblestair/core/scheduling/best_effort.py
@@ -72,9 +72,10 @@
         self._candidates.append(_PreemptionCandidate(lost_s, task, machine))
 
     def preempt_for(self, job_slice: JobSlice, cpus: int) -> None:
-        """Stop tasks to free cpus for a slice.
+        """Stop best-effort tasks to free cpus for a slice.
 
-        Tasks that are already being stopped, on any machine, count towards ``cpus`` first. Fewer
+        Best-effort tasks that are already being stopped, on any machine, count towards ``cpus``
+        first. Further tasks are stopped only on machines that the slice's job may run on. Fewer
         cpus are freed if too few tasks may be stopped.
 
         Parameters
--- a/marblestair/core/scheduling/demand.py
+++ b/marblestair/core/scheduling/demand.py
@@ -25,7 +25,8 @@
 
     #: cpus of the pending tasks that :func:`demanded_tasks` counts
     backlog_cpus: int = 0
-    #: team -> amounts by which the demand of its tasks exceeds its unused quota in this shard
+    #: team -> amounts by which the demand of the team's pending tasks exceeds the team's unused
+    #: quota in this shard
     quota_shortfall: dict[str, QuotaAmounts] = {}
     #: team -> quota that one task of an array, or one whole gang, needs; only for teams with a task
     #: or gang that needs more than the team's entire quota in this shard (the first one found)
--- a/marblestair/core/scheduling/dispatch.py
+++ b/marblestair/core/scheduling/dispatch.py
@@ -1,7 +1,7 @@
 """Placement of the pending tasks of a shard.
 
-All pending slices of a shard are placed a few times a second (:meth:`Dispatcher.place_all`). The
-queue of that pass is kept until the next one: when a heartbeat frees capacity on a machine, tasks
+A pass over all pending slices of a shard runs a few times a second (:meth:`Dispatcher.place_all`).
+The queue of a pass is kept until the next pass: when a heartbeat frees capacity on a machine, tasks
 from the queue are launched there (:meth:`Dispatcher.fill_machine`).
 """
 
@@ -91,7 +91,7 @@
         placement_pass.run(queue)
 
     def _candidates(self, shard: Shard, min_cpus: int) -> CandidateMachines:
-        """Return the usable machines without claims, as ``free`` those with ``min_cpus`` free."""
+        """Return the usable machines without claims; ``free`` has those with ``min_cpus`` free."""
         now, claims = self._context.now, self._preemption.claims
         usable = [
             machine
--- a/marblestair/core/scheduling/due_work.py
+++ b/marblestair/core/scheduling/due_work.py
@@ -1,4 +1,4 @@
-"""Selection of jobs to defer when a team's cpu limit does not let all meet their deadlines."""
+"""Selection of jobs to defer when a team's cpu limit does not let all its jobs finish in time."""
 
 from __future__ import annotations
 
--- a/marblestair/core/scheduling/fleet_plan.py
+++ b/marblestair/core/scheduling/fleet_plan.py
@@ -12,5 +12,6 @@
         #: machines that should become idle; array tasks are placed there only if they fit on no
         #: other machine
         self.draining_machines: set[str] = set()
-        #: jobs scheduled later, since a team's limit does not let all its jobs meet their deadlines
+        #: jobs that get a penalty in the scheduling order (``priority_key``), since their team's
+        #: limit does not let all jobs of the team meet their deadlines
         self.infeasible_jobs: set[str] = set()
--- a/marblestair/core/scheduling/gang_placement.py
+++ b/marblestair/core/scheduling/gang_placement.py
@@ -75,6 +75,7 @@
     """Assign a machine to each task of a gang; return None if the tasks do not all fit.
 
     The machines with the lowest placement cost are filled first, within the job's zone limits.
+    For a job that needs a single zone, the first zone by name that has room for all tasks is used.
     """
     counted = [(machine, tasks_that_fit(machine, resources)) for machine in machines]
     fitting = [(machine, count) for machine, count in counted if count]
--- a/marblestair/core/scheduling/inherited_urgency.py
+++ b/marblestair/core/scheduling/inherited_urgency.py
@@ -1,8 +1,8 @@
 """Priorities and deadlines that jobs inherit from the jobs that depend on them.
 
 Users set the deadline and the intended priority only on the last job of a pipeline. A job
-therefore inherits the highest priority of its dependents. It must also be done by the time at which
-the first dependent has to start, so that each dependent can meet its own deadline.
+therefore inherits the highest priority among its dependents. The job must also be done by the
+earliest time at which a dependent has to start in order to meet the dependent's own deadline.
 """
 
 from __future__ import annotations
--- a/marblestair/core/scheduling/machine_choice.py
+++ b/marblestair/core/scheduling/machine_choice.py
@@ -12,11 +12,11 @@
 
 #: number of machines sampled for one choice
 SAMPLE_SIZE = 6
-#: cost of the cpus that a placement leaves free on the machine: this number times their share of
-#: the machine's cpus, in seconds of image fetch time
+#: cost of leaving all cpus of the machine free, in seconds of image fetch time; the cost of a
+#: placement is proportional to the share of the machine's cpus that it leaves free
 FREE_CAPACITY_WEIGHT_S = 8.0
-#: cost of using a regular machine, in seconds of image fetch time; for a spot machine, it is
-#: multiplied by the ratio of the spot price to the regular price of the same type
+#: cost of using a regular machine, in seconds of image fetch time; for a spot machine, this
+#: cost is multiplied by the ratio of the spot price to the regular price of the same type
 PRICE_WEIGHT_S = 8.0
 #: lower bound on the image fetch rate, in case the cloud lists a machine type with a rate of 0
 MIN_FETCH_GB_PER_S = 1e-6
--- a/marblestair/core/scheduling/machine_filling.py
+++ b/marblestair/core/scheduling/machine_filling.py
@@ -85,8 +85,9 @@
     ) -> None:
         """Launch tasks in queue order until no further task can fit.
 
-        That is so when the machine has too few free cpus for the smallest task, or when no team has
-        quota left for an array task and the machine has too few free cpus for a gang's.
+        That is so when the machine has too few free cpus for the smallest task. It is also so when
+        no team has quota left for an array task, and the machine has too few free cpus for the
+        smallest task of any gang.
         """
         placement = self._placement
         #: team -> cpus of the smallest task that was found to exceed the team's remaining quota
--- a/marblestair/core/scheduling/machine_transfers.py
+++ b/marblestair/core/scheduling/machine_transfers.py
@@ -75,10 +75,11 @@
         self._is_in_progress = False
 
     def lacks_capacity(self, job_slice: JobSlice) -> bool:
-        """Whether tasks that must start together have been pending too long for lack of capacity.
+        """Whether a slice counts as lacking capacity.
 
-        Slices that have placed or migrating tasks, or that are unreconciled, cancelled or
-        quarantined, do not count.
+        That is so if its tasks must start together and have been pending for longer than
+        ``MIN_PENDING_INTERVALS``. Slices that have placed or migrating tasks, or that are
+        unreconciled, cancelled or quarantined, do not count.
         """
         if not job_slice.spec.is_indivisible:
             return False
@@ -92,9 +93,9 @@
         return not self._failures.is_quarantined(job_slice.spec.id)
 
     def transfer_idle_machines(self, shard: Shard) -> None:
-        """Start a transfer of idle machines to a shard with a job that lacks capacity.
+        """Start a transfer of idle machines to another shard with a job that lacks capacity.
 
-        No machines are transferred for a job if a job of this shard also lacks capacity and became
+        No machines are transferred for a job if a job of ``shard`` also lacks capacity and became
         startable earlier.
         """
         shard_map = self._view.shard_map
@@ -121,7 +122,7 @@
                     return
 
     def _oldest_lacking_capacity(self, shard: Shard) -> tuple[float, str] | None:
-        """Return the start of the wait and the id of the oldest job that lacks capacity, if any."""
+        """Return the startable time and id of the oldest job that lacks capacity, if any."""
         return min(
             (
                 (job_slice.startable_since, job_slice.spec.id)
@@ -179,7 +180,10 @@
         return [min(unclaimed, key=lambda machine: (_price(machine), machine.name))]
 
     def _zone_with_most_capacity(self, spec: JobSpec, summary: ShardSummary) -> str | None:
-        """Return the zone with the most reported free capacity for a job, over all shards."""
+        """Return the zone with the most reported free capacity for a job, summed over all shards.
+
+        Returns None if no reported machine suits the job.
+        """
         tasks_by_zone = capacity_by_zone(spec, spec.resources, summary.free_capacity)
         for _, other in self._summaries.values():
             if other.shard_id != summary.shard_id:
@@ -204,10 +208,11 @@
             self._is_in_progress = False
 
     def _commit(self, shard: Shard, machines: list[Machine], target_id: int) -> Coroutine[None]:
-        """Commit a transfer; return once it is, or can no longer be, committed.
+        """Try to commit a transfer; return once it is, or can no longer be, committed.
 
-        Also returns if this node no longer leads the shard, or if none of the machines can be
-        transferred any more.
+        Also returns if this node no longer leads the shard, if none of the machines can be
+        transferred any more, or, unless an attempt's outcome is uncertain, after
+        ``MAX_COMMIT_ATTEMPTS``.
         """
         uncertain_version: int | None = None
         attempts = 0
@@ -218,7 +223,8 @@
                 return
             version = self._view.version(keys.SHARD_MAP)
             if uncertain_version not in (None, version):
-                # The shard map has changed: the uncertain commit was applied or will be rejected.
+                # The shard map has changed since the uncertain attempt, which was either applied or
+                # will be rejected, since its precondition does not hold any more.
                 for machine in machines:
                     yield from self._follower.refresh_until_read(keys.MACHINES + machine.name)
                 return
@@ -240,7 +246,7 @@
             yield Sleep(0.1 + 0.2 * self._context.rng.random())
 
     def _transferable(self, shard: Shard, machines: list[Machine]) -> list[Machine]:
-        """Return the machines that are still in the shard and have no tasks."""
+        """Return the machines that are still in the shard, have no tasks, and have a record."""
         return [
             machine
             for machine in machines
--- a/marblestair/core/scheduling/placement_pass.py
+++ b/marblestair/core/scheduling/placement_pass.py
@@ -62,7 +62,7 @@
         """Launch an array's tasks that fit; if it is guaranteed, preempt best-effort tasks for it.
 
         ``min_cpus`` is the cpus of the smallest task in the queue. After tasks have been launched,
-        machines with fewer free cpus are no longer candidates in this pass.
+        machines with fewer free cpus than that are no longer in the candidates' ``free`` list.
         """
         shard, candidates, reserved = self._shard, self._candidates, self._reserved_quota
         team, cpus = array.spec.team, array.resources[0]
--- a/marblestair/core/scheduling/preemption.py
+++ b/marblestair/core/scheduling/preemption.py
@@ -83,7 +83,10 @@
     # --- claims ----------------------------------------------------------------------------
 
     def is_claimed(self, machine: Machine, job: str = "") -> bool:
-        """Whether a job other than ``job`` claims a machine, or is live and has it reserved."""
+        """Whether a machine is claimed by a job other than ``job``.
+
+        If the machine has no claim, whether it is reserved for another job that is live.
+        """
         claim = self.claims.get(machine.name)
         if claim is not None:
             return claim.job != job
@@ -91,12 +94,15 @@
         return reserved_for not in ("", job) and reserved_for in self._view.jobs
 
     def machines_claimed_for(self, shard: Shard, job: str) -> list[Machine]:
-        """Return the machines of a shard that are being cleared for a job."""
+        """Return the machines of a shard that a job claims."""
         names = [name for name, claim in self.claims.items() if claim.job == job]
         return [shard.machines[name] for name in names if name in shard.machines]
 
     def expire_claims(self) -> None:
-        """Remove claims that have expired, and those of jobs that have started or ended."""
+        """Remove claims that have expired, and those of jobs that have started or ended.
+
+        Claims are also removed if no shard of this node has both the machine and the gang.
+        """
         for name, claim in list(self.claims.items()):
             is_pending = any(
                 name in shard.machines
@@ -233,9 +239,10 @@
     def preemptible_capacity(self, shard: Shard) -> list[FreeCapacity]:
         """Return the free capacity that machines would have after preemption.
 
-        All tasks that the latency-sensitive gangs of the highest priority may preempt are assumed
-        to be stopped. Only machines with such tasks and then room for a gang's task are included.
-        The amounts include what is free already.
+        All tasks that may be preempted by the expected latency-sensitive gangs of the highest
+        priority are assumed to be stopped. Only machines that have such tasks, and would then have
+        room for a task of an expected gang, are included. Machines that are claimed or have tasks
+        being stopped are not. The amounts include what is free already.
         """
         specs = [
             gangs.spec
--- a/marblestair/core/scheduling/preemption_survey.py
+++ b/marblestair/core/scheduling/preemption_survey.py
@@ -58,7 +58,7 @@
         self._shard = shard
         self._now = now
         self._machines: dict[int, list[SurveyedMachine]] = {}
-        #: team and rank -> the team's tasks of lower priority, in the order of preemption
+        #: team and rank -> the team's placed tasks of lower rank, in the order of preemption
         self._tasks: dict[tuple[str, int], list[PlacedTask]] = {}
         #: team and rank -> cpus of the tasks in ``_tasks``, in fixed point
         self._cpus: dict[tuple[str, int], int] = {}
@@ -97,7 +97,7 @@
 
         Tasks that are already being stopped are chosen first, then those with the shortest run
         time. Tasks in ``excluded``, which the caller stops anyway, are not chosen. Returns None if
-        the tasks of the shard free too few cpus.
+        the team's preemptible tasks in the shard free too few cpus.
         """
         chosen: list[PlacedTask] = []
         if cpus <= 0:
--- a/marblestair/core/scheduling/quota_transfers.py
+++ b/marblestair/core/scheduling/quota_transfers.py
@@ -22,7 +22,7 @@
 from marblestair.core.state.records import ShardMap
 from marblestair.core.state.store_view import StoreView
 
-#: maximum age of a shard's summary; if it is older, the shard receives no quota for the summary
+#: maximum age of a shard's summary; if it is older, no quota is transferred to the shard
 MAX_DEMAND_AGE_S = 3.0
 #: maximum attempts to commit one transfer; unlimited while the outcome of an attempt is uncertain
 MAX_COMMIT_ATTEMPTS = 5
@@ -68,7 +68,7 @@
                     return
 
     def _begin_transfer_to(self, shard: Shard, other: ShardSummary) -> bool:
-        """Begin to transfer quota that another shard lacks, if this one can spare any.
+        """Begin to transfer quota that another shard lacks, if ``shard`` can spare any.
 
         One team's quota is transferred; returns whether a transfer was begun.
         """
@@ -87,12 +87,16 @@
     def _spare_quota(
         self, shard: Shard, team: str, own: ShardSummary, other: ShardSummary
     ) -> list[int] | None:
-        """Return the cpus and gpus that a shard can spare; None if the shard itself needs quota."""
+        """Return the cpus and gpus that a shard can spare; None if the shard itself needs quota.
+
+        If the other shard needs more than its entire quota for one task or gang, all unused quota
+        can be spared, even if tasks pending in ``shard`` could use it.
+        """
         used, quota = shard.usage(team), self._quotas.quota(shard, team)
         unused = [quota[i] - used[i] for i in range(2)]
         if team in other.required_quota:
-            # If both shards need more quota for one task or gang, only the one with the higher id
-            # transfers quota to the other.
+            # If both shards need more quota for one task or gang, only the shard with the
+            # higher id transfers quota to the other.
             gives_quota = team not in own.required_quota or shard.shard_id > other.shard_id
             return unused if gives_quota else None
         if own.quota_shortfall.get(team) is not None or team in own.required_quota:
@@ -142,9 +146,11 @@
     def _commit(
         self, shard: Shard, target_id: int, team: str, amounts: list[int]
     ) -> Coroutine[None]:
-        """Change both quotas; return once the change is, or can no longer be, committed.
+        """Try to change both quotas; return once the change is, or can no longer be, committed.
 
-        Also returns as soon as this node no longer leads the source shard.
+        Also returns as soon as this node no longer leads the source shard. Unless an attempt's
+        outcome is uncertain, also returns if the source has too little quota, or after
+        ``MAX_COMMIT_ATTEMPTS``.
         """
         uncertain_version: int | None = None
         attempts = 0
--- a/marblestair/core/scheduling/reported_capacity.py
+++ b/marblestair/core/scheduling/reported_capacity.py
@@ -20,8 +20,8 @@
 def reserve_capacity(summary: ShardSummary, spec: JobSpec, task_count: int) -> None:
     """Subtract tasks that were assigned to a shard from the shard's summary.
 
-    The free quota is reduced, and the free capacity; what does not fit there is subtracted from the
-    preemptible capacity.
+    The tasks' resources are subtracted from the team's free quota and from the free capacity. Tasks
+    that do not fit into the free capacity are subtracted from the preemptible capacity.
     """
     resources = spec.resources
     free_quota = summary.free_quota.get(spec.team, [0, 0])
@@ -133,7 +133,10 @@
     def fits_together(
         self, summary: ShardSummary, job_slice: JobSlice, count: int, with_preemptible: bool
     ) -> bool:
-        """Whether ``count`` tasks of a slice all fit into the capacity that a shard reported."""
+        """Whether ``count`` tasks of a slice all fit into the free capacity that a shard reported.
+
+        The reported preemptible capacity is included if ``with_preemptible`` is set.
+        """
         spec = job_slice.spec
         key = GangFitKey(
             summary.shard_id,
--- a/marblestair/core/scheduling/run_times.py
+++ b/marblestair/core/scheduling/run_times.py
@@ -21,7 +21,7 @@
         return self._ratios.get(job_class, 1.0)
 
     def record(self, spec: JobSpec, run_s: float) -> None:
-        """Record the run time of a completed task, in seconds; ignored if it has no estimate."""
+        """Record the run time of a completed task, in seconds; ignored without an estimate."""
         if spec.estimated_run_s > 0:
             average = self.ratio(spec.job_class)
             latest = min(MAX_TASK_RATIO, run_s / spec.estimated_run_s)
--- a/marblestair/core/scheduling/scheduling_order.py
+++ b/marblestair/core/scheduling/scheduling_order.py
@@ -48,9 +48,10 @@
     Jobs are ordered by their penalties first: infeasible, overdue and best-effort jobs come after
     jobs without a penalty, in this order, and quarantined jobs, which will probably fail, come
     last. Among jobs with the same penalties, guaranteed jobs and those of at least high priority
-    come first. Jobs are then ordered by priority, and by the slack to the deadline, or by age if
-    they have no deadline. A job with dependents gets no penalty for its deadline, since that may be
-    inherited and is then only the time at which a dependent should start.
+    come first. Jobs are then ordered by priority, and then by slack. The slack of a job without a
+    deadline is ``NO_DEADLINE_SLACK_S`` less the job's age. A job with dependents gets no penalty
+    for its deadline. That deadline may be inherited; it is then only the time at which a dependent
+    should start.
 
     Parameters
     ----------
@@ -66,7 +67,7 @@
     is_guaranteed
         Whether the job is within its team's guaranteed quota.
     is_infeasible
-        Whether the team's limit prevents the job from being done by its deadline.
+        Whether the fleet plan lists the job in ``FleetPlan.infeasible_jobs``.
     is_quarantined, is_best_effort, has_dependents
         Whether the job is quarantined, whether its team has no guaranteed quota, and whether other
         jobs depend on it.
--- a/marblestair/core/scheduling/shard_summarizer.py
+++ b/marblestair/core/scheduling/shard_summarizer.py
@@ -89,7 +89,7 @@
         )
 
     def _free_capacity(self, shard: Shard) -> list[FreeCapacity]:
-        """Return the free capacity of usable machines that no pending gang claims or reserves."""
+        """Return the free capacity of usable machines not claimed or reserved for a job."""
         return [
             (
                 machine.type_name,
@@ -133,8 +133,8 @@
     def _machine_use(self, shard: Shard, partitioned: set[str]) -> MachineUse:
         """Group a shard's machines by use.
 
-        Partitioned machines are omitted, unless they are being released. So are cordoned machines
-        and those that are neither idle nor known to run tasks.
+        Partitioned machines are omitted, unless they are being released. Machines that are cordoned
+        for a transfer, and those that are neither idle nor known to run tasks, are omitted too.
         """
         use = MachineUse()
         gang_machines = _gang_machines(shard)
@@ -148,8 +148,8 @@
             if is_decommissioned or self._is_unavailable(machine):
                 use.unavailable_machines.append(machine.name)
             elif machine.cordon is not None:
-                # The machine is being transferred to a gang's shard, so it is not idle; if it
-                # counted as unavailable, the fleet plan would rent a second machine.
+                # The machine is being transferred to a gang's shard, so it is not idle. If the
+                # machine counted as unavailable, the fleet plan would rent a second one.
                 continue
             elif (
                 machine.is_reconciled
--- a/marblestair/core/scheduling/slice_assignment.py
+++ b/marblestair/core/scheduling/slice_assignment.py
@@ -22,10 +22,11 @@
         self._arrivals = arrivals
 
     def assign(self, spec: JobSpec, manager_shard: int) -> dict[str, list[list[int]]]:
-        """Return the ranges of task indexes ``[start, end)`` by shard id.
+        """Return the ranges of task indexes ``[start, end)`` that each shard gets, by shard id.
 
         Tasks are split evenly between the shards that have quota for them. A job that is
-        indivisible or has fewer than two tasks per shard is assigned to one shard.
+        indivisible or has fewer than two tasks per shard is assigned to one of these shards. If no
+        shard has quota, the manager shard gets all tasks.
         """
         current = self._view.shard_map
         assert current is not None
--- a/marblestair/core/scheduling/slice_migration.py
+++ b/marblestair/core/scheduling/slice_migration.py
@@ -2,10 +2,11 @@
 
 The leader of the source shard first removes the tasks that migrate from the pending tasks. It then
 requests the shared and the short-term lock from the job's ServerManager in one call, requests the
-change of ActiveServers (``stay`` or ``log_off``), notifies the target's leader, and releases the
-locks. The manager commits the change of the job record before it replies, so the target starts only
-tasks that the record assigns to it. If the manager does not reply, the source makes the tasks
-pending again only after the locks are released and the record has been read again.
+change of ActiveServers (``stay`` or ``log_off``), notifies the leader of the target shard, and
+releases the locks. The manager commits the change of the job record before it replies, so the
+target shard starts only tasks that the record assigns to that shard. If the manager does not reply,
+the source makes the tasks pending again only after the locks are released and the record has been
+read again.
 """
 
 from __future__ import annotations
@@ -32,11 +33,11 @@
 from marblestair.core.state import keys
 from marblestair.core.state.store_view import StoreView
 
-#: reply timeouts for the ServerManager and for the leader of the target, in seconds
+#: reply timeouts for the ServerManager and for the leader of the target shard, in seconds
 MANAGER_TIMEOUT_S, TARGET_TIMEOUT_S = 1.5, 0.5
 #: maximum number of concurrent migrations from the shards of one node
 MAX_ACTIVE_MIGRATIONS = 4
-#: attempts to acquire a job's locks, and the delay between two attempts in seconds
+#: maximum attempts to acquire a job's locks, and the delay between two attempts in seconds
 MAX_LOCK_ATTEMPTS, LOCK_RETRY_DELAY_S = 8, 0.1
 #: delay between two attempts to determine the outcome of a migration, in seconds
 OUTCOME_RETRY_DELAY_S = 0.2
@@ -170,8 +171,8 @@
     def _notify_target(self, migration: Migration, version: int) -> Coroutine[None]:
         """Announce a migration to the leader of the target shard.
 
-        The leader replies with the number of the job's change entries that it knows. If there are
-        later entries, they are sent to it (Algorithm 4).
+        The leader replies with the number of the job's change entries that it knows. Later entries,
+        if this node knows any, are then sent to that leader (Algorithm 4).
         """
         job = migration.job
         leader = self._leadership.leader_of(migration.target_id)
@@ -188,6 +189,7 @@
     def _await_outcome(self, migration: Migration) -> Coroutine[None]:
         """Wait until the job record shows the migration's outcome; restore tasks that stay here.
 
+        Also returns if the slice is no longer in a shard of this node, or the job has no record.
         Tasks become pending here again only after the manager has released the migration's locks
         and the record has then been read again. Once the locks are released, the manager rejects an
         update that is still in flight.
--- a/marblestair/core/scheduling/slice_placement.py
+++ b/marblestair/core/scheduling/slice_placement.py
@@ -116,7 +116,7 @@
         if excluded and not job_slice.placed_on and waited_s > MAX_RESERVATION_WAIT_S:
             excluded = self._machines_still_reserved(waited_s)
             if not self._has_unreserved_machine(candidates.free, job_slice.resources[0]):
-                # One task is enough for the job to start; the gang keeps the other machines.
+                # One task is enough for the job to start; gangs keep their other reserved machines.
                 max_tasks = min(max_tasks, 1)
         avoided = self._failures.avoided_machines(job, self._context.now)
         constraints = ArrayConstraints(
--- a/marblestair/core/scheduling/starvation.py
+++ b/marblestair/core/scheduling/starvation.py
@@ -24,12 +24,12 @@
 
 #: time after which a pending slice is starved, counted from when the slice became startable
 MIN_STARVED_AGE_S = 0.4 * MAX_START_DELAY_S
-#: the same limit for an array that has already started
+#: time after which an array that has already started is starved, counted in the same way
 MIN_STARVED_AGE_STARTED_S = 2 * MAX_START_DELAY_S
 #: maximum share of a team's quota in a shard that the team's starved arrays may use together
 STARVED_QUOTA_SHARE = 0.25
-#: of a starved array that has not started, the slice's number of tasks divided by this may be
-#: launched in one pass, but at least one task
+#: divisor for the tasks that may be launched in one pass for a starved array that has not started:
+#: the slice's number of tasks divided by this, but at least one task
 INITIAL_TASKS_DIVISOR = 16
 
 
--- a/marblestair/core/scheduling/unused_quota_transfers.py
+++ b/marblestair/core/scheduling/unused_quota_transfers.py
@@ -42,8 +42,8 @@
     def transfer_for(self, job_slice: JobSlice) -> None:
         """Begin to transfer unused quota to a shard with free capacity for a slice's tasks.
 
-        No transfer is begun if no quota is unused, no shard has the capacity, or another transfer
-        from this node is in progress.
+        No transfer is begun if the team has no unused quota in this shard, if no shard has the
+        capacity, or if another quota transfer from this node is in progress.
         """
         team = job_slice.spec.team
         has_unused = self._has_unused_quota.get(team)
