--- a/marblestair/core/domain/machine_kinds.py
+++ b/marblestair/core/domain/machine_kinds.py
@@ -8,7 +8,7 @@
 from marblestair.core.domain.jobs import JobSpec
 from marblestair.core.domain.machines import MachineType
 
-#: number of tasks that count as fitting on one machine if they use no resources; larger than any
+#: number of tasks without resource requests that count as fitting on one machine; larger than any
 #: job's task count
 UNBOUNDED_TASKS = 1 << 20
 
--- a/marblestair/core/leadership/connectivity.py
+++ b/marblestair/core/leadership/connectivity.py
@@ -14,10 +14,10 @@
 UNREACHABLE_LEASE_SHARE = 0.35
 #: the same maximum in heartbeat intervals; the longer of the two applies
 UNREACHABLE_HEARTBEAT_INTERVALS = 2.5
-#: time from the addition of a machine until it is expected to send heartbeats, in boot times of its
-#: type
+#: time from the addition of a machine until it is expected to send heartbeats, as a multiple of the
+#: boot time of its type
 HEARTBEAT_DUE_BOOT_TIMES = 2.0
-#: time for which a node that its agents did not reach accepts no shard, in agent leases
+#: duration of the cooldown (``Connectivity.begin_cooldown``), in agent leases
 COOLDOWN_AGENT_LEASES = 4.0
 
 
@@ -58,8 +58,9 @@
     def is_disconnected(self) -> bool:
         """Return whether this node is cut off from the store and from all other controllers.
 
-        This is so when it has received nothing from any of them for the duration of a node lease.
-        A disconnected node cannot answer users, and refuses user requests at once.
+        This is so when the node has been running for at least the duration of a node lease and has
+        received nothing from the store and the other controllers for that time. A disconnected node
+        cannot answer users, and refuses user requests at once.
         """
         now, limit_s = self._context.now, self._lease.ttl_s
         last_renewal = self._lease.renewed_at
@@ -84,9 +85,10 @@
     def is_unreachable_by_agents(self, now: float) -> bool:
         """Return whether agents have apparently lost the connection to this node.
 
-        This is so when no machine of its shards has sent a heartbeat within a time limit, the view
-        lists other nodes, and either more than one machine should be sending heartbeats or all
-        other nodes are silent too.
+        This is so when machines of this node's shards should be sending heartbeats, none of them
+        was seen within a time limit, and the view lists other nodes. In addition, either more than
+        one machine should be sending heartbeats, or no message of the listed nodes arrived within
+        the limit either.
         """
         agents = self._context.settings.cluster.workers
         limit_s = max(
@@ -104,7 +106,7 @@
         return bool(peers) and (are_peers_silent or len(last_seen) > 1)
 
     def _last_seen_times(self) -> list[float]:
-        """Return when each machine that should be sending heartbeats was last seen."""
+        """Return ``Machine.last_seen_at`` of each machine that should be sending heartbeats."""
         return [
             machine.last_seen_at(shard.acquired_at)
             for shard in self._leadership.shards.values()
@@ -119,7 +121,8 @@
         """Return whether a machine is expected to send heartbeats.
 
         Either the machine is reconciled (it has sent a heartbeat to this leader), or it was in the
-        shard when this node acquired the shard and has had time to boot.
+        shard when this node acquired the shard and was added more than
+        ``HEARTBEAT_DUE_BOOT_TIMES`` boot times ago.
         """
         if machine.is_reconciled:
             return True
--- a/marblestair/core/leadership/failover.py
+++ b/marblestair/core/leadership/failover.py
@@ -55,9 +55,11 @@
         self._leadership = leadership
         self._updates = updates
         self._is_in_progress = False
-        #: version of the shard map after the latest failover commit that got no response
+        #: version of the shard map in the view when the latest failover commit without a response
+        #: ended; the commit may still be applied while the view's map has this version
         self._uncertain_version: int | None = None
-        #: shard -> monotonic time at which this node first saw that the shard's leader is not live
+        #: shard -> monotonic time at which this node first found the shard without a live leader
+        #: and without a promise that forbids the takeover
         self._leader_missing_since: dict[int, float] = {}
 
     @property
@@ -72,7 +74,7 @@
 
     @property
     def is_pending(self) -> bool:
-        """Whether a failover is in progress, or its commit got no response and may still apply."""
+        """Whether a failover is in progress, or an earlier one's commit may still be applied."""
         if self._is_in_progress:
             return True
         return self._uncertain_version == self._view.version(keys.SHARD_MAP)
@@ -111,7 +113,10 @@
     def _should_take_over(
         self, shard_id: int, record: ShardRecord, led_count: int, now: float
     ) -> bool:
-        """Return whether this node, which leads ``led_count`` shards, takes a shard over now."""
+        """Return whether this node takes a shard over now.
+
+        ``led_count`` is the number of shards that this node leads or is already taking over.
+        """
         if record.leader == self._context.node:
             # A previous process of this node led the shard and has ended.
             return True
@@ -140,7 +145,7 @@
     def _leader_key_preconditions(
         self, current: ShardMap, orphaned: list[int]
     ) -> list[tuple[str, int]]:
-        """Return preconditions that fail if the node key of a former leader changes."""
+        """Return preconditions that fail if the node key of another former leader changes."""
         preconditions = []
         for shard_id in orphaned:
             leader = current.shards[shard_id].leader
--- a/marblestair/core/leadership/leadership.py
+++ b/marblestair/core/leadership/leadership.py
@@ -44,7 +44,7 @@
     def is_authorized(self, now: float) -> bool:
         """Return whether this node may act for its shards.
 
-        The view must include the commit of this node's key. In addition, either promises of all
+        The view must include the commit that wrote this node's key. Also, either promises of all
         other nodes must be valid, or the lease must be certainly valid and the view's staleness
         less than an agent's lease.
         """
--- a/marblestair/core/leadership/progress_pages.py
+++ b/marblestair/core/leadership/progress_pages.py
@@ -30,13 +30,14 @@
 
 #: share of a node's write rate that progress pages may use, so that they do not delay other writes
 PROGRESS_WRITE_SHARE = 0.35
-#: one batch in this many deletes obsolete keys, if there are any, even while progress waits to be
-#: written
+#: one batch in this many deletes the shard's obsolete keys, if there are any, even while progress
+#: waits to be written
 BATCHES_PER_CLEANUP = 5
 #: minimum pause between two batches, and the maximum random time added to each pause
 MIN_BATCH_PAUSE_S, MAX_RANDOM_PAUSE_S = 0.7, 0.2
-#: minimum time between progress of a slice and its write; longer for a complete slice, since the
-#: final state of the job may be recorded first and make the write unnecessary
+#: minimum time for which a slice must have had unwritten progress before its pages are written;
+#: longer for a complete slice, since the final state of the job may be recorded first and make the
+#: write unnecessary
 WRITE_DELAY_S, COMPLETE_SLICE_WRITE_DELAY_S = 0.5, 1.5
 #: maximum number of keys in one page of a listing
 MAX_LIST_PAGE_KEYS = 500
@@ -109,9 +110,9 @@
         return None
 
     def persist(self, shard: Shard) -> Coroutine[None]:
-        """Write progress in batches until this node loses the shard.
+        """Write progress and delete obsolete keys in batches until this node loses the shard.
 
-        A batch is written about once a second, or less often if the write rate requires it.
+        A batch is sent about once a second, or less often if the write rate requires it.
 
         The number of slices grows with the load, while the store's write rate is fixed. A delayed
         write is safe: an agent lists a finished task until it is told to discard it, which happens
@@ -177,7 +178,8 @@
             for page in in_flight:
                 self._mark_durable(page, response.revision)
         elif response.status in (0, 409):
-            # No response, or an earlier write without a response was applied.
+            # The write got no response, or a precondition failed, for example because an earlier
+            # write without a response was applied.
             yield from _reread_pages(shard, in_flight)
         # The pages of a slice that left the shard meanwhile are obsolete.
         for page in in_flight:
@@ -193,7 +195,10 @@
 
 
 def dirty_pages(shard: Shard, now: float) -> list[DirtyPage]:
-    """Return the pages with finished tasks that are due to be written, the longest dirty first."""
+    """Return the pages that are due to be written, those of the longest dirty slice first.
+
+    The slices of cancelled jobs are left out.
+    """
     found = []
     for job_slice in shard.slices.values():
         if job_slice.dirty_since is None or job_slice.is_cancelled:
@@ -228,7 +233,7 @@
 
 
 def _keep_pages_in_use(shard: Shard) -> None:
-    """Remove pages that a slice of the shard uses again from the obsolete keys."""
+    """Remove from the obsolete keys the pages that a slice of the shard uses again."""
     used = {
         keys.progress_page(shard.shard_id, job, page)
         for job, job_slice in shard.slices.items()
--- a/marblestair/core/leadership/promise_ledger.py
+++ b/marblestair/core/leadership/promise_ledger.py
@@ -13,7 +13,8 @@
     def __init__(self, started_at: float, lease_ttl_s: float) -> None:
         self._started_at = started_at
         self._lease_ttl_s = lease_ttl_s
-        #: time until which all other controllers have promised; None if they never all did
+        #: time until which the promises of all other controllers are valid; None if the controllers
+        #: have never all promised
         self._valid_until: float | None = None
         #: node -> time until which this node has promised not to take that node's shards over
         self._granted_until: dict[str, float] = {}
@@ -23,7 +24,10 @@
         return self._valid_until is not None and now < self._valid_until
 
     def extend(self, until: float) -> None:
-        """Record that all other controllers have promised until a time, unless this is earlier."""
+        """Record that the promises of all other controllers are valid until a time.
+
+        A time earlier than the recorded one is ignored.
+        """
         if self._valid_until is None or until > self._valid_until:
             self._valid_until = until
 
--- a/marblestair/core/leadership/promises.py
+++ b/marblestair/core/leadership/promises.py
@@ -3,8 +3,9 @@
 During an outage of the store, a leader asks every other controller to promise not to take its
 shards over for the duration of a lease. The leader may act beyond its own lease only if every other
 controller promises and the leader is still authorized to act when the last reply arrives. A
-controller refuses while its own lease renewals succeed or a failover of its own is pending, and a
-missing reply counts as a refusal. A promise comes with the cancels that the leader's view may lack.
+controller refuses, for example, while its own lease renewals succeed or a failover of its own is
+pending. A missing reply counts as a refusal. A reply that grants a promise contains the committed
+cancels that the leader's view may lack.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 from marblestair.core.runtime.requests import PeerRequest, Sleep
 from marblestair.core.state.store_view import StoreView
 
-#: number of checks whether promises are needed, per duration of a lease
+#: how often a node checks whether it needs promises: number of checks per duration of a lease
 CHECKS_PER_LEASE = 8
 #: maximum remaining validity of the promises at which new ones are requested, as a share of a lease
 RENEWAL_LEASE_SHARE = 0.6
--- a/marblestair/core/leadership/shard_map.py
+++ b/marblestair/core/leadership/shard_map.py
@@ -12,7 +12,7 @@
 
 
 def split_evenly(total: int, count: int) -> list[int]:
-    """Split a total into ``count`` whole numbers that differ by at most 1 and add up to it."""
+    """Split a total into ``count`` whole numbers that differ by at most 1."""
     return [total // count + (1 if index < total % count else 0) for index in range(count)]
 
 
@@ -40,7 +40,7 @@
 def assign_shards(
     shard_map: ShardMap, shard_ids: list[int], leader: str, incarnation: int
 ) -> ShardMap:
-    """Assign shards to a new leader, each with a new term."""
+    """Assign shards to a new leader, and a new term to each of these shards."""
     changed = copy_shard_map(shard_map)
     for shard_id in shard_ids:
         changed.last_term += 1
--- a/marblestair/core/leadership/shard_map_updates.py
+++ b/marblestair/core/leadership/shard_map_updates.py
@@ -44,7 +44,8 @@
         """Replace the shard map if it still has the given version and the preconditions hold.
 
         ``fenced_ids`` are the shards that get a new leader: the same transaction sets the fence of
-        each of these shards to the shard's new term.
+        each of these shards to the shard's new term. If a precondition fails, the view's shard map
+        is refreshed.
         """
         puts = [Put(keys.SHARD_MAP, shard_map)]
         puts += [
--- a/marblestair/core/leadership/shard_recovery.py
+++ b/marblestair/core/leadership/shard_recovery.py
@@ -58,7 +58,10 @@
     def recover(
         self, shard: Shard, acquired_revision: int, synchronizer: ShardSynchronizer
     ) -> Coroutine[None]:
-        """Recover a shard that was acquired by the shard map commit at ``acquired_revision``."""
+        """Recover a shard that was acquired by the shard map commit at ``acquired_revision``.
+
+        Stops if this node loses the shard before all its progress pages are read.
+        """
         # The view must first include all jobs, cancels and machines that were committed before the
         # shard was acquired.
         while self._view.revision < acquired_revision:
--- a/marblestair/core/leadership/store_lease.py
+++ b/marblestair/core/leadership/store_lease.py
@@ -30,7 +30,8 @@
 AGENT_LEASE_SHARE = 0.4
 #: bounds of the duration of a node's lease
 MIN_LEASE_S, MAX_LEASE_S = 0.5, 600.0
-#: number of renewals per duration of a lease, and number of tries per duration while they fail
+#: number of renewals per duration of a lease, and number of tries per duration of a lease while
+#: requests fail
 RENEWALS_PER_LEASE, RETRIES_PER_LEASE = 4, 12
 #: maximum time since the latest successful renewal before a failing renewal is overdue, as a share
 #: of a lease
@@ -67,7 +68,7 @@
         self.node_key_revision = 0
         #: monotonic time at which the latest request that extended the lease was sent
         self.renewed_at: float | None = None
-        #: whether the latest request to keep the lease failed
+        #: whether the latest attempt to get or renew the lease, or to attach the node's key, failed
         self.is_renewal_failing = False
         self._lease_id: int | None = None
         #: a lease that the node's key is not attached to yet
--- a/marblestair/core/leadership/transfer.py
+++ b/marblestair/core/leadership/transfer.py
@@ -1,9 +1,10 @@
 """Planned leadership transfers: a leader assigns a shard to another live node.
 
-A node that leads several shards transfers one to a stable node that leads none, for example because
-that node was restarted. While agents do not reach a node, it transfers its shards away, one at a
-time. Each transfer doubles the pause before the next one, up to a maximum, so that a flapping node
-does not cause a transfer each time. The pause is reset after a long time without transfers.
+A node that leads several shards transfers one to a stable node that leads none, for example to a
+node that lost its shards by a restart. A node that agents do not reach transfers its shards away,
+one at a time. Each transfer doubles the pause before the next one, up to a maximum, so that a node
+that fails and recovers repeatedly does not cause a transfer each time. The pause is reset after a
+long time without transfers.
 """
 
 from __future__ import annotations
@@ -173,12 +174,12 @@
             tries += 1
             if incarnation is None or tries > MAX_COMMIT_TRIES:
                 if uncertain_version != version:
-                    # No earlier commit can still be applied: each got a response or requires an
-                    # older version of the shard map.
+                    # No earlier commit can still be applied: each either got a response, or has as
+                    # a precondition an older version of the shard map, so the store rejects it.
                     shard.is_being_transferred = False
                     return
-                # Commit this node as the leader again: then the earlier commit without a response
-                # can no longer be applied.
+                # Assign the shard to this node again. This commit changes the version of the shard
+                # map, so the store then rejects the earlier commit that got no response.
                 target, incarnation = self._context.identity
             new = shard_map.assign_shards(self._view.shard_map, [shard_id], target, incarnation)
             target_key = keys.NODES + target
--- a/marblestair/core/messaging/messages.py
+++ b/marblestair/core/messaging/messages.py
@@ -109,8 +109,8 @@
 class ApplyCancel(PeerMessage, frozen=True):
     """Apply the committed cancel of a job.
 
-    The receiver applies the cancel in all shards that it leads. Reply: the id and term of each of
-    these shards.
+    The receiver applies the cancel in all shards that it leads. ``revision`` is a revision at which
+    the job's record contained the cancel. Reply: the id and term of each of these shards.
     """
 
     job: str
--- a/marblestair/core/messaging/received_summaries.py
+++ b/marblestair/core/messaging/received_summaries.py
@@ -5,7 +5,8 @@
 from marblestair.core.messaging.shard_summary import ReceivedSummary, ShardSummary
 from marblestair.core.runtime.context import NodeContext
 
-#: maximum age of a shard's summary for the shard to be given newly accepted jobs
+#: maximum age of a shard's summary at which it still counts as recent, so that the shard may be
+#: given newly accepted jobs
 MAX_SUMMARY_AGE_S = 4.0
 
 
--- a/marblestair/core/messaging/shard_summary.py
+++ b/marblestair/core/messaging/shard_summary.py
@@ -12,8 +12,8 @@
 
     shard_id: int
     term: int
-    #: for each usable machine with free cpus that no gang has claimed: type, zone, spot, free cpus,
-    #: gpus and memory
+    #: for each usable machine with free cpus that no gang claims or reserves: type, zone, spot,
+    #: free cpus, gpus and memory
     free_capacity: list[tuple[str, str, bool, int, int, int]]
     #: the same for each machine on which latency-sensitive gangs could preempt tasks, with the
     #: amounts that would be free after the preemption
@@ -24,8 +24,9 @@
     free_quota: dict[str, list[int]]
     #: team -> cpus and gpus by which its pending tasks exceed its unused quota in this shard
     quota_shortfall: dict[str, list[int]]
-    #: for each unfinished job: its id, the number of its pending and migrating tasks, and the
-    #: number of its tasks on machines; of a quarantined job, at most one pending task counts
+    #: for each job that is not cancelled and has pending, migrating or placed tasks: its id, the
+    #: number of its pending and migrating tasks, and the number of its tasks on machines; of a
+    #: quarantined job, at most one pending task counts
     pending_jobs: list[tuple[str, int, int]]
     #: machines with tasks, but none of a gang, and the cpus in use on each
     busy_machines: list[tuple[str, int]]
@@ -42,12 +43,13 @@
     #: machines whose heartbeats stopped at the same time as those of many others, so that a network
     #: partition is assumed; they are expected to return
     partitioned_machines: list[str]
-    #: team -> cpus and gpus of its first pending task or gang that exceeds its entire quota in this
-    #: shard; the quota must grow to these amounts before the task or gang can start
+    #: team -> cpus and gpus of the first pending task or gang that needs more than the team's
+    #: entire quota in this shard; the quota must grow to these amounts before the task or gang can
+    #: start
     required_quota: dict[str, list[int]]
-    #: jobs without a successful task, and for each the number of machines on which it fails and
-    #: all other failing jobs are quarantined; a job that the sender has quarantined gets at least
-    #: the number that quarantines a job
+    #: failing jobs without a successful task, each with a number of machines: those on which the
+    #: job failed and every other failing job is quarantined. For a job that the sender has
+    #: quarantined, the number is at least ``MIN_QUARANTINE_MACHINES``.
     failing_jobs: list[tuple[str, int]] = []
 
     def snapshot(self) -> ShardSummary:
--- a/marblestair/core/runtime/context.py
+++ b/marblestair/core/runtime/context.py
@@ -11,7 +11,8 @@
 from marblestair.core.runtime.outbox import LogLine, Outbox, OutgoingMessage
 from marblestair.core.runtime.requests import PeerMessage
 
-#: maximum size of a batch transaction, as a share of the changes that a node may write per second
+#: maximum number of changes in a batch transaction, as a share of the changes that a node may write
+#: per second
 MAX_BATCH_WRITE_SHARE = 0.5
 
 
--- a/marblestair/core/runtime/rejected_writes.py
+++ b/marblestair/core/runtime/rejected_writes.py
@@ -20,8 +20,8 @@
     def record(self, swap: CompareAndSwap) -> None:
         """Count and log a rejected write, unless it attaches a key to a lease.
 
-        The store rejects a write that attaches a key to an expired lease with the same status, and
-        that indicates no defect.
+        If the lease has expired, the store rejects such a write with the same status as a malformed
+        one, and this rejection indicates no defect.
         """
         if any(put.lease_id is not None for put in swap.puts):
             return
--- a/marblestair/core/runtime/store_requests.py
+++ b/marblestair/core/runtime/store_requests.py
@@ -59,9 +59,10 @@
 
 
 class CompareAndSwap(msgspec.Struct, frozen=True):
-    """A transaction that is applied only if each key in ``preconditions`` has the version there.
+    """A transaction that is applied only if its preconditions hold.
 
-    Version 0 stands for a key that does not exist.
+    A precondition is a key and the version that the key must have. Version 0 stands for a key that
+    does not exist.
     """
 
     preconditions: list[tuple[str, int]]
@@ -90,7 +91,10 @@
 
 
 class Watch(msgspec.Struct, frozen=True):
-    """Read the changes after a revision to keys with a prefix; wait for one up to ``wait_ms``."""
+    """Read the changes after a revision to keys with a prefix.
+
+    If there are none, the store waits up to ``wait_ms`` for a change.
+    """
 
     prefix: str
     after_revision: int
--- a/marblestair/core/state/keys.py
+++ b/marblestair/core/state/keys.py
@@ -29,7 +29,7 @@
 
 
 def progress_page(shard_id: int, job: str, page: int) -> str:
-    """Return the key of a page of the progress of a job's slice in a shard."""
+    """Return the key of a progress page of a job's slice in a shard."""
     return f"{PROGRESS}{shard_id}/{job}/{page}"
 
 
--- a/marblestair/core/state/records.py
+++ b/marblestair/core/state/records.py
@@ -66,9 +66,10 @@
         return msgspec.structs.replace(self, change_list=[*self.change_list, entry])
 
 
-#: maximum size of a record without slices, as a share of the store's value limit
+#: maximum size of the record of a newly submitted job without its slices, as a share of the store's
+#: value limit
 MAX_SPEC_SHARE = 0.6
-#: maximum size of a record with its slices, as a share of the store's value limit
+#: maximum size of a record with its slices after a migration, as a share of the store's value limit
 MAX_RECORD_SHARE = 0.95
 
 
@@ -80,9 +81,9 @@
 def with_cancel(record: JobRecord, value_kb: float) -> JobRecord:
     """Return the record with a cancel entry appended.
 
-    With the entry, a record that was stored under a larger value limit may exceed the present one.
-    The list of permitted machine types is then removed from the result: it is not needed, since
-    tasks of a cancelled job are not placed any more.
+    If the store's value limit was larger when the record was stored, the record with the entry may
+    exceed the current limit. The list of permitted machine types is then removed from the result.
+    It is not needed, since tasks of a cancelled job are not placed any more.
     """
     updated = record.with_entry(ChangeKind.CANCEL)
     if not exceeds_value_limit(updated, value_kb, 1.0):
--- a/marblestair/core/state/store_view.py
+++ b/marblestair/core/state/store_view.py
@@ -34,26 +34,28 @@
 
 
 class StoreView:
-    """The watched keys, each with its version, as of ``revision``.
+    """The watched keys with their versions, each as of ``revision`` or later.
 
     Responses may arrive late. The watch may already have returned the deletion of a key whose
     value an earlier read returns only now, or another node's change to a key that this node
-    committed before. So a response changes a key in the view only if it is newer than what the view
-    knows of the key. A key that is not in the view is known not to exist as of ``revision``.
+    committed before. So a response changes a key in the view only if the response is newer than
+    what the view knows of the key. A key that is not in the view is known not to exist, as of
+    ``revision`` or later.
     """
 
     def __init__(self) -> None:
         self.revision = -1
-        #: monotonic time up to which all commits are known to the view; None before the first load
+        #: monotonic time before which all commits are included; None before the first load
         self.current_as_of: float | None = None
         self.shard_map: ShardMap | None = None
         self.nodes: dict[str, int] = {}
         self.machines: dict[str, MachineRecord] = {}
         self.jobs: dict[str, JobRecord] = {}
         self.versions: dict[str, int] = {}
-        #: key -> latest revision above ``revision`` at which the key is known not to exist
+        #: key -> latest store revision at which the key is known not to exist; only revisions later
+        #: than ``self.revision`` are kept
         self._absent_at: dict[str, int] = {}
-        #: ranges of the latest listing whose revisions are above ``revision``
+        #: ranges of the latest listing that were read at revisions later than ``self.revision``
         self._listed_ranges: list[ListedRange] = []
         #: machines that were released or whose records were deleted, the latest last; their late
         #: heartbeats are ignored
@@ -130,7 +132,7 @@
             self._set(key, value, version)
 
     def apply_absence(self, key: str, revision: int) -> None:
-        """Remove a key that a read at ``revision`` did not find, unless its version is newer."""
+        """Remove a key that a read at ``revision`` did not find, unless the view's key is newer."""
         if key not in self.versions or revision < self.versions[key]:
             return
         self._record_absence(key, revision)
@@ -159,7 +161,10 @@
         return version > max(self.revision, self._absence_revision(key))
 
     def _absence_revision(self, key: str) -> int:
-        """Return the latest known revision above ``revision`` without the key, or 0 if none."""
+        """Return the latest revision at which the key is known not to exist.
+
+        Returns 0 if no such revision later than ``self.revision`` is known.
+        """
         listed_at = max(
             (listed.revision for listed in self._listed_ranges if listed.covers(key)), default=0
         )
@@ -170,7 +175,7 @@
             self._absent_at[key] = max(revision, self._absent_at.get(key, 0))
 
     def _advance(self, revision: int) -> None:
-        """Raise ``revision``, and drop known absences at revisions that are no longer above it."""
+        """Raise ``self.revision``, and drop the known absences at this or earlier revisions."""
         self.revision = max(self.revision, revision)
         if self._absent_at:
             self._absent_at = {
