--- a/marblestair/core/capacity/array_capacity.py
+++ b/marblestair/core/capacity/array_capacity.py
@@ -1,7 +1,7 @@
 """Planning of the capacity for arrays: the cpus they should have, and the rentals to get there.
 
 Work that is due too soon to meet its deadline (see ``INFEASIBLE_RUN_SHARE``) is planned with a
-later completion time, because more machines cannot help it.
+later completion time, because more machines could not complete it in time.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 from marblestair.core.domain.jobs import JobSpec
 from marblestair.core.domain.machine_kinds import MachineKind, tasks_per_machine
 
-#: time before its due time by which pending work must be completed even if that takes on-demand
-#: machines, in run times of its tasks; the cpus needed for this are called urgent
+#: time before the due time of pending work by which the work must be completed even if that takes
+#: on-demand machines, in run times of its tasks; the cpus needed for this are called urgent
 URGENT_RUN_TIMES = 1.5
 #: minimum shortfall for which on-demand machines are rented for work that may run on spot machines,
 #: as a share of the current capacity
@@ -39,8 +39,9 @@
     """Return the cpus that run the placed tasks and complete the pending ones in the planned time.
 
     The planned time is a share of the time until the tasks are due, and longer for infeasible work.
-    With ``lead_run_times``, it extends at least to this many run times before the tasks are due.
-    The cpus for pending tasks are limited by the team's limit; the capacity margin is added.
+    With ``lead_run_times``, the planned time of feasible work extends at least to this many run
+    times before the tasks are due. The cpus for pending tasks are limited by the team's limit; the
+    capacity margin is added to the total.
     """
     total = 0.0
     for load in arrays:
@@ -103,8 +104,8 @@
     def request_shortfall(self) -> None:
         """Request machines to raise the capacity to the target.
 
-        They are of the cheapest kind that is spot or not too large for the shortfall. On-demand
-        machines that spot machines should replace do not count as capacity.
+        The machines are of the kind that ``_first_of_fitting_size`` chooses. On-demand machines
+        that spot machines should replace do not count as capacity.
         """
         if not self._arrays:
             return
@@ -117,8 +118,8 @@
         if kind is None:
             return
         if not kind.spot and spec.allows_spot and self._plan.capacity_cpus > 0:
-            # On-demand machines are rented for such work only if it is urgent, and not for small
-            # fluctuations of the demand in a large fleet.
+            # For work that may run on spot machines, on-demand machines cover only the urgent share
+            # of the target, and a shortfall that is small compared with the capacity is ignored.
             shortfall = self._urgent_share * target - capacity
             if shortfall < MIN_ON_DEMAND_SHORTFALL_SHARE * self._plan.capacity_cpus:
                 return
@@ -165,7 +166,8 @@
     def request_for_unserved(self) -> None:
         """Request one machine for each pending array that no machine of the fleet can run.
 
-        No machine is requested for an array that can run on a machine already requested.
+        Machines reserved for gangs are not considered. No machine is requested for an array that
+        can run on a machine already requested.
         """
         for load in self._arrays:
             if not load.pending or self._is_served(load.spec):
@@ -185,7 +187,7 @@
 
 
 def _first_of_fitting_size(kinds: list[MachineKind], shortfall: float) -> MachineKind | None:
-    """Return the first kind that is spot or not much larger than the shortfall, else the last."""
+    """Return the first kind that is spot or not too large for the shortfall, else the last."""
     for kind in kinds:
         if kind.spot or kind.machine_type.cpus <= MAX_MACHINE_SIZE_RATIO * shortfall:
             return kind
--- a/marblestair/core/capacity/catalog_updates.py
+++ b/marblestair/core/capacity/catalog_updates.py
@@ -27,9 +27,11 @@
 
 #: maximum number of keys in one page of a listing
 MAX_LISTED_KEYS = 1000
-#: minimum pause between two requests to the cloud, and maximum random time that is added to it
+#: minimum pause after a response of the cloud without new types, and maximum random time that is
+#: added to the pause
 MIN_REFRESH_PAUSE_S, REFRESH_JITTER_S = 60.0, 30.0
-#: mean pause after a failed request to the cloud: if the catalog has types, and if it is empty
+#: mean pause after a request to the cloud that returned no types: if the catalog has types, and if
+#: the catalog is empty
 RETRY_WITH_TYPES_S, RETRY_WITHOUT_TYPES_S = 5.0, 0.8
 #: pause after an attempt to write new types to the store
 STORE_PAUSE_S = 1.0
@@ -76,7 +78,7 @@
                 machine.set_machine_type(self._catalog.types.get(machine.type_name))
 
     def _load_stored(self) -> Coroutine[None]:
-        """Read the types from the store, with retries until it succeeds."""
+        """Read the types from the store, and retry until a read succeeds."""
         while not (yield from self._read_stored()):
             yield Sleep(0.3 + 0.3 * self._context.rng.random())
         if self._stored:
--- a/marblestair/core/capacity/decommissioning.py
+++ b/marblestair/core/capacity/decommissioning.py
@@ -14,8 +14,8 @@
 #: maximum ratio of the work lost by emptying a machine to the capacity that would otherwise stay
 #: idle on it until its tasks end
 MAX_LOST_WORK_RATIO = 0.5
-#: expected number of heartbeat intervals until a stopped task with a checkpoint resumes on another
-#: machine
+#: expected time until a stopped task with a checkpoint resumes on another machine, in heartbeat
+#: intervals
 RESTART_HEARTBEATS = 3.0
 #: minimum remaining run time that is expected of a task, as a share of the time it has already run
 MIN_REMAINING_RUN_SHARE = 0.5
@@ -42,7 +42,7 @@
 
     Emptying a machine is worth it if the work to be repeated is below ``MAX_LOST_WORK_RATIO`` of
     the capacity that would stay idle until the machine's tasks end. The cpus that the returned
-    machines use do not exceed the free cpus of the machines that are not in ``names``.
+    machines use do not exceed the free cpus of the usable machines that are not in ``names``.
     """
     candidates = []
     for name in names:
@@ -107,9 +107,10 @@
 def machines_to_release(shard: Shard, agent_lease_s: float, now: float) -> list[str]:
     """Return the names of the machines to release because they are unusable.
 
-    These are machines that are decommissioned, failed, lost, unresponsive or reclaimed, that did
-    not boot in time, and machines without tasks that are faulty or about to be released or
-    reclaimed. ``agent_lease_s`` is the duration of an agent's lease in seconds.
+    A machine is unusable if it is decommissioned, failed, lost, unresponsive or reclaimed, or did
+    not boot in time. A machine that has no tasks is also released if it is faulty, cordoned for
+    release, or announced to be reclaimed. ``agent_lease_s`` is the duration of an agent's lease in
+    seconds.
     """
     partitioned = partitioned_machines(shard, agent_lease_s, now)
     known = [machine for machine in shard.machines.values() if machine.agent_incarnation]
--- a/marblestair/core/capacity/fleet.py
+++ b/marblestair/core/capacity/fleet.py
@@ -98,7 +98,7 @@
         return (yield from self._rent(shard, plan))
 
     def _empty_surplus(self, shard: Shard, plan: Plan) -> None:
-        """Stop the tasks of one nearly empty machine that has been surplus for long enough."""
+        """Stop the tasks of one machine that is worth emptying and was surplus for long enough."""
         now = self._context.now
         since = self._surplus_since
         self._surplus_since = {name: since.get(name, now) for name in plan.surplus_machines}
--- a/marblestair/core/capacity/fleet_planner.py
+++ b/marblestair/core/capacity/fleet_planner.py
@@ -18,8 +18,9 @@
 
 #: minimum interval between two log lines of the plan, in seconds
 PLAN_LOG_INTERVAL_S = 10.0
-#: share of a team's free cpu limit with which ``infeasible_jobs`` decides which deadlines can be
-#: met; the free limit excludes the cpus of running gangs and of running jobs without a deadline
+#: share of a team's remaining cpu limit that ``infeasible_jobs`` assumes to be usable for arrays
+#: with a deadline; the remaining limit is the team's limit minus the cpus of running gangs and of
+#: running jobs without a deadline
 DEADLINE_LIMIT_SHARE = 0.9
 #: share of a running task's work that is assumed to remain
 RUNNING_REMAINING_SHARE = 0.5
@@ -94,8 +95,8 @@
         return average
 
     def _find_infeasible(self, loads: list[JobLoad]) -> set[str]:
-        """Return the jobs to defer so that as many other jobs as possible meet their deadlines."""
-        #: team -> its work with deadlines
+        """Return the jobs to defer so that as many jobs as possible meet their deadlines."""
+        #: team -> work of the team's arrays that have a deadline
         due_work: dict[str, list[DueWork]] = {}
         used_cpus: dict[str, float] = {}
         for load in loads:
--- a/marblestair/core/capacity/gang_reservations.py
+++ b/marblestair/core/capacity/gang_reservations.py
@@ -26,7 +26,8 @@
     """Return the number of gangs of a class for which machines are kept on standby.
 
     The number is that of the gangs expected to arrive within the time to boot a machine and fetch
-    the image, plus one standard deviation (for Poisson arrivals), but at least ``min_gangs``.
+    the image (on the fastest type that fits a task), plus one standard deviation (for Poisson
+    arrivals), but at least ``min_gangs``.
     """
     lead_times_s = [
         SLOW_BOOT_RATIO * machine_type.boot_s
@@ -139,7 +140,7 @@
     def _candidates(
         self, spec: JobSpec, shard_id: int | None
     ) -> tuple[list[tuple[AvailableMachine, int]], dict[str, int]]:
-        """Return the machines that fit tasks, with the number of tasks, and the sums by zone."""
+        """Return machines with the number of the gang's tasks that fit, and the sums by zone."""
         #: type, zone and whether spot -> number of tasks that fit on such a machine
         fitting_by_kind: dict[tuple[str, str, bool], int] = {}
         candidates: list[tuple[AvailableMachine, int]] = []
--- a/marblestair/core/capacity/machine_registry.py
+++ b/marblestair/core/capacity/machine_registry.py
@@ -63,9 +63,11 @@
     def receive_unregistered(self, heartbeat: Heartbeat) -> HeartbeatResponse:
         """Handle a heartbeat of a machine that belongs to no shard, and return the response.
 
-        The machine is registered in the smallest shard that this node leads, and the status is 503
-        until then. If another shard has at least two machines fewer, the status is 421 with the
-        leader of the shard that has the fewest machines. A machine that reports tasks is released.
+        A machine that reports tasks is released. For any other machine, if some shard has at least
+        two machines fewer than each shard that this node leads, the status is 421 with the leader
+        of the shard that has the fewest machines. Otherwise, the machine is registered in the
+        smallest shard that this node leads. Nothing is done if the machine was removed or is being
+        released, or if this node leads no shard. In all cases but that of 421, the status is 503.
         """
         name = heartbeat.machine
         if name in self._view.removed_machines or name in self._releasing:
@@ -75,7 +77,7 @@
         if not led_shards or shard_map is None:
             return HeartbeatResponse(503)
         if heartbeat.tasks:
-            # The record of this machine was removed while its tasks still ran; they must not go on.
+            # This machine's record was removed while its tasks still ran. The release ends them.
             self._releasing.add(name)
             self._context.spawn(self._release([name]))
             return HeartbeatResponse(503)
@@ -186,7 +188,7 @@
             self._context.spawn(self._register(machine.name, record))
 
     def _mark_failed(self, listed: list[ListedMachine]) -> None:
-        """Mark the machines that the cloud lists as failed; they will not send heartbeats again."""
+        """Mark machines that the cloud lists as failed and that stopped sending heartbeats."""
         failed = {machine.name for machine in listed if machine.state == FAILED_STATE}
         if not failed:
             return
--- a/marblestair/core/capacity/plan_inputs.py
+++ b/marblestair/core/capacity/plan_inputs.py
@@ -15,8 +15,8 @@
 from marblestair.core.state.records import JobRecord
 from marblestair.core.state.store_view import StoreView
 
-#: maximum estimated run time of each parent of a blocked array for the array to be planned for, in
-#: boot times of the type that boots fastest
+#: maximum estimated run time of a blocked array's unfinished parents, in boot times of the type
+#: that boots fastest; the plan leaves the array out if a parent is estimated to run longer
 MAX_PARENT_RUN_BOOT_TIMES = 2.0
 #: lower bound of a task's estimated run time in the plan, in seconds
 MIN_RUN_S = 1.0
@@ -50,7 +50,7 @@
     def loads(
         self, reported: ReportedState, live: list[JobRecord], default_deadline_run_times: float
     ) -> list[JobLoad]:
-        """Return the loads of the jobs that have tasks, and of blocked arrays that may start soon.
+        """Return the loads of jobs with pending or placed tasks, and of arrays that start soon.
 
         Cancelled jobs are left out. A job without a deadline is due ``default_deadline_run_times``
         run times after it became startable.
@@ -85,8 +85,8 @@
     ) -> list[JobLoad]:
         """Return the loads of blocked arrays that may start by the time a rented machine boots.
 
-        An array may start soon if all its unfinished parents run and end soon. Gangs are left out,
-        because machines reserved for a gang would be idle until the gang starts.
+        ``_starts_soon`` decides which arrays these are. Gangs are left out, because machines
+        reserved for a gang would be idle until the gang starts.
         """
         loads = []
         for record in live:
@@ -102,7 +102,7 @@
         return loads
 
     def _starts_soon(self, reported: ReportedState, blocked: JobRecord) -> bool:
-        """Whether all tasks of all unfinished parents of a job are placed and end soon."""
+        """Whether all tasks of a job's unfinished parents are placed and have a short run time."""
         boot_s = min(
             (machine_type.boot_s for machine_type in self._catalog.types.values()), default=0.0
         )
--- a/marblestair/core/capacity/provisioning.py
+++ b/marblestair/core/capacity/provisioning.py
@@ -83,7 +83,10 @@
     is_partitioned: bool = False
 
     def empty_in_s(self, busy_s: float) -> float:
-        """Return the expected seconds until the machine is empty; ``busy_s`` if it has tasks."""
+        """Return the expected seconds until the machine is up and empty.
+
+        This is ``busy_s`` if the machine has tasks, and 0 if it is idle.
+        """
         if self.idle_s is not None:
             return 0.0
         if self.used_cpus:
--- a/marblestair/core/capacity/rentals.py
+++ b/marblestair/core/capacity/rentals.py
@@ -200,8 +200,9 @@
 
         The cloud answers a repeated name with the same machines, so machines that were granted but
         not recorded are put to use. Intents older than ``MAX_INTENT_AGE_LEASES`` are only marked
-        obsolete, because a new request could rent machines that are no longer needed. The cloud has
-        refused these intents, or their machines are already recorded, sending heartbeats or listed.
+        obsolete, because a new request could rent machines that are no longer needed. Machines that
+        were granted for these intents are not lost: those without a record are found by their
+        heartbeats or in the cloud's list (see ``MachineRegistry``).
         """
         prefix = f"{keys.RENTAL_INTENTS}{shard.shard_id}/"
         after_key = ""
--- a/marblestair/core/capacity/reported_state.py
+++ b/marblestair/core/capacity/reported_state.py
@@ -20,9 +20,9 @@
     def __init__(self, context: NodeContext, summaries: ReceivedSummaries) -> None:
         #: job -> number of its pending tasks, and number of its placed tasks
         self.tasks: dict[str, tuple[int, int]] = {}
-        #: job -> a shard that has tasks of it
+        #: job -> a shard that has tasks of the job
         self.shard_of_job: dict[str, int] = {}
-        #: machine -> seconds for which it has had no task
+        #: machine -> seconds for which the machine has had no task
         self.idle_machines: dict[str, float] = {}
         self.unavailable_machines: set[str] = set()
         self.partitioned_machines: set[str] = set()
--- a/marblestair/core/capacity/team_headroom.py
+++ b/marblestair/core/capacity/team_headroom.py
@@ -15,8 +15,8 @@
         self, teams: dict[str, Team], reported: ReportedState, live: list[JobRecord]
     ) -> None:
         self._cpus = {name: team.cpu_limit for name, team in teams.items()}
-        # The cpus of arrays are not deducted from the headroom of gangs, because tasks of arrays
-        # soon end and free their part of the limit.
+        # Headroom of gangs: only the cpus of gangs are deducted from the limits, because tasks of
+        # arrays soon end and free their part of the limit.
         self._gang_cpus = dict(self._cpus)
         for record in live:
             spec = record.spec
--- a/marblestair/request_executor.py
+++ b/marblestair/request_executor.py
@@ -45,8 +45,8 @@
 
 log = logging.getLogger("marblestair")
 
-#: maximum number of idle connections to the store, and of in-flight requests to agents: as a share
-#: of the process's sockets, and the lower bound of that number
+#: maximum number of idle connections to the store and to agents, and of in-flight requests to
+#: agents: as a share of the process's sockets, and the lower bound of that number
 OUTGOING_LIMIT_SHARE = 0.04
 MIN_OUTGOING_LIMIT = 4
 #: maximum number of in-flight requests to the store, as a multiple of the maximum number of idle
@@ -97,8 +97,8 @@
             max_idle_per_address=MAX_IDLE_CLOUD_CONNECTIONS,
             max_in_flight=MAX_CLOUD_REQUESTS_IN_FLIGHT,
         )
-        # If commands go to hundreds of agents at once, those above max_in_flight wait. With many
-        # agents, max_idle soon closes an agent's idle connection.
+        # If commands go to hundreds of agents at once, the requests above max_in_flight wait. With
+        # many agents, an agent's idle connection is soon closed because of max_idle.
         self._agents = HttpClient(
             max_idle_per_address=1, max_in_flight=max_outgoing, max_idle=max_outgoing
         )
@@ -133,7 +133,7 @@
             return no_response(request)
 
     async def send_command(self, command: DirectCommand) -> None:
-        """Send commands to an agent; ignore the response, as heartbeats show their effect."""
+        """Send commands to an agent; ignore the response, as heartbeats show the result."""
         body = encode_direct_command(
             command.fencing_token, command.agent_incarnation, command.commands
         )
--- a/marblestair/settings/checks.py
+++ b/marblestair/settings/checks.py
@@ -11,7 +11,7 @@
 from marblestair.settings.addresses import split_address
 
 #: smallest permitted limit of changes in one transaction; a failover and the end of a job each
-#: need two
+#: need two changes
 MIN_TRANSACTION_CHANGES = 3
 #: maximum number of shards; a larger number is probably a mistake in the settings file
 MAX_SHARDS = 100
