--- a/marblestair/core/peer_service.py
+++ b/marblestair/core/peer_service.py
@@ -101,7 +101,7 @@
             self._announcements.receive(message)
 
     def reject_message(self, node: str, error: str) -> None:
-        """Log that a message or request from another node could not be decoded."""
+        """Log an undecodable message or request; it still counts as contact with a known node."""
         if node in self._context.settings.nodes:
             self._connectivity.message_received(node)
         self._context.log("error", f"rejected message from {node}: {error}")
--- a/marblestair/core/shard/agent_leases.py
+++ b/marblestair/core/shard/agent_leases.py
@@ -1,8 +1,9 @@
 """Expiry of agents' leases, and withdrawal of launches from machines with overdue heartbeats.
 
 An agent stops all its tasks when it has received no heartbeat response for the duration of its
-lease. The leader measures that duration from its own last response, or from the shard's
-acquisition if that is later, since the previous leader may have responded until then.
+lease. The leader measures that duration from the last response that it sent to the agent. If it
+acquired the shard later, or has sent no response, it measures from the acquisition, since the
+previous leader may have responded until then.
 """
 
 from __future__ import annotations
--- a/marblestair/core/shard/boot_times.py
+++ b/marblestair/core/shard/boot_times.py
@@ -13,14 +13,14 @@
 
 from marblestair.core.domain.machines import MachineType
 
-#: maximum age of a booting machine that is not overdue, in expected boot times
+#: age above which a booting machine is overdue, in expected boot times
 OVERDUE_EXPECTED_BOOT_TIMES = 1.6
-#: boot timeout, in expected boot times, and minimum of the boot timeout, in nominal boot times
+#: the boot timeout is this many expected boot times, or this many nominal ones if that is longer
 TIMEOUT_EXPECTED_BOOT_TIMES, MIN_TIMEOUT_NOMINAL_BOOT_TIMES = 2.0, 3.0
 #: bounds of the expected boot time, in nominal boot times
 MIN_BOOT_RATIO, MAX_BOOT_RATIO = 1.0, 4.0
-#: maximum number of recorded boots of one type, and time for which a boot is used, in nominal boot
-#: times of the type
+#: maximum number of recorded boots of one type, and time after its end for which a boot is used, in
+#: nominal boot times of the type
 MAX_RETAINED_BOOTS, RETENTION_NOMINAL_BOOT_TIMES = 16, 8.0
 #: the expected boot time is this quantile of the retained boot times
 EXPECTED_QUANTILE = 0.75
@@ -50,7 +50,7 @@
         boots.append(Boot(now, boot_s / max(machine_type.boot_s, MIN_NOMINAL_BOOT_S)))
 
     def expected_ratio(self, machine_type: MachineType, now: float) -> float:
-        """Return the expected duration of a boot, in nominal boot times."""
+        """Return the expected duration of a boot, in nominal boot times; 1 without recent boots."""
         retention_s = RETENTION_NOMINAL_BOOT_TIMES * machine_type.boot_s
         boots = self._boots.get(machine_type.name, ())
         ratios = sorted(boot.ratio for boot in boots if now - boot.ended_at < retention_s)
--- a/marblestair/core/shard/commands.py
+++ b/marblestair/core/shard/commands.py
@@ -55,10 +55,11 @@
 
 
 def stops_of_ended_jobs(shard: Shard, heartbeat: Heartbeat) -> list[TaskCommand]:
-    """Return stops for live tasks of ended or cancelled jobs on an unreconciled machine.
+    """Return stops for live tasks of cancelled jobs, and of jobs without a slice in the shard.
 
-    The response renews the agent's lease, so these tasks would otherwise keep running. At most
-    ``MAX_COMMANDS_PER_MESSAGE`` stops are returned.
+    The machine is not reconciled yet. The response to its heartbeat renews the agent's lease, so
+    these tasks would otherwise keep running. At most ``MAX_COMMANDS_PER_MESSAGE`` stops are
+    returned.
     """
     commands = []
     for status in heartbeat.tasks:
@@ -104,9 +105,9 @@
 def direct_stops(shard: Shard, now: float) -> list[DirectStops]:
     """Return the stops to send directly rather than in the next heartbeat response.
 
-    These are stops that were never sent, and stops that are due for a retry, of tasks that may have
-    been launched on reconciled machines. A stop that arrives late is harmless, since attempt
-    numbers are never reused.
+    These are stops that were never sent or are due for a retry. They are sent only to reconciled
+    machines, and only for tasks whose launches have been sent. A stop that arrives late is
+    harmless, since attempt numbers are never reused.
     """
     pending_stops = []
     retry_s = shard.cluster.workers.report_s * STOP_RETRY_INTERVALS
--- a/marblestair/core/shard/failures.py
+++ b/marblestair/core/shard/failures.py
@@ -2,9 +2,9 @@
 
 On a faulty machine every task fails; a faulty job fails on every machine. A single failure does not
 show which of the two is at fault. A failure counts against the machine when a task of the same job
-has succeeded elsewhere, or when several different jobs fail on that machine. Failures count against
-a job when none of its tasks is known to have succeeded, once for each machine on which no other job
-fails (jobs in quarantine are ignored).
+is known to have succeeded, or when several different jobs fail on that machine. Failures count
+against a job when none of its tasks is known to have succeeded, once for each machine on which no
+other job fails (jobs in quarantine are ignored).
 
 A job that is the only failing one on ``MIN_QUARANTINE_MACHINES`` machines is quarantined: only a
 few of its tasks are retried, with exponential back-off, until one succeeds. The failure records are
@@ -19,11 +19,12 @@
 
 from marblestair.core.domain.settings import Workers
 
-#: minimum number of machines on which a job must be the only failing one to be quarantined
+#: minimum number of machines, in all shards together, on which a job must be the only failing one
+#: to be quarantined
 MIN_QUARANTINE_MACHINES = 3
-#: minimum number of failures counted against a machine for which the machine is faulty
+#: a machine is faulty when at least this many failures count against it
 MIN_FAULTY_FAILURES = 3
-#: maximum number of job records, and of machine records; exceeds the machines of the largest fleets
+#: maximum number of job records, and of machine records; exceeds the size of the largest fleets
 MAX_TRACKED_ENTRIES = 10_000
 #: maximum number of machines in the record of one job, and of jobs in the record of one machine
 MAX_KEYS_PER_ENTRY = 8
@@ -42,7 +43,10 @@
 
 
 class FailingJob(NamedTuple):
-    """A job of which no task has succeeded, and the number of machines on which only it fails."""
+    """A job without a known success, and the number of machines that count against it.
+
+    The number is at least ``MIN_QUARANTINE_MACHINES`` for a quarantined job.
+    """
 
     job: str
     machine_count: int
@@ -189,7 +193,10 @@
         return [job for job, entry in self._jobs.items() if entry.is_quarantined]
 
     def is_quarantined(self, job: str) -> bool:
-        """Whether this controller or the published machine counts put a job into quarantine."""
+        """Whether this controller or the published machine counts put a job into quarantine.
+
+        The published counts are ignored if this controller knows of a success of the job.
+        """
         entry = self._jobs.get(job)
         if entry is not None and (entry.is_quarantined or entry.has_succeeded):
             return entry.is_quarantined
@@ -201,7 +208,7 @@
         return entry is not None and entry.is_quarantined and now < entry.retry_at
 
     def avoided_machines(self, job: str, now: float) -> set[str]:
-        """Return the machines where a job's tasks failed and its back-off there has not ended."""
+        """Return the machines on which a job backs off after a failure; none in quarantine."""
         entry = self._jobs.get(job)
         if entry is None or entry.is_quarantined:
             # A quarantined job may be retried where it failed, since its image is cached there.
@@ -220,7 +227,7 @@
         return published_count + self._count_machines_against(job, entry) >= MIN_QUARANTINE_MACHINES
 
     def _count_machines_against(self, job: str, entry: JobFailures) -> int:
-        """Count the machines where this job failed and only quarantined jobs fail besides."""
+        """Count the machines where this job failed and all other failing jobs are quarantined."""
         return sum(self._is_only_failing_job(job, machine) for machine in entry.failed_on)
 
     def _is_only_failing_job(self, job: str, machine: str) -> bool:
--- a/marblestair/core/shard/heartbeats.py
+++ b/marblestair/core/shard/heartbeats.py
@@ -12,11 +12,12 @@
 #: gap between heartbeats below which the agent is taken to receive responses, in heartbeat
 #: intervals
 MAX_FREQUENT_GAP_INTERVALS = 2.0
-#: time for which all gaps between heartbeats must be below that limit before the count of ignored
-#: commands is reset, as a share of the agents' lease
+#: time for which all gaps between heartbeats must be below ``MAX_FREQUENT_GAP_INTERVALS`` before
+#: the count of ignored commands is reset, as a share of the agents' lease
 RECOVERY_LEASE_SHARE = 0.5
-#: maximum time between the last heartbeat of one incarnation and the first of the next from which
-#: the leader concludes that the former received no responses, as a share of the agents' lease
+#: if the time between the last heartbeat of one incarnation and the first of the next is below
+#: this share of the agents' lease, the leader concludes that responses did not reach the earlier
+#: incarnation
 LOST_RESPONSES_LEASE_SHARE = 0.5
 
 
@@ -81,8 +82,9 @@
 def _begin_incarnation(shard: Shard, machine: Machine, incarnation: int, now: float) -> None:
     """Record a new agent incarnation.
 
-    The first one ends the machine's boot. At a later one the previous incarnation's tasks are
-    removed.
+    The first one ends the machine's boot. The boot time is recorded if the machine's type is known
+    and the machine was not in the shard at a failover. At a later incarnation the previous one's
+    tasks are removed.
     """
     if not machine.agent_incarnation:
         if machine.machine_type is not None and machine.name not in shard.unreconciled_machines:
@@ -103,9 +105,9 @@
 ) -> list[TaskCommand] | None:
     """Return the commands for a machine that has not sent this term's fencing token yet.
 
-    The response renews the agent's lease and tells it the new fencing token. The agent's task list
-    is used only from the first heartbeat with that token on. Only such a heartbeat is known to be
-    newer than everything that the previous leader sent.
+    The response renews the agent's lease and tells it the new fencing token. Until a heartbeat
+    carries that token, the agent's task list serves only to stop tasks of ended jobs: the list may
+    be older than the last messages of the previous leader.
 
     Returns None when the agent has ignored the token more than ``MAX_IGNORED_MESSAGES`` times, so
     that the lease is not renewed and expires. A new incarnation alone does not reconcile the
--- a/marblestair/core/shard/job_slice.py
+++ b/marblestair/core/shard/job_slice.py
@@ -28,8 +28,8 @@
         self.done_count = 0
         #: number of placed tasks that their agents have reported as running
         self.running_count = 0
-        #: bit mask of the tasks that the store records as done, and the versions of its progress
-        #: pages
+        #: bit mask of the tasks that the store records as done, and the versions of the slice's
+        #: progress pages in the store
         self.durable_bits = 0
         self.page_versions: dict[int, int] = {}
         #: time since which the store lacks the completion of a task; None if it lacks no completion
@@ -50,8 +50,8 @@
         #: indexes of tasks that are migrating to another shard; the outcome of the migration's
         #: commit is not known yet
         self.migrating_ranges: list[list[int]] = []
-        #: identifies that migration, so that the end of an earlier migration does not make its
-        #: tasks pending
+        #: identifies that migration, so that the end of an earlier migration does not make the
+        #: present ``migrating_ranges`` pending
         self.migration_holder = ""
 
     @property
@@ -123,7 +123,7 @@
         self.pending_since = now
 
     def set_ranges(self, ranges: list[list[int]]) -> None:
-        """Assign the tasks that the job's record lists for this slice."""
+        """Assign the tasks that the job's record lists for this slice; update the pending ones."""
         before, assigned = IndexRanges(self.ranges), IndexRanges(ranges)
         self._assign(ranges)
         if not len(before):
--- a/marblestair/core/shard/machine.py
+++ b/marblestair/core/shard/machine.py
@@ -108,8 +108,8 @@
         self.min_incarnation = 0
         #: the shard's term when the machine joined it
         self.join_term = 0
-        #: whether a heartbeat has arrived whose fencing token is at least ``join_term``; the
-        #: agent's task list is used only from then on
+        #: whether a heartbeat has arrived whose fencing token is at least ``join_term``; until
+        #: then the agent's task list serves only to stop tasks of ended jobs
         self.is_reconciled = False
         #: when a heartbeat was last answered with status 200, and when one was last accepted; None
         #: before the first
--- a/marblestair/core/shard/partition_detection.py
+++ b/marblestair/core/shard/partition_detection.py
@@ -7,8 +7,8 @@
 #: a partition is presumed only if at least this number and this share of the shard's machines are
 #: out of contact at the same time
 MIN_PARTITIONED_MACHINES, MIN_PARTITIONED_SHARE = 3, 0.06
-#: time since a machine was last seen below which it can be presumed partitioned, as a multiple of
-#: the agents' lease
+#: a machine is no longer presumed partitioned once this time has passed since it was last seen, as
+#: a multiple of the agents' lease
 MAX_PARTITION_LEASES = 3.0
 
 
--- a/marblestair/core/shard/reconciliation.py
+++ b/marblestair/core/shard/reconciliation.py
@@ -107,7 +107,7 @@
     """Return a task to the planned state after the agent dropped the response with its launch.
 
     The launch was not carried out, since a heartbeat that is newer than the response does not list
-    the task. A task that must not be launched again is removed from the machine.
+    this attempt. A task that must not be launched again is removed from the machine.
     """
     task.state = TaskState.PLANNED
     job_slice = shard.slices.get(task.job)
@@ -123,7 +123,8 @@
 def _record_ignored_launch(shard: Shard, machine: Machine, now: float) -> None:
     """Count a response whose launches were not carried out.
 
-    After ``MAX_IGNORED_MESSAGES`` such responses the agent is marked unresponsive.
+    When ``ignored_commands`` reaches ``MAX_IGNORED_MESSAGES``, the agent is marked unresponsive and
+    its unsent launches are withdrawn.
     """
     responsiveness = machine.responsiveness
     responsiveness.ignored_commands += 1
--- a/marblestair/core/shard/responsiveness.py
+++ b/marblestair/core/shard/responsiveness.py
@@ -12,11 +12,11 @@
 class Reachability(enum.Enum):
     """Whether an agent and its leader can reach each other.
 
-    An agent is responsive at first. It becomes unresponsive when several consecutive responses had
-    no effect, or when its lease expired although its heartbeats arrived. Its state is
-    ``LEASE_EXPIRED`` once its lease must have expired, and unresponsive after the next heartbeat.
-    It becomes responsive again when its heartbeats arrive as frequently as those of an agent that
-    receives responses, and ``ignored_commands`` is below ``MAX_IGNORED_MESSAGES``.
+    An agent is responsive at first. It becomes unresponsive when several responses had no effect,
+    or when its lease expired although its heartbeats arrived. Its state is ``LEASE_EXPIRED`` once
+    its lease must have expired, and unresponsive after the next heartbeat. The agent becomes
+    responsive again when its heartbeats arrive as frequently as those of an agent that receives
+    responses, and ``ignored_commands`` is below ``MAX_IGNORED_MESSAGES``.
     """
 
     RESPONSIVE = "responsive"
@@ -44,8 +44,8 @@
         self.unresponsive_since = now
         #: the agent lost contact together with many others and is presumed partitioned
         self.is_partitioned = False
-        #: consecutive responses whose launches had no effect, and leases that expired although
-        #: heartbeats arrived
+        #: number of responses whose launches had no effect, plus leases that expired although
+        #: heartbeats arrived; reset by a confirmed launch or by a period of frequent heartbeats
         self.ignored_commands = 0
         #: responses, since the last lease expiry, to heartbeats whose fencing token was older than
         #: the term in which the machine joined
@@ -72,8 +72,8 @@
         Parameters
         ----------
         is_frequent
-            Whether the heartbeat arrived so soon after the previous one that the agent must receive
-            responses.
+            Whether the heartbeat arrived so soon after the previous one that the agent can be
+            presumed to receive responses.
         is_new_incarnation
             Whether the heartbeat is the first one of an agent incarnation.
         recovery_s
--- a/marblestair/core/shard/shard.py
+++ b/marblestair/core/shard/shard.py
@@ -118,7 +118,7 @@
         """Return an upper bound of the cpus and gpus that a team's tasks use, in fixed point.
 
         The full capacity of each machine that is not reconciled, or lists unknown tasks, is added.
-        The result is ``UNBOUNDED_USAGE`` if the type of such a machine is unknown.
+        The result is ``UNBOUNDED_USAGE`` if such a machine or its type is unknown.
         """
         cpus, gpus = self.team_usage.get(team, (0, 0))
         for name in (
@@ -234,7 +234,7 @@
     # --- jobs ------------------------------------------------------------------------------
 
     def sync_job(self, record: JobRecord | None, job: str, now: float) -> None:
-        """Update a slice from its job's record: migrations, cancellation and the job's end."""
+        """Create, update or remove a slice by its job's record; None means the job has ended."""
         job_slice = self.slices.get(job)
         if record is None:
             if job_slice is not None:
@@ -280,7 +280,10 @@
         job_slice.pending = IndexRanges()
 
     def mark_slices_reconciled(self) -> None:
-        """Mark all slices as reconciled if all machines from before the failover are reconciled."""
+        """Mark all slices as reconciled if all machines from before the failover are reconciled.
+
+        A gang of which only some tasks are then placed is stopped.
+        """
         if self.unreconciled_machines:
             return
         for job_slice in self.slices.values():
--- a/marblestair/core/view_synchronizer.py
+++ b/marblestair/core/view_synchronizer.py
@@ -87,7 +87,7 @@
         self._dependencies.record_changed(job)
 
     def _sync_urgency(self) -> None:
-        """Update the slices of jobs whose urgency changed because dependent jobs did."""
+        """Update the slices of jobs whose urgency changed with that of jobs that depend on them."""
         for job in self._urgency.pop_changed():
             for shard in self._leadership.shards.values():
                 if job in shard.slices:
--- a/marblestair/net/http_client.py
+++ b/marblestair/net/http_client.py
@@ -136,8 +136,9 @@
         """Send a request and wait for the response.
 
         The wait until fewer than ``max_in_flight`` requests are in flight, and the exchange itself,
-        take up to ``timeout_s`` seconds each. The status is ``NOT_SENT`` if that wait or the
-        connection fails, and ``NO_RESPONSE`` if no response arrives after the request was sent.
+        take up to ``timeout_s`` seconds each. The status is ``NOT_SENT`` if that wait times out or
+        no connection can be opened, and ``NO_RESPONSE`` if no response arrives after the request
+        was sent.
         """
         try:
             async with asyncio.timeout(timeout_s):
--- a/marblestair/net/http_server.py
+++ b/marblestair/net/http_server.py
@@ -16,8 +16,8 @@
 #: maximum number of pipelined requests that wait on one connection while an earlier one is handled;
 #: clients are not expected to send more, and the connection is closed if they do
 MAX_QUEUED_REQUESTS = 4
-#: idle time after which agents' connections are closed when the limit of connections is reached and
-#: no user's connection is idle, as a share of the idle timeout
+#: minimum time for which an agent's connection must have been idle to be closed when the limit of
+#: connections is reached and no user's connection is idle, as a share of the idle timeout
 AGENT_IDLE_TIMEOUT_SHARE = 0.125
 #: path that replaces one that is not ASCII; no interface has this path
 NON_ASCII_PATH = "/?"
@@ -243,8 +243,9 @@
     max_connections
         Maximum number of open connections. For a new connection at the limit, the idle user's
         connection that has received no data for longest is closed. If no user's connection is idle,
-        agents' connections are closed that have been idle for ``AGENT_IDLE_TIMEOUT_SHARE`` of the
-        timeout. If there are none either, the new connection is aborted.
+        all agents' connections are closed that have been idle for longer than
+        ``AGENT_IDLE_TIMEOUT_SHARE`` of the timeout. If there are none, the new connection is
+        aborted.
     max_body
         Maximum size of a request body, in bytes.
     idle_timeout_s
--- a/marblestair/net/peers.py
+++ b/marblestair/net/peers.py
@@ -15,10 +15,10 @@
     ResponseFrame,
 )
 
-#: maximum time since the last received frame while a later sent frame is unanswered; after it, the
-#: connection is replaced
+#: time without a received frame after which a connection is replaced, if a frame was sent since the
+#: last one was received
 STALE_AFTER_S = 2.5
-#: timeout of an attempt to connect, and delay after a failed attempt
+#: timeout of an attempt to connect, and minimum delay between a failed attempt and the next one
 CONNECT_TIMEOUT_S = 1.0
 RECONNECT_DELAY_S = 0.5
 #: interval at which a request that waits for its connection to open checks the connection
@@ -62,7 +62,7 @@
         self._last_sent_at = 0.0
 
     def send_message(self, tag: str, arguments: Any) -> None:
-        """Send a one-way message if the connection is open; otherwise drop the message."""
+        """Send a one-way message; if no connection is open, drop the message and open one."""
         connection = self._usable_connection()
         if connection is not None:
             self._last_sent_at = asyncio.get_running_loop().time()
@@ -123,7 +123,7 @@
         return self._connection
 
     def _is_stale(self, now: float) -> bool:
-        """Whether a sent frame is unanswered and no frame arrived for ``STALE_AFTER_S``."""
+        """Whether a frame was sent since one arrived, and none arrived for ``STALE_AFTER_S``."""
         is_unanswered = self._last_sent_at > self._last_received_at
         return is_unanswered and now - self._last_received_at > STALE_AFTER_S
 
--- a/marblestair/net/rate_limiter.py
+++ b/marblestair/net/rate_limiter.py
@@ -72,7 +72,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     async def acquire(self, priority: int, writes: int) -> bool:
-        """Wait for tokens for a request and its writes; return False after ``max_wait_s``."""
+        """Wait for a request's tokens; return whether they were granted within ``max_wait_s``."""
         loop = asyncio.get_running_loop()
         now = loop.time()
         self._refill(now)
