--- a/marblestair/core/domain/agents.py
+++ b/marblestair/core/domain/agents.py
@@ -14,7 +14,7 @@
 class TaskState(enum.StrEnum):
     """State of a task on a machine, as reported by the agent or expected by the shard's leader."""
 
-    #: the leader has assigned it to the machine and has not sent the start command yet
+    #: the leader has assigned the task to the machine and has not sent the start command yet
     PLANNED = "planned"
     #: the start command was in a response, and no heartbeat has listed the task yet
     SENT = "sent"
@@ -36,18 +36,18 @@
     #: the task has not exited
     NONE = ""
     DONE = "done"
-    #: stopped by a command
+    #: the task was stopped by a command
     STOPPED = "stopped"
-    #: another task of its gang is no longer running
+    #: another task of the task's gang is no longer running
     PEER_LOST = "peers"
-    #: its gang did not become complete within the agents' ``gang_wait_s``
+    #: the task's gang did not become complete within ``Workers.gang_wait_s``
     GANG_INCOMPLETE = "alone"
     ERROR = "error"
-    #: start rejected: the machine has too few free resources
+    #: the agent rejected the start: the machine has too few free resources
     INSUFFICIENT_RESOURCES = "no_room"
-    #: start rejected: another attempt of the task is on the machine
+    #: the agent rejected the start: another attempt of the task is on the machine
     OTHER_ATTEMPT_PRESENT = "busy"
-    #: start rejected: no such job or task
+    #: the agent rejected the start: no such job or task exists
     UNKNOWN = "unknown"
     #: the agent reported a reason that this version does not know
     UNRECOGNIZED = "unrecognized"
--- a/marblestair/core/leadership/connectivity.py
+++ b/marblestair/core/leadership/connectivity.py
@@ -9,10 +9,10 @@
 from marblestair.core.shard.shard import Shard
 from marblestair.core.state.store_view import StoreView
 
-#: maximum time without any heartbeat before a node counts as unreachable by agents, as a share of
-#: an agent's lease
+#: minimum time without any heartbeat after which a node may count as unreachable by agents, as a
+#: share of an agent's lease
 UNREACHABLE_LEASE_SHARE = 0.35
-#: the same maximum in heartbeat intervals; the longer of the two applies
+#: the same minimum time in heartbeat intervals; the longer of the two applies
 UNREACHABLE_HEARTBEAT_INTERVALS = 2.5
 #: time from the addition of a machine until it is expected to send heartbeats, as a multiple of the
 #: boot time of its type
@@ -50,7 +50,8 @@
         """Begin a cooldown of a few agent leases, during which this node accepts no shard.
 
         Agents send heartbeats only to the leader of their shard. A node without shards therefore
-        cannot detect that agents reach it again, and may be given a shard again after the cooldown.
+        cannot detect that agents reach the node again, so it accepts shards again after the
+        cooldown.
         """
         agent_lease_s = self._context.settings.cluster.workers.lease_s
         self._cooldown_until = now + COOLDOWN_AGENT_LEASES * agent_lease_s
@@ -58,9 +59,9 @@
     def is_disconnected(self) -> bool:
         """Return whether this node is cut off from the store and from all other controllers.
 
-        This is so when the node has been running for at least the duration of a node lease and has
-        received nothing from the store and the other controllers for that time. A disconnected node
-        cannot answer users, and refuses user requests at once.
+        This is so when the node has been running for at least the duration of a node lease, and in
+        that time neither updated its view, nor renewed its lease, nor received a message of another
+        controller. A disconnected node cannot answer users, and refuses user requests at once.
         """
         now, limit_s = self._context.now, self._lease.ttl_s
         last_renewal = self._lease.renewed_at
@@ -73,12 +74,12 @@
         )
 
     def _is_silent(self, node: str, seconds: float, now: float) -> bool:
-        """Return whether no message of another controller arrived within the last ``seconds``."""
+        """Return whether no message of ``node`` arrived within the last ``seconds``."""
         last = self.last_received_at.get(node)
         return last is None or now - last > seconds
 
     def has_received_within(self, node: str, seconds: float, now: float) -> bool:
-        """Return whether a message of another controller arrived within the last ``seconds``."""
+        """Return whether a message of ``node`` arrived within the last ``seconds``."""
         last = self.last_received_at.get(node)
         return last is not None and now - last < seconds
 
@@ -87,8 +88,8 @@
 
         This is so when machines of this node's shards should be sending heartbeats, none of them
         was seen within a time limit, and the view lists other nodes. In addition, either more than
-        one machine should be sending heartbeats, or no message of the listed nodes arrived within
-        the limit either.
+        one machine should be sending heartbeats, or no message of these other nodes arrived within
+        the time limit either.
         """
         agents = self._context.settings.cluster.workers
         limit_s = max(
--- a/marblestair/core/leadership/coordinator.py
+++ b/marblestair/core/leadership/coordinator.py
@@ -46,9 +46,9 @@
     def begin_failover_or_transfer(self, now: float) -> None:
         """Begin a failover of shards without a live leader, or else a transfer of a shard.
 
-        Called a few times a second. If there is no shard map yet, creates it instead. Begins
-        nothing before the view is loaded, during a failover, or while this node may not act for its
-        shards.
+        Called a few times a second. If there is no shard map yet, the node creates the map instead.
+        Begins nothing before the view is loaded, during a failover of this node, or while the node
+        may not act for its shards.
         """
         self._leadership.log_basis_change(now)
         self._transfer.record_incarnations(now)
--- a/marblestair/core/leadership/failover.py
+++ b/marblestair/core/leadership/failover.py
@@ -27,7 +27,7 @@
 #: delay of a takeover per shard that the node already leads or is taking over, so that shards
 #: spread evenly over the nodes
 DELAY_PER_LED_SHARD_S = 0.35
-#: maximum of the random part of the delay, so that nodes seldom try at the same time
+#: maximum random time added to the delay, so that two nodes seldom try a takeover at the same time
 MAX_RANDOM_DELAY_S = 0.15
 #: time for which other nodes leave a restarted leader's shards to its new process, as a share of a
 #: node lease
@@ -74,7 +74,7 @@
 
     @property
     def is_pending(self) -> bool:
-        """Whether a failover is in progress, or an earlier one's commit may still be applied."""
+        """Whether a failover is in progress or an earlier failover may still be committed."""
         if self._is_in_progress:
             return True
         return self._uncertain_version == self._view.version(keys.SHARD_MAP)
@@ -107,7 +107,7 @@
                 self._leader_missing_since.pop(shard_id, None)
             elif self._should_take_over(shard_id, record, len(own) + len(orphaned), now):
                 orphaned.append(shard_id)
-        # One change of the transaction is the shard map, the rest are the fences of the shards.
+        # The transaction changes the shard map and one fence for each shard.
         return orphaned[: self._context.settings.cluster.state.txn_ops - 1]
 
     def _should_take_over(
@@ -145,7 +145,10 @@
     def _leader_key_preconditions(
         self, current: ShardMap, orphaned: list[int]
     ) -> list[tuple[str, int]]:
-        """Return preconditions that fail if the node key of another former leader changes."""
+        """Return preconditions that fail if the node key of a shard's former leader changes.
+
+        A former leader that was a previous process of this node needs no precondition.
+        """
         preconditions = []
         for shard_id in orphaned:
             leader = current.shards[shard_id].leader
--- a/marblestair/core/leadership/leadership.py
+++ b/marblestair/core/leadership/leadership.py
@@ -69,7 +69,7 @@
         ]
 
     def leader_of(self, shard_id: int) -> str | None:
-        """Return the leader of a shard according to the view; None when it has none."""
+        """Return the leader of a shard according to the view; None when the shard has none."""
         shard_map = self._view.shard_map
         if shard_map is None or not 0 <= shard_id < len(shard_map.shards):
             return None
--- a/marblestair/core/leadership/progress_pages.py
+++ b/marblestair/core/leadership/progress_pages.py
@@ -30,8 +30,8 @@
 
 #: share of a node's write rate that progress pages may use, so that they do not delay other writes
 PROGRESS_WRITE_SHARE = 0.35
-#: one batch in this many deletes the shard's obsolete keys, if there are any, even while progress
-#: waits to be written
+#: one batch in this many deletes obsolete keys of the shard, if there are any, even while progress
+#: waits to be written; each of the other batches does so only if no progress waits
 BATCHES_PER_CLEANUP = 5
 #: minimum pause between two batches, and the maximum random time added to each pause
 MIN_BATCH_PAUSE_S, MAX_RANDOM_PAUSE_S = 0.7, 0.2
@@ -112,11 +112,11 @@
     def persist(self, shard: Shard) -> Coroutine[None]:
         """Write progress and delete obsolete keys in batches until this node loses the shard.
 
-        A batch is sent about once a second, or less often if the write rate requires it.
+        A batch is sent about once a second, or less often if ``PROGRESS_WRITE_SHARE`` requires it.
 
         The number of slices grows with the load, while the store's write rate is fixed. A delayed
-        write is safe: an agent lists a finished task until it is told to discard it, which happens
-        only after the write.
+        write is safe: an agent lists a finished task in its heartbeats until the leader tells the
+        agent to discard the task, and the leader does so only after the write.
         """
         state = self._context.settings.cluster.state
         changes_per_s = PROGRESS_WRITE_SHARE * state.write_rps / len(self._context.settings.nodes)
@@ -195,9 +195,10 @@
 
 
 def dirty_pages(shard: Shard, now: float) -> list[DirtyPage]:
-    """Return the pages that are due to be written, those of the longest dirty slice first.
+    """Return the pages that are due to be written.
 
-    The slices of cancelled jobs are left out.
+    Pages of the slice that has waited longest for a write come first. The slices of cancelled jobs
+    are left out.
     """
     found = []
     for job_slice in shard.slices.values():
@@ -223,7 +224,10 @@
 
 
 def _read_versions(shard: Shard, max_keys: int) -> Coroutine[None]:
-    """Read the missing versions of obsolete keys, at most ``max_keys`` of them."""
+    """Read the versions of up to ``max_keys`` obsolete keys whose version is unknown.
+
+    Keys that do not exist are dropped from the obsolete keys.
+    """
     for key in [key for key, version in shard.obsolete_keys.items() if version is None][:max_keys]:
         response: StoreResponse = yield Get(key, RequestPriority.PROGRESS)
         if response.status == 404:
@@ -246,8 +250,8 @@
 def _reread_pages(shard: Shard, in_flight: list[InFlightPage]) -> Coroutine[None]:
     """Reread pages whose write failed or got no response.
 
-    If a page changes after this read, the precondition on its version fails at the next write, and
-    the page is reread.
+    If a page changes after this read, the next write fails by its precondition on the page's
+    version, and the page is reread.
     """
     for page in in_flight:
         response: StoreResponse = yield Get(_key(shard, page), RequestPriority.PROGRESS)
--- a/marblestair/core/leadership/promise_ledger.py
+++ b/marblestair/core/leadership/promise_ledger.py
@@ -32,11 +32,15 @@
             self._valid_until = until
 
     def remaining_s(self, now: float) -> float | None:
-        """Return how long the promises of all other controllers stay valid; None if never valid."""
+        """Return for how many more seconds the promises of all other controllers are valid.
+
+        The result is negative once they have expired, and None if the controllers have never all
+        promised.
+        """
         return None if self._valid_until is None else self._valid_until - now
 
     def grant(self, node: str, until: float) -> None:
-        """Record that this node promises not to take another node's shards over until a time."""
+        """Record this node's promise not to take the shards of ``node`` over before ``until``."""
         self._granted_until[node] = until
 
     def may_hold_grant(self, node: str, now: float) -> bool:
--- a/marblestair/core/leadership/promises.py
+++ b/marblestair/core/leadership/promises.py
@@ -69,7 +69,11 @@
     # --- requests --------------------------------------------------------------------------
 
     def maintain(self) -> Coroutine[None]:
-        """Request promises of all other controllers while the lease renewal is overdue."""
+        """Request promises of all other controllers while the lease renewal is overdue.
+
+        Requests none while this node has no shards, may not act for its shards, or holds promises
+        that stay valid for long enough (``RENEWAL_LEASE_SHARE``). Never returns.
+        """
         while True:
             yield Sleep(self._lease.ttl_s / CHECKS_PER_LEASE)
             if self._should_request(self._context.now):
@@ -86,8 +90,8 @@
     def _request_promises(self) -> Coroutine[None]:
         """Request promises of all other controllers, one after the other.
 
-        The promises count only if every controller grants one and this node is still authorized to
-        act afterwards. Their validity is counted from the time of the first request.
+        The promises count only if every other controller grants one and this node is still
+        authorized to act afterwards. Their validity is counted from the time of the first request.
         """
         requested_at = self._context.now
         for peer in self._context.settings.others:
--- a/marblestair/core/leadership/shard_map_updates.py
+++ b/marblestair/core/leadership/shard_map_updates.py
@@ -44,8 +44,8 @@
         """Replace the shard map if it still has the given version and the preconditions hold.
 
         ``fenced_ids`` are the shards that get a new leader: the same transaction sets the fence of
-        each of these shards to the shard's new term. If a precondition fails, the view's shard map
-        is refreshed.
+        each of these shards to the shard's new term. If a precondition fails, the shard map in the
+        view is reread from the store.
         """
         puts = [Put(keys.SHARD_MAP, shard_map)]
         puts += [
--- a/marblestair/core/leadership/shard_recovery.py
+++ b/marblestair/core/leadership/shard_recovery.py
@@ -60,7 +60,7 @@
     ) -> Coroutine[None]:
         """Recover a shard that was acquired by the shard map commit at ``acquired_revision``.
 
-        Stops if this node loses the shard before all its progress pages are read.
+        Stops if this node loses the shard before all progress pages of the shard are read.
         """
         # The view must first include all jobs, cancels and machines that were committed before the
         # shard was acquired.
--- a/marblestair/core/leadership/store_lease.py
+++ b/marblestair/core/leadership/store_lease.py
@@ -1,8 +1,9 @@
 """The node's lease in the store, and the node key that is deleted when the lease expires.
 
-The node counts the lease's duration from when it sent the grant or renewal request, by its own
-monotonic clock, and subtracts an allowance for clock drift. So for the node the lease never expires
-later than at the store.
+The node counts the lease's duration, by its own monotonic clock, from when it sent the grant or
+renewal request. It subtracts an allowance for clock drift and late timers. The store counts from
+its later receipt of the request, so by the node's count the lease never expires later than at the
+store.
 """
 
 from __future__ import annotations
@@ -60,8 +61,8 @@
         self._view = view
         self._follower = follower
         self.ttl_s = lease_ttl_s(context.settings.cluster.workers.lease_s)
-        #: monotonic time until which the lease is certainly valid; None until the node's key is
-        #: first attached
+        #: monotonic time until which the lease is certainly valid; None until the node's key was
+        #: first attached to a lease
         self.expires_at: float | None = None
         #: revision of the commit that wrote the node's key; the node acts only if its view includes
         #: this commit
@@ -89,7 +90,10 @@
         return self.expires_at is not None and now < self.expires_at
 
     def remaining_s(self, now: float) -> float | None:
-        """Return the seconds of certain validity left; None until the key is first attached."""
+        """Return for how many more seconds the lease is certainly valid (negative once expired).
+
+        Returns None until the node's key was first attached to a lease.
+        """
         return None if self.expires_at is None else self.expires_at - now
 
     def maintain(self) -> Coroutine[None]:
@@ -130,6 +134,8 @@
     def _attach_node_key(self, granted: GrantedLease) -> Coroutine[int | None]:
         """Attach the node's key to a lease; return the status, or None if the lease has expired.
 
+        If the attempt fails for another reason, requests a renewal of the lease for the next one.
+
         All tries use the same lease, and each is conditional on the key's version in the view. A
         try that got no response and is applied late can therefore neither replace a newer value of
         the key nor attach the key to a lease that this node does not renew.
@@ -160,7 +166,10 @@
         return response.status
 
     def _renew_granted(self, granted: GrantedLease) -> Coroutine[None]:
-        """Renew a lease to which an in-flight commit may still attach the node's key."""
+        """Renew a lease to which the node's key is not known to be attached.
+
+        An earlier commit that got no response may still attach the key to this lease.
+        """
         requested_at = self._context.now
         response: StoreResponse = yield RenewLease(granted.lease_id)
         if response.status == 200:
--- a/marblestair/core/leadership/transfer.py
+++ b/marblestair/core/leadership/transfer.py
@@ -101,7 +101,10 @@
         return counts
 
     def _connected_nodes(self, counts: dict[str, int], now: float) -> list[str]:
-        """Return the other live nodes from which this node has received a recent message."""
+        """Return the other live nodes that sent this node a recent message.
+
+        A message is recent for ``MAX_MESSAGE_AGE_S`` after its arrival.
+        """
         return [
             node
             for node in counts
@@ -110,7 +113,7 @@
         ]
 
     def _transfer_away(self, movable: list[int], current: ShardMap, now: float) -> None:
-        """Transfer a shard to another node because agents do not reach this one."""
+        """Transfer a shard to another node because agents do not reach this node."""
         counts = self._led_counts(current)
         connected = self._connected_nodes(counts, now)
         # If other nodes are connected, the target must be one of them that accepts shards. If none
@@ -146,7 +149,10 @@
             return
 
     def _is_stable(self, node: str, now: float) -> bool:
-        """Return whether a node accepts shards and has been up for ``MIN_UPTIME_LEASES``."""
+        """Return whether a node accepts shards and has been in the view for long enough.
+
+        The minimum time is ``MIN_UPTIME_LEASES``.
+        """
         _, seen_since = self._incarnation_seen.get(node, (0, now))
         if not self._connectivity.peer_can_accept_shards.get(node, False):
             return False
--- a/marblestair/core/messaging/messages.py
+++ b/marblestair/core/messaging/messages.py
@@ -31,7 +31,8 @@
     term: int
     done: int
     running: int
-    #: number of tasks that are or may be on machines; -1 while the leader does not know the number
+    #: number of the slice's tasks that are or may be on machines; -1 while the leader does not know
+    #: this number
     placed_tasks: int
     #: number of tasks in the slice
     size: int
@@ -152,8 +153,8 @@
 class ReleaseSlices(PeerMessage, frozen=True):
     """Release the locks of a migration.
 
-    Reply: True if they are released; False while an update of the job's record is in progress or
-    its outcome is uncertain; None if the receiver does not manage the job.
+    Reply: True if the locks are released; False while an update of the job's record is in progress
+    or the outcome of the update is uncertain; None if the receiver does not manage the job.
     """
 
     job: str
@@ -182,7 +183,7 @@
 
 
 class AnnounceMigration(PeerMessage, frozen=True):
-    """Announce to the target of a migration that the migration has been committed.
+    """Announce a committed migration to the leader of its target shard.
 
     Reply: the number of entries of the job's change list that the receiver knows.
     """
@@ -193,7 +194,7 @@
 
 
 class SendChangeEntries(PeerMessage, frozen=True):
-    """Send a migration's target shard the entries of the job's change list that the target lacks.
+    """Send the leader of a migration's target shard the change entries that this leader lacks.
 
     Reply: True.
     """
--- a/marblestair/core/messaging/shard_summary.py
+++ b/marblestair/core/messaging/shard_summary.py
@@ -20,9 +20,10 @@
     preemptible_capacity: list[tuple[str, str, bool, int, int, int]]
     #: cpus that pending tasks request; of a quarantined job, at most one task counts
     backlog_cpus: int
-    #: team -> unused cpus and gpus of its quota in this shard
+    #: team -> unused cpus and gpus of the team's quota in this shard
     free_quota: dict[str, list[int]]
-    #: team -> cpus and gpus by which its pending tasks exceed its unused quota in this shard
+    #: team -> cpus and gpus by which the requests of the team's pending tasks exceed the team's
+    #: unused quota in this shard
     quota_shortfall: dict[str, list[int]]
     #: for each job that is not cancelled and has pending, migrating or placed tasks: its id, the
     #: number of its pending and migrating tasks, and the number of its tasks on machines; of a
@@ -53,7 +54,7 @@
     failing_jobs: list[tuple[str, int]] = []
 
     def snapshot(self) -> ShardSummary:
-        """Return a copy that later reservations of capacity and quota here do not change."""
+        """Return a copy that does not change when capacity or quota is reserved in this summary."""
         return msgspec.structs.replace(
             self,
             free_capacity=list(self.free_capacity),
--- a/marblestair/core/runtime/coroutines.py
+++ b/marblestair/core/runtime/coroutines.py
@@ -80,7 +80,7 @@
             self.resume(request, result)
 
     def wake(self, now: float) -> None:
-        """Set the time, and resume the coroutines whose sleep has ended."""
+        """Set the time to ``now``, and resume the coroutines whose sleep has ended by then."""
         self.now = now
         if not self._sleeping:
             return
--- a/marblestair/core/runtime/decision_log.py
+++ b/marblestair/core/runtime/decision_log.py
@@ -52,7 +52,10 @@
         self.counts[f"{kind} {outcome}"] += number
 
     def log(self, now: float, kind: Decision, outcome: str, **facts: object) -> None:
-        """Count a decision, and log it with the facts that it is based on."""
+        """Count a decision, and log it with the facts that it is based on.
+
+        It is only counted once its kind has ``MAX_LINES_PER_S`` lines in the current second.
+        """
         self.count(kind, outcome)
         if int(now) != self._second:
             self._begin_second(int(now))
--- a/marblestair/core/runtime/outbox.py
+++ b/marblestair/core/runtime/outbox.py
@@ -41,7 +41,7 @@
 
 
 class PeerReply(msgspec.Struct, frozen=True):
-    """The reply to a request of another controller; ``value`` is None if it cannot be answered."""
+    """The reply to another controller's request; ``value`` is None if there is no answer."""
 
     request_id: int
     value: Any
--- a/marblestair/core/runtime/requests.py
+++ b/marblestair/core/runtime/requests.py
@@ -13,8 +13,9 @@
 class PeerMessage(msgspec.Struct, frozen=True, array_like=True):
     """A message from one controller to another; its subclasses are in ``core/messaging``.
 
-    Messages are sent as arrays of their fields, and the version in production reads them too.
-    Fields may therefore be renamed but not reordered, and new fields are appended with a default.
+    Messages are sent as arrays of their fields, and the deployed release of marblestair reads the
+    same messages. Fields may therefore be renamed but not reordered, and new fields are appended
+    with a default.
     """
 
 
--- a/marblestair/core/runtime/store_requests.py
+++ b/marblestair/core/runtime/store_requests.py
@@ -93,7 +93,7 @@
 class Watch(msgspec.Struct, frozen=True):
     """Read the changes after a revision to keys with a prefix.
 
-    If there are none, the store waits up to ``wait_ms`` for a change.
+    If there are no such changes, the store waits up to ``wait_ms`` for one.
     """
 
     prefix: str
--- a/marblestair/core/state/keys.py
+++ b/marblestair/core/state/keys.py
@@ -1,6 +1,6 @@
 """Keys in the store. All begin with a tenant prefix, so that further tenants can be added.
 
-The keys must not change, because the version in production uses the same ones.
+The keys must not change, because the deployed release of marblestair uses the same keys.
 """
 
 from __future__ import annotations
--- a/marblestair/core/state/records.py
+++ b/marblestair/core/state/records.py
@@ -1,7 +1,8 @@
 """Records in the store: jobs, the shard map, machines and rental intents.
 
-Records are stored as arrays of their fields, and the version in production reads them too. Fields
-may therefore be renamed but not reordered, and new fields are appended with a default.
+Records are stored as arrays of their fields, and the deployed release of marblestair reads the same
+records. Fields may therefore be renamed but not reordered, and new fields are appended with a
+default.
 """
 
 from __future__ import annotations
@@ -34,8 +35,8 @@
     #: entries ``["cancel", sequence]`` and, for a job that depends on other jobs,
     #: ``["release", sequence, wall-clock time]``
     change_list: list[list[Any]]
-    #: shards whose slices of the job are complete. A leader records its shard here if the job's
-    #: manager did not respond.
+    #: shards whose slices of the job are complete. The leader of such a shard records the shard
+    #: here if the job's manager did not respond.
     complete_shards: list[int] = []
 
     @property
@@ -83,7 +84,7 @@
 
     If the store's value limit was larger when the record was stored, the record with the entry may
     exceed the current limit. The list of permitted machine types is then removed from the result.
-    It is not needed, since tasks of a cancelled job are not placed any more.
+    The list is not needed, since tasks of a cancelled job are not placed any more.
     """
     updated = record.with_entry(ChangeKind.CANCEL)
     if not exceeds_value_limit(updated, value_kb, 1.0):
--- a/marblestair/core/state/store_follower.py
+++ b/marblestair/core/state/store_follower.py
@@ -19,8 +19,8 @@
 MAX_PAGE_KEYS = 1000
 #: maximum time for which a watch request waits for a change, in ms per second of the node's lease
 WATCH_WAIT_MS_PER_LEASE_S = 500
-#: bounds of the interval between the starts of two watch requests; the maximum is a share of the
-#: node's lease and takes precedence
+#: bounds of the pause between the starts of two watch requests that ``MAX_WATCH_RATE_SHARE``
+#: requires; the upper bound is a share of the node's lease and takes precedence
 MAX_PAUSE_LEASE_SHARE = 1 / 8
 MIN_PAUSE_S = 0.15
 #: maximum share of a node's request rate at the store that its watch may use
@@ -70,7 +70,7 @@
             after_key = page.items[-1].key
 
     def follow(self) -> Coroutine[None]:
-        """Watch for changes and apply them to the view; never returns."""
+        """Watch for changes of the watched keys and apply these to the view; never returns."""
         while True:
             sent_at = self._context.now
             response: StoreResponse = yield Watch(keys.WATCHED, self._view.revision, self._wait_ms)
--- a/marblestair/core/state/store_view.py
+++ b/marblestair/core/state/store_view.py
@@ -16,7 +16,8 @@
 from marblestair.core.state import keys
 from marblestair.core.state.records import JobRecord, MachineRecord, ShardMap
 
-#: maximum number of removed machines whose names are retained; several times the largest fleet
+#: maximum number of removed machines whose names are retained; several times the number of machines
+#: in the largest fleet
 MAX_REMOVED_MACHINES = 20_000
 
 
@@ -34,7 +35,7 @@
 
 
 class StoreView:
-    """The watched keys with their versions, each as of ``revision`` or later.
+    """The watched keys with their versions, each as of the view's ``revision`` or later.
 
     Responses may arrive late. The watch may already have returned the deletion of a key whose
     value an earlier read returns only now, or another node's change to a key that this node
@@ -98,8 +99,8 @@
     def load_listing(self, pages: list[StoreResponse]) -> None:
         """Replace the view's content by a new listing.
 
-        Each page has its own revision. ``revision`` becomes at least that of the first page, and
-        the watch returns all changes after ``revision``.
+        Each page has its own revision. The view's revision becomes at least that of the first page,
+        and the watch then returns all changes after the view's revision.
         """
         after = ""
         ranges: list[ListedRange] = []
@@ -112,7 +113,7 @@
                     self._set(key, None, page.revision)
             for item in page.items:
                 # The page was read after all changes that the watch has returned, so an item is
-                # valid even if its version is below ``revision``.
+                # valid even if its version is below the view's revision.
                 if item.version > max(self.version(item.key), self._absence_revision(item.key)):
                     self._set(item.key, item.value, item.version)
             after = last or ""
@@ -151,8 +152,9 @@
     def _is_newer(self, key: str, version: int) -> bool:
         """Return whether a version of a key is newer than what the view knows of the key.
 
-        The view stores no version for a deleted key, so a version of a key that it lacks must be
-        newer than ``revision`` and than any later revision at which the key is known not to exist.
+        The view stores no version for a deleted key. A version of a key that the view lacks must
+        therefore be newer than the view's revision, and than any later revision at which the key is
+        known not to exist.
         Otherwise the late response to a read or to a commit would restore a deleted record. The
         watch would never remove this record, since it has already returned the deletion.
         """
