--- a/marblestair/core/scheduling/array_placement.py
+++ b/marblestair/core/scheduling/array_placement.py
@@ -20,8 +20,8 @@
 
     #: all usable machines, full ones included; samples are drawn from this list
     usable: list[Machine]
-    #: usable machines that may have free capacity; the same list object as ``usable`` if full
-    #: machines are to be left out of the samples
+    #: usable machines that may have free capacity. If this is the same object as ``usable``,
+    #: :func:`place_array` draws samples only from machines on which a task fits.
     free: list[Machine]
 
 
@@ -34,7 +34,7 @@
     max_tasks: int
     #: names of machines on which no task is placed
     excluded_machines: Container[str]
-    #: names of machines that are used only when no other machine has free capacity
+    #: names of machines that are used only for tasks that could not be launched on other machines
     draining_machines: set[str]
     #: weight of the image fetch time in the choice of a machine
     fetch_weight: float
@@ -122,7 +122,10 @@
     def launch_draining_last(
         self, allowed: list[Machine], fitting: list[Machine], budget: int, draining: set[str]
     ) -> int:
-        """Launch tasks like :meth:`launch`, using ``draining`` machines only as a last resort."""
+        """Launch tasks like :meth:`launch`, first on machines whose names are not in ``draining``.
+
+        Only the tasks that then remain of ``budget`` are launched on draining machines.
+        """
         last = [machine for machine in fitting if machine.name in draining]
         fitting = [machine for machine in fitting if machine.name not in draining]
         allowed = [machine for machine in allowed if machine.name not in draining]
--- a/marblestair/core/scheduling/arrivals.py
+++ b/marblestair/core/scheduling/arrivals.py
@@ -36,10 +36,11 @@
 
 
 class ExpectedGangs(msgspec.Struct, frozen=True):
-    """A class of which more gangs are expected, with the spec of its latest gang."""
+    """The expected gangs of one job class."""
 
+    #: spec of the latest gang of the class
     spec: JobSpec
-    #: whether these gangs must start without waiting for a machine to boot
+    #: whether gangs of the class must start without waiting for a machine to boot
     is_latency_sensitive: bool
     arrivals_per_s: float = 0.0
 
@@ -50,7 +51,7 @@
     def __init__(self, context: NodeContext, catalog: MachineCatalog) -> None:
         self._context = context
         self._catalog = catalog
-        #: class -> what is expected of its gangs
+        #: class -> the expected gangs of the class
         self.expected_gangs: dict[str, ExpectedGangs] = {}
         #: moving average of array sizes in cpus; each size is limited to the guaranteed cpus of the
         #: array's team
@@ -59,11 +60,11 @@
         self._arrived_at: dict[str, deque[float]] = {}
         #: ids of counted jobs, oldest first
         self._counted_jobs: dict[str, None] = {}
-        #: class -> monotonic time at which its latest job was counted
+        #: class, or ``ALL_ARRAYS`` -> monotonic time at which the latest such job was counted
         self._last_counted_at: dict[str, float] = {}
 
     def is_latency_sensitive(self, spec: JobSpec) -> bool:
-        """Whether gangs of this job's class must start without waiting for a machine to boot.
+        """Whether gangs of a job's class must start without waiting for a machine to boot.
 
         False if no gangs of the class are expected.
         """
--- a/marblestair/core/scheduling/best_effort.py
+++ b/marblestair/core/scheduling/best_effort.py
@@ -19,14 +19,14 @@
 from marblestair.core.shard.shard import Shard
 
 #: minimum share of the cpus of a shard's usable machines that placed best-effort tasks keep, even
-#: if guaranteed jobs need the cpus
+#: if guaranteed jobs need the cpus; the last task that is stopped may take them below this share
 MIN_BEST_EFFORT_SHARE = 0.1
 
 
 class _PreemptionCandidate(msgspec.Struct):
     """A placed best-effort task of which no stop has been requested."""
 
-    #: run time in seconds that would be lost by a stop; 0 if the task is not running yet or if its
+    #: run time in seconds that would be lost by a stop; 0 if the task is not running yet or if the
     #: job saves checkpoints
     lost_s: float
     task: PlacedTask
@@ -42,8 +42,8 @@
         #: cpus of best-effort tasks that are being stopped, less the cpus that ``preempt_for`` has
         #: already counted for a slice
         self._stopping_cpus = 0
-        #: cpus that may still be freed before best-effort tasks are down to
-        #: ``MIN_BEST_EFFORT_SHARE``
+        #: cpus of best-effort tasks that may still be stopped, in fixed point; the other
+        #: best-effort tasks keep ``MIN_BEST_EFFORT_SHARE`` of the cpus
         self._preemptible_cpus = 0
         teams = {name for name, team in context.teams.items() if team.is_best_effort}
         if not teams:
--- a/marblestair/core/scheduling/demand.py
+++ b/marblestair/core/scheduling/demand.py
@@ -1,7 +1,8 @@
 """Measurement of what a shard's pending tasks need, and of the quota that the shard lacks for them.
 
-Each shard has a part of every team's limit as its quota. A shard publishes its quota shortfall in
-its summary, and the leaders of other shards transfer quota to it (``QuotaTransfers``).
+Each shard has a part of every team's limit as the team's quota in the shard. A shard's leader
+publishes the quota shortfall in the shard's summary, and the leaders of other shards transfer quota
+to the shard (``QuotaTransfers``).
 """
 
 from __future__ import annotations
--- a/marblestair/core/scheduling/dispatch.py
+++ b/marblestair/core/scheduling/dispatch.py
@@ -30,7 +30,7 @@
 
 
 class Dispatcher:
-    """Places the pending tasks of the shards that one node leads, and keeps their queues."""
+    """Places the pending tasks of the shards that one node leads, and keeps the shards' queues."""
 
     def __init__(  # noqa: PLR0913 - injected components
         self,
@@ -58,7 +58,7 @@
         )
         self._starvation = StarvationPrevention(context, quotas, failures, self._placement)
         self._filling = MachineFilling(context, failures, fleet_plan, preemption, self._placement)
-        #: shard -> queue of its latest pass; no entry if nothing was pending then
+        #: shard -> queue of the shard's latest pass; no entry if no task was pending at that pass
         self._queues: dict[int, PendingQueue] = {}
         #: shards that got new pending tasks after their latest pass; the next heartbeat of any
         #: machine in such a shard triggers a pass
@@ -91,7 +91,10 @@
         placement_pass.run(queue)
 
     def _candidates(self, shard: Shard, min_cpus: int) -> CandidateMachines:
-        """Return the usable machines without claims; ``free`` has those with ``min_cpus`` free."""
+        """Return the usable machines on which no gang has a claim.
+
+        The result's ``free`` lists those of them with at least ``min_cpus`` unused cpus.
+        """
         now, claims = self._context.now, self._preemption.claims
         usable = [
             machine
--- a/marblestair/core/scheduling/effective_quotas.py
+++ b/marblestair/core/scheduling/effective_quotas.py
@@ -18,7 +18,7 @@
     def quota(self, shard: Shard, team: str) -> tuple[int, int]:
         """Return the cpus and gpus that a team may use in a shard, in fixed point.
 
-        They are 0 as long as the node has not read the shard map.
+        Both are 0 as long as the node has not read the shard map.
         """
         shard_map = self._view.shard_map
         if shard_map is None:
--- a/marblestair/core/scheduling/fleet_plan.py
+++ b/marblestair/core/scheduling/fleet_plan.py
@@ -13,5 +13,5 @@
         #: other machine
         self.draining_machines: set[str] = set()
         #: jobs that get a penalty in the scheduling order (``priority_key``), since their team's
-        #: limit does not let all jobs of the team meet their deadlines
+        #: cpu limit does not let all jobs of the team meet their deadlines
         self.infeasible_jobs: set[str] = set()
--- a/marblestair/core/scheduling/gang_placement.py
+++ b/marblestair/core/scheduling/gang_placement.py
@@ -27,7 +27,9 @@
     is_claimed: Callable[[Machine, str], bool],
     now: float,
 ) -> bool:
-    """Launch all tasks of a gang or none; return whether they were launched.
+    """Launch all unfinished tasks of a gang or none; return whether they were launched.
+
+    None is launched unless all of these tasks are pending and the team's quota covers them.
 
     Parameters
     ----------
@@ -38,9 +40,10 @@
     quota
         Cpus and gpus that the team's tasks may use in the shard, in fixed point.
     machines
-        Machines to consider; those that are claimed or not usable now are skipped.
+        Machines to consider. Machines that are not usable now, or for which ``is_claimed`` returns
+        true, are skipped.
     is_claimed
-        Returns whether a machine is claimed for a job other than the given one.
+        Returns whether a machine is claimed by, or reserved for, a job other than the given one.
     now
         Monotonic time in seconds.
     """
--- a/marblestair/core/scheduling/guarantees.py
+++ b/marblestair/core/scheduling/guarantees.py
@@ -42,7 +42,7 @@
 
     A job fits if the guaranteed quota covers the job and all jobs of the team that became startable
     earlier. Every job counts with all its tasks, finished ones included. Quarantined, cancelled and
-    blocked jobs do not count.
+    blocked jobs neither count nor are returned.
     """
     used: dict[str, list[int]] = {}
     guaranteed: set[str] = set()
--- a/marblestair/core/scheduling/inherited_urgency.py
+++ b/marblestair/core/scheduling/inherited_urgency.py
@@ -72,7 +72,8 @@
     def recompute(self, jobs: Iterable[str]) -> None:
         """Recompute the urgency of jobs whose dependents changed, and of their prerequisites.
 
-        The prerequisites of a job are recomputed only if its urgency changed and it is blocked.
+        The prerequisites of a job are recomputed only if the job's urgency changed and the job is
+        blocked.
         """
         stack = sorted(jobs)
         while stack:
--- a/marblestair/core/scheduling/machine_choice.py
+++ b/marblestair/core/scheduling/machine_choice.py
@@ -71,8 +71,8 @@
 ) -> Machine | None:
     """Return the machine with the lowest placement cost among sampled machines that fit a task.
 
-    If the task fits on no sampled machine, or on one candidate only, the first of ``fitting`` is
-    returned. Returns None if ``fitting`` is empty.
+    If the task fits on no sampled machine, or ``fitting`` lists one machine only, the first machine
+    of ``fitting`` is returned. Returns None if ``fitting`` is empty.
 
     Parameters
     ----------
--- a/marblestair/core/scheduling/machine_filling.py
+++ b/marblestair/core/scheduling/machine_filling.py
@@ -85,14 +85,14 @@
     ) -> None:
         """Launch tasks in queue order until no further task can fit.
 
-        That is so when the machine has too few free cpus for the smallest task. It is also so when
-        no team has quota left for an array task, and the machine has too few free cpus for the
-        smallest task of any gang.
+        No further task can fit when the machine has too few free cpus for the smallest task in the
+        queue. The same holds when no team has quota left for its smallest array task in the queue,
+        and the machine has too few free cpus for the smallest task of any gang in the queue.
         """
         placement = self._placement
         #: team -> cpus of the smallest task that was found to exceed the team's remaining quota
         exhausted_teams: dict[str, int] = {}
-        #: number of teams whose remaining quota does not cover their smallest pending array task
+        #: number of teams whose remaining quota does not cover the team's smallest array task
         blocked_team_count = 0
         #: quota reserved for gangs earlier in the queue
         reserved = ReservedQuota()
--- a/marblestair/core/scheduling/machine_transfers.py
+++ b/marblestair/core/scheduling/machine_transfers.py
@@ -77,8 +77,8 @@
     def lacks_capacity(self, job_slice: JobSlice) -> bool:
         """Whether a slice counts as lacking capacity.
 
-        That is so if its tasks must start together and have been pending for longer than
-        ``MIN_PENDING_INTERVALS``. Slices that have placed or migrating tasks, or that are
+        It does if the job's tasks must start together and the slice has been pending for longer
+        than ``MIN_PENDING_INTERVALS``. Slices that have placed or migrating tasks, or that are
         unreconciled, cancelled or quarantined, do not count.
         """
         if not job_slice.spec.is_indivisible:
@@ -122,7 +122,10 @@
                     return
 
     def _oldest_lacking_capacity(self, shard: Shard) -> tuple[float, str] | None:
-        """Return the startable time and id of the oldest job that lacks capacity, if any."""
+        """Return the startable time and id of the oldest job that lacks capacity.
+
+        Returns None if no job of the shard lacks capacity.
+        """
         return min(
             (
                 (job_slice.startable_since, job_slice.spec.id)
@@ -133,7 +136,7 @@
         )
 
     def _recent_summaries(self, shard: Shard, shard_map: ShardMap) -> list[ShardSummary]:
-        """Return the recent summaries of other shards that their current leaders sent."""
+        """Return other shards' recent summaries that were made in the shard's current term."""
         return [
             summary
             for shard_id, (received_at, summary) in sorted(self._summaries.items())
@@ -149,10 +152,11 @@
     ) -> list[Machine]:
         """Choose idle machines to transfer for a job of another shard.
 
-        Machines that the fleet plan reserves for the job are chosen. If there are none, the
-        unclaimed machine with the lowest regular price is chosen, unless the job already fits into
-        the free capacity that the other shard reported. For a job that needs a single zone, that
-        machine must be in the zone with the most capacity for the job.
+        Machines that the fleet plan reserves for the job are chosen, as many as one transaction can
+        transfer. If no machine is reserved for the job, the unclaimed machine with the lowest
+        regular price is chosen, unless the job already fits into the free capacity that the other
+        shard reported. For a job that needs a single zone, the unclaimed machine must be in the
+        zone with the most capacity for the job.
         """
         suitable = [
             machine
@@ -223,8 +227,8 @@
                 return
             version = self._view.version(keys.SHARD_MAP)
             if uncertain_version not in (None, version):
-                # The shard map has changed since the uncertain attempt, which was either applied or
-                # will be rejected, since its precondition does not hold any more.
+                # The shard map has changed since the uncertain attempt. That attempt was either
+                # applied or will be rejected, because it requires the earlier version of the map.
                 for machine in machines:
                     yield from self._follower.refresh_until_read(keys.MACHINES + machine.name)
                 return
@@ -260,8 +264,8 @@
     ) -> CompareAndSwap:
         """Build the compare-and-swap that assigns the machines to the target shard.
 
-        It also raises the target's term, so that the fencing tokens that a machine receives only
-        increase.
+        The request also raises the target shard's term, so that the fencing tokens that a machine
+        receives only increase.
         """
         puts = [Put(keys.SHARD_MAP, raise_term(shard_map, target_id))]
         preconditions = [
--- a/marblestair/core/scheduling/migration_planner.py
+++ b/marblestair/core/scheduling/migration_planner.py
@@ -68,8 +68,9 @@
     def migrate_pending(self, shard: Shard) -> None:
         """Start migrations of pending tasks to shards with capacity and quota for them.
 
-        If no other shard has both, unused quota is transferred to a shard with capacity. A
-        latency-sensitive gang for which tasks of this shard can be preempted does not migrate.
+        If no other shard has both for a slice, unused quota is transferred to a shard with
+        capacity. A latency-sensitive gang for which tasks of this shard can be preempted does not
+        migrate.
         """
         summaries = [] if shard.unreconciled_machines else self._recent_summaries(shard)
         if not summaries:
@@ -112,7 +113,10 @@
         return True
 
     def _recent_summaries(self, shard: Shard) -> list[ShardSummary]:
-        """Return the recent summaries of other shards that their current leaders sent."""
+        """Return other shards' recent summaries that were made in the shard's current term.
+
+        The list is empty as long as this node has not read the shard map.
+        """
         shard_map = self._view.shard_map
         if shard_map is None:
             return []
--- a/marblestair/core/scheduling/placement.py
+++ b/marblestair/core/scheduling/placement.py
@@ -69,7 +69,10 @@
 def capacity_by_zone(
     spec: JobSpec, resources: Resources, capacities: list[FreeCapacity]
 ) -> Counter[str]:
-    """Return the number of a job's tasks that fit into published free capacity, by zone."""
+    """Return, by zone, how many of a job's tasks fit into published free capacity.
+
+    The counts are 0 if a task uses no resources.
+    """
     count_by_zone: Counter[str] = Counter()
     for type_name, zone, spot, *free in capacities:
         if spec.may_run_on(type_name, zone, spot):
--- a/marblestair/core/scheduling/preemption.py
+++ b/marblestair/core/scheduling/preemption.py
@@ -56,7 +56,7 @@
 class _CandidateMachine(msgspec.Struct):
     """A machine that a gang could use, and the work that preemption there would lose."""
 
-    #: cpu seconds lost per task of the gang, in fixed point
+    #: cpu seconds lost on the machine per task of the gang that fits there, in fixed point
     lost_work: float
     machine: Machine
 
@@ -85,7 +85,8 @@
     def is_claimed(self, machine: Machine, job: str = "") -> bool:
         """Whether a machine is claimed by a job other than ``job``.
 
-        If the machine has no claim, whether it is reserved for another job that is live.
+        If the machine has no claim: whether the fleet plan reserves the machine for a live job
+        other than ``job``.
         """
         claim = self.claims.get(machine.name)
         if claim is not None:
@@ -191,7 +192,10 @@
     def _cheapest_machines(
         self, shard: Shard, gang: JobSlice, rank: int, survey: PreemptionSurvey
     ) -> list[_ClearedMachine] | None:
-        """Choose machines on which the least work is lost; return None if the gang does not fit."""
+        """Choose machines on which the least work is lost.
+
+        Returns None if the gang does not fit on the candidate machines even after preemption.
+        """
         lacking_tasks = gang.pending.count
         chosen: list[_ClearedMachine] = []
         candidates = self._candidate_machines(gang, rank, survey)
--- a/marblestair/core/scheduling/preemption_survey.py
+++ b/marblestair/core/scheduling/preemption_survey.py
@@ -16,7 +16,7 @@
     machine: Machine
     #: work that would be lost: cpu seconds, in fixed point
     lost_work: float
-    #: cpus, gpus and memory that would then be free, in fixed point
+    #: cpus, gpus and memory that would be free after the preemption, in fixed point
     free_after: list[int]
 
 
--- a/marblestair/core/scheduling/quota_transfers.py
+++ b/marblestair/core/scheduling/quota_transfers.py
@@ -89,8 +89,8 @@
     ) -> list[int] | None:
         """Return the cpus and gpus that a shard can spare; None if the shard itself needs quota.
 
-        If the other shard needs more than its entire quota for one task or gang, all unused quota
-        can be spared, even if tasks pending in ``shard`` could use it.
+        If the other shard needs more than its entire quota of the team for one task or gang, all
+        unused quota can be spared, even if tasks pending in ``shard`` could use that quota.
         """
         used, quota = shard.usage(team), self._quotas.quota(shard, team)
         unused = [quota[i] - used[i] for i in range(2)]
@@ -161,8 +161,8 @@
             if current is None or self._leadership.shards.get(shard.shard_id) is not shard:
                 return
             if uncertain_version not in (None, version):
-                # The shard map has changed since the uncertain attempt, which was either applied or
-                # will be rejected, since its precondition does not hold any more.
+                # The shard map has changed since the uncertain attempt. That attempt was either
+                # applied or will be rejected, because it requires the earlier version of the map.
                 return
             is_possible = _has_quota(current, shard.shard_id, team, amounts)
             if uncertain_version is None and (not is_possible or attempts > MAX_COMMIT_ATTEMPTS):
--- a/marblestair/core/scheduling/scheduling_order.py
+++ b/marblestair/core/scheduling/scheduling_order.py
@@ -48,9 +48,10 @@
     Jobs are ordered by their penalties first: infeasible, overdue and best-effort jobs come after
     jobs without a penalty, in this order, and quarantined jobs, which will probably fail, come
     last. Among jobs with the same penalties, guaranteed jobs and those of at least high priority
-    come first. Jobs are then ordered by priority, and then by slack. The slack of a job without a
-    deadline is ``NO_DEADLINE_SLACK_S`` less the job's age. A job with dependents gets no penalty
-    for its deadline. That deadline may be inherited; it is then only the time at which a dependent
+    come first. Jobs are then ordered by priority, and then by slack. The slack is the time until
+    the job's deadline less the job's corrected run time estimate, or, without a deadline,
+    ``NO_DEADLINE_SLACK_S`` less the job's age. A job with dependents gets no penalty for its
+    deadline. That deadline may be inherited; an inherited deadline only says when a dependent
     should start.
 
     Parameters
--- a/marblestair/core/scheduling/shard_summarizer.py
+++ b/marblestair/core/scheduling/shard_summarizer.py
@@ -89,7 +89,10 @@
         )
 
     def _free_capacity(self, shard: Shard) -> list[FreeCapacity]:
-        """Return the free capacity of usable machines not claimed or reserved for a job."""
+        """Return the free capacity of the usable machines that have free cpus.
+
+        Machines that are claimed by a gang, or reserved for a live job, are left out.
+        """
         return [
             (
                 machine.type_name,
@@ -175,10 +178,10 @@
     def _is_overdue(self, machine: Machine) -> bool:
         """Whether a rented machine should have sent this leader a heartbeat by now.
 
-        The time is measured from when the machine was added to the shard, since the machine may
-        have sent heartbeats to another leader before a failover or a transfer. If machines did not
-        count as capacity until their first heartbeat here, replacements for the whole shard would
-        be rented after a failover.
+        The time is measured from when the machine was added to the shard. Before a failover or a
+        transfer, the machine may have sent its heartbeats to another leader. If machines did not
+        count as capacity until their first heartbeat to this leader, replacements for all machines
+        of the shard would be rented after a failover.
         """
         if machine.agent_incarnation or machine.machine_type is None:
             return False
--- a/marblestair/core/scheduling/slice_assignment.py
+++ b/marblestair/core/scheduling/slice_assignment.py
@@ -50,8 +50,8 @@
     def _load_by_shard(self, current: ShardMap, manager_shard: int) -> dict[int, float]:
         """Return each shard's backlog less its free cpus, in fixed point.
 
-        Only the manager shard and shards with a recent summary are included. The load is 0 without
-        a summary.
+        Only the manager shard and shards with a recent summary are included. The load of a manager
+        shard without a summary is 0.
         """
         load: dict[int, float] = {}
         for shard_id, shard in enumerate(current.shards):
--- a/marblestair/core/scheduling/slice_migration.py
+++ b/marblestair/core/scheduling/slice_migration.py
@@ -85,7 +85,7 @@
         """Start the migration of pending tasks of a slice; return whether a migration started.
 
         No migration is started if ``MAX_ACTIVE_MIGRATIONS`` are active, or if the slice has
-        migrating tasks, is cancelled, or is not reconciled yet.
+        migrating tasks, is cancelled, or is unreconciled (``JobSlice.is_unreconciled``).
 
         Raises
         ------
@@ -187,12 +187,13 @@
             yield PeerRequest(leader, later, TARGET_TIMEOUT_S)
 
     def _await_outcome(self, migration: Migration) -> Coroutine[None]:
-        """Wait until the job record shows the migration's outcome; restore tasks that stay here.
+        """Wait for a migration's outcome; make the tasks that stayed in this slice pending again.
 
-        Also returns if the slice is no longer in a shard of this node, or the job has no record.
-        Tasks become pending here again only after the manager has released the migration's locks
-        and the record has then been read again. Once the locks are released, the manager rejects an
-        update that is still in flight.
+        Ask the manager to release the locks until it does so, then read the job record again and
+        make the tasks that stayed in this slice pending. The release must come first, because after
+        it the manager rejects an ``UpdateSlices`` request of this migration that is still in
+        flight. Only the release is awaited if the slice no longer lists the tasks as migrating.
+        Stops early if the slice is no longer in a shard of this node, or if the job has no record.
         """
         shard, job_slice, _, holder = migration
         job = migration.job
@@ -233,7 +234,7 @@
 
 
 def _has_unconfirmed_tasks(migration: Migration) -> bool:
-    """Whether the slice has tasks whose migration by this holder is not confirmed yet."""
+    """Whether the slice still lists tasks as migrating under this migration's holder name."""
     job_slice = migration.job_slice
     return bool(job_slice.migrating_ranges) and job_slice.migration_holder == migration.holder
 
--- a/marblestair/core/scheduling/slice_placement.py
+++ b/marblestair/core/scheduling/slice_placement.py
@@ -20,10 +20,10 @@
 from marblestair.core.shard.machine import Machine
 from marblestair.core.shard.shard import Shard
 
-#: the users require that every job, even the largest, starts within this time
+#: maximum time within which, as the users require, every job must start, even the largest
 MAX_START_DELAY_S = 240.0
-#: maximum time for which an array without placed tasks is kept off the machines that are reserved
-#: for expected gangs; for the machines reserved for pending gangs, it is twice this time
+#: maximum time for which an array without placed tasks is kept off machines that are reserved for
+#: expected gangs; the maximum for machines that are reserved for pending gangs is twice as long
 MAX_RESERVATION_WAIT_S = MAX_START_DELAY_S / 8
 #: weight of the image fetch time when a machine is chosen for a guaranteed array; 1 for others
 GUARANTEED_FETCH_WEIGHT = 3.0
--- a/marblestair/core/scheduling/starvation.py
+++ b/marblestair/core/scheduling/starvation.py
@@ -28,8 +28,8 @@
 MIN_STARVED_AGE_STARTED_S = 2 * MAX_START_DELAY_S
 #: maximum share of a team's quota in a shard that the team's starved arrays may use together
 STARVED_QUOTA_SHARE = 0.25
-#: divisor for the tasks that may be launched in one pass for a starved array that has not started:
-#: the slice's number of tasks divided by this, but at least one task
+#: of a starved array that has not started, at most the slice's number of tasks divided by this may
+#: be launched in one pass, but always at least one task
 INITIAL_TASKS_DIVISOR = 16
 
 
@@ -143,18 +143,23 @@
         self._quotas = quotas
         self._placement = placement
         self._running_cpus = running_cpus
-        #: teams of which a started array was already added to the queue's starved slices
+        #: teams of which a started array was already added to ``queue.starved``
         self._teams_with_queued_array: set[str] = set()
 
     def start_array(self, array: JobSlice) -> None:
-        """Launch a few tasks of an unstarted array; one task may exceed the team's share."""
+        """Launch a few tasks of an unstarted array.
+
+        One task may be launched beyond the share of the quota for the team's starved arrays.
+        """
         self._launch(array, max(1, array.size // INITIAL_TASKS_DIVISOR), 1)
 
     def continue_array(self, array: JobSlice) -> None:
         """Launch tasks of an array that has started.
 
-        One task may exceed the team's share, unless ``_running_cpus`` shows that an old array of
-        the team is running, or a started array of the team is already queued.
+        One task may be launched beyond the share of the quota for the team's starved arrays. This
+        is not allowed if arrays of the team older than ``MIN_STARVED_AGE_S`` use cpus
+        (``_running_cpus``, including launches of this pass), or if another started array of the
+        team already waits in ``queue.starved``.
         """
         team = array.spec.team
         has_minimum = self._running_cpus.get(team) or team in self._teams_with_queued_array
@@ -162,9 +167,10 @@
             self._teams_with_queued_array.add(team)
 
     def _launch(self, array: JobSlice, max_tasks: int, min_tasks: int) -> bool:
-        """Launch tasks within the team's share; return whether the array was queued for more.
+        """Launch tasks of an array; return whether the array was added to ``queue.starved``.
 
-        ``min_tasks`` tasks may be launched even if they exceed the share.
+        The tasks must fit into the share of the quota for the team's starved arrays, except that
+        ``min_tasks`` tasks may be launched even beyond that share.
         """
         team, cpus = array.spec.team, array.resources[0]
         cpus_left = self._cpus_left(team)
--- a/marblestair/core/scheduling/zone_rule.py
+++ b/marblestair/core/scheduling/zone_rule.py
@@ -45,9 +45,10 @@
         return not self._spread_zones or self._placed[machine.zone] < self._max_per_zone
 
     def allowed_tasks(self, machine: Machine, task_count: int) -> int:
-        """Return how many of ``task_count`` tasks a spread job may place in a machine's zone.
+        """Return how many of ``task_count`` tasks may be placed in a machine's zone.
 
-        A single zone is not checked here; :meth:`is_open` does that.
+        Only the limit of a job that is spread over zones is applied here. Whether a job that needs
+        a single zone may use the machine's zone is checked by :meth:`is_open`.
         """
         if not self._spread_zones:
             return task_count
