--- a/marblestair/core/capacity/array_capacity.py
+++ b/marblestair/core/capacity/array_capacity.py
@@ -1,7 +1,7 @@
-"""Planning of the capacity for arrays: the cpus they should have, and the rentals to get there.
+"""Planning of the capacity for arrays: the target in cpus, and the rentals that reach the target.
 
-Work that is due too soon to meet its deadline (see ``INFEASIBLE_RUN_SHARE``) is planned with a
-later completion time, because more machines could not complete it in time.
+Pending tasks that are due too soon to meet their deadline (see ``INFEASIBLE_RUN_SHARE``) are
+planned with a later completion time, because more machines could not complete them in time.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from marblestair.core.domain.jobs import JobSpec
 from marblestair.core.domain.machine_kinds import MachineKind, tasks_per_machine
 
-#: time before the due time of pending work by which the work must be completed even if that takes
-#: on-demand machines, in run times of its tasks; the cpus needed for this are called urgent
+#: time before a job's due time by which its pending tasks must be completed even if that takes
+#: on-demand machines, in run times of a task; the cpus needed for this are called urgent
 URGENT_RUN_TIMES = 1.5
-#: minimum shortfall for which on-demand machines are rented for work that may run on spot machines,
-#: as a share of the current capacity
+#: minimum shortfall of urgent cpus for which on-demand machines are rented for a job that may run
+#: on spot machines, as a share of the current capacity
 MIN_ON_DEMAND_SHORTFALL_SHARE = 0.03
 #: minimum ratio of the spot price per cpu to an on-demand machine's price per cpu at which the
 #: on-demand machine counts as capacity; below this ratio, spot machines should replace the machine
@@ -26,10 +26,10 @@
 #: maximum ratio of an on-demand machine's cpus to the shortfall; a larger machine would be mostly
 #: empty
 MAX_MACHINE_SIZE_RATIO = 2
-#: minimum time until work is due, as a share of its tasks' run time; with less time left, the work
-#: is considered infeasible
+#: minimum time until a job is due, as a share of a task's run time; with less time left, the job's
+#: pending tasks are considered infeasible
 INFEASIBLE_RUN_SHARE = 0.3
-#: planned time to completion of infeasible work, as a multiple of the sum of boot time and run time
+#: planned time to completion of infeasible tasks, as a multiple of the sum of boot and run time
 INFEASIBLE_TIME_RATIO = 3.0
 
 
@@ -38,10 +38,10 @@
 ) -> float:
     """Return the cpus that run the placed tasks and complete the pending ones in the planned time.
 
-    The planned time is a share of the time until the tasks are due, and longer for infeasible work.
-    With ``lead_run_times``, the planned time of feasible work extends at least to this many run
-    times before the tasks are due. The cpus for pending tasks are limited by the team's limit; the
-    capacity margin is added to the total.
+    The planned time of feasible tasks is a share of the time until they are due, but at least one
+    run time; with ``lead_run_times``, it extends at least to this many run times before the tasks
+    are due. Infeasible tasks are planned with ``INFEASIBLE_TIME_RATIO``. No job's pending tasks
+    count for more cpus than its ``allowed_tasks`` need. The capacity margin is added to the total.
     """
     total = 0.0
     for load in arrays:
@@ -84,7 +84,7 @@
         self._boot_s = boot_s
         self._machines = draft.array_machines()
         #: urgent share of the target (see ``URGENT_RUN_TIMES``), for which ``request_shortfall``
-        #: rents on-demand machines even if the work may run on spot machines
+        #: rents on-demand machines even if the job may run on spot machines
         self._urgent_share = 1.0
 
     def set_target(self, average_array_cpus: float, smooth: Callable[[float], float]) -> None:
@@ -104,8 +104,9 @@
     def request_shortfall(self) -> None:
         """Request machines to raise the capacity to the target.
 
-        The machines are of the kind that ``_first_of_fitting_size`` chooses. On-demand machines
-        that spot machines should replace do not count as capacity.
+        The machines are of the kind that ``_first_of_fitting_size`` chooses for the job with the
+        largest backlog. On-demand machines that spot machines should replace do not count as
+        capacity.
         """
         if not self._arrays:
             return
@@ -118,8 +119,8 @@
         if kind is None:
             return
         if not kind.spot and spec.allows_spot and self._plan.capacity_cpus > 0:
-            # For work that may run on spot machines, on-demand machines cover only the urgent share
-            # of the target, and a shortfall that is small compared with the capacity is ignored.
+            # For a job that may run on spot machines, on-demand machines cover only the urgent
+            # share of the target. A shortfall that is small compared with the capacity is ignored.
             shortfall = self._urgent_share * target - capacity
             if shortfall < MIN_ON_DEMAND_SHORTFALL_SHARE * self._plan.capacity_cpus:
                 return
--- a/marblestair/core/capacity/capacity_refusals.py
+++ b/marblestair/core/capacity/capacity_refusals.py
@@ -49,7 +49,7 @@
         ]
 
     def receive(self, refusals: Iterable[CapacityRefusal]) -> None:
-        """Record refusals that another node reports; the later expiry time of a kind is kept."""
+        """Record refusals that another node reports; keep the later end if a kind has two."""
         for refusal in refusals:
             kind = (refusal.machine_type, refusal.zone, refusal.spot)
             until = self._context.now + min(refusal.remaining_s, MAX_REPORTED_REFUSAL_S)
--- a/marblestair/core/capacity/catalog_updates.py
+++ b/marblestair/core/capacity/catalog_updates.py
@@ -27,11 +27,11 @@
 
 #: maximum number of keys in one page of a listing
 MAX_LISTED_KEYS = 1000
-#: minimum pause after a response of the cloud without new types, and maximum random time that is
-#: added to the pause
+#: minimum pause after a response of the cloud without new types, and the maximum of the random time
+#: that is added to this minimum
 MIN_REFRESH_PAUSE_S, REFRESH_JITTER_S = 60.0, 30.0
-#: mean pause after a request to the cloud that returned no types: if the catalog has types, and if
-#: the catalog is empty
+#: mean pause after a request to the cloud that returned no types: while the catalog has types, and
+#: while it is empty
 RETRY_WITH_TYPES_S, RETRY_WITHOUT_TYPES_S = 5.0, 0.8
 #: pause after an attempt to write new types to the store
 STORE_PAUSE_S = 1.0
@@ -94,8 +94,8 @@
     def _store(self, new: list[MachineType]) -> Coroutine[None]:
         """Write a batch of types that are not in the store yet.
 
-        If another node has stored one of them, the whole write is rejected, and the stored types
-        are read again.
+        If another node has already stored a type of the batch, the store rejects the whole write,
+        and the stored types are read again.
         """
         batch = new[: self._context.settings.cluster.state.txn_ops]
         puts = [Put(keys.MACHINE_TYPES + machine_type.name, machine_type) for machine_type in batch]
--- a/marblestair/core/capacity/decommissioning.py
+++ b/marblestair/core/capacity/decommissioning.py
@@ -24,8 +24,8 @@
 #: minimum time for which a machine must have been silent or unresponsive before it is released, in
 #: agent leases
 RELEASE_DELAY_LEASES = 1.5
-#: a reclaimed machine counts as gone after both of these times: the time since the announced
-#: reclaim in seconds, and the time since its last heartbeat in agent leases
+#: minimum times after which a reclaimed machine counts as gone, which must both have passed: since
+#: the announced time of the reclaim, in seconds, and since the last heartbeat, in agent leases
 RECLAIM_DELAY_S, RECLAIMED_SILENT_LEASES = 1.0, 0.25
 
 
@@ -38,11 +38,12 @@
 
 
 def machines_to_empty(shard: Shard, names: set[str], now: float) -> list[Machine]:
-    """Return the surplus machines, given by ``names``, that are worth emptying.
+    """Choose the surplus machines, among those in ``names``, that are worth emptying.
 
     Emptying a machine is worth it if the work to be repeated is below ``MAX_LOST_WORK_RATIO`` of
-    the capacity that would stay idle until the machine's tasks end. The cpus that the returned
-    machines use do not exceed the free cpus of the usable machines that are not in ``names``.
+    the capacity that would stay idle until the machine's tasks end. A machine is left
+    out if its used cpus, with those of the machines already chosen, exceed the free cpus of the
+    shard's usable machines that are not in ``names``.
     """
     candidates = []
     for name in names:
@@ -132,7 +133,10 @@
 
 
 def _is_out_of_service(shard: Shard, machine: Machine) -> bool:
-    """Whether a machine is decommissioned or failed, or has no tasks and must get none."""
+    """Whether a machine is decommissioned or failed, or has no tasks and must get no new ones.
+
+    A machine must get no new tasks if it is cordoned for release, will be reclaimed or is faulty.
+    """
     if machine.is_decommissioned or machine.has_failed:
         return True
     if machine.tasks:
@@ -170,10 +174,11 @@
 
 
 def _is_reclaimed(machine: Machine, agent_lease_s: float, now: float) -> bool:
-    """Whether a machine that the cloud reclaims is gone.
+    """Whether a machine that the cloud reclaims counts as gone.
 
-    The release of such a machine is requested because the cloud's confirmation arrives before the
-    agent's lease expires, and proves that the machine's tasks have ended.
+    The release of such a machine is requested although it is gone. The reason is that the cloud's
+    confirmation proves that the machine's tasks have ended, and arrives before the agent's lease
+    expires.
     """
     if machine.reclaim_at is None or now <= machine.reclaim_at + RECLAIM_DELAY_S:
         return False
--- a/marblestair/core/capacity/fleet.py
+++ b/marblestair/core/capacity/fleet.py
@@ -28,13 +28,14 @@
 MAX_RENTED_MACHINES = 50
 #: mean pause between two scaling cycles: normally, and after a refusal during an urgent shortfall
 CYCLE_PAUSE_S, SHORTFALL_PAUSE_S = 1.0, 0.1
-#: minimum time for which a machine must have been surplus before it is emptied, in boot times; if
-#: the demand rises again after that, tasks must wait for a new machine to boot
+#: minimum time for which a machine must have been surplus before it is emptied, in boot times of
+#: its type; if the demand rises again after that, tasks must wait for a new machine to boot
 MIN_SURPLUS_BOOT_TIMES = 2.0
 #: minimum shortfall that counts as urgent, as a share of the capacity; after a refusal during an
 #: urgent shortfall, the next best kind is requested soon
 URGENT_SHORTFALL_SHARE = 0.1
-#: maximum age of a shard's latest summary for the shard to get a portion of the rentals, in seconds
+#: maximum age of a shard's latest summary at which the shard still gets a portion of the rentals,
+#: in seconds
 MAX_SUMMARY_AGE_S = 3.0
 
 
@@ -98,7 +99,7 @@
         return (yield from self._rent(shard, plan))
 
     def _empty_surplus(self, shard: Shard, plan: Plan) -> None:
-        """Stop the tasks of one machine that is worth emptying and was surplus for long enough."""
+        """Cordon one machine that is worth emptying and was surplus long enough; stop its tasks."""
         now = self._context.now
         since = self._surplus_since
         self._surplus_since = {name: since.get(name, now) for name in plan.surplus_machines}
@@ -136,9 +137,9 @@
     def _portion(self, shard: Shard, rental: RentalRequest) -> int:
         """Return how many machines of a rental this shard rents.
 
-        A rental for a pending gang is carried out by one shard. Any other rental is divided evenly
-        among the shards with a recent summary, and the remainder goes to the shards with the fewest
-        machines.
+        A rental for a pending gang is carried out by the shard that the rental names. Any other
+        rental is divided evenly among the shards with a recent summary, and the remainder goes to
+        those of them with the fewest machines.
         """
         if rental.shard_id is not None:
             return rental.count if rental.shard_id == shard.shard_id else 0
--- a/marblestair/core/capacity/fleet_planner.py
+++ b/marblestair/core/capacity/fleet_planner.py
@@ -29,7 +29,7 @@
 
 
 class FleetPlanner:
-    """Computes the fleet plan on one node, and passes the parts that placement uses to it."""
+    """Computes the fleet plan on one node, and passes to placement the parts that it uses."""
 
     def __init__(  # noqa: PLR0913 - injected components
         self,
@@ -50,8 +50,9 @@
         self._refusals = refusals
         self._fleet_plan = fleet_plan
         self._tuning = tuning
-        #: monotonic time of the last smoothing of the arrays' target, and its result in cpus
+        #: monotonic time of the last smoothing of the arrays' target
         self._averaged_at = 0.0
+        #: smoothed target in cpus; None before the first smoothing
         self._average_cpus: float | None = None
         self._logged_at: float | None = None
 
@@ -81,7 +82,7 @@
         return computed
 
     def _smooth_target(self, target: float) -> float:
-        """Return the exponential moving average of the arrays' target, in cpus."""
+        """Update the exponential moving average of the arrays' target; return the average."""
         now = self._context.now
         types = self._catalog.types.values()
         boot_s = min((machine_type.boot_s for machine_type in types), default=UNKNOWN_BOOT_S)
--- a/marblestair/core/capacity/gang_reservations.py
+++ b/marblestair/core/capacity/gang_reservations.py
@@ -57,7 +57,7 @@
         return self._by_zone.get(zone, 0) < self.max_per_zone
 
     def allocate(self, zone: str, fitting: int) -> int:
-        """Allocate tasks to a machine with space for ``fitting`` of them; return their number."""
+        """Allocate tasks to a machine on which ``fitting`` tasks fit; return how many."""
         in_zone = self._by_zone.get(zone, 0)
         count = min(self.remaining, fitting, self.max_per_zone - in_zone)
         if count > 0:
--- a/marblestair/core/capacity/machine_kinds_by_price.py
+++ b/marblestair/core/capacity/machine_kinds_by_price.py
@@ -110,7 +110,8 @@
     def _price_per_task(self, kind: MachineKind, spec: JobSpec, scarce: set[str]) -> float:
         """Return the price of one task's share of a machine.
 
-        It is raised by the risk premium on spot machines and by the factor on scarce types.
+        The price is raised by the risk premium on spot machines, and by ``SCARCE_PRICE_RATIO`` for
+        the types in ``scarce``.
         """
         price = kind.price / max(1, tasks_per_machine(kind.machine_type, spec.resources))
         if kind.spot:
--- a/marblestair/core/capacity/machine_registry.py
+++ b/marblestair/core/capacity/machine_registry.py
@@ -63,11 +63,12 @@
     def receive_unregistered(self, heartbeat: Heartbeat) -> HeartbeatResponse:
         """Handle a heartbeat of a machine that belongs to no shard, and return the response.
 
-        A machine that reports tasks is released. For any other machine, if some shard has at least
-        two machines fewer than each shard that this node leads, the status is 421 with the leader
-        of the shard that has the fewest machines. Otherwise, the machine is registered in the
-        smallest shard that this node leads. Nothing is done if the machine was removed or is being
-        released, or if this node leads no shard. In all cases but that of 421, the status is 503.
+        Nothing is done if the machine was removed or is being released, or if this node leads no
+        shard or has not read the shard map. Otherwise, a machine that reports tasks is released.
+        For a machine without tasks, if some shard has at least two machines fewer than each shard
+        that this node leads, the response has status 421 and the leader of the shard with the
+        fewest machines. If there is no such shard, the machine is registered in the smallest shard
+        that this node leads. The status is 503 in all cases but that of 421.
         """
         name = heartbeat.machine
         if name in self._view.removed_machines or name in self._releasing:
@@ -136,9 +137,9 @@
     def watch_machine_list(self) -> Coroutine[None]:
         """Periodically read the cloud's list to find failed and unregistered machines.
 
-        Each node marks failed machines of its shards; only the leader of ``LISTING_SHARD``
-        registers machines. The other nodes read the list only while the lease of one of their
-        machines has expired.
+        Each node marks failed machines of its shards. Only the leader of ``LISTING_SHARD`` handles
+        unregistered machines (``_register_listed``). The other nodes read the list only while the
+        agent's lease of a machine in one of their shards has expired.
         """
         lag_s = self._context.settings.cluster.cloud.list_lag_s
         first_listed: dict[str, float] = {}
--- a/marblestair/core/capacity/plan_inputs.py
+++ b/marblestair/core/capacity/plan_inputs.py
@@ -62,8 +62,8 @@
             pending, placed = reported.tasks.get(spec.id, (0, 0))
             if record.is_cancelled or not pending + placed:
                 continue
-            # Tasks beyond the team's limit cannot run, so no machines are planned for them. A gang
-            # runs only as a whole.
+            # Tasks beyond the team's cpu limit cannot run, so no machines are planned for them. A
+            # gang starts only as a whole, so none are planned if the limit allows only a part.
             allowed = headroom.reserve(record, pending)
             if spec.kind == JobKind.GANG:
                 pending = 0 if allowed < spec.task_count and not placed else allowed
--- a/marblestair/core/capacity/planning.py
+++ b/marblestair/core/capacity/planning.py
@@ -1,11 +1,12 @@
 """Computation of the fleet plan: the machines to rent, to reserve and to release.
 
-Every leader computes the same plan from the records and the summaries of all shards, and carries
-out a portion of the plan. Machines for a pending gang are rented by the gang's shard. Any shard may
-rent the other machines, since pending tasks migrate to shards with free capacity.
+Every leader computes the plan from the records and the summaries of all shards, so that all arrive
+at nearly the same plan. Each leader carries out a portion of the plan. Machines for a pending gang
+are rented by the gang's shard. Any shard may rent the other machines, since pending tasks migrate
+to shards with free capacity.
 
-For arrays, the plan provides a number of cpus, with which the work is completed by the time it is
-due if that is possible; for gangs, it provides whole machines.
+For arrays, the plan provides a number of cpus, enough to complete the tasks by the time they are
+due if that is possible. For gangs, the plan provides whole machines.
 """
 
 from __future__ import annotations
--- a/marblestair/core/capacity/provisioning.py
+++ b/marblestair/core/capacity/provisioning.py
@@ -30,7 +30,7 @@
     smoothing_boot_times: float = 1.0
     #: minimum surplus at which an idle machine is released, as a ratio to the machine's cpus
     release_surplus: float = 0.6
-    #: time in which pending work should be completed, as a share of the time until it is due
+    #: time in which pending tasks should be completed, as a share of the time until they are due
     deadline_share: float = 0.4
     #: additional capacity for arrays that have not arrived yet, as a multiple of the average size
     #: of an array
@@ -58,7 +58,7 @@
     due_in_s: float
     #: expected run time of one task in seconds
     run_s: float
-    #: number of pending tasks that the team's limit allows to run
+    #: number of pending tasks that the team's cpu limit allows to run
     allowed_tasks: int
     #: a shard that has tasks of the job; None if not known
     shard_id: int | None = None
@@ -78,8 +78,8 @@
     shard_id: int
     #: cpus in use, in fixed point
     used_cpus: int = 0
-    #: whether the machine is presumed to be in a network partition; such a machine will probably
-    #: reconnect, so it counts as capacity, but it is not reserved for gangs
+    #: whether the machine is presumed to be in a network partition; such a machine is not reserved
+    #: for gangs, but it counts as capacity, because it will probably reconnect
     is_partitioned: bool = False
 
     def empty_in_s(self, busy_s: float) -> float:
--- a/marblestair/core/capacity/releases.py
+++ b/marblestair/core/capacity/releases.py
@@ -37,7 +37,7 @@
         self._follower = follower
 
     def release(self, shard: Shard, machines: list[Machine]) -> Coroutine[None]:
-        """Request the release of machines; if the cloud confirms it, remove tasks and records."""
+        """Request the release of machines; remove their tasks and records if the cloud confirms."""
         for machine in machines:
             machine.is_releasing = True
         names = [machine.name for machine in machines]
@@ -48,8 +48,8 @@
             return
         for machine in machines:
             # The cloud may still carry out the request. A decommissioned machine stays marked as
-            # releasing, so this leader does not request its release again; the release of any other
-            # machine can be requested again.
+            # releasing, so this leader does not request its release again. The release of any other
+            # machine can be requested again; if the machine is idle, its idle time starts anew.
             machine.is_releasing = machine.is_decommissioned
             if not machine.tasks:
                 machine.idle_since = self._context.now
--- a/marblestair/core/capacity/rentals.py
+++ b/marblestair/core/capacity/rentals.py
@@ -67,8 +67,9 @@
     def rent(self, shard: Shard, rental: RentalRequest) -> Coroutine[int]:
         """Rent machines, and return how many the cloud granted.
 
-        If the intent cannot be recorded, nothing is rented. The requested number is returned then,
-        so that the caller does not take the failure for a refusal of the cloud.
+        If the write of the intent is not confirmed, nothing is requested from the cloud. The
+        requested number is returned then, so that the caller does not take the failure for a
+        refusal of the cloud.
         """
         self._count += 1
         name = f"r-{shard.term}-{self._count}"
@@ -107,10 +108,10 @@
     def _request(
         self, shard: Shard, name: str, rental: RentalRequest, intent_version: int
     ) -> Coroutine[list[str] | None]:
-        """Request the machines until the cloud grants or refuses them; return those granted.
+        """Request the machines until the cloud grants or refuses them; return the granted ones.
 
-        Returns None if the cloud refuses, or if a request fails and this node no longer leads the
-        shard.
+        Returns None if the cloud refuses, after marking the intent as obsolete, or if a request
+        fails and this node no longer leads the shard.
         """
         pause_s = FIRST_RETRY_PAUSE_S
         while True:
--- a/marblestair/core/capacity/reported_state.py
+++ b/marblestair/core/capacity/reported_state.py
@@ -13,8 +13,8 @@
 class ReportedState:
     """Holds the merged state from the latest summaries of all shards.
 
-    During a failover, the last summary of a shard is a good approximation of the shard's state. A
-    shard whose summary is older than the maximum age is left out.
+    During a failover, the last summary of a shard is a good approximation of the shard's state, so
+    it is used until it is older than ``MAX_SUMMARY_AGE_LEASES``. The shard is then left out.
     """
 
     def __init__(self, context: NodeContext, summaries: ReceivedSummaries) -> None:
--- a/marblestair/core/capacity/scale_in.py
+++ b/marblestair/core/capacity/scale_in.py
@@ -8,7 +8,7 @@
 
 
 def drain_surplus(draft: PlanDraft) -> None:
-    """Mark surplus machines as draining: on-demand before spot ones, the least used first.
+    """Mark surplus machines as draining: on-demand before spot machines, the least used first.
 
     A machine is surplus if the target is still met without this machine and without the surplus
     machines chosen before it. Machines for gangs and partitioned machines are never chosen.
--- a/marblestair/core/capacity/spending.py
+++ b/marblestair/core/capacity/spending.py
@@ -26,7 +26,7 @@
         self._logged_at: dict[int, float] = {}
 
     def account(self, shard: Shard) -> None:
-        """Add the cost of a shard's machines since the last call; log the sums once a minute."""
+        """Add the cost of a shard's machines since the shard's last call; log it once a minute."""
         now = self._context.now
         elapsed_s = min(MAX_ACCOUNTED_S, now - self._accounted_at.get(shard.shard_id, now))
         self._accounted_at[shard.shard_id] = now
--- a/marblestair/core/capacity/team_headroom.py
+++ b/marblestair/core/capacity/team_headroom.py
@@ -9,14 +9,14 @@
 
 
 class TeamHeadroom:
-    """Tracks the cpus that the teams' limits leave for pending work, and reserves them by job."""
+    """Tracks the cpus that the teams' limits leave for pending tasks; reserves them by job."""
 
     def __init__(
         self, teams: dict[str, Team], reported: ReportedState, live: list[JobRecord]
     ) -> None:
         self._cpus = {name: team.cpu_limit for name, team in teams.items()}
-        # Headroom of gangs: only the cpus of gangs are deducted from the limits, because tasks of
-        # arrays soon end and free their part of the limit.
+        # Headroom of gangs: only the cpus of gangs are deducted from a team's limit, because the
+        # tasks of arrays soon end and leave their part of the limit to gangs.
         self._gang_cpus = dict(self._cpus)
         for record in live:
             spec = record.spec
@@ -29,7 +29,7 @@
             self._gang_cpus[team] = self._gang_cpus.get(team, 0.0) - cpus
 
     def reserve(self, record: JobRecord, pending: int) -> int:
-        """Reserve cpus for as many pending tasks as the limit allows; return their number."""
+        """Reserve cpus for as many pending tasks as the team's limit allows; return how many."""
         spec = record.spec
         is_gang = spec.kind == JobKind.GANG
         left = self._gang_cpus if is_gang else self._cpus
--- a/marblestair/http_api.py
+++ b/marblestair/http_api.py
@@ -41,7 +41,8 @@
 class HttpApi:
     """Receives HTTP requests, passes them to the core and sends the responses.
 
-    It owns the HTTP server, and keeps each connection until the core has answered its request.
+    This object owns the HTTP server, and keeps each connection until the core has answered the
+    connection's request.
 
     Parameters
     ----------
@@ -52,7 +53,7 @@
     request_ids
         Yields a unique id for each request.
     set_time
-        Sets the core's clock; called before each heartbeat or user's request.
+        Sets the core's clock; called before a heartbeat or user's request is passed to the core.
     flush
         Sends the core's output; called after the core has handled an input.
     """
--- a/marblestair/node.py
+++ b/marblestair/node.py
@@ -45,7 +45,7 @@
     """One controller process.
 
     It owns the HTTP interface, the server for other controllers, the outgoing connections and the
-    tasks that execute the core's requests; all are closed when :meth:`run` ends.
+    asyncio tasks that execute the core's requests; :meth:`run` closes all of them when it ends.
     """
 
     def __init__(self, settings: Settings, policy: Policy) -> None:
--- a/marblestair/policy.py
+++ b/marblestair/policy.py
@@ -63,7 +63,8 @@
     """The scaling parameters and deadline offsets that a policy script has set."""
 
     tuning: Tuning = Tuning()
-    #: job class -> seconds by which its deadlines are treated as earlier
+    #: job class -> seconds by which scheduling moves the class's deadlines earlier (negative:
+    #: later)
     deadline_offsets_s: dict[str, float] = {}
 
 
--- a/marblestair/request_executor.py
+++ b/marblestair/request_executor.py
@@ -63,7 +63,8 @@
 CLOUD_WRITES_PER_S = 1.0
 #: maximum time that a request to the cloud waits for the rate limiter
 MAX_CLOUD_WAIT_S = 10.0
-#: timeouts of one request to the store (plus the wait of a watch), to the cloud and to an agent
+#: timeouts of one request to the store (a watch adds the time it waits), to the cloud and to an
+#: agent
 STORE_TIMEOUT_S = 1.2
 CLOUD_TIMEOUT_S = 4.0
 AGENT_TIMEOUT_S = 1.5
@@ -97,8 +98,8 @@
             max_idle_per_address=MAX_IDLE_CLOUD_CONNECTIONS,
             max_in_flight=MAX_CLOUD_REQUESTS_IN_FLIGHT,
         )
-        # If commands go to hundreds of agents at once, the requests above max_in_flight wait. With
-        # many agents, an agent's idle connection is soon closed because of max_idle.
+        # If commands go to hundreds of agents at once, the requests beyond max_in_flight wait. With
+        # many agents, an agent's idle connection is soon closed, because max_idle limits the total.
         self._agents = HttpClient(
             max_idle_per_address=1, max_in_flight=max_outgoing, max_idle=max_outgoing
         )
--- a/marblestair/settings/checks.py
+++ b/marblestair/settings/checks.py
@@ -10,8 +10,8 @@
 from marblestair.core.state.records import ShardMap, ShardRecord
 from marblestair.settings.addresses import split_address
 
-#: smallest permitted limit of changes in one transaction; a failover and the end of a job each
-#: need two changes
+#: smallest permitted limit of changes in one transaction; one more than the two changes that a
+#: failover of one shard and the end of a job each need
 MIN_TRANSACTION_CHANGES = 3
 #: maximum number of shards; a larger number is probably a mistake in the settings file
 MAX_SHARDS = 100
@@ -171,7 +171,7 @@
 
 
 def _largest_shard_map(settings: Settings) -> ShardMap:
-    """Return a shard map that is encoded at least as long as any that the deployment may store.
+    """Return a shard map whose encoding is at least as long as any that this cluster may store.
 
     Any node may lead a shard, and a shard's quota may grow to a team's whole limit.
     """
