--- a/marblestair/core/jobs/acceptance.py
+++ b/marblestair/core/jobs/acceptance.py
@@ -227,8 +227,9 @@
                 return Outcome(503, UNKNOWN, "not accepted", STORE_REFUSED_RETRY_AFTER_S)
             if response.status not in (0, 409):
                 break
-            # An earlier attempt of this node, or a submission to another node, may have created the
-            # record or a final state.
+            # No response (0): this commit may have been applied. Conflict (409): an earlier attempt
+            # of this node, or a submission to another node, may have created the record or a final
+            # state; or the shard has a new leader.
             status = yield from self._answers.read_status(spec.id)
             if status is None:
                 break
@@ -265,7 +266,8 @@
             )
             return Outcome(201, JobStatus(JobState.CANCELLED))
         if response.status in (0, 409):
-            # An earlier submission, to this node or to another one, may have succeeded.
+            # No response (0): this commit may have been applied. Conflict (409): the job was
+            # accepted by an earlier submission, to this node or to another one.
             status = yield from self._answers.read_status(spec.id)
             if status is not None and status != UNKNOWN:
                 return Outcome(200, status)
--- a/marblestair/core/jobs/cancel_registry.py
+++ b/marblestair/core/jobs/cancel_registry.py
@@ -13,8 +13,8 @@
 from marblestair.core.state import keys
 from marblestair.core.state.store_view import StoreView
 
-#: age of a committed entry, in agent leases, above which every node that may act for the job or
-#: report its status has the entry
+#: minimum time for which a node must have known a committed entry before it may assume that every
+#: node that may act for the job or report the job's status has the entry, in agent leases
 KNOWN_EVERYWHERE_LEASES = 1.1
 #: maximum number of entries sent with a promise, so that they fit into one message; a node that may
 #: lack more entries gets no promise, and may act only while its own lease is valid
@@ -129,7 +129,7 @@
             self.record(job, self._view.version(keys.JOBS + job))
 
     def prune(self) -> None:
-        """Remove the entries of ended jobs that the view's changes did not remove.
+        """Remove the entries of ended jobs that ``record_changed`` did not remove.
 
         ``record_changed`` does not remove an entry that arrived by a message before the view had
         the entry's revision, or after the record was deleted.
@@ -147,7 +147,7 @@
     def entries_after(self, revision: int) -> list[list[object]] | None:
         """Return the entries that a view at a given revision may lack.
 
-        Each is a pair of job and revision. Returns None if there are more than
+        Each entry is given as a pair of job and revision. Returns None if there are more than
         ``MAX_PROMISE_ENTRIES``.
         """
         missing: list[list[object]] = [
--- a/marblestair/core/jobs/cancellations.py
+++ b/marblestair/core/jobs/cancellations.py
@@ -88,9 +88,10 @@
     def shards_without_entry(self, job: str) -> list[int] | None:
         """Return the shards whose leaders may not have applied the cancel of a job.
 
-        The list is empty once the entry is so old that every leader that may act has it. Returns
-        None if the shards are not known: the cancel or the job's record is not known here, or the
-        view is older than the entry and may lack a change of leader that was committed before it.
+        The list is empty once this node has known the entry for so long that every leader that may
+        act has the entry. Returns None if the shards are not known: the cancel or the job's record
+        is not known here, or the view is older than the entry and may lack a change of leader that
+        was committed before it.
         """
         view = self._view
         entry = self._cancels.get(job)
@@ -129,7 +130,7 @@
         return is_this_node or entry.applied_terms.get(shard_id) == shard.term
 
     def _is_applied_everywhere_by_time(self, entry: CancelEntry) -> bool:
-        """Whether the entry is so old that no leader without it may act any more."""
+        """Whether the entry was known here for long enough to be at each leader that may act."""
         agent_lease_s = self._context.settings.cluster.workers.lease_s
         return self._context.now - entry.known_since > KNOWN_EVERYWHERE_LEASES * agent_lease_s
 
@@ -163,8 +164,8 @@
     def apply_entry(self, job: str, revision: int) -> list[list[int]]:
         """Apply an entry at another node's request.
 
-        Returns a pair of id and term for each shard that this node leads: the shards for which it
-        has applied the entry.
+        Returns a pair of id and term for each shard that this node leads, because the entry is now
+        applied in all of them.
         """
         self._cancels.record(job, revision)
         return [[shard.shard_id, shard.term] for shard in self._leadership.led_shards()]
@@ -173,7 +174,8 @@
         """Ask every leader that may lack the entry to apply it.
 
         The leader with the most recent message is asked first. Leaders that have sent no message,
-        or none within ``max_silence_s``, are skipped. Returns whether the cancel is confirmed.
+        or none within ``max_silence_s`` if that is given, are skipped. Returns whether the cancel
+        is confirmed.
         """
         entry = self._cancels.get(job)
         shard_map = self._view.shard_map
@@ -207,10 +209,11 @@
         return max_silence_s is not None and self._context.now - last > max_silence_s
 
     def await_confirmation(self, job: str, timeout_s: float) -> Coroutine[bool]:
-        """Propagate a committed cancel until it is confirmed, for at most ``timeout_s``.
+        """Propagate a committed cancel until it is confirmed or ``timeout_s`` has passed.
 
-        Returns whether the cancel is confirmed; False also if the job ends meanwhile. After the
-        timeout the propagation continues in the background.
+        A round of requests that has begun by then is completed. Returns whether the cancel is
+        confirmed; False also if the job ends meanwhile. After the timeout the propagation continues
+        in the background.
         """
         until = self._context.now + timeout_s
         while self._cancels.is_known(job):
@@ -227,8 +230,9 @@
         """Start to propagate a cancel in the background.
 
         The propagation ends after at most ``MAX_BACKGROUND_LEASES`` agent leases. Does nothing if
-        the cancel is not known or already confirmed, if it is being propagated in the background or
-        by the job's manager at this node, or if too many background propagations are running.
+        the cancel is not known or already confirmed, if it is already being propagated in the
+        background, if the job's manager runs at this node and is taking the job's next steps, or if
+        ``MAX_BACKGROUND_PROPAGATIONS`` are running.
         """
         entry = self._cancels.get(job)
         if entry is None or entry.is_confirmed or entry.is_propagating:
@@ -275,5 +279,5 @@
         if response.status == 200:
             self._view.apply_commit(swap, response.revision)
             self._view.publish_changes()
-        # Otherwise the outcome is unknown or the record has changed; the user's next request reads
-        # the record again.
+        # Otherwise the commit failed or its outcome is unknown. The user's next request tries
+        # again.
--- a/marblestair/core/jobs/completion_records.py
+++ b/marblestair/core/jobs/completion_records.py
@@ -31,7 +31,7 @@
 #: maximum time without a message from a manager's node, in heartbeat intervals, before complete
 #: slices of the manager's jobs are recorded in the store
 MAX_SILENCE_INTERVALS = 3.0
-#: pause after a commit that failed
+#: pause after a commit that failed or got no response
 RETRY_PAUSE_S = 0.3
 
 
@@ -72,8 +72,8 @@
     def _is_due(self, shard: Shard, job: str, job_slice: JobSlice) -> bool:
         """Whether a slice is complete and must be recorded so, because its job's manager is silent.
 
-        False also if the slice is migrating or already recorded, or if the slice or its job is
-        cancelled.
+        False also if the slice is migrating or already recorded as complete, if the slice or its
+        job is cancelled, or if the manager is unknown or runs at this node.
         """
         if not job_slice.size or job_slice.done_count != job_slice.size:
             return False
--- a/marblestair/core/jobs/dependencies.py
+++ b/marblestair/core/jobs/dependencies.py
@@ -32,7 +32,7 @@
 #: time from the confirmation of a cancel after which the final state of a blocked descendant is
 #: overdue, as a share of ``cancel_s``; until then other writes have precedence
 END_OVERDUE_SHARE = 0.2
-#: limits of the status output: blocked jobs, and parents of each
+#: maximum numbers of blocked jobs, and of parents of each, in the status output
 MAX_STATUS_JOBS, MAX_STATUS_PARENTS = 50, 20
 
 
@@ -93,7 +93,7 @@
         return unfinished is not None and not unfinished
 
     def has_cancelled_ancestor(self, job: str) -> bool:
-        """Whether a blocked job can never start because one of its ancestors is cancelled."""
+        """Whether this node knows that an ancestor of a blocked job is cancelled."""
         return job in self._with_cancelled_ancestor
 
     def is_cancelled(self, job: str) -> bool:
@@ -286,7 +286,7 @@
     # --- final states and cancels of parents -----------------------------------------------
 
     def parent_ended(self, parent: str, state: JobState) -> None:
-        """Apply a job's committed final state to its dependents."""
+        """Apply the committed final state of the job ``parent`` to the job's dependents."""
         self._parents_with_unknown_end.pop(parent, None)
         if parent not in self._dependents:
             return
--- a/marblestair/core/jobs/eligibility.py
+++ b/marblestair/core/jobs/eligibility.py
@@ -45,7 +45,8 @@
 def _exceeds_limit(spec: JobSpec, team: Team) -> bool:
     """Whether a job always needs more CPUs or GPUs at one time than its team's limit.
 
-    All tasks of a gang must run at the same time; of another job, one task must be able to run.
+    All tasks of a gang must run at the same time. Of any other job, at least one task must be able
+    to run.
     """
     tasks = spec.task_count if spec.kind == JobKind.GANG else 1
     cpus, gpus, _ = spec.resources
--- a/marblestair/core/jobs/final_states.py
+++ b/marblestair/core/jobs/final_states.py
@@ -1,4 +1,7 @@
-"""Cache of final states of jobs at one node; a committed final state never changes."""
+"""One node's cache of the final states of jobs.
+
+Entries never become stale, because a committed final state never changes.
+"""
 
 from __future__ import annotations
 
--- a/marblestair/core/jobs/job_managers.py
+++ b/marblestair/core/jobs/job_managers.py
@@ -199,7 +199,7 @@
         elif response.status == 409:
             # The record has changed, perhaps by an earlier commit of this node, or the shard has a
             # new leader. An earlier commit with an unknown outcome has the same or older
-            # preconditions, so it can no longer take effect. The read shows whether it did.
+            # preconditions, so it can no longer take effect. The read shows whether it took effect.
             if (yield from self._reader.refresh(managed.job)):
                 managed.has_uncertain_commit = False
             yield Sleep(CONFLICT_RETRY_S)
@@ -282,7 +282,8 @@
     def receive_migration_announcement(self, message: AnnounceMigration) -> Coroutine[int]:
         """Return how many change entries of a migrated slice's job are known here (Algorithm 4).
 
-        The record is read first if the view has an older version than the announced one.
+        The record is read first if the view has an older version than the announced one. Returns 0
+        if the view has no record of the job.
         """
         if self._view.version(keys.JOBS + message.job) < message.version:
             yield from self._reader.read_record(message.job)
--- a/marblestair/core/jobs/migration_locks.py
+++ b/marblestair/core/jobs/migration_locks.py
@@ -82,7 +82,10 @@
         return True
 
     def _update(self, managed: ManagedJob, update: UpdateSlices) -> Coroutine[UpdateReply]:
-        """Commit the ranges of the source's and target's slices after a migration."""
+        """Commit the ranges of the source's and target's slices after a migration.
+
+        Returns False, without a commit, if ``_updated_record`` refuses the update.
+        """
         record = self._updated_record(managed, update)
         if record is None:
             return False
@@ -93,7 +96,7 @@
             managed.is_committing_migration = False
 
     def _updated_record(self, managed: ManagedJob, update: UpdateSlices) -> JobRecord | None:
-        """Return the record with the migrated slices; None if it is too large or not valid."""
+        """Return the record after a migration; None if it is too large or the update is invalid."""
         shard_map = self._view.shard_map
         record = self._view.jobs[managed.job]
         if managed.locks.short_term_holder != update.holder or shard_map is None:
@@ -110,8 +113,8 @@
         updated = msgspec.structs.replace(record, slices=slices, complete_shards=complete)
         value_kb = self._context.settings.cluster.state.value_kb
         if exceeds_value_limit(updated, value_kb, MAX_RECORD_SHARE):
-            # With many small ranges the record would exceed the store's limit for a value; the
-            # tasks stay with the source.
+            # A record with many small ranges may exceed its share (``MAX_RECORD_SHARE``) of the
+            # store's value limit. The update is refused, and the tasks stay with the source.
             return None
         return updated
 
@@ -148,7 +151,7 @@
         self, managed: ManagedJob, update: UpdateSlices, record: JobRecord
     ) -> CompareAndSwap:
         key = keys.JOBS + managed.job
-        # The source's shard may be taken over while this commit is in flight. Its new leader may
+        # The source's shard may be taken over while this commit is in flight. The new leader may
         # then start tasks that the commit would give to the target, so the fence of the source's
         # shard is a precondition too.
         preconditions = [
@@ -184,7 +187,10 @@
         return [self._view.version(keys.JOBS + managed.job)]
 
     def release_expired(self) -> None:
-        """Release locks held longer than the lock timeout, unless an update is being committed."""
+        """Release locks held longer than the lock timeout, unless an update is being committed.
+
+        Also forgets the locks of jobs that this node no longer manages.
+        """
         now = self._context.now
         limit_s = LOCK_TIMEOUT_LEASE_SHARE * self._context.settings.cluster.workers.lease_s
         for (job, holder), since in list(self._locked_since.items()):
--- a/marblestair/core/jobs/parents.py
+++ b/marblestair/core/jobs/parents.py
@@ -29,9 +29,10 @@
 class ParentsState(enum.Enum):
     """Combined state of a submission's parents."""
 
-    #: all parents were accepted, and none of them or of their ancestors is cancelled
+    #: all parents were accepted, and neither a parent nor a parent's ancestor is known to be
+    #: cancelled
     ACCEPTED = enum.auto()
-    #: all parents were accepted, and one of them or of their ancestors is cancelled
+    #: all parents were accepted, and a parent or a parent's ancestor is known to be cancelled
     CANCELLED = enum.auto()
     #: a parent was never accepted
     UNKNOWN = enum.auto()
--- a/marblestair/core/jobs/progress_reports.py
+++ b/marblestair/core/jobs/progress_reports.py
@@ -14,8 +14,8 @@
 
 #: time after which unchanged progress is sent again to a manager on another node
 REPEAT_INTERVAL_S = 2.0
-#: limit on the sent reports kept for comparison: a number per live job, plus a constant; above the
-#: limit, all are dropped
+#: maximum number of sent reports kept for comparison: the first number for each live job, plus the
+#: second number; if there are more, all sent reports are dropped
 MAX_SENT_REPORTS_PER_JOB, MAX_EXTRA_SENT_REPORTS = 4, 200
 #: value of ``placed_tasks`` while the number is not known
 PLACED_TASKS_UNKNOWN = -1
@@ -61,8 +61,8 @@
             return
         if not 0 <= progress.shard_id < len(shard_map.shards):
             return
-        # Reports of other terms are dropped: the counts of an earlier leader may include tasks that
-        # have since moved to another shard.
+        # Reports from terms other than the shard's current one are dropped: the counts of an
+        # earlier leader may include tasks that have since moved to another shard.
         if shard_map.shards[progress.shard_id].term == progress.term:
             managed.progress_by_shard[progress.shard_id] = progress
 
--- a/marblestair/core/jobs/record_reader.py
+++ b/marblestair/core/jobs/record_reader.py
@@ -78,5 +78,5 @@
         return (yield from self.read_record(job, priority))
 
     def refresh(self, job: str) -> Coroutine[bool]:
-        """Read a job's record, or its final state without one; return whether this succeeded."""
+        """Call ``read_record``; return whether its reads of the store succeeded."""
         return (yield from self.read_record(job)) is not None
--- a/marblestair/core/jobs/server_manager.py
+++ b/marblestair/core/jobs/server_manager.py
@@ -76,7 +76,8 @@
     def acquire_exclusive(self, holder: Hashable) -> set[int] | None:
         """Acquire the exclusive lock and return ActiveServers; None while the lock is not free.
 
-        While migrations hold the shared lock, ``holder`` is added to the waiting modifications.
+        If migrations hold the shared lock, ``holder`` is recorded as waiting. No new migration gets
+        the locks until ``holder`` has acquired the exclusive lock or withdrawn its request.
         """
         if self.exclusive_holder not in (None, holder):
             return None
--- a/marblestair/core/jobs/user_requests.py
+++ b/marblestair/core/jobs/user_requests.py
@@ -25,7 +25,8 @@
 #: time for another controller to reply to a cancel, out of the 5 s that a user waits; the rest is
 #: left for requests to the store
 CANCEL_PEER_TIMEOUT_S = 2.5
-#: time for the confirmation of a cancel that this node committed in place of the manager
+#: time for the confirmation of a committed cancel by this node, after the job's manager has not
+#: got the cancel confirmed
 CONFIRMATION_TIMEOUT_S = 1.0
 
 
