--- a/marblestair/core/controller.py
+++ b/marblestair/core/controller.py
@@ -37,8 +37,8 @@
 from marblestair.core.status import StatusReport
 from marblestair.core.view_synchronizer import ViewSynchronizer
 
-#: interval between publications of summaries, at which transfers to other shards are also started,
-#: and interval at which quota is rebalanced and old cancels are removed
+#: interval at which summaries are published and transfers to other shards are started, and interval
+#: at which quota is rebalanced and ``CancelRegistry.prune`` is called
 SUMMARY_INTERVAL_S, REBALANCE_INTERVAL_S = 0.4, 1.0
 
 
--- a/marblestair/core/heartbeat_receiver.py
+++ b/marblestair/core/heartbeat_receiver.py
@@ -92,7 +92,10 @@
     def _launch_commands(
         self, shard: Shard, machine: Machine, commands: list[TaskCommand]
     ) -> list[TaskCommand]:
-        """Return the launches for a response; count launches and stops in the decision log."""
+        """Return the launches for a response.
+
+        Counts them, and the stops among ``commands``, in the decision log.
+        """
         launches = launch_commands(shard, machine, self._context.now)
         stops = sum(command.verb is CommandVerb.STOP for command in commands)
         decisions = self._context.decisions
--- a/marblestair/core/peer_service.py
+++ b/marblestair/core/peer_service.py
@@ -101,14 +101,17 @@
             self._announcements.receive(message)
 
     def reject_message(self, node: str, error: str) -> None:
-        """Log an undecodable message or request; it still counts as contact with a known node."""
+        """Log a message or request that could not be decoded.
+
+        The message still counts as contact with ``node`` if the settings list that node.
+        """
         if node in self._context.settings.nodes:
             self._connectivity.message_received(node)
         self._context.log("error", f"rejected message from {node}: {error}")
 
     def _receive_summaries(self, node: str, message: ShardSummaries) -> None:
         if self._view.nodes.get(node, message.incarnation) != message.incarnation:
-            # The sender is an earlier process on that node, whose message arrived late, or a new
+            # The message is a late one of an earlier process on that node, or it is from a new
             # process that is not in the view yet.
             return
         for summary in message.summaries:
--- a/marblestair/core/shard/agent_leases.py
+++ b/marblestair/core/shard/agent_leases.py
@@ -1,9 +1,9 @@
-"""Expiry of agents' leases, and withdrawal of launches from machines with overdue heartbeats.
+"""Expiry of agents' leases, and removal of planned tasks when heartbeats are overdue.
 
 An agent stops all its tasks when it has received no heartbeat response for the duration of its
-lease. The leader measures that duration from the last response that it sent to the agent. If it
-acquired the shard later, or has sent no response, it measures from the acquisition, since the
-previous leader may have responded until then.
+lease. The leader measures that duration from its last response to the agent. If the leader acquired
+the shard later, or has sent no response, it measures from the acquisition, since the previous
+leader may have responded until then.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 def expire_agent_leases(shard: Shard, now: float) -> None:
     """Remove the tasks of machines whose agents' leases must have expired.
 
-    Also withdraws unsent launches from machines whose next heartbeat is overdue.
+    Also removes the planned tasks of machines whose next heartbeat is overdue.
     """
     acquired_at = shard.acquired_at
     for machine in shard.machines.values():
@@ -24,7 +24,7 @@
         if machine.tasks and (
             last_heartbeat_at is None or now - last_heartbeat_at >= shard.heartbeat_timeout_s
         ):
-            # The launches of planned tasks were not sent, so the tasks can be placed elsewhere now.
+            # No start command was sent for planned tasks, so these can be placed elsewhere now.
             shard.remove_planned_tasks(machine, now)
         if machine.responsiveness.state is Reachability.LEASE_EXPIRED:
             continue
--- a/marblestair/core/shard/boot_times.py
+++ b/marblestair/core/shard/boot_times.py
@@ -13,14 +13,14 @@
 
 from marblestair.core.domain.machines import MachineType
 
-#: age above which a booting machine is overdue, in expected boot times
+#: maximum age of a booting machine that is not overdue, as a multiple of the expected boot time
 OVERDUE_EXPECTED_BOOT_TIMES = 1.6
 #: the boot timeout is this many expected boot times, or this many nominal ones if that is longer
 TIMEOUT_EXPECTED_BOOT_TIMES, MIN_TIMEOUT_NOMINAL_BOOT_TIMES = 2.0, 3.0
 #: bounds of the expected boot time, in nominal boot times
 MIN_BOOT_RATIO, MAX_BOOT_RATIO = 1.0, 4.0
-#: maximum number of recorded boots of one type, and time after its end for which a boot is used, in
-#: nominal boot times of the type
+#: maximum number of recorded boots of one machine type, and time for which a boot is used after it
+#: ended, as a multiple of the type's nominal boot time
 MAX_RETAINED_BOOTS, RETENTION_NOMINAL_BOOT_TIMES = 16, 8.0
 #: the expected boot time is this quantile of the retained boot times
 EXPECTED_QUANTILE = 0.75
--- a/marblestair/core/shard/commands.py
+++ b/marblestair/core/shard/commands.py
@@ -13,7 +13,8 @@
 #: maximum number of launches in a heartbeat response, of stops in a direct request, and of stops in
 #: the response to an unreconciled machine; keeps messages well below the size limit
 MAX_COMMANDS_PER_MESSAGE = 400
-#: time after which a stop is sent directly again if its task has not ended, in heartbeat intervals
+#: time since a stop was last sent after which it is sent directly again if the task has not ended,
+#: in heartbeat intervals
 STOP_RETRY_INTERVALS = 2
 
 
@@ -44,7 +45,8 @@
 def _is_completion_unpersisted(job_slice: JobSlice | None, index: int) -> bool:
     """Whether the store still lacks the completion of a task that needs one.
 
-    Until the completion is stored, the agent must keep listing the task.
+    Tasks of services need none. Until the completion is stored, the agent must keep listing the
+    task.
     """
     return (
         job_slice is not None
@@ -72,9 +74,10 @@
 
 
 def launch_commands(shard: Shard, machine: Machine, now: float) -> list[TaskCommand]:
-    """Return the launches for a heartbeat response, to be sent after its other commands.
+    """Return the start commands for a heartbeat response, to be sent after its other commands.
 
-    A planned task that may no longer start is removed from the machine instead.
+    At most ``MAX_COMMANDS_PER_MESSAGE`` are returned. A planned task that may no longer start is
+    removed from the machine instead.
     """
     commands: list[TaskCommand] = []
     if not machine.is_reconciled or machine.is_decommissioned or machine.is_releasing:
@@ -106,8 +109,8 @@
     """Return the stops to send directly rather than in the next heartbeat response.
 
     These are stops that were never sent or are due for a retry. They are sent only to reconciled
-    machines, and only for tasks whose launches have been sent. A stop that arrives late is
-    harmless, since attempt numbers are never reused.
+    machines with a known address, and only for tasks whose start commands have been sent. A stop
+    that arrives late is harmless, since attempt numbers are never reused.
     """
     pending_stops = []
     retry_s = shard.cluster.workers.report_s * STOP_RETRY_INTERVALS
--- a/marblestair/core/shard/failures.py
+++ b/marblestair/core/shard/failures.py
@@ -2,12 +2,12 @@
 
 On a faulty machine every task fails; a faulty job fails on every machine. A single failure does not
 show which of the two is at fault. A failure counts against the machine when a task of the same job
-is known to have succeeded, or when several different jobs fail on that machine. Failures count
-against a job when none of its tasks is known to have succeeded, once for each machine on which no
-other job fails (jobs in quarantine are ignored).
+is known to have succeeded, or when other jobs fail on that machine too. A machine counts against a
+job when the job failed there, none of the job's tasks is known to have succeeded, and no other job
+fails there. Both rules ignore other jobs that are quarantined.
 
-A job that is the only failing one on ``MIN_QUARANTINE_MACHINES`` machines is quarantined: only a
-few of its tasks are retried, with exponential back-off, until one succeeds. The failure records are
+A job is quarantined when ``MIN_QUARANTINE_MACHINES`` machines count against it: only a few of its
+tasks are retried, with exponential back-off, until one succeeds. The failure records are
 bounded in number; the oldest one is evicted first.
 """
 
@@ -19,12 +19,12 @@
 
 from marblestair.core.domain.settings import Workers
 
-#: minimum number of machines, in all shards together, on which a job must be the only failing one
-#: to be quarantined
+#: minimum number of machines, in all shards together, that must count against a job for it to be
+#: quarantined
 MIN_QUARANTINE_MACHINES = 3
 #: a machine is faulty when at least this many failures count against it
 MIN_FAULTY_FAILURES = 3
-#: maximum number of job records, and of machine records; exceeds the size of the largest fleets
+#: maximum number of job records, and of machine records; more than the largest fleets have machines
 MAX_TRACKED_ENTRIES = 10_000
 #: maximum number of machines in the record of one job, and of jobs in the record of one machine
 MAX_KEYS_PER_ENTRY = 8
@@ -34,8 +34,8 @@
 MAX_BACKOFF_LEASES = 2.5
 #: factor by which a quarantined job's back-off grows with each failed retry
 BACKOFF_FACTOR = 2.0
-#: back-off of a machine for each failure counted against it, and of one job on a machine for each
-#: of the job's failures there, in heartbeat intervals
+#: back-off of a machine per failure that counts against the machine, and back-off of one job on a
+#: machine per failure of the job there, in heartbeat intervals
 BACKOFF_INTERVALS_PER_FAILURE = 2.0
 #: time for which the failing jobs that another shard's leader published are used, as a multiple of
 #: the agents' lease
@@ -101,7 +101,8 @@
         self._published_failures_ttl_s = PUBLISHED_FAILURES_TTL_LEASES * workers.lease_s
         self._jobs: OrderedDict[str, JobFailures] = OrderedDict()
         self._machines: OrderedDict[str, MachineFailures] = OrderedDict()
-        #: failing jobs last published for each shard, and their machine counts summed by job
+        #: failing jobs last published for each shard, and for each job the sum of its published
+        #: machine counts
         self._by_shard: dict[int, PublishedFailures] = {}
         self._published_counts: dict[str, int] = {}
         #: whether a quarantine may have begun or ended since the view synchronizer cleared this
@@ -172,10 +173,11 @@
     # --- assessment of jobs ----------------------------------------------------------------
 
     def failing_jobs(self) -> list[FailingJob]:
-        """Return the failing jobs without a success, for publication to the other controllers.
+        """Return the failing jobs without a known success, for the other controllers.
 
-        A job may fail on too few machines of each single shard to be quarantined, but on enough
-        machines of all shards together.
+        They are published because a job may fail on too few machines of each single shard to be
+        quarantined, but on enough machines of all shards together. Jobs against which no machine
+        counts are left out unless they are quarantined.
         """
         failing = []
         for job, entry in self._jobs.items():
@@ -203,12 +205,12 @@
         return self._published_counts.get(job, 0) >= MIN_QUARANTINE_MACHINES
 
     def is_backing_off(self, job: str, now: float) -> bool:
-        """Whether a quarantined job must wait before its next retry."""
+        """Whether a job that this controller has quarantined must wait before its next retry."""
         entry = self._jobs.get(job)
         return entry is not None and entry.is_quarantined and now < entry.retry_at
 
     def avoided_machines(self, job: str, now: float) -> set[str]:
-        """Return the machines on which a job backs off after a failure; none in quarantine."""
+        """Return the machines on which a job backs off; none if this controller quarantined it."""
         entry = self._jobs.get(job)
         if entry is None or entry.is_quarantined:
             # A quarantined job may be retried where it failed, since its image is cached there.
@@ -234,7 +236,8 @@
         """Whether all other jobs that fail on a machine are quarantined."""
         machine_entry = self._machines.get(machine)
         if machine_entry is None:
-            # A task succeeded on the machine after this job's failure, or its record was evicted.
+            # A task succeeded on the machine after this job's failure, or the machine's record was
+            # evicted.
             return True
         return all(other == job or self.is_quarantined(other) for other in machine_entry.failures)
 
@@ -261,9 +264,10 @@
     def _count_failures_against(self, machine: str) -> int:
         """Count the failures that are attributed to a machine rather than to jobs.
 
-        Each failed task of a job that has succeeded counts as one failure. Each other job that is
-        not quarantined counts as one failure, unless it is the only failing job on the machine
-        apart from quarantined ones.
+        Each failed task of a job with a known success counts as one failure. Each other job that is
+        not quarantined counts as one failure, however many of its tasks failed. A job without a
+        known success does not count if it is the only failing job on the machine apart from
+        quarantined ones.
         """
         machine_entry = self._machines.get(machine)
         if machine_entry is None:
--- a/marblestair/core/shard/heartbeats.py
+++ b/marblestair/core/shard/heartbeats.py
@@ -1,4 +1,4 @@
-"""Handling of agents' heartbeats: rejects stale ones and updates their machines' state."""
+"""Handling of heartbeats: stale ones are rejected, others update the state of their machine."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from marblestair.core.shard.responsiveness import MAX_IGNORED_MESSAGES
 from marblestair.core.shard.shard import Shard
 
-#: gap between heartbeats below which the agent is taken to receive responses, in heartbeat
-#: intervals
+#: time between an agent's heartbeats below which the agent is presumed to receive responses, in
+#: heartbeat intervals
 MAX_FREQUENT_GAP_INTERVALS = 2.0
 #: time for which all gaps between heartbeats must be below ``MAX_FREQUENT_GAP_INTERVALS`` before
 #: the count of ignored commands is reset, as a share of the agents' lease
@@ -45,9 +45,9 @@
 def _is_acceptable(shard: Shard, machine: Machine, heartbeat: Heartbeat) -> bool:
     """Whether a heartbeat is newer than all accepted ones and its machine may be answered.
 
-    A machine is not answered if it is decommissioned or being released, or if its agent has a later
-    fencing token than the shard's term. Heartbeats of incarnations whose leases have expired are
-    rejected too.
+    A machine is not answered if it is decommissioned or being released, or if the heartbeat has a
+    later fencing token than the shard's term. Heartbeats of incarnations whose leases have expired
+    are rejected too.
     """
     if machine.is_decommissioned or machine.is_releasing or heartbeat.fencing_token > shard.term:
         return False
--- a/marblestair/core/shard/job_slice.py
+++ b/marblestair/core/shard/job_slice.py
@@ -32,7 +32,7 @@
         #: progress pages in the store
         self.durable_bits = 0
         self.page_versions: dict[int, int] = {}
-        #: time since which the store lacks the completion of a task; None if it lacks no completion
+        #: time since which the store has lacked the completion of some task; None if it lacks none
         self.dirty_since: float | None = None
         self.is_cancelled = False
         self.cancelled_at = 0.0
@@ -41,7 +41,7 @@
         self.is_unreconciled = False
         #: the job is a gang that lost a task, and its remaining tasks are being stopped
         self.is_stopping_gang = False
-        #: time since which no task is placed
+        #: time since which no task of the slice has been placed
         self.pending_since = 0.0
         #: the job depends on unfinished jobs, so its tasks must not start
         self.is_blocked = False
@@ -50,8 +50,8 @@
         #: indexes of tasks that are migrating to another shard; the outcome of the migration's
         #: commit is not known yet
         self.migrating_ranges: list[list[int]] = []
-        #: identifies that migration, so that the end of an earlier migration does not make the
-        #: present ``migrating_ranges`` pending
+        #: identifies the migration to which ``migrating_ranges`` belongs, so that the end of an
+        #: earlier migration does not make these tasks pending
         self.migration_holder = ""
 
     @property
@@ -87,7 +87,10 @@
         self.done_count = sum(1 for index in indexes if (self.done_bits >> index) & 1)
 
     def mark_done(self, index: int, now: float) -> None:
-        """Mark a task of this slice as done, unless it is done already."""
+        """Mark a task as done; does nothing if it is done, not in this slice, or of a service.
+
+        In a gang, all tasks of the slice become done.
+        """
         if (
             self.is_done(index)
             or not self.contains(index)
@@ -123,7 +126,7 @@
         self.pending_since = now
 
     def set_ranges(self, ranges: list[list[int]]) -> None:
-        """Assign the tasks that the job's record lists for this slice; update the pending ones."""
+        """Assign the tasks that the job's record lists for this slice; update the pending tasks."""
         before, assigned = IndexRanges(self.ranges), IndexRanges(ranges)
         self._assign(ranges)
         if not len(before):
--- a/marblestair/core/shard/machine.py
+++ b/marblestair/core/shard/machine.py
@@ -111,12 +111,12 @@
         #: whether a heartbeat has arrived whose fencing token is at least ``join_term``; until
         #: then the agent's task list serves only to stop tasks of ended jobs
         self.is_reconciled = False
-        #: when a heartbeat was last answered with status 200, and when one was last accepted; None
-        #: before the first
+        #: when this node last answered a heartbeat with status 200, and when it last accepted one;
+        #: None before the first
         self.last_answered_at: float | None = None
         self.last_heartbeat_at: float | None = None
-        #: maximum time since the last heartbeat for which tasks are placed here, in seconds; None
-        #: for no limit
+        #: time since the last heartbeat after which no tasks are placed here, in seconds; None for
+        #: no limit
         self.heartbeat_timeout_s: float | None = None
         #: when the cloud will reclaim the machine, if it has announced that
         self.reclaim_at: float | None = None
@@ -125,8 +125,8 @@
         self.free = [0, 0, 0]
         #: exited tasks listed in the newest heartbeat
         self.exited_tasks: dict[TaskKey, ExitedTask] = {}
-        #: attempts of tasks that the agent lists but the shard does not expect here; they are
-        #: stopped
+        #: attempt numbers of tasks that the agent lists but the shard does not expect here; these
+        #: tasks are stopped
         self.unknown_tasks: dict[TaskKey, int] = {}
         self.responsiveness = Responsiveness(now)
         self.cordon: CordonReason | None = None
--- a/marblestair/core/shard/reclaimed_machines.py
+++ b/marblestair/core/shard/reclaimed_machines.py
@@ -1,4 +1,4 @@
-"""Eviction of tasks from machines that the cloud is about to reclaim, with saved checkpoints."""
+"""Stops with checkpoints for tasks on machines that the cloud is about to reclaim."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from marblestair.core.shard.machine import StopReason
 from marblestair.core.shard.shard import Shard
 
-#: tasks are stopped this long before the reclaim: this multiple of the time to save a checkpoint,
-#: plus this number of heartbeat intervals
+#: time before the reclaim at which tasks are stopped: this multiple of the time to save a
+#: checkpoint, plus this number of heartbeat intervals
 EVICTION_LEAD_SAVES, EVICTION_LEAD_INTERVALS = 2, 3
 #: minimum grace period of a stop with a checkpoint; at a grace period of zero, agents stop the task
 #: at once
--- a/marblestair/core/shard/reconciliation.py
+++ b/marblestair/core/shard/reconciliation.py
@@ -80,9 +80,9 @@
 
 
 def _adopt_completion(shard: Shard, status: TaskStatus, now: float) -> None:
-    """Mark a reported task as done if it belongs to a slice here and is placed on no machine.
+    """Mark a completed task as done if it belongs to the shard and is placed on no machine.
 
-    An earlier leader launched the task and did not record its completion.
+    An earlier leader launched such a task and did not record its completion.
     """
     job_slice = shard.slices.get(status.job)
     if job_slice is not None and job_slice.can_adopt(status.index):
@@ -124,7 +124,7 @@
     """Count a response whose launches were not carried out.
 
     When ``ignored_commands`` reaches ``MAX_IGNORED_MESSAGES``, the agent is marked unresponsive and
-    its unsent launches are withdrawn.
+    its planned tasks are removed.
     """
     responsiveness = machine.responsiveness
     responsiveness.ignored_commands += 1
--- a/marblestair/core/shard/responsiveness.py
+++ b/marblestair/core/shard/responsiveness.py
@@ -14,15 +14,17 @@
 
     An agent is responsive at first. It becomes unresponsive when several responses had no effect,
     or when its lease expired although its heartbeats arrived. Its state is ``LEASE_EXPIRED`` once
-    its lease must have expired, and unresponsive after the next heartbeat. The agent becomes
-    responsive again when its heartbeats arrive as frequently as those of an agent that receives
-    responses, and ``ignored_commands`` is below ``MAX_IGNORED_MESSAGES``.
+    its lease must have expired. An agent in either state becomes responsive again when its
+    heartbeats arrive as frequently as those of an agent that receives responses, and
+    ``ignored_commands`` is below ``MAX_IGNORED_MESSAGES``. Otherwise, the next heartbeat changes
+    ``LEASE_EXPIRED`` to ``UNRESPONSIVE``.
     """
 
     RESPONSIVE = "responsive"
     #: heartbeats arrive, but responses and commands seem not to reach the agent
     UNRESPONSIVE = "unresponsive"
-    #: no heartbeat was answered for the duration of its lease, so it has stopped all its tasks
+    #: no heartbeat of the agent was answered for the duration of its lease, so the agent has
+    #: stopped all its tasks
     LEASE_EXPIRED = "lease expired"
 
 
@@ -47,8 +49,8 @@
         #: number of responses whose launches had no effect, plus leases that expired although
         #: heartbeats arrived; reset by a confirmed launch or by a period of frequent heartbeats
         self.ignored_commands = 0
-        #: responses, since the last lease expiry, to heartbeats whose fencing token was older than
-        #: the term in which the machine joined
+        #: number of responses, since the last lease expiry, to heartbeats whose fencing token was
+        #: older than the term in which the machine joined the shard
         self.ignored_terms = 0
         #: time of the last heartbeat that was not frequent; initially, when the machine was added
         self.frequent_since = now
--- a/marblestair/core/shard/shard.py
+++ b/marblestair/core/shard/shard.py
@@ -32,8 +32,8 @@
 #: an attempt number is ``(term << ATTEMPT_COUNT_BITS) + count``, so attempt numbers of different
 #: terms differ
 ATTEMPT_COUNT_BITS = 24
-#: time since a machine's last heartbeat after which the machine gets no new tasks and its unsent
-#: launches are withdrawn, in heartbeat intervals
+#: time since a machine's last heartbeat after which no tasks are placed on the machine and its
+#: planned tasks are removed, in heartbeat intervals
 HEARTBEAT_TIMEOUT_INTERVALS = 3.5
 #: time that an agent may need to stop its tasks after its lease has ended
 AGENT_STOP_MARGIN_S = 0.25
@@ -87,7 +87,7 @@
         self.cluster = cluster
         self.machines: dict[str, Machine] = {}
         self.slices: dict[str, JobSlice] = {}
-        #: team -> cpus and gpus of its placed tasks, in fixed point
+        #: team -> cpus and gpus of the team's placed tasks, in fixed point
         self.team_usage: dict[str, list[int]] = {}
         #: machines that were in the shard at the failover and are not reconciled yet
         self.unreconciled_machines: set[str] = set()
@@ -103,12 +103,13 @@
         #: store key that is no longer needed (progress page, rental intent) -> version to delete;
         #: None where the version must be read first
         self.obsolete_keys: dict[str, int | None] = {}
-        #: time since the last answered heartbeat after which an agent has stopped its tasks, in
-        #: seconds
+        #: time since an agent's last answered heartbeat after which the agent must have stopped its
+        #: tasks, in seconds
         self.agent_lease_limit_s = (
             cluster.workers.lease_s * (1 + MAX_CLOCK_DRIFT_FRACTION) + AGENT_STOP_MARGIN_S
         )
-        #: time since its last heartbeat after which a machine gets no new tasks, in seconds
+        #: time since a machine's last heartbeat after which no tasks are placed on the machine, in
+        #: seconds
         self.heartbeat_timeout_s = HEARTBEAT_TIMEOUT_INTERVALS * cluster.workers.report_s
         self._attempt_count = 0
 
@@ -117,8 +118,9 @@
     def usage(self, team: str) -> tuple[int, int]:
         """Return an upper bound of the cpus and gpus that a team's tasks use, in fixed point.
 
-        The full capacity of each machine that is not reconciled, or lists unknown tasks, is added.
-        The result is ``UNBOUNDED_USAGE`` if such a machine or its type is unknown.
+        The full capacity of each machine in ``unreconciled_machines`` or
+        ``machines_with_unknown_tasks`` is added, since any team's tasks may run there. Both values
+        are ``UNBOUNDED_USAGE`` if such a machine or its type is unknown.
         """
         cpus, gpus = self.team_usage.get(team, (0, 0))
         for name in (
@@ -162,7 +164,10 @@
         self._place(machine, job_slice, task)
 
     def adopt(self, machine: Machine, job_slice: JobSlice, status: TaskStatus, now: float) -> None:
-        """Place a listed task, launched by an earlier leader, that is placed on no machine."""
+        """Place a task that the machine's agent lists and an earlier leader launched.
+
+        The task must not be placed on any machine yet.
+        """
         task = PlacedTask(
             status.job, status.index, status.attempt, job_slice.resources, job_slice.spec.team
         )
@@ -204,7 +209,7 @@
             _stop_rest_of_gang(job_slice)
 
     def remove_planned_tasks(self, machine: Machine, now: float) -> None:
-        """Remove the tasks whose launches have not been sent to their machine yet."""
+        """Remove a machine's tasks for which no start command has been sent yet."""
         for task in list(machine.tasks.values()):
             if task.state == TaskState.PLANNED:
                 self.remove_task(machine, task, now)
@@ -234,7 +239,7 @@
     # --- jobs ------------------------------------------------------------------------------
 
     def sync_job(self, record: JobRecord | None, job: str, now: float) -> None:
-        """Create, update or remove a slice by its job's record; None means the job has ended."""
+        """Create, update or remove a job's slice by the job's record; None if the job ended."""
         job_slice = self.slices.get(job)
         if record is None:
             if job_slice is not None:
--- a/marblestair/core/view_synchronizer.py
+++ b/marblestair/core/view_synchronizer.py
@@ -87,7 +87,7 @@
         self._dependencies.record_changed(job)
 
     def _sync_urgency(self) -> None:
-        """Update the slices of jobs whose urgency changed with that of jobs that depend on them."""
+        """Update the slices of jobs whose urgency, inherited from dependent jobs, changed."""
         for job in self._urgency.pop_changed():
             for shard in self._leadership.shards.values():
                 if job in shard.slices:
@@ -164,7 +164,7 @@
                 shard.obsolete_keys[keys.progress_page(shard.shard_id, job, page)] = version
         shard.sync_job(record, job, now)
         if job in shard.slices and self._cancels.is_known(job):
-            # The record in the view may be older than the cancel, which is applied here too.
+            # The record in the view may be older than the cancel and not show it.
             shard.cancel(job, now)
         job_slice = shard.slices.get(job)
         if job_slice is None or record is None:
--- a/marblestair/net/framing.py
+++ b/marblestair/net/framing.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-#: maximum payload of a frame; a summary of thousands of machines is far smaller
+#: maximum size of a frame's payload; a summary of thousands of machines is far smaller
 MAX_FRAME_BYTES = 4 << 20
 #: size of the length that precedes each payload, in network byte order
 LENGTH_BYTES = 4
--- a/marblestair/net/http_client.py
+++ b/marblestair/net/http_client.py
@@ -196,7 +196,12 @@
         return connection
 
     def _return_to_pool(self, address: str, connection: ClientConnection) -> None:
-        """Return a connection to the pool; close it if it is not reusable or the pool is full."""
+        """Return a connection to the pool, or close it.
+
+        The connection is closed if it is not reusable, the client is closed, or
+        ``max_idle_per_address`` connections to the address are idle. Above ``max_idle`` idle
+        connections in total, one to the least recently used address is closed.
+        """
         if self._is_closed or not connection.is_reusable:
             connection.close()
             return
--- a/marblestair/net/http_server.py
+++ b/marblestair/net/http_server.py
@@ -16,8 +16,8 @@
 #: maximum number of pipelined requests that wait on one connection while an earlier one is handled;
 #: clients are not expected to send more, and the connection is closed if they do
 MAX_QUEUED_REQUESTS = 4
-#: minimum time for which an agent's connection must have been idle to be closed when the limit of
-#: connections is reached and no user's connection is idle, as a share of the idle timeout
+#: when the limit of connections is reached and no user's connection is idle: time without received
+#: data after which an agent's idle connection is closed, as a share of the idle timeout
 AGENT_IDLE_TIMEOUT_SHARE = 0.125
 #: path that replaces one that is not ASCII; no interface has this path
 NON_ASCII_PATH = "/?"
@@ -73,8 +73,8 @@
         self._parser: Any = httptools.HttpRequestParser(self)
         self._url = b""
         self._body = bytearray()
-        #: bytes received since the parser last reported a complete head, a piece of a body or a
-        #: complete request; they belong to a head that is not complete yet
+        #: number of bytes received since the parser last reported a complete head, a piece of a
+        #: body or a complete request; these bytes belong to a head that is not complete yet
         self._head_bytes = 0
         self._is_too_large = False
         #: whether a request was passed to the handler and has no response yet
@@ -85,7 +85,7 @@
         #: time of the server's clock at which data was last received
         self.last_active_at = 0.0
         #: set by the handler when a heartbeat arrives on the connection; at the limit of
-        #: connections, idle ones of users are closed first
+        #: connections, the server closes idle connections of users before those of agents
         self.is_from_agent = False
 
     # asyncio.Protocol
@@ -249,7 +249,8 @@
     max_body
         Maximum size of a request body, in bytes.
     idle_timeout_s
-        Time in seconds without received data after which an idle connection may be closed.
+        Time in seconds without received data after which ``close_idle_connections`` closes a
+        connection on which no request is being handled.
     refuse_users_above
         Number of connections above which ``must_refuse_users`` tells the handler to refuse users'
         requests, so that the remaining connections are reserved for agents. By default no requests
@@ -326,7 +327,7 @@
             self._close_idle(self._idle_timeout_s * AGENT_IDLE_TIMEOUT_SHARE)
 
     def close_idle_connections(self) -> None:
-        """Close the connections that have been idle for longer than the timeout."""
+        """Close the idle connections that have received no data for ``idle_timeout_s``."""
         self._close_idle(self._idle_timeout_s)
 
     def _close_idle(self, min_idle_s: float) -> None:
--- a/marblestair/net/peers.py
+++ b/marblestair/net/peers.py
@@ -35,9 +35,9 @@
 class Link:
     """An outgoing connection to one peer.
 
-    The connection is opened on first use. If it is lost or stale, the next use opens a new one, but
-    not within ``RECONNECT_DELAY_S`` after a failed attempt. :meth:`close` ends the connection and
-    the task that opens it.
+    The connection is opened on first use. If it is lost or stale, the next use opens a new one. No
+    attempt is made within ``RECONNECT_DELAY_S`` after a failed one. :meth:`close` ends the
+    connection and the task that opens it.
 
     Parameters
     ----------
@@ -112,7 +112,10 @@
         return connection
 
     def _usable_connection(self) -> FramedConnection | None:
-        """Return the connection if it is open; otherwise start to open it and return None."""
+        """Return the open connection; without one, start to open one if allowed and return None.
+
+        No attempt starts while another one runs, before ``_reconnect_at``, or after :meth:`close`.
+        """
         now = asyncio.get_running_loop().time()
         if self._connection is not None and self._is_stale(now):
             self._connection.abort()
--- a/marblestair/net/rate_limiter.py
+++ b/marblestair/net/rate_limiter.py
@@ -15,8 +15,8 @@
 
 #: default time after which a waiting request is rejected
 DEFAULT_MAX_WAIT_S = 2.0
-#: a request that needs more write tokens than this share of the write bucket's capacity is granted
-#: when the bucket is filled to this share
+#: largest number of write tokens for which a request has to wait, as a share of the write bucket's
+#: capacity; a request with more writes is granted at this number too
 FULL_BUCKET_SHARE = 0.95
 #: interval at which waiting requests are granted, as a share of the time in which one request token
 #: is added; for request rates below MIN_GRANT_RATE_PER_S, that time is computed from this rate
@@ -109,8 +109,8 @@
         return True
 
     def _has_write_tokens(self, writes: int) -> bool:
-        # A request with more writes than the bucket's capacity is granted when the bucket is almost
-        # full; the number of tokens then becomes negative.
+        # A request with more writes than FULL_BUCKET_SHARE of the bucket's capacity is granted when
+        # the bucket is filled to that share; the number of tokens may then become negative.
         return not writes or self._write_tokens >= min(writes, self.write_rps * FULL_BUCKET_SHARE)
 
     def _schedule_grant(self, loop: asyncio.AbstractEventLoop) -> None:
--- a/marblestair/wire/peers.py
+++ b/marblestair/wire/peers.py
@@ -58,7 +58,7 @@
 
 
 class MalformedMessageError(Exception):
-    """A message of another controller cannot be decoded; the text names its tag and the error."""
+    """A message's arguments are malformed; the text names the message's tag and the error."""
 
 
 def tag_of(message: PeerMessage) -> str:
@@ -67,7 +67,7 @@
 
 
 def arguments_of(message: PeerMessage) -> PeerMessage | list[SliceProgress]:
-    """Return the value that is encoded as the array of arguments of a message."""
+    """Return the value whose MessagePack encoding is the array of a message's arguments."""
     if isinstance(message, ProgressReport):
         # Each slice is one argument.
         return message.slices
--- a/marblestair/wire/store.py
+++ b/marblestair/wire/store.py
@@ -128,15 +128,16 @@
     if isinstance(request, GrantLease):
         return StoreResponse(200, lease_id=int(fields["tenancy"]))
     if isinstance(request, CompareAndSwap):
-        # The revision is required, to order this commit relative to reads of the same keys.
+        # A response without a revision is malformed: the revision orders this commit relative to
+        # reads of the same keys.
         return StoreResponse(200, revision=int(fields["ledger_rev"]))
     return _decode_status(200, fields)
 
 
 def _decode_failure(request: StoreRequest, status: int, fields: _Fields) -> StoreResponse:
     if isinstance(request, Get) and status == 404:
-        # The revision is required, to order this read, which found no value, relative to changes
-        # of the key.
+        # A response without a revision is malformed: the revision orders this read, which found no
+        # value, relative to changes of the key.
         return StoreResponse(404, revision=int(fields["ledger_rev"]))
     return _decode_status(status, fields)
 
